--- a/Makefile
+++ b/Makefile
@@ -3,19 +3,19 @@
 .PHONY: build test lint run measure-fleet soak measure-clients measure-together measure-outlive run-fleet bench sites bench-sites
 
 build:
-	mkdir -p bin && go build -o bin/ ./cmd/... && go build -tags talk -o bin/hillknot-talk ./cmd/hillknot
+	mkdir -p bin && go build -o bin/ ./cmd/... && go build -tags cluster -o bin/hillknot-cluster ./cmd/hillknot
 
 lint:
 	@unformatted=$$(gofmt -l .); if [ -n "$$unformatted" ]; then echo "not gofmt-ed: $$unformatted" >&2; exit 1; fi
-	go vet ./... && go vet -tags talk ./...
-	go tool staticcheck -tags talk ./...
+	go vet ./... && go vet -tags cluster ./...
+	go tool staticcheck -tags cluster ./...
 
 # The operators' build line is tested as it stands in the deploy file. Tests that KNOWN-RED.txt lists have to fail, all others
 # to pass.
 test: lint
 	sh -c "$$(sed -n 's/^build = "\(.*\)".*$$/\1/p' deploy/balancer.toml)"
 	@readelf -d bin/hillknot | grep -q 'NEEDED.*libc\.so' || { echo "bin/hillknot is not linked dynamically" >&2; exit 1; }
-	go test -count=1 -tags talk -json ./... | go run ./tools/citest -known KNOWN-RED.txt
+	go test -count=1 -tags cluster -json ./... | go run ./tools/citest -known KNOWN-RED.txt
 
 run: build
 	@go build -o bin/toy ./example/toy
@@ -28,23 +28,23 @@
 
 # The tables of docs/client.md, in some five minutes. Nothing else should run beside it.
 measure-clients: build
-	bin/hillknot-lab clients
+	bin/hillknot-loadtest clients
 
 # The tables of docs/fleet-talk.md, in some three minutes. Nothing else should run beside it.
 measure-together: build
-	bin/hillknot-lab together
+	bin/hillknot-loadtest together
 
 # The tables of docs/takeover.md, in some twelve minutes. Nothing else should run beside it.
 measure-outlive: build
-	bin/hillknot-lab outlive
+	bin/hillknot-loadtest outlive
 
 # One router beside 200, 800 and 3,200 page caches, against its bounds; docs/fleet.md, in some six minutes.
 measure-fleet: build
-	bin/hillknot-lab scale
+	bin/hillknot-loadtest scale
 
 # Two dozen router processes through troubles that overlap, 20 seeds, in some six minutes; docs/incidents.
 soak: build
-	bin/hillknot-lab soak
+	bin/hillknot-loadtest soak
 
 # The operators' bench, quick, on both deployments in turn: the standing fleet test on the first, then the second's
 # days on real sockets. It needs their kit, which this repository does not hold: make bench KIT=DIR WHY="...".
--- a/client/client.go
+++ b/client/client.go
@@ -19,7 +19,7 @@
 
 	"hillknot/client/policy"
 	"hillknot/internal/clock"
-	"hillknot/internal/rpcwire"
+	"hillknot/internal/rpc"
 )
 
 // Class is a kind of requests that the routers serve.
@@ -333,19 +333,19 @@
 	defer nc.Close()
 	stop := context.AfterFunc(ctx, func() { _ = nc.SetDeadline(clock.Past()) })
 	defer stop()
-	if _, err := nc.Write(rpcwire.AppendHealthCall(nil, 1)); err != nil {
+	if _, err := nc.Write(rpc.AppendHealthCall(nil, 1)); err != nil {
 		return err
 	}
 	buf := make([]byte, 0, headMost)
 	for len(buf) < cap(buf) {
 		n, err := nc.Read(buf[len(buf):cap(buf)])
 		buf = buf[:len(buf)+n]
-		h, used, _, bad := rpcwire.ParseHead(buf, headMost, 0)
+		h, used, _, bad := rpc.ParseHead(buf, headMost, 0)
 		switch {
 		case bad != nil:
 			return bad
-		case used > 0 && (h.ID != 1 || h.What != rpcwire.Health):
-			return rpcwire.ErrMalformed
+		case used > 0 && (h.ID != 1 || h.What != rpc.Health):
+			return rpc.ErrMalformed
 		case used > 0 && !h.Ready:
 			return ErrNotReady
 		case used > 0:
@@ -357,7 +357,7 @@
 			return err
 		}
 	}
-	return rpcwire.ErrMalformed
+	return rpc.ErrMalformed
 }
 
 // Close ends the client: it takes nothing new, waits until what is open has ended or the context has, withdraws the
--- a/client/client_test.go
+++ b/client/client_test.go
@@ -10,16 +10,16 @@
 	"go.uber.org/goleak"
 
 	"hillknot/client/policy"
-	"hillknot/internal/rpcwire"
-	"hillknot/internal/standin"
+	"hillknot/internal/rpc"
+	"hillknot/internal/testutil/fakes"
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
 // script plays a router that is ready and does as told with all else.
-func script(t testing.TB, handle func(*standin.Peer, rpcwire.Message)) *standin.Router {
+func script(t testing.TB, handle func(*fakes.Peer, rpc.Message)) *fakes.Router {
 	t.Helper()
-	r, err := standin.NewReadyRouter("127.0.0.1:0", handle)
+	r, err := fakes.NewReadyRouter("127.0.0.1:0", handle)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -50,9 +50,9 @@
 
 func TestServed(t *testing.T) {
 	body := bytes.Repeat([]byte("score"), 40_000)
-	r := script(t, func(p *standin.Peer, m rpcwire.Message) {
+	r := script(t, func(p *fakes.Peer, m rpc.Message) {
 		if string(m.Fields.Got) == "tag" {
-			p.Raw(rpcwire.AppendServed(nil, m.ID, nil, "ok304", "1"))
+			p.Raw(rpc.AppendServed(nil, m.ID, nil, "ok304", "1"))
 			return
 		}
 		p.Serve(m.ID, body)
@@ -77,7 +77,7 @@
 }
 
 func BenchmarkDo(b *testing.B) {
-	r := script(b, func(p *standin.Peer, m rpcwire.Message) { p.Serve(m.ID, nil) })
+	r := script(b, func(p *fakes.Peer, m rpc.Message) { p.Serve(m.ID, nil) })
 	for _, conns := range []int{1, 8} {
 		b.Run(map[int]string{1: "one connection", 8: "eight connections"}[conns], func(b *testing.B) {
 			c := start(b, func(s *policy.Settings) { s.ConnsPerRouter = conns }, r.Addr())
--- a/client/example_test.go
+++ b/client/example_test.go
@@ -7,13 +7,13 @@
 	"time"
 
 	"hillknot/client"
-	"hillknot/internal/rpcwire"
-	"hillknot/internal/standin"
+	"hillknot/internal/rpc"
+	"hillknot/internal/testutil/fakes"
 )
 
 // router plays a router that serves pages, and is too busy for orders.
-func router() *standin.Router {
-	r, err := standin.NewReadyRouter("127.0.0.1:0", func(p *standin.Peer, m rpcwire.Message) {
+func router() *fakes.Router {
+	r, err := fakes.NewReadyRouter("127.0.0.1:0", func(p *fakes.Peer, m rpc.Message) {
 		if string(m.Method) == "new-arrange" {
 			p.Refuse(m.ID, 1500)
 			return
--- a/client/faults_test.go
+++ b/client/faults_test.go
@@ -15,9 +15,9 @@
 	"pgregory.net/rapid"
 
 	"hillknot/client/policy"
-	_ "hillknot/internal/parsetest" // sets rapid's seed
-	"hillknot/internal/rpcwire"
-	"hillknot/internal/standin"
+	"hillknot/internal/rpc"
+	"hillknot/internal/testutil/fakes"
+	_ "hillknot/internal/testutil/parsertest" // sets rapid's seed
 )
 
 // told sends a request to a router that answers health and then these bytes, and ends.
@@ -34,7 +34,7 @@
 			if _, err := far.Read(in); err != nil {
 				return
 			}
-			if _, err := far.Write(rpcwire.AppendHealth(nil, 1, true)); err != nil {
+			if _, err := far.Write(rpc.AppendHealth(nil, 1, true)); err != nil {
 				return
 			}
 			if _, err := far.Read(in); err == nil {
@@ -76,11 +76,11 @@
 	id := rapid.Uint64Range(0, 3).Draw(t, "id")
 	switch rapid.IntRange(0, 3).Draw(t, "kind") {
 	case 0:
-		return rpcwire.AppendServed(nil, id, rapid.SliceOfN(rapid.Byte(), 0, 5000).Draw(t, "body"), "ok304", "1")
+		return rpc.AppendServed(nil, id, rapid.SliceOfN(rapid.Byte(), 0, 5000).Draw(t, "body"), "ok304", "1")
 	case 1:
-		return rpcwire.AppendError(nil, id, rapid.StringN(0, 20, 40).Draw(t, "word"), "later", rapid.StringN(0, 9, 9).Draw(t, "later"))
+		return rpc.AppendError(nil, id, rapid.StringN(0, 20, 40).Draw(t, "word"), "later", rapid.StringN(0, 9, 9).Draw(t, "later"))
 	case 2:
-		return rpcwire.AppendHealth(nil, id, rapid.Bool().Draw(t, "ready"))
+		return rpc.AppendHealth(nil, id, rapid.Bool().Draw(t, "ready"))
 	}
 	return rapid.SliceOfN(rapid.Byte(), 1, 100).Draw(t, "garbage")
 }
@@ -97,9 +97,9 @@
 		check(t, answer, resp, err)
 	})
 	for _, bad := range [][]byte{
-		rpcwire.AppendServed(nil, 2, make([]byte, 1<<12+1), "", ""), // over the limit
-		{0x94, 1, 2, 0xc0, 0x92, 0xc6, 0x7f, 0xff, 0xff, 0xff},      // two gigabytes
-		rpcwire.AppendServed(nil, 99, nil, "", ""),                  // an id that was never used
+		rpc.AppendServed(nil, 2, make([]byte, 1<<12+1), "", ""), // over the limit
+		{0x94, 1, 2, 0xc0, 0x92, 0xc6, 0x7f, 0xff, 0xff, 0xff},  // two gigabytes
+		rpc.AppendServed(nil, 99, nil, "", ""),                  // an id that was never used
 		bytes.Repeat([]byte{0x94}, 1<<14),
 		{0x93, 2, 0xa1, 'x', 0x90},
 	} {
@@ -111,8 +111,8 @@
 
 func FuzzAnswer(f *testing.F) {
 	for _, seed := range [][]byte{
-		rpcwire.AppendServed(nil, 2, []byte("body"), "ok304", "1"), rpcwire.AppendError(nil, 2, rpcwire.Throttled, "later", "9"),
-		rpcwire.AppendHealth(nil, 2, false), {0x94, 1, 2, 0xc0, 0x92, 0xc6, 0x7f, 0xff, 0xff, 0xff},
+		rpc.AppendServed(nil, 2, []byte("body"), "ok304", "1"), rpc.AppendError(nil, 2, rpc.Throttled, "later", "9"),
+		rpc.AppendHealth(nil, 2, false), {0x94, 1, 2, 0xc0, 0x92, 0xc6, 0x7f, 0xff, 0xff, 0xff},
 	} {
 		f.Add(seed)
 	}
@@ -126,9 +126,9 @@
 // The connection goes on.
 func TestLateAnswers(t *testing.T) {
 	var canceled atomic.Int64
-	r := script(t, func(p *standin.Peer, m rpcwire.Message) {
+	r := script(t, func(p *fakes.Peer, m rpc.Message) {
 		switch {
-		case m.Kind == rpcwire.Notice:
+		case m.Kind == rpc.Notice:
 			canceled.Add(1)
 			p.Serve(m.IDs[0], []byte("too late"))
 		case string(m.Fields.Nth) == "1": // never in time
@@ -163,7 +163,7 @@
 
 // Calls that wait are bounded, a closed client takes none, and Close withdraws what does not end in time.
 func TestBusyAndClose(t *testing.T) {
-	r := script(t, func(*standin.Peer, rpcwire.Message) {})
+	r := script(t, func(*fakes.Peer, rpc.Message) {})
 	set := policy.Defaults()
 	set.Waiting, set.ConnsPerRouter, set.OpenPerConn = 3, 1, 2
 	c, err := New(Config{Routers: []string{r.Addr()}, Policy: &set})
@@ -223,9 +223,9 @@
 	whole := bytes.Repeat([]byte("score "), 30_000)
 	var tries atomic.Int64
 	half := make(chan struct{}, 10)
-	r := script(t, func(p *standin.Peer, m rpcwire.Message) {
-		all := rpcwire.AppendServed(nil, m.ID, whole, "", "")
-		if m.Kind == rpcwire.Call && tries.Add(1)%2 == 1 {
+	r := script(t, func(p *fakes.Peer, m rpc.Message) {
+		all := rpc.AppendServed(nil, m.ID, whole, "", "")
+		if m.Kind == rpc.Call && tries.Add(1)%2 == 1 {
 			p.Raw(all[:100_000])
 			<-half
 			p.End(true)
@@ -265,13 +265,13 @@
 
 // All routers are down, then one is back; another takes no clients, a third accepts and says nothing.
 func TestOneComesBack(t *testing.T) {
-	silent, err := standin.NewRouter("127.0.0.1:0", func(*standin.Peer, rpcwire.Message) {})
+	silent, err := fakes.NewRouter("127.0.0.1:0", func(*fakes.Peer, rpc.Message) {})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer silent.Close()
 	var asked atomic.Int64
-	never, err := standin.NewRouter("127.0.0.1:0", func(p *standin.Peer, m rpcwire.Message) {
+	never, err := fakes.NewRouter("127.0.0.1:0", func(p *fakes.Peer, m rpc.Message) {
 		if string(m.Method) != "health" {
 			asked.Add(1)
 		}
@@ -281,7 +281,7 @@
 		t.Fatal(err)
 	}
 	defer never.Close()
-	serve := func(p *standin.Peer, m rpcwire.Message) { p.Serve(m.ID, nil) }
+	serve := func(p *fakes.Peer, m rpc.Message) { p.Serve(m.ID, nil) }
 	r := script(t, serve)
 	addr := r.Addr()
 	c := start(t, func(s *policy.Settings) { s.Reconnect = 200 * time.Millisecond }, silent.Addr(), never.Addr(), addr)
@@ -292,7 +292,7 @@
 	if _, err := c.Do(context.Background(), Request{Class: "full-score", Limit: 100 * time.Millisecond}); err == nil || errors.Is(err, ErrMayHaveRun) {
 		t.Errorf("with all routers away: %v", err)
 	}
-	back, err := standin.NewReadyRouter(addr, serve)
+	back, err := fakes.NewReadyRouter(addr, serve)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/client/policy/policy_test.go
+++ b/client/policy/policy_test.go
@@ -10,7 +10,7 @@
 
 	"pgregory.net/rapid"
 
-	_ "hillknot/internal/parsetest" // sets rapid's seed
+	_ "hillknot/internal/testutil/parsertest" // sets rapid's seed
 )
 
 const ms = time.Millisecond
--- a/cmd/hillknot-lab/main.go
+++ b/cmd/hillknot-loadtest/main.go
@@ -1,4 +1,4 @@
-// Command hillknot-lab measures the product on loopback: real routers, stand-ins for all that they talk to.
+// Command hillknot-loadtest measures the product on loopback: real routers, stand-ins for all that they talk to.
 package main
 
 import (
@@ -9,12 +9,12 @@
 
 	"github.com/spf13/cobra"
 
-	"hillknot/lab"
+	"hillknot/loadtest"
 )
 
 // soakCommand runs routers through troubles that overlap.
 func soakCommand() *cobra.Command {
-	set := lab.SoakSettings{}
+	set := loadtest.SoakSettings{}
 	first, count := uint64(1), 20
 	c := &cobra.Command{
 		Use: "soak", Short: "Run router processes through troubles that overlap, judged by invariants", Args: cobra.NoArgs,
@@ -22,7 +22,7 @@
 			for i := range count {
 				set.Seeds = append(set.Seeds, first+uint64(i))
 			}
-			return lab.Soak(set, cmd.OutOrStdout())
+			return loadtest.Soak(set, cmd.OutOrStdout())
 		},
 	}
 	c.Flags().StringVar(&set.Router, "router", "bin/hillknot", "the router `PROGRAM`")
@@ -36,14 +36,14 @@
 
 // scaleCommand measures one router beside more and more page caches.
 func scaleCommand() *cobra.Command {
-	set := lab.ScaleSettings{}
+	set := loadtest.ScaleSettings{}
 	c := &cobra.Command{
 		Use: "scale", Short: "Measure one router beside 200, 800 and 3,200 page caches, and hold it to its bounds", Args: cobra.NoArgs,
-		RunE: func(cmd *cobra.Command, _ []string) error { return lab.Scale(set, cmd.OutOrStdout()) },
+		RunE: func(cmd *cobra.Command, _ []string) error { return loadtest.Scale(set, cmd.OutOrStdout()) },
 	}
 	c.Flags().StringVar(&set.Router, "router", "bin/hillknot", "the router `PROGRAM`")
 	c.Flags().IntSliceVar(&set.Sizes, "sizes", []int{200, 800, 3200}, "page caches on the list; the first is the usual size")
-	c.Flags().StringSliceVar(&set.Days, "days", lab.ScaleDays, "what is measured")
+	c.Flags().StringSliceVar(&set.Days, "days", loadtest.ScaleDays, "what is measured")
 	c.Flags().DurationVar(&set.Length, "length", 12*time.Second, "of a day")
 	c.Flags().Float64Var(&set.Rate, "rate", 5, "requests a second")
 	seeds := []uint{1, 2}
@@ -59,26 +59,28 @@
 }
 
 func main() {
-	root := &cobra.Command{Use: "hillknot-lab", Short: "Measure hillknot on loopback", SilenceUsage: true}
+	root := &cobra.Command{Use: "hillknot-loadtest", Short: "Measure hillknot on loopback", SilenceUsage: true}
 	var bin, talker, only string
 	var quick bool
 	clients := &cobra.Command{
 		Use: "clients", Short: "Compare the client library with a plain client, in some five minutes", Args: cobra.NoArgs,
-		RunE: func(cmd *cobra.Command, _ []string) error { return lab.Clients(bin, quick, only, cmd.OutOrStdout()) },
+		RunE: func(cmd *cobra.Command, _ []string) error {
+			return loadtest.Clients(bin, quick, only, cmd.OutOrStdout())
+		},
 	}
 	clients.Flags().StringVar(&bin, "router", "bin/hillknot", "the router `PROGRAM`")
 	clients.Flags().BoolVar(&quick, "quick", false, "in a fifth of the time, to see that it runs")
-	clients.Flags().StringVar(&only, "only", "", "one `PART` of "+strings.Join(lab.Parts, ", "))
+	clients.Flags().StringVar(&only, "only", "", "one `PART` of "+strings.Join(loadtest.Parts, ", "))
 	var routers int
 	var each time.Duration
 	var seed uint64
 	together := &cobra.Command{
 		Use: "together", Short: "Run routers that share budgets through faults between them, in some two minutes", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			return lab.Together(talker, routers, each, seed, cmd.OutOrStdout())
+			return loadtest.Together(talker, routers, each, seed, cmd.OutOrStdout())
 		},
 	}
-	together.Flags().StringVar(&talker, "router", "bin/hillknot-talk", "the router `PROGRAM`, built with talk")
+	together.Flags().StringVar(&talker, "router", "bin/hillknot-cluster", "the router `PROGRAM`, built with the tag cluster")
 	together.Flags().IntVar(&routers, "routers", 7, "how many")
 	together.Flags().DurationVar(&each, "each", 8*time.Second, "how long each fault lasts")
 	together.Flags().Uint64Var(&seed, "seed", 1, "of the faults and the load")
@@ -86,10 +88,10 @@
 	outlive := &cobra.Command{
 		Use: "outlive", Short: "Kill, stop and cut off routers that keep each other's orders", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			return lab.Outlive(talker, routers, kills, each, seed, cmd.OutOrStdout())
+			return loadtest.Outlive(talker, routers, kills, each, seed, cmd.OutOrStdout())
 		},
 	}
-	outlive.Flags().StringVar(&talker, "router", "bin/hillknot-talk", "the router `PROGRAM`, built with talk")
+	outlive.Flags().StringVar(&talker, "router", "bin/hillknot-cluster", "the router `PROGRAM`, built with the tag cluster")
 	outlive.Flags().IntVar(&routers, "routers", 7, "how many")
 	outlive.Flags().IntVar(&kills, "kills", 1000, "how many, one after the other")
 	outlive.Flags().DurationVar(&each, "each", 8*time.Second, "how long each fault lasts")
@@ -97,10 +99,10 @@
 	pay := &cobra.Command{
 		Use: "credit", Short: "Run routers that share prepaid balances through faults", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			return lab.Credit(talker, routers, each, seed, cmd.OutOrStdout())
+			return loadtest.Credit(talker, routers, each, seed, cmd.OutOrStdout())
 		},
 	}
-	pay.Flags().StringVar(&talker, "router", "bin/hillknot-talk", "the router `PROGRAM`, built with talk")
+	pay.Flags().StringVar(&talker, "router", "bin/hillknot-cluster", "the router `PROGRAM`, built with the tag cluster")
 	pay.Flags().IntVar(&routers, "routers", 7, "how many")
 	pay.Flags().DurationVar(&each, "each", 4*time.Second, "how long each fault lasts")
 	pay.Flags().Uint64Var(&seed, "seed", 1, "of the load")
--- a/cmd/drill/main.go
+++ b/cmd/hillknot-simulator/main.go
@@ -1,4 +1,4 @@
-// Command drill hosts instances of the decision module on the operators' drill: batches of events
+// Command hillknot-simulator hosts instances of the decision module on the operators' drill: batches of events
 // on standard input, one reply for each on standard output.
 package main
 
@@ -10,19 +10,19 @@
 	"time"
 
 	"hillknot/balancer"
-	"hillknot/internal/wire"
+	"hillknot/internal/simulator"
 )
 
 func main() {
 	if err := run(os.Stdin, os.Stdout); err != nil {
-		fmt.Fprintln(os.Stderr, "drill:", err)
+		fmt.Fprintln(os.Stderr, "hillknot-simulator:", err)
 		os.Exit(1)
 	}
 }
 
 // run answers batches until the input ends. A reply is written only once its batch is whole.
 func run(in io.Reader, out io.Writer) error {
-	r, w := wire.NewReader(in), bufio.NewWriterSize(out, 1<<16)
+	r, w := simulator.NewReader(in), bufio.NewWriterSize(out, 1<<16)
 	instances := map[string]*balancer.Balancer{}
 	var reply []byte
 	for {
@@ -52,7 +52,7 @@
 				reply = handle(reply, b, ev, batch.Now)
 			}
 		}
-		if _, err := w.Write(wire.AppendDone(reply)); err != nil {
+		if _, err := w.Write(simulator.AppendDone(reply)); err != nil {
 			return fmt.Errorf("write reply: %w", err)
 		}
 		if err := w.Flush(); err != nil {
@@ -62,15 +62,15 @@
 }
 
 // handle passes one event to its instance; a panic there becomes the wire's exception.
-func handle(reply []byte, b *balancer.Balancer, ev wire.Event, now time.Duration) (out []byte) {
+func handle(reply []byte, b *balancer.Balancer, ev simulator.Event, now time.Duration) (out []byte) {
 	defer func() {
 		if p := recover(); p != nil {
-			out = wire.AppendException(reply, ev.Instance, fmt.Sprint(p))
+			out = simulator.AppendException(reply, ev.Instance, fmt.Sprint(p))
 		}
 	}()
 	out = reply
 	for _, a := range b.Handle(now, ev.Event) {
-		out = wire.AppendAction(out, ev.Instance, a)
+		out = simulator.AppendAction(out, ev.Instance, a)
 	}
 	return out
 }
--- a/cmd/hillknot/ask_test.go
+++ b/cmd/hillknot/ask_test.go
@@ -8,14 +8,14 @@
 	"strings"
 	"testing"
 
-	"hillknot/internal/rpcwire"
-	"hillknot/internal/standin"
+	"hillknot/internal/rpc"
+	"hillknot/internal/testutil/fakes"
 )
 
 // script plays a router that is ready and does as told with all else.
-func script(t *testing.T, handle func(*standin.Peer, rpcwire.Message)) string {
+func script(t *testing.T, handle func(*fakes.Peer, rpc.Message)) string {
 	t.Helper()
-	r, err := standin.NewReadyRouter("127.0.0.1:0", handle)
+	r, err := fakes.NewReadyRouter("127.0.0.1:0", handle)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -38,26 +38,26 @@
 	if err := os.WriteFile(body, []byte("order"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	serve := func(p *standin.Peer, m rpcwire.Message) { p.Serve(m.ID, append([]byte("got "), m.Body...)) }
-	word := func(w string) func(*standin.Peer, rpcwire.Message) {
-		return func(p *standin.Peer, m rpcwire.Message) { p.Fail(m.ID, w) }
+	serve := func(p *fakes.Peer, m rpc.Message) { p.Serve(m.ID, append([]byte("got "), m.Body...)) }
+	word := func(w string) func(*fakes.Peer, rpc.Message) {
+		return func(p *fakes.Peer, m rpc.Message) { p.Fail(m.ID, w) }
 	}
 	for _, c := range []struct {
 		name   string
-		handle func(*standin.Peer, rpcwire.Message)
+		handle func(*fakes.Peer, rpc.Message)
 		args   []string
 		status int
 		words  string
 	}{
 		{"served", serve, []string{"get", some}, 0, "served"},
 		{"sent", serve, []string{"send", some, "--body", body}, 0, "served"},
-		{"refused", word(rpcwire.Throttled), []string{"send", some, "--body", body}, 3, "refused"},
-		{"unusable", word(rpcwire.BadRequest), []string{"send", some, "--body", body}, 4, "failed"},
+		{"refused", word(rpc.Throttled), []string{"send", some, "--body", body}, 3, "refused"},
+		{"unusable", word(rpc.BadRequest), []string{"send", some, "--body", body}, 4, "failed"},
 		{"failed", word("Failed"), []string{"send", some, "--body", body}, 5, "may have run"},
-		{"broken", func(p *standin.Peer, m rpcwire.Message) { p.End(true) }, []string{"send", some, "--body", body}, 5, "may have run"},
+		{"broken", func(p *fakes.Peer, m rpc.Message) { p.End(true) }, []string{"send", some, "--body", body}, 5, "may have run"},
 		{"broken, safe", word("Failed"), []string{"get", some}, 1, "error"},
-		{"late", func(*standin.Peer, rpcwire.Message) {}, []string{"get", some, "--deadline", "400ms"}, 6, "deadline over"},
-		{"late order", func(*standin.Peer, rpcwire.Message) {}, []string{"send", some, "--body", body, "--deadline", "400ms"}, 5, "may have run"},
+		{"late", func(*fakes.Peer, rpc.Message) {}, []string{"get", some, "--deadline", "400ms"}, 6, "deadline over"},
+		{"late order", func(*fakes.Peer, rpc.Message) {}, []string{"send", some, "--body", body, "--deadline", "400ms"}, 5, "may have run"},
 		{"no object", serve, []string{"get", "x"}, 2, ""},
 		{"no such flag", serve, []string{"get", some, "--colour"}, 2, ""},
 		{"no body", serve, []string{"send", some, "--body", body + "x"}, 2, ""},
@@ -92,8 +92,8 @@
 	path := filepath.Join(t.TempDir(), "score")
 	whole := bytes.Repeat([]byte("score "), 30_000)
 	tries, spoil := 0, true
-	addr := script(t, func(p *standin.Peer, m rpcwire.Message) {
-		all := rpcwire.AppendServed(nil, m.ID, whole, "", "")
+	addr := script(t, func(p *fakes.Peer, m rpc.Message) {
+		all := rpc.AppendServed(nil, m.ID, whole, "", "")
 		if tries++; tries == 1 || spoil {
 			p.Raw(bytes.ReplaceAll(all[:100_000], []byte("score"), []byte("spoil")))
 			p.End(false)
--- a/cmd/hillknot/talk.go
+++ b/cmd/hillknot/cluster.go
@@ -1,4 +1,4 @@
-//go:build talk
+//go:build cluster
 
 package main
 
@@ -11,22 +11,22 @@
 	"time"
 
 	"hillknot/balancer"
+	"hillknot/internal/cluster/failover"
+	"hillknot/internal/cluster/membership"
+	"hillknot/internal/cluster/state"
 	"hillknot/internal/config"
 	"hillknot/internal/core"
 	"hillknot/internal/credit"
-	"hillknot/internal/fleetstate"
-	"hillknot/internal/members"
-	"hillknot/internal/outlive"
-	"hillknot/internal/purse"
-	"hillknot/internal/takeover"
+	"hillknot/internal/extension/orderfailover"
+	"hillknot/internal/extension/prepaidcredit"
 )
 
 // talk begins to share, and to talk to the others until stop is closed. It is called once a predecessor, if there is one,
 // has been told that this process takes its place.
 func talk(cfg *config.Config, c *core.Core, shared *core.Shared, stop <-chan struct{}) (keyed, error) {
-	var hands *outlive.Hands // these are of the core's goroutine
-	var money *purse.Purse
-	m, err := members.New(cfg.Name, cfg.Fleet, func(msgs []fleetstate.Message) { c.Post(func() { c.Hear(msgs) }) }, members.Lanes{
+	var hands *orderfailover.Hands // these are of the core's goroutine
+	var money *prepaidcredit.Purse
+	m, err := membership.New(cfg.Name, cfg.Fleet, func(msgs []state.Message) { c.Post(func() { c.Hear(msgs) }) }, membership.Lanes{
 		Orders: func(packet []byte) {
 			c.Post(func() {
 				if hands != nil {
@@ -53,7 +53,7 @@
 		go t.purse.Run(stop)
 	}
 	if cfg.Fleet.Takeover.On {
-		h, err := outlive.New(c, takeoverSettings(cfg), cfg.Settings.Classes, m, slog.Default().Enabled(context.Background(), slog.LevelDebug))
+		h, err := orderfailover.New(c, takeoverSettings(cfg), cfg.Settings.Classes, m, slog.Default().Enabled(context.Background(), slog.LevelDebug))
 		if err != nil {
 			return nil, err
 		}
@@ -66,8 +66,8 @@
 
 // talking is what SIGHUP reads again.
 type talking struct {
-	*members.Members
-	purse *purse.Purse
+	*membership.Members
+	purse *prepaidcredit.Purse
 }
 
 // Reread reads the keys and the top-ups again. A faulty file changes nothing.
@@ -79,20 +79,20 @@
 	return err
 }
 
-func openPurse(cfg *config.Config, c *core.Core, m *members.Members) (*purse.Purse, error) {
+func openPurse(cfg *config.Config, c *core.Core, m *membership.Members) (*prepaidcredit.Purse, error) {
 	f := cfg.Fleet
 	set := credit.Defaults(cfg.Name, f.State.Process, "")
 	set.Rest, set.Chunk, set.Answer, set.Prices = f.Credit.Rest, f.Credit.Chunk, cfg.Limits.Object, map[string]credit.Price{}
 	for class, p := range f.Credit.Prices {
 		set.Prices[class] = credit.Price{Each: micro(p.Each), PerMB: micro(p.PerMB), Worth: p.Worth}
 	}
-	return purse.Open(c, f.Ledger, set, purse.Settings{Topups: f.Credit.Topups, Unnamed: f.Credit.Unnamed}, m)
+	return prepaidcredit.Open(c, f.Ledger, set, prepaidcredit.Settings{Topups: f.Credit.Topups, Unnamed: f.Credit.Unnamed}, m)
 }
 
 // micro is an amount of credits in millionths.
 func micro(credits float64) int64 { return int64(math.Round(credits * 1e6)) }
 
-func takeoverSettings(cfg *config.Config) takeover.Settings {
+func takeoverSettings(cfg *config.Config) failover.Settings {
 	f := cfg.Fleet
 	longest := time.Duration(0)
 	for _, k := range cfg.Settings.Classes {
@@ -100,7 +100,7 @@
 			longest = max(longest, cmp.Or(k.Deadline, cfg.Limits.Longest))
 		}
 	}
-	set := takeover.Defaults(cfg.Name, f.State.Process, f.State.Size, cmp.Or(longest, time.Second))
+	set := failover.Defaults(cfg.Name, f.State.Process, f.State.Size, cmp.Or(longest, time.Second))
 	t := f.Takeover
 	set.Place, set.Strict, set.Lease, set.Wait, set.Claim, set.Keep = f.Place, t.Strict, t.Lease, t.Wait, t.Claim, t.Keep
 	set.Records, set.Body = t.Records, t.Body
--- a/cmd/hillknot/notalk.go
+++ b/cmd/hillknot/cluster_disabled.go
@@ -1,4 +1,4 @@
-//go:build !talk
+//go:build !cluster
 
 package main
 
@@ -11,5 +11,5 @@
 
 // talk refuses: the library that routers talk by costs every router 4 MB, used or not.
 func talk(*config.Config, *core.Core, *core.Shared, <-chan struct{}) (keyed, error) {
-	return nil, errors.New("key \"fleet\": this program was built without talk; make build puts one with it at bin/hillknot-talk")
+	return nil, errors.New("key \"fleet\": this program was built without the tag cluster; make build puts one with it at bin/hillknot-cluster")
 }
--- a/cmd/hillknot/errors_test.go
+++ b/cmd/hillknot/errors_test.go
@@ -1,4 +1,4 @@
-//go:build talk
+//go:build cluster
 
 package main
 
@@ -8,11 +8,11 @@
 	"strings"
 	"testing"
 
+	"hillknot/internal/cluster/failover"
+	"hillknot/internal/cluster/messaging"
 	"hillknot/internal/credit"
-	"hillknot/internal/ledger"
-	"hillknot/internal/parcel"
-	"hillknot/internal/remedy"
-	"hillknot/internal/takeover"
+	"hillknot/internal/credit/store"
+	"hillknot/internal/operatorhint"
 )
 
 // The table of errors has each type of error, with what an operator can do, and nothing else.
@@ -23,9 +23,9 @@
 		t.Fatal(err)
 	}
 	want := map[string]bool{}
-	for _, list := range [][]remedy.Error{parcel.Errors, takeover.Errors, credit.Errors, ledger.Errors} {
+	for _, list := range [][]operatorhint.Error{messaging.Errors, failover.Errors, credit.Errors, store.Errors} {
 		for _, e := range list {
-			if e.Remedy() == "" || remedy.Of(fmt.Errorf("wrapped: %w", e)) != e.Remedy() {
+			if e.Remedy() == "" || operatorhint.Of(fmt.Errorf("wrapped: %w", e)) != e.Remedy() {
 				t.Errorf("%T: no remedy through what wraps it", e)
 			}
 			want[fmt.Sprintf("| `%T` | %s | %s |", e, e.Error(), e.Remedy())] = true
--- a/cmd/hillknot/figures_test.go
+++ b/cmd/hillknot/figures_test.go
@@ -12,18 +12,18 @@
 
 	"github.com/vmihailenco/msgpack/v5"
 
-	"hillknot/internal/standin"
+	"hillknot/internal/testutil/fakes"
 )
 
 // The figures are what crossed the sockets: every answer that a client read, and every request that a page cache did.
 func TestFiguresAgainstSockets(t *testing.T) {
 	// It has every object but those whose id is odd: to these it says that it is full.
 	var asked atomic.Int64
-	cache, err := standin.NewCache(nowhere, func(a standin.Ask) standin.Reply {
+	cache, err := fakes.NewCache(nowhere, func(a fakes.Ask) fakes.Reply {
 		if asked.Add(1); strings.HasSuffix(a.Fields["obj"], "1") {
-			return standin.Reply{Word: "WAIT"}
+			return fakes.Reply{Word: "WAIT"}
 		}
-		return standin.Reply{Word: "DONE", Fields: "res=cached", Body: []byte("hello")}
+		return fakes.Reply{Word: "DONE", Fields: "res=cached", Body: []byte("hello")}
 	})
 	if err != nil {
 		t.Fatal(err)
--- a/cmd/hillknot/orders_test.go
+++ b/cmd/hillknot/orders_test.go
@@ -16,8 +16,8 @@
 
 	"hillknot/client"
 	"hillknot/client/policy"
-	"hillknot/internal/standin"
-	"hillknot/lab"
+	"hillknot/internal/testutil/fakes"
+	"hillknot/loadtest"
 )
 
 const ordersConf = `{"listen":%q,"journal":%q,"known":{"pos":7,"entries":[{"pos":7,"hosts":{"reset":true,"instances":[
@@ -31,7 +31,7 @@
 // a journal and a page cache.
 func router(t *testing.T, text, cache string) (clients net.Listener, ops net.Addr) {
 	t.Helper()
-	news, err := standin.NewJournal(nowhere, 8)
+	news, err := fakes.NewJournal(nowhere, 8)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -88,25 +88,25 @@
 
 func runOnce(t *testing.T, class, text string) {
 	b := &book{ran: map[string]int{}}
-	cache, err := standin.NewCache(nowhere, func(a standin.Ask) standin.Reply {
+	cache, err := fakes.NewCache(nowhere, func(a fakes.Ask) fakes.Reply {
 		switch string(a.Body) {
 		case "refuse":
-			return standin.Reply{Word: "WAIT"}
+			return fakes.Reply{Word: "WAIT"}
 		case "lack":
-			return standin.Reply{Word: "LACK"}
+			return fakes.Reply{Word: "LACK"}
 		}
 		b.add(a.Fields["obj"])
 		switch string(a.Body) {
 		case "fail":
-			return standin.Reply{Word: "BROKE"}
+			return fakes.Reply{Word: "BROKE"}
 		case "break":
-			return standin.Reply{Break: true}
+			return fakes.Reply{Break: true}
 		case "silence":
-			return standin.Reply{}
+			return fakes.Reply{}
 		case "late":
-			return standin.Reply{Word: "DONE", Body: []byte("done"), After: 160 * time.Millisecond}
+			return fakes.Reply{Word: "DONE", Body: []byte("done"), After: 160 * time.Millisecond}
 		}
-		return standin.Reply{Word: "DONE", Body: []byte("done"), After: time.Duration(len(a.Body)%3) * time.Millisecond}
+		return fakes.Reply{Word: "DONE", Body: []byte("done"), After: time.Duration(len(a.Body)%3) * time.Millisecond}
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -139,7 +139,7 @@
 // order sends the order of a numbered case, checks it, and returns how it ended.
 func order(t *testing.T, b *book, class, addr string, i int) string {
 	rnd := rand.New(rand.NewPCG(uint64(i), 1))
-	flaw, body := standin.Flaw{Read: -1, Write: -1, Stall: i%2 == 0}, "well"
+	flaw, body := fakes.Flaw{Read: -1, Write: -1, Stall: i%2 == 0}, "well"
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	switch i / 2 % 4 {
@@ -159,7 +159,7 @@
 		if err != nil {
 			return nil, err
 		}
-		return standin.Flawed(nc, flaw), nil
+		return fakes.Flawed(nc, flaw), nil
 	}})
 	if err != nil {
 		t.Error(err)
@@ -209,7 +209,7 @@
 
 // Orders run once at most, too, where the router's process is killed under them.
 func TestOrdersWithRoutersKilled(t *testing.T) {
-	o, err := lab.LibraryOrders(program(t), 200*time.Millisecond)
+	o, err := loadtest.LibraryOrders(program(t), 200*time.Millisecond)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -221,7 +221,7 @@
 // A process that got no time for a while finds a purge and requests waiting together. Nothing it then sends may be
 // answered from a copy of before the purge, not even what it had decided on before.
 func TestPurgeAfterAStop(t *testing.T) {
-	p, err := lab.PurgeAfterStop(program(t), 8)
+	p, err := loadtest.PurgeAfterStop(program(t), 8)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -233,7 +233,7 @@
 // Routers that share budgets spend no more than these together, lose no request and run no order twice, while some are
 // cut off, cut one way, killed and stopped.
 func TestFleetUnderFaults(t *testing.T) {
-	rows, err := lab.Faults(program(t), 5, 3*time.Second, 1, []string{"two cut off from the rest", "one hears, is not heard", "kill and restart", "pause (SIGSTOP)", "keys rotated", "drawn from the seed"})
+	rows, err := loadtest.Faults(program(t), 5, 3*time.Second, 1, []string{"two cut off from the rest", "one hears, is not heard", "kill and restart", "pause (SIGSTOP)", "keys rotated", "drawn from the seed"})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -246,7 +246,7 @@
 
 // Routers agree that a page cache is sick, that it is well again, and how often it failed.
 func TestFleetAgrees(t *testing.T) {
-	if err := lab.Agree(program(t), 5, 1); err != nil {
+	if err := loadtest.Agree(program(t), 5, 1); err != nil {
 		t.Error(err)
 	}
 }
--- a/cmd/hillknot/outlive_test.go
+++ b/cmd/hillknot/outlive_test.go
@@ -1,4 +1,4 @@
-//go:build talk
+//go:build cluster
 
 package main
 
@@ -11,9 +11,9 @@
 	"testing"
 	"time"
 
-	"hillknot/internal/outlive"
-	"hillknot/internal/timeline"
-	"hillknot/lab"
+	"hillknot/internal/extension/orderfailover"
+	"hillknot/internal/testutil/timeline"
+	"hillknot/loadtest"
 )
 
 // killAt names a step of an order at which the router's process is killed, so many milliseconds after it, and one, or none,
@@ -31,7 +31,7 @@
 		return
 	}
 	ms, _ := strconv.Atoi(p[1]) // written by the test below
-	outlive.Step = func(what, txn string) {
+	orderfailover.Step = func(what, txn string) {
 		switch what {
 		case p[2]:
 			time.Sleep(standStill)
@@ -45,7 +45,7 @@
 // A router that is killed between any two steps of an order leaves it to another, which runs it once, or tells what became
 // of it, or that it may have run; and nothing else.
 func TestKillBetweenSteps(t *testing.T) {
-	o, err := lab.NewOutlivers(program(t), 4, true, "debug", 1)
+	o, err := loadtest.NewOutlivers(program(t), 4, true, "debug", 1)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -92,7 +92,7 @@
 
 // Orders outlive their routers, once, through kills, stops, cuts and restarts.
 func TestOutlive(t *testing.T) {
-	o, err := lab.NewOutlivers(program(t), 5, true, "", 1)
+	o, err := loadtest.NewOutlivers(program(t), 5, true, "", 1)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -115,7 +115,7 @@
 
 // A balance that all routers share is never overspent, while some are cut off, killed and read a top-up late.
 func TestCredit(t *testing.T) {
-	p, err := lab.NewPayers(program(t), 4, map[string]float64{"poor": 50, "rich": 1e5}, 1)
+	p, err := loadtest.NewPayers(program(t), 4, map[string]float64{"poor": 50, "rich": 1e5}, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -143,7 +143,7 @@
 // answer contradicts what ran, and nearly nothing is lost, with the journal service down, too.
 func TestRollingRestart(t *testing.T) {
 	for alone, routers := range map[bool]int{false: 9, true: 3} {
-		r, p, err := lab.Roll(program(t), routers, alone, 1)
+		r, p, err := loadtest.Roll(program(t), routers, alone, 1)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/cmd/hillknot/replace.go
+++ b/cmd/hillknot/replace.go
@@ -6,22 +6,22 @@
 	"sync"
 	"time"
 
-	"hillknot/internal/cachewire"
 	"hillknot/internal/config"
 	"hillknot/internal/core"
+	"hillknot/internal/discovery"
+	"hillknot/internal/frontend/msgpackrpc"
 	"hillknot/internal/handover"
-	"hillknot/internal/journal"
-	"hillknot/internal/msgrpc"
 	"hillknot/internal/netio"
+	"hillknot/internal/upstream"
 )
 
 // replacement is this process as one that follows another and may be followed. Two processes of a router share
 // its limits.
 type replacement struct {
 	core   *core.Core
-	feed   *journal.Client
-	up     *cachewire.Client
-	front  *msgrpc.Front
+	feed   *discovery.Client
+	up     *upstream.Client
+	front  *msgpackrpc.Front
 	budget *netio.Budget
 	lim    config.Limits
 
--- a/cmd/hillknot/serve.go
+++ b/cmd/hillknot/serve.go
@@ -14,18 +14,18 @@
 	"github.com/cloudwego/netpoll"
 	"github.com/spf13/cobra"
 
-	"hillknot/internal/agentcheck"
-	"hillknot/internal/cachewire"
 	"hillknot/internal/clock"
 	"hillknot/internal/config"
 	"hillknot/internal/core"
-	"hillknot/internal/dnsfront"
-	"hillknot/internal/fields"
+	"hillknot/internal/discovery"
+	"hillknot/internal/frontend/admin"
+	"hillknot/internal/frontend/agentcheck"
+	"hillknot/internal/frontend/dns"
+	"hillknot/internal/frontend/msgpackrpc"
 	"hillknot/internal/handover"
-	"hillknot/internal/journal"
-	"hillknot/internal/msgrpc"
+	"hillknot/internal/jsonfields"
 	"hillknot/internal/netio"
-	"hillknot/internal/ops"
+	"hillknot/internal/upstream"
 )
 
 // serveFlags name the files that set a router up.
@@ -68,14 +68,14 @@
 		return err
 	}
 	budget := netio.NewBudget(cfg.Limits.HeldBytes)
-	up := cachewire.New(c, cfg.Limits, budget, clock.Now)
+	up := upstream.New(c, cfg.Limits, budget, clock.Now)
 	c.Use(up)
-	feed, err := journal.New(c, cfg.Journal, cfg.Limits, cfg.Known)
+	feed, err := discovery.New(c, cfg.Journal, cfg.Limits, cfg.Known)
 	if err != nil {
 		return fmt.Errorf("configuration: %w", err)
 	}
-	cfg.Known = fields.Object{} // it holds the text of the whole configuration
-	front, err := msgrpc.Listen(cfg.Listen, cfg.Inherited, c, cfg.Limits, cfg.Settings.Classes, budget)
+	cfg.Known = jsonfields.Object{} // it holds the text of the whole configuration
+	front, err := msgpackrpc.Listen(cfg.Listen, cfg.Inherited, c, cfg.Limits, cfg.Settings.Classes, budget)
 	if err != nil {
 		return err
 	}
@@ -83,7 +83,7 @@
 	c.Follow(func() bool { return feed.Behind() || front.Behind() || up.Behind() })
 	var fronts []server
 	if cfg.DNS.Listen != "" {
-		f, err := dnsfront.Listen(c, cfg.DNS, cfg.Limits, budget)
+		f, err := dns.Listen(c, cfg.DNS, cfg.Limits, budget)
 		if err != nil {
 			return fmt.Errorf("dns: %w", err)
 		}
@@ -98,7 +98,7 @@
 	}
 	var operators net.Addr
 	if cfg.Ops != "" {
-		f, err := ops.Listen(cfg.Ops, c, cfg.Limits)
+		f, err := admin.Listen(cfg.Ops, c, cfg.Limits)
 		if err != nil {
 			return fmt.Errorf("operators' address: %w", err)
 		}
@@ -163,7 +163,7 @@
 
 // reload takes the journal's address from the configuration as it is now, and the keys of the fleet from their file; all
 // else holds from the start on. A faulty file changes nothing: the router goes on with what it has.
-func reload(path, operator string, feed *journal.Client, peers keyed) {
+func reload(path, operator string, feed *discovery.Client, peers keyed) {
 	if peers != nil {
 		if err := peers.Reread(); err != nil {
 			slog.Error("files of the fleet not taken", "err", err)
@@ -187,7 +187,7 @@
 // finish goes on serving for the grace time, in which requests still arrive, and then until all that was
 // taken is answered. Where a successor has taken over, new connections are left to that at once, and the open ones
 // close as on standby.
-func finish(c *core.Core, front *msgrpc.Front, lim config.Limits) {
+func finish(c *core.Core, front *msgpackrpc.Front, lim config.Limits) {
 	start := c.SignalArrival() // the signal may have come while the process stood still
 	c.Post(func() { c.Stop(start) })
 	for ; clock.Now()-start < lim.Finish; time.Sleep(10 * time.Millisecond) {
--- a/cmd/hillknot/sizes_test.go
+++ b/cmd/hillknot/sizes_test.go
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"hillknot/internal/standin"
+	"hillknot/internal/testutil/fakes"
 )
 
 // sized is a page cache with a link that its answers share one after the other: large ones take their time, and what would wait for
@@ -30,7 +30,7 @@
 	return time.Duration(n>>32) * time.Microsecond
 }
 
-func (c *sized) answer(a standin.Ask) standin.Reply {
+func (c *sized) answer(a fakes.Ask) fakes.Reply {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := time.Now()
@@ -40,14 +40,14 @@
 	wait := c.busy.Sub(now)
 	switch {
 	case c.hangs:
-		return standin.Reply{}
+		return fakes.Reply{}
 	case wait > 400*time.Millisecond:
-		return standin.Reply{Word: "WAIT"}
+		return fakes.Reply{Word: "WAIT"}
 	}
 	took := sendingTime(a.Fields["obj"]) * c.slow
 	c.busy = c.busy.Add(took)
 	c.served[a.Fields["obj"]] = true
-	return standin.Reply{Word: "DONE", Fields: "res=cached,version=v1", Body: []byte(a.Fields["obj"]), After: wait + took}
+	return fakes.Reply{Word: "DONE", Fields: "res=cached,version=v1", Body: []byte(a.Fields["obj"]), After: wait + took}
 }
 
 // The largest requests of a class get at least two thirds of its answered share on a quiet day, and half while a page cache hangs and
@@ -65,7 +65,7 @@
 			var hosts []jsonMap
 			for i := range 4 {
 				m := &sized{served: map[string]bool{}, slow: 1}
-				l, err := standin.NewCache(nowhere, m.answer)
+				l, err := fakes.NewCache(nowhere, m.answer)
 				if err != nil {
 					t.Fatal(err)
 				}
--- a/deploy/operator.hcl
+++ b/deploy/operator.hcl
@@ -21,7 +21,7 @@
   deadline_ms   = 1000
 }
 
-# What routers that may talk to each other share (docs/fleet-talk.md). Only bin/hillknot-talk takes it.
+# What routers that may talk to each other share (docs/fleet-talk.md). Only bin/hillknot-cluster takes it.
 #
 # fleet {
 #   listen    = "127.0.0.1:7946"            # over UDP and TCP
--- a/example/fleet/main.go
+++ b/example/fleet/main.go
@@ -51,7 +51,7 @@
 	}
 	var all sync.WaitGroup
 	for i := 1; i <= routers; i++ {
-		all.Go(func() { keep(ctx, filepath.Join(bin, "hillknot-talk"), dir, i) })
+		all.Go(func() { keep(ctx, filepath.Join(bin, "hillknot-cluster"), dir, i) })
 	}
 	fmt.Printf("three routers: %s; logs, pids and files in %s\n", addresses(), dir)
 	all.Wait()
--- a/example/toy/main.go
+++ b/example/toy/main.go
@@ -12,7 +12,7 @@
 	"sync"
 	"time"
 
-	"hillknot/internal/standin"
+	"hillknot/internal/testutil/fakes"
 )
 
 func main() {
@@ -22,11 +22,11 @@
 	flag.Parse()
 	for _, addr := range strings.Split(*caches, ",") {
 		c := &cache{held: map[string]bool{}, work: *work}
-		if _, err := standin.NewCache(addr, c.answer); err != nil {
+		if _, err := fakes.NewCache(addr, c.answer); err != nil {
 			log.Fatal(err)
 		}
 	}
-	if _, err := standin.NewJournal(*journal, 2); err != nil {
+	if _, err := fakes.NewJournal(*journal, 2); err != nil {
 		log.Fatal(err)
 	}
 	log.Print("toy journal and page caches are up")
@@ -42,7 +42,7 @@
 	work time.Duration
 }
 
-func (c *cache) answer(a standin.Ask) standin.Reply {
+func (c *cache) answer(a fakes.Ask) fakes.Reply {
 	f := a.Fields
 	part := f["obj"] + "/" + f["seg"]
 	c.mu.Lock()
@@ -52,7 +52,7 @@
 	note := "cached"
 	if !hit {
 		if note = "fetched_root"; f["fetch"] == "" {
-			return standin.Reply{Word: "LACK"}
+			return fakes.Reply{Word: "LACK"}
 		}
 	}
 	log.Printf("%s %s: %s", f["kind"], part, note)
@@ -60,6 +60,6 @@
 	if f["kind"] == "new-arrange" {
 		after = c.work
 	}
-	return standin.Reply{Word: "DONE", After: after, Fields: "res=" + note + ",version=" + f["obj"] + ",stamp=" + strconv.FormatInt(time.Now().UnixMilli(), 10),
+	return fakes.Reply{Word: "DONE", After: after, Fields: "res=" + note + ",version=" + f["obj"] + ",stamp=" + strconv.FormatInt(time.Now().UnixMilli(), 10),
 		Body: []byte("score " + part + "\n")}
 }
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -51,7 +51,7 @@
 
 // No other package of the router, of the module or of the client library reads a clock of the machine by itself.
 func TestNoOtherPackageReadsAClock(t *testing.T) {
-	for _, root := range []string{"../../internal", "../../balancer", "../../cmd/hillknot", "../../cmd/drill", "../../client"} { // the laboratory is not part of the router
+	for _, root := range []string{"../../internal", "../../balancer", "../../cmd/hillknot", "../../cmd/hillknot-simulator", "../../client"} { // the load tests are not part of the router
 		err := filepath.WalkDir(root, func(path string, d fs.DirEntry, err error) error {
 			if err != nil || d.IsDir() || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") || exempt(path) {
 				return err
@@ -69,7 +69,7 @@
 
 // exempt tells whether a file belongs to the clock package itself, or plays another party in tests.
 func exempt(path string) bool {
-	for _, dir := range []string{"internal/clock", "internal/faultnet", "internal/standin", "internal/timeline"} {
+	for _, dir := range []string{"internal/clock", "internal/testutil/faultnet", "internal/testutil/fakes", "internal/testutil/timeline"} {
 		if strings.Contains(filepath.ToSlash(filepath.Dir(path))+"/", dir+"/") {
 			return true
 		}
--- a/internal/takeover/claim.go
+++ b/internal/cluster/failover/claim.go
@@ -1,4 +1,4 @@
-package takeover
+package failover
 
 import (
 	"errors"
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"hillknot/internal/parcel"
+	"hillknot/internal/cluster/messaging"
 )
 
 // claim is what this router asks others for a client that has lost another router.
@@ -77,7 +77,7 @@
 }
 
 // claimed answers a claimant.
-func (t *Table) claimed(now time.Duration, a parcel.Arrival, m message) {
+func (t *Table) claimed(now time.Duration, a messaging.Arrival, m message) {
 	w := t.look(now, m.Order, waiter{Peer{a.From, a.Process}, m.Claim})
 	t.answer(a, w)
 }
@@ -98,7 +98,7 @@
 }
 
 // news takes what one that was asked before tells now.
-func (t *Table) news(now time.Duration, a parcel.Arrival, m message) {
+func (t *Table) news(now time.Duration, a messaging.Arrival, m message) {
 	t.answer(a, word{Say: sayHeld})
 	c := t.claims[m.Claim]
 	if c == nil || c.order.Txn != m.Txn {
@@ -123,7 +123,7 @@
 }
 
 // heard takes the answer to a question, or that there is none.
-func (t *Table) heard(now time.Duration, a ask, d parcel.Done, w word) {
+func (t *Table) heard(now time.Duration, a ask, d messaging.Done, w word) {
 	c := t.claims[a.claim]
 	if c == nil || c.order.Txn != a.txn {
 		if w.Say == sayRun && t.mine[a.txn] == nil { // else it was begun
@@ -135,7 +135,7 @@
 	switch {
 	case d.Err == nil:
 		c.words[d.To] = w
-	case errors.As(d.Err, new(parcel.OtherProcess)): // it has been restarted since it was heard of last
+	case errors.As(d.Err, new(messaging.OtherProcess)): // it has been restarted since it was heard of last
 		t.askOne(now, a.claim, c, d.To)
 	}
 	t.weigh(now, a.claim, c)
--- a/internal/takeover/errors.go
+++ b/internal/cluster/failover/errors.go
@@ -1,9 +1,9 @@
-package takeover
+package failover
 
 import (
 	"fmt"
 
-	"hillknot/internal/remedy"
+	"hillknot/internal/operatorhint"
 )
 
 // KeeperUnreachable says that no other router holds a record of an order, so it was not sent. It never ran.
@@ -66,4 +66,4 @@
 }
 
 // Errors holds an example of each type of this package, as docs/errors.md shows it.
-var Errors = []remedy.Error{KeeperUnreachable{}, TableFull{"r2"}, RightLost{"r2"}, NotWithdrawn{"r2"}, MayRun{"it was being sent when its router was lost"}}
+var Errors = []operatorhint.Error{KeeperUnreachable{}, TableFull{"r2"}, RightLost{"r2"}, NotWithdrawn{"r2"}, MayRun{"it was being sent when its router was lost"}}
--- a/internal/takeover/takeover.go
+++ b/internal/cluster/failover/failover.go
@@ -1,10 +1,10 @@
-// Package takeover decides who may run an order, so that it outlives the router that took it and still runs once at most.
+// Package failover decides who may run an order, so that it outlives the router that took it and still runs once at most.
 // It does no I/O, reads no clock and draws no chance: what happens is told by calls that carry the time, and what is to be
 // done is read with Out and Actions. What it promises and why stands in docs/design/takeover.md.
 //
 // A router has three parts here: it is the owner of the orders that it takes, the keeper of records of others' orders, and
 // the claimant for clients that have lost another router.
-package takeover
+package failover
 
 import (
 	"fmt"
@@ -14,8 +14,8 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"hillknot/internal/fleetchoice"
-	"hillknot/internal/parcel"
+	"hillknot/internal/cluster/messaging"
+	"hillknot/internal/cluster/placement"
 )
 
 // Settings set up one router's part.
@@ -148,7 +148,7 @@
 // Table is one router's part. It is not safe for concurrent use.
 type Table struct {
 	set       Settings
-	post      *parcel.Post
+	post      *messaging.Post
 	live      []Other
 	born      time.Duration // 0: not yet
 	keeperNow *keeper       // for new orders
@@ -183,7 +183,7 @@
 	if err := set.Check(); err != nil {
 		return nil, fmt.Errorf("takeover: %w", err)
 	}
-	return &Table{set: set, post: parcel.New(parcel.Defaults(set.Self, set.Process)), mine: map[string]*own{}, asked: map[uint64]ask{},
+	return &Table{set: set, post: messaging.New(messaging.Defaults(set.Self, set.Process)), mine: map[string]*own{}, asked: map[uint64]ask{},
 		records: map[string]*record{}, owners: map[Peer]*owner{}, claims: map[uint64]*claim{}}, nil
 }
 
@@ -221,7 +221,7 @@
 }
 
 // Out returns the packets that are due.
-func (t *Table) Out(now time.Duration) []parcel.Packet {
+func (t *Table) Out(now time.Duration) []messaging.Packet {
 	t.tellAll(now)
 	return t.post.Out(now)
 }
@@ -304,7 +304,7 @@
 	return id, err
 }
 
-func (t *Table) answer(a parcel.Arrival, w word) {
+func (t *Table) answer(a messaging.Arrival, w word) {
 	if b, err := cbor.Marshal(&w); err == nil { // it can't fail for this type
 		t.post.Answer(a, b)
 	}
@@ -320,7 +320,7 @@
 			}
 		}
 		if len(names) > 0 {
-			return fleetchoice.First("keeper of "+t.set.Self, names)
+			return placement.First("keeper of "+t.set.Self, names)
 		}
 	}
 	return ""
--- a/internal/takeover/keeper.go
+++ b/internal/cluster/failover/keeper.go
@@ -1,11 +1,11 @@
-package takeover
+package failover
 
 import (
 	"maps"
 	"slices"
 	"time"
 
-	"hillknot/internal/parcel"
+	"hillknot/internal/cluster/messaging"
 )
 
 // state is how a record stands.
@@ -55,7 +55,7 @@
 }
 
 // told takes what an owner tells.
-func (t *Table) told(now time.Duration, a parcel.Arrival, m message) {
+func (t *Table) told(now time.Duration, a messaging.Arrival, m message) {
 	from := Peer{a.From, a.Process}
 	ow := t.owners[from]
 	if ow == nil {
--- a/internal/takeover/message.go
+++ b/internal/cluster/failover/message.go
@@ -1,4 +1,4 @@
-package takeover
+package failover
 
 import "time"
 
--- a/internal/takeover/owner.go
+++ b/internal/cluster/failover/owner.go
@@ -1,4 +1,4 @@
-package takeover
+package failover
 
 import (
 	"errors"
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"hillknot/internal/parcel"
+	"hillknot/internal/cluster/messaging"
 )
 
 // keeper is a router that keeps this one's orders, for a session. A session that is lost is followed by another.
@@ -239,7 +239,7 @@
 }
 
 // kept takes what a keeper says to what it was told, or that it says nothing.
-func (t *Table) kept(now time.Duration, a ask, d parcel.Done, w word) {
+func (t *Table) kept(now time.Duration, a ask, d messaging.Done, w word) {
 	k := t.session(a.session)
 	if k != nil {
 		switch {
--- a/internal/takeover/script_test.go
+++ b/internal/cluster/failover/script_test.go
@@ -1,4 +1,4 @@
-package takeover
+package failover
 
 import (
 	"bytes"
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"hillknot/internal/timeline"
+	"hillknot/internal/testutil/timeline"
 )
 
 var update = flag.Bool("update", false, "write the drawn timelines anew")
--- a/internal/takeover/sim_test.go
+++ b/internal/cluster/failover/sim_test.go
@@ -1,4 +1,4 @@
-package takeover
+package failover
 
 import (
 	"cmp"
@@ -11,8 +11,8 @@
 	"testing"
 	"time"
 
-	"hillknot/internal/simtest"
-	"hillknot/internal/timeline"
+	"hillknot/internal/testutil/simulation"
+	"hillknot/internal/testutil/timeline"
 )
 
 var seeds = flag.Int("seeds", 60, "seeds of the simulated fleets")
@@ -397,7 +397,7 @@
 	r := f.routers[f.rnd.IntN(n)]
 	switch f.rnd.IntN(8) {
 	case 0: // a partition
-		simtest.Part(f.rnd, n, f.cut)
+		simulation.Part(f.rnd, n, f.cut)
 	case 1: // one way
 		f.cut[[2]int{r.i, f.rnd.IntN(n)}] = true
 	case 2:
@@ -465,7 +465,7 @@
 func TestKilled(t *testing.T) {
 	unsent, answered := 0, 0
 	var mu sync.Mutex
-	simtest.EachSeed(*seeds, func(seed uint64) {
+	simulation.EachSeed(*seeds, func(seed uint64) {
 		f := newFleet(seed, 5)
 		f.calm = true
 		victim := f.routers[seed%5]
@@ -510,7 +510,7 @@
 	var told [4]int
 	var mu sync.Mutex
 	claimed, lost := 0, 0
-	simtest.EachSeed(*seeds, func(seed uint64) {
+	simulation.EachSeed(*seeds, func(seed uint64) {
 		f, err := play(seed, 14*time.Second)
 		mu.Lock()
 		defer mu.Unlock()
--- a/internal/fleetkeys/keys.go
+++ b/internal/cluster/keyring/keyring.go
@@ -1,5 +1,5 @@
-// Package fleetkeys reads the keys with which routers that talk encrypt what they say.
-package fleetkeys
+// Package keyring reads the keys with which routers that talk encrypt what they say.
+package keyring
 
 import (
 	"bufio"
--- a/internal/fleetkeys/keys_test.go
+++ b/internal/cluster/keyring/keyring_test.go
@@ -1,4 +1,4 @@
-package fleetkeys
+package keyring
 
 import (
 	"errors"
--- a/internal/members/members.go
+++ b/internal/cluster/membership/membership.go
@@ -1,11 +1,11 @@
-//go:build talk
+//go:build cluster
 
-// Package members tells which routers of a fleet are alive, and carries what they say to each other, over encrypted
+// Package membership tells which routers of a fleet are alive, and carries what they say to each other, over encrypted
 // gossip (memberlist). It decides nothing: what is said, and what follows from it, is fleetstate's.
 //
 // Nothing here makes its caller wait for the network: what is to be sent is put on a bounded queue, and dropped where
 // that is full; what is known is looked up.
-package members
+package membership
 
 import (
 	"bytes"
@@ -23,12 +23,12 @@
 
 	"github.com/hashicorp/memberlist"
 
+	"hillknot/internal/cluster/failover"
+	"hillknot/internal/cluster/keyring"
+	"hillknot/internal/cluster/messaging"
+	"hillknot/internal/cluster/placement"
+	"hillknot/internal/cluster/state"
 	"hillknot/internal/config"
-	"hillknot/internal/fleetchoice"
-	"hillknot/internal/fleetkeys"
-	"hillknot/internal/fleetstate"
-	"hillknot/internal/parcel"
-	"hillknot/internal/takeover"
 )
 
 // The times of the gossip. A router that dies is out of the list within some two seconds.
@@ -50,7 +50,7 @@
 	name   string
 	guest  bool // it has no part of its own in what is shared
 	cfg    config.Fleet
-	heard  func([]fleetstate.Message)
+	heard  func([]state.Message)
 	lanes  Lanes
 	ring   *memberlist.Keyring
 	letter chan post
@@ -75,8 +75,8 @@
 }
 
 // New reads the keys. What others say is handed to heard, on goroutines of the gossip, and packets of parcels to the lanes.
-func New(name string, cfg config.Fleet, heard func([]fleetstate.Message), lanes Lanes) (*Members, error) {
-	keys, err := fleetkeys.Read(cfg.KeyFile)
+func New(name string, cfg config.Fleet, heard func([]state.Message), lanes Lanes) (*Members, error) {
+	keys, err := keyring.Read(cfg.KeyFile)
 	if err != nil {
 		return nil, fmt.Errorf("fleet keys %s: %w", cfg.KeyFile, err)
 	}
@@ -94,7 +94,7 @@
 func (m *Members) ReadKeys() error {
 	m.keyMu.Lock()
 	defer m.keyMu.Unlock()
-	keys, err := fleetkeys.Read(m.cfg.KeyFile)
+	keys, err := keyring.Read(m.cfg.KeyFile)
 	if err != nil {
 		return fmt.Errorf("fleet keys %s: %w", m.cfg.KeyFile, err)
 	}
@@ -184,7 +184,7 @@
 	select { // a fleet that starts all at once does not call all at once
 	case <-stop:
 		return
-	case <-time.After(fleetchoice.Turn(m.name, "meet", nil, meetEvery/4)):
+	case <-time.After(placement.Turn(m.name, "meet", nil, meetEvery/4)):
 	}
 	tick := time.NewTicker(meetEvery / 2)
 	defer tick.Stop()
@@ -209,21 +209,21 @@
 }
 
 // Send puts letters on the way. It never blocks.
-func (m *Members) Send(letters []fleetstate.Letter) {
+func (m *Members) Send(letters []state.Letter) {
 	for _, l := range letters {
 		m.put(post{l.To, l.Key, l.Msg.Append(nil)})
 	}
 }
 
 // Carry puts packets of parcels on the way. It never blocks.
-func (m *Members) Carry(packets []parcel.Packet) {
+func (m *Members) Carry(packets []messaging.Packet) {
 	for _, p := range packets {
 		m.put(post{to: p.To, text: append([]byte{parcelLane}, p.Data...)})
 	}
 }
 
 // CarryCredit is Carry for what routers say to each other of credit.
-func (m *Members) CarryCredit(packets []parcel.Packet) {
+func (m *Members) CarryCredit(packets []messaging.Packet) {
 	for _, p := range packets {
 		m.put(post{to: p.To, text: append([]byte{creditLane}, p.Data...)})
 	}
@@ -280,7 +280,7 @@
 }
 
 // Know is all that one who has heard nothing is told when this router meets it.
-func (m *Members) Know(all []fleetstate.Message) {
+func (m *Members) Know(all []state.Message) {
 	var b []byte
 	for _, msg := range all {
 		if b = msg.Append(b); len(b) > wholeMost/2 {
@@ -310,7 +310,7 @@
 		if d.size != guestMeta {
 			owners++
 		}
-		if size, err := strconv.Atoi(d.size); err == nil && size <= fleetstate.SizeMost {
+		if size, err := strconv.Atoi(d.size); err == nil && size <= state.SizeMost {
 			told = max(told, size)
 		}
 	}
@@ -322,17 +322,17 @@
 }
 
 // Others are those alive that keep orders for others, in the order of their names.
-func (m *Members) Others() (out []takeover.Other) {
+func (m *Members) Others() (out []failover.Other) {
 	list := m.list.Load()
 	if list == nil {
 		return nil
 	}
 	for _, n := range list.Members() {
 		if d := parseMeta(n.Meta); n.Name != m.name && d.keeps {
-			out = append(out, takeover.Other{Name: n.Name, Place: d.place})
+			out = append(out, failover.Other{Name: n.Name, Place: d.place})
 		}
 	}
-	slices.SortFunc(out, func(a, b takeover.Other) int { return strings.Compare(a.Name, b.Name) })
+	slices.SortFunc(out, func(a, b failover.Other) int { return strings.Compare(a.Name, b.Name) })
 	return out
 }
 
@@ -351,9 +351,9 @@
 		}
 		return
 	}
-	var msgs []fleetstate.Message
+	var msgs []state.Message
 	for len(text) > 0 {
-		msg, rest, err := fleetstate.ParseMessage(text)
+		msg, rest, err := state.ParseMessage(text)
 		if err != nil {
 			slog.Debug("fleet message not understood", "err", err)
 			break
--- a/internal/parcel/parcel.go
+++ b/internal/cluster/messaging/messaging.go
@@ -1,10 +1,10 @@
-// Package parcel sends parcels to one router each, again and again until it says that it holds them. It decides what is
+// Package messaging sends parcels to one router each, again and again until it says that it holds them. It decides what is
 // sent when, what is answered and what is passed over; it does no I/O, reads no clock and draws no chance.
 //
 // A parcel is for one process of a router. That hands it over at most once, however often and late it comes: what it has
 // handed over it answers again from memory, and what is too old to be remembered it passes over. So no packet of before
 // can bring anything back.
-package parcel
+package messaging
 
 import (
 	"fmt"
@@ -14,7 +14,7 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"hillknot/internal/remedy"
+	"hillknot/internal/operatorhint"
 )
 
 // Settings set up one router's post.
@@ -413,4 +413,4 @@
 }
 
 // Errors holds an example of each type of this package, as docs/errors.md shows it.
-var Errors = []remedy.Error{Full{"r2"}, TooLong{30000, 20480}, Unheld{"r2"}, OtherProcess{"r2"}}
+var Errors = []operatorhint.Error{Full{"r2"}, TooLong{30000, 20480}, Unheld{"r2"}, OtherProcess{"r2"}}
--- a/internal/parcel/parcel_test.go
+++ b/internal/cluster/messaging/messaging_test.go
@@ -1,4 +1,4 @@
-package parcel
+package messaging
 
 import (
 	"errors"
--- a/internal/fleetchoice/choice.go
+++ b/internal/cluster/placement/placement.go
@@ -1,7 +1,7 @@
-// Package fleetchoice is the choices of many routers that have to add up: which page caches each holds to, when each takes
+// Package placement is the choices of many routers that have to add up: which page caches each holds to, when each takes
 // its turn, and which of them use a new page cache first. All follow from names alone, the same for all who know the same
 // names; nothing here does I/O, reads a clock or draws chance.
-package fleetchoice
+package placement
 
 import (
 	"cmp"
--- a/internal/fleetchoice/choice_test.go
+++ b/internal/cluster/placement/placement_test.go
@@ -1,4 +1,4 @@
-package fleetchoice
+package placement
 
 import (
 	"fmt"
--- a/internal/fleetstate/budget.go
+++ b/internal/cluster/state/budget.go
@@ -1,4 +1,4 @@
-package fleetstate
+package state
 
 import (
 	"maps"
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"hillknot/internal/fleetchoice"
+	"hillknot/internal/cluster/placement"
 )
 
 // part is how many shares a router has of a budget for good, where nobody is over the configured size.
@@ -192,7 +192,7 @@
 		return
 	}
 	if s.next < 0 {
-		s.next = fleetchoice.Start(s.set.Self, "borrow", len(s.live))
+		s.next = placement.Start(s.set.Self, "borrow", len(s.live))
 	}
 	for range min(askedOf, len(s.live)) {
 		s.next, s.round = (s.next+1)%len(s.live), s.round+1
--- a/internal/fleetstate/message.go
+++ b/internal/cluster/state/message.go
@@ -1,4 +1,4 @@
-package fleetstate
+package state
 
 import (
 	"encoding/binary"
--- a/internal/fleetstate/sim_test.go
+++ b/internal/cluster/state/sim_test.go
@@ -1,4 +1,4 @@
-package fleetstate
+package state
 
 import (
 	"cmp"
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"hillknot/internal/simtest"
+	"hillknot/internal/testutil/simulation"
 )
 
 var seeds = flag.Int("seeds", 300, "seeds of the simulated fleets")
@@ -145,7 +145,7 @@
 	r := f.routers[f.rnd.IntN(n)]
 	switch f.rnd.IntN(7) {
 	case 0: // a partition
-		simtest.Part(f.rnd, n, f.cut)
+		simulation.Part(f.rnd, n, f.cut)
 	case 1: // one way
 		for b := range n {
 			f.cut[[2]int{r.i, b}] = true
--- a/internal/fleetstate/state.go
+++ b/internal/cluster/state/state.go
@@ -1,4 +1,4 @@
-// Package fleetstate decides what routers that may talk share: budgets that are spent once for the whole fleet, counts
+// Package state decides what routers that may talk share: budgets that are spent once for the whole fleet, counts
 // of what happened, and verdicts on page caches that are sick. It does no I/O, reads no clock and draws no chance:
 // what happens is told by calls that carry the time, and what is to be said is read with Outbox.
 //
@@ -9,7 +9,7 @@
 //     than the budget, and one that hears nothing falls back to its own part.
 //   - A count only grows, and each router writes its own part of it: what is heard late or twice changes nothing.
 //   - A verdict needs several routers' evidence and ends by itself, soon after the last evidence for it was heard.
-package fleetstate
+package state
 
 import (
 	"fmt"
--- a/internal/fleetstate/verdict.go
+++ b/internal/cluster/state/verdict.go
@@ -1,11 +1,11 @@
-package fleetstate
+package state
 
 import (
 	"maps"
 	"slices"
 	"time"
 
-	"hillknot/internal/fleetchoice"
+	"hillknot/internal/cluster/placement"
 )
 
 // illAfter is how many failures in a row a router must have seen itself before it says so.
@@ -124,7 +124,7 @@
 	if !s.Sick(now, node) {
 		return false
 	}
-	return len(s.live) > 0 && fleetchoice.First("try "+node, append([]string{s.set.Self}, s.live...)) != s.set.Self
+	return len(s.live) > 0 && placement.First("try "+node, append([]string{s.set.Self}, s.live...)) != s.set.Self
 }
 
 // Verdicts are the page caches that are held to be sick now, in order, and how many verdicts there were in all.
--- a/internal/config/talks.go
+++ b/internal/config/cluster_enabled.go
@@ -1,4 +1,4 @@
-//go:build talk
+//go:build cluster
 
 package config
 
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -18,8 +18,8 @@
 	"github.com/valyala/fastjson"
 
 	"hillknot/balancer"
-	"hillknot/internal/fields"
-	"hillknot/internal/settings"
+	"hillknot/internal/config/settings"
+	"hillknot/internal/jsonfields"
 )
 
 // Config is what a router is told at its start.
@@ -29,7 +29,7 @@
 	Inherited int    // descriptor of a socket that listens for clients already; 0: there is none
 	Handover  string // path at which processes of this router meet; empty: nowhere
 	Journal   string
-	Known     fields.Object // the journal's events of the start
+	Known     jsonfields.Object // the journal's events of the start
 	Settings  balancer.Settings
 	Limits    Limits
 	DNS       DNS
@@ -114,7 +114,7 @@
 	if err != nil {
 		return nil, err
 	}
-	o := fields.Of(v)
+	o := jsonfields.Of(v)
 	var doc *document
 	switch {
 	case len(operator) == 0:
@@ -170,7 +170,7 @@
 
 // checkFleet checks what is told of the fleet that the router stands in, and sets what follows from it. A wrong figure
 // would not show in one router: all of them together would ask too much of page caches and links, or too little.
-func checkFleet(set fields.Object, c *Config) {
+func checkFleet(set jsonfields.Object, c *Config) {
 	spec, s, name := set.Object("specifics"), c.Settings, "instancesByZone"
 	spec.Must(name)
 	own := slices.Index(s.Zones, s.Zone)
@@ -206,7 +206,7 @@
 func isJSON(text []byte) bool { return bytes.HasPrefix(bytes.TrimSpace(text), []byte("{")) }
 
 // address reads an address with its port. It must be of this machine: the platform's addresses are.
-func address(o fields.Object, name string) string {
+func address(o jsonfields.Object, name string) string {
 	s := o.Text(name, "")
 	if !o.Has(name) {
 		return s
@@ -218,7 +218,7 @@
 }
 
 // readDNS reads the set-up of the DNS front, which is off where there is none.
-func readDNS(o fields.Object) DNS {
+func readDNS(o jsonfields.Object) DNS {
 	if !o.Has("dns") {
 		return DNS{}
 	}
@@ -271,7 +271,7 @@
 }
 
 // limits fills the limits from what the machine is given, the settings and the defaults.
-func limits(o fields.Object) Limits {
+func limits(o jsonfields.Object) Limits {
 	given, allowed := o.Object("limits"), o.Object("settings").Object("allowed")
 	const ms = time.Millisecond
 	l := Limits{
--- a/internal/config/fleet.go
+++ b/internal/config/fleet.go
@@ -6,9 +6,9 @@
 	"time"
 
 	"hillknot/balancer"
-	"hillknot/internal/fields"
-	"hillknot/internal/fleetkeys"
-	"hillknot/internal/fleetstate"
+	"hillknot/internal/cluster/keyring"
+	"hillknot/internal/cluster/state"
+	"hillknot/internal/jsonfields"
 )
 
 // Fleet sets up what the router shares with others that it may talk to.
@@ -18,10 +18,10 @@
 	Advertise netip.AddrPort // where others reach it
 	Peers     []string       // addresses of some others, to join by
 	KeyFile   string
-	State     fleetstate.Settings // Process is set at the start
-	Cold      fleetstate.Terms    // a rate of 0: not shared
-	Retries   fleetstate.Terms    // the same
-	Place     string              // where this router is
+	State     state.Settings // Process is set at the start
+	Cold      state.Terms    // a rate of 0: not shared
+	Retries   state.Terms    // the same
+	Place     string         // where this router is
 	Takeover  Takeover
 	Ledger    string // the file that must survive a kill
 	Credit    Credit
@@ -48,17 +48,17 @@
 }
 
 // readFleet reads the block fleet, without which the router talks to no other.
-func readFleet(o fields.Object, name string, classes []balancer.Class) Fleet {
+func readFleet(o jsonfields.Object, name string, classes []balancer.Class) Fleet {
 	if !o.Has("fleet") {
 		return Fleet{}
 	}
 	if !Talks {
-		o.Fail("fleet", "needs talk, which this program was built without; make build puts one with it at bin/hillknot-talk")
+		o.Fail("fleet", "needs talk, which this program was built without; make build puts one with it at bin/hillknot-cluster")
 		return Fleet{}
 	}
 	b := o.Object("fleet")
 	b.Must("listen", "key_file", "size")
-	f := Fleet{On: true, State: fleetstate.Defaults(name, 0, b.Count("size", 1, 1))}
+	f := Fleet{On: true, State: state.Defaults(name, 0, b.Count("size", 1, 1))}
 	f.State.Guest = b.Flag("guest")
 	f.State.Lease = b.Span("lease_ms", time.Millisecond, f.State.Lease)
 	f.State.Verdict = b.Span("verdict_ms", time.Millisecond, f.State.Verdict)
@@ -89,9 +89,9 @@
 	if err := f.State.Check(); err != nil {
 		key := "size"
 		switch {
-		case b.Has("lease_ms") && f.State.Lease != fleetstate.Defaults(name, 0, 1).Lease:
+		case b.Has("lease_ms") && f.State.Lease != state.Defaults(name, 0, 1).Lease:
 			key = "lease_ms"
-		case b.Has("verdict_ms") && f.State.Verdict != fleetstate.Defaults(name, 0, 1).Verdict:
+		case b.Has("verdict_ms") && f.State.Verdict != state.Defaults(name, 0, 1).Verdict:
 			key = "verdict_ms"
 		case f.State.Quorum != 0:
 			key = "quorum"
@@ -99,7 +99,7 @@
 		b.Fail(key, "can't be used: "+err.Error())
 	}
 	if path := f.KeyFile; path != "" {
-		if _, err := fleetkeys.Read(path); err != nil {
+		if _, err := keyring.Read(path); err != nil {
 			b.Fail("key_file", "can't be used: "+err.Error())
 		}
 	}
@@ -107,7 +107,7 @@
 }
 
 // readTakeover reads the block takeover, without which orders end with their router.
-func readTakeover(b fields.Object, f Fleet) Takeover {
+func readTakeover(b jsonfields.Object, f Fleet) Takeover {
 	if !b.Has("takeover") {
 		return Takeover{}
 	}
@@ -147,7 +147,7 @@
 }
 
 // readCredit reads the block credit, without which requests are free.
-func readCredit(b fields.Object, classes []balancer.Class) Credit {
+func readCredit(b jsonfields.Object, classes []balancer.Class) Credit {
 	if !b.Has("credit") {
 		return Credit{}
 	}
@@ -185,13 +185,13 @@
 }
 
 // readTerms reads what all routers together may spend. The burst buys each router one at least with half of its part.
-func readTerms(b fields.Object, name string, size int) fleetstate.Terms {
+func readTerms(b jsonfields.Object, name string, size int) state.Terms {
 	if !b.Has(name) {
-		return fleetstate.Terms{}
+		return state.Terms{}
 	}
 	o := b.Object(name)
 	o.Must("rate")
-	t := fleetstate.Terms{Rate: o.Number("rate", 0)}
+	t := state.Terms{Rate: o.Number("rate", 0)}
 	if t.Burst = o.Number("burst", max(t.Rate/4, 2*float64(size))); t.Burst < 2*float64(size) || t.Burst > 1e6 {
 		o.Fail("burst", fmt.Sprintf("is not from 2 for each of %d routers to a million", size))
 	}
--- a/internal/config/hcl.go
+++ b/internal/config/hcl.go
@@ -14,7 +14,7 @@
 	"github.com/valyala/fastjson"
 	"github.com/zclconf/go-cty/cty"
 
-	"hillknot/internal/fields"
+	"hillknot/internal/jsonfields"
 )
 
 // document is a file that a person wrote, as the same tree that JSON gives, with the place of each key.
@@ -82,7 +82,7 @@
 
 // unknown marks the keys that nobody reads: what an operator set up must not be passed over. Those of the settings are
 // the platform's, of which some are not used.
-func (d *document) unknown(o fields.Object) {
+func (d *document) unknown(o jsonfields.Object) {
 	for _, key := range slices.Sorted(maps.Keys(d.places)) {
 		parent := ""
 		if i := strings.LastIndexByte(key, '.'); i >= 0 {
--- a/internal/settings/settings.go
+++ b/internal/config/settings/settings.go
@@ -8,7 +8,7 @@
 	"github.com/valyala/fastjson"
 
 	"hillknot/balancer"
-	"hillknot/internal/fields"
+	"hillknot/internal/jsonfields"
 )
 
 // Parse reads the settings from JSON text.
@@ -17,14 +17,14 @@
 	if err != nil {
 		return balancer.Settings{}, err
 	}
-	o := fields.Of(v)
+	o := jsonfields.Of(v)
 	s := Read(o)
 	return s, o.Err()
 }
 
 // Read reads the settings from an object; keys that the module doesn't use are ignored. An error stays
 // with the object.
-func Read(o fields.Object) balancer.Settings {
+func Read(o jsonfields.Object) balancer.Settings {
 	const us = time.Microsecond
 	allowed, rules, spec := o.Object("allowed"), o.Object("invariants"), o.Object("specifics")
 	weights := o.Text("weights", "")
--- a/internal/core/funds.go
+++ b/internal/core/funds.go
@@ -4,7 +4,7 @@
 	"log/slog"
 	"time"
 
-	"hillknot/internal/remedy"
+	"hillknot/internal/operatorhint"
 )
 
 // Payment is what is set aside for a request, as Funds knows it; nil: nothing.
@@ -39,7 +39,7 @@
 	p, err := c.funds.Reserve(&r.Request)
 	if err != nil {
 		wait, reason := c.funds.Later(err)
-		slog.Debug("request not paid for", "txn", r.Txn, "account", r.Account, remedy.Attr(err))
+		slog.Debug("request not paid for", "txn", r.Txn, "account", r.Account, operatorhint.Attr(err))
 		c.answer(r, Answer{Verdict: Refused, Wait: wait, Reason: reason})
 		return false
 	}
--- a/internal/core/rights.go
+++ b/internal/core/rights.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"hillknot/balancer"
-	"hillknot/internal/remedy"
+	"hillknot/internal/operatorhint"
 )
 
 // Rights decides whether an order may be written, where routers keep each other's orders so that these outlive them. Its
@@ -51,7 +51,7 @@
 		return true
 	}
 	if err := c.rights.Begin(&r.Request, r.end-c.now); err != nil {
-		slog.Warn("order refused", "txn", r.Txn, remedy.Attr(err))
+		slog.Warn("order refused", "txn", r.Txn, operatorhint.Attr(err))
 		c.answer(r, Answer{Verdict: Refused, Wait: c.maxWait})
 		return false
 	}
@@ -119,7 +119,7 @@
 	if r == nil {
 		return
 	}
-	slog.Warn("order given up", "txn", txn, remedy.Attr(err))
+	slog.Warn("order given up", "txn", txn, operatorhint.Attr(err))
 	c.events = append(c.events, balancer.ClientGone{ID: r.id})
 	r.kept = false // it is over there already
 	a := failed
--- a/internal/core/shared.go
+++ b/internal/core/shared.go
@@ -5,20 +5,20 @@
 	"time"
 
 	"hillknot/balancer"
-	"hillknot/internal/fleetstate"
+	"hillknot/internal/cluster/state"
 )
 
 // Talk sets up what a router shares with others that it may talk to.
 type Talk struct {
-	State   fleetstate.Settings
-	Cold    fleetstate.Terms // of each page cache that started lately; a rate of 0: not shared
-	Retries fleetstate.Terms // of attempts that follow one that may have run; a rate of 0: not shared
+	State   state.Settings
+	Cold    state.Terms // of each page cache that started lately; a rate of 0: not shared
+	Retries state.Terms // of attempts that follow one that may have run; a rate of 0: not shared
 }
 
 // Peers are the others, as the core needs them. No method may block.
 type Peers interface {
-	Send(letters []fleetstate.Letter)
-	Know(all []fleetstate.Message)        // what one who has heard nothing is told
+	Send(letters []state.Letter)
+	Know(all []state.Message)             // what one who has heard nothing is told
 	Lost() uint64                         // letters that were dropped, as too many waited
 	Alive() (others []string, owners int) // names in order; routers with a part of their own
 }
@@ -26,7 +26,7 @@
 // Shared is what this router shares with others, as the module asks for it. It belongs to the core's goroutine.
 type Shared struct {
 	talk  Talk
-	state *fleetstate.State
+	state *state.State
 	core  *Core
 	peers Peers
 	last  *FleetFigures
@@ -40,7 +40,7 @@
 // NewShared returns what a router shares that has just started. It goes into the settings of the module, as Together,
 // before the core is made.
 func NewShared(talk Talk) (*Shared, error) {
-	state, err := fleetstate.New(talk.State)
+	state, err := state.New(talk.State)
 	if err != nil {
 		return nil, err
 	}
@@ -61,7 +61,7 @@
 }
 
 // Hear takes what others said.
-func (c *Core) Hear(msgs []fleetstate.Message) {
+func (c *Core) Hear(msgs []state.Message) {
 	if c.shared == nil {
 		return
 	}
@@ -163,7 +163,7 @@
 	Sick   []string // page caches that all keep away from but one router
 	Made   uint64   // verdicts so far
 	Counts []FleetCount
-	Spends []fleetstate.Holding
+	Spends []state.Holding
 }
 
 // FleetCount is a count over all routers.
--- a/internal/credit/book.go
+++ b/internal/credit/book.go
@@ -10,7 +10,7 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"hillknot/internal/parcel"
+	"hillknot/internal/cluster/messaging"
 )
 
 // Entry is a line of the ledger: a key, and its value, or nil where the line is gone.
@@ -22,7 +22,7 @@
 // Book is one router's part of all balances. It is not safe for concurrent use.
 type Book struct {
 	set      Settings
-	post     *parcel.Post
+	post     *messaging.Post
 	accounts map[string]*account
 	topups   map[string]applied
 	list     []Topup // as read last
@@ -109,7 +109,7 @@
 	if err := set.Check(); err != nil {
 		return nil, fmt.Errorf("credit: %w", err)
 	}
-	b := &Book{set: set, post: parcel.New(parcel.Defaults(set.Self, set.Process)), accounts: map[string]*account{}, topups: map[string]applied{},
+	b := &Book{set: set, post: messaging.New(messaging.Defaults(set.Self, set.Process)), accounts: map[string]*account{}, topups: map[string]applied{},
 		gifts: map[string]*gift{}, got: map[string]uint64{}, names: map[string]string{}, asked: map[uint64]asked{}, births: map[string]bool{},
 		known: map[string]*theirs{}, dirty: map[string]any{}, meta: meta{Ledger: set.Ledger, Self: set.Self}}
 	for _, e := range entries {
--- a/internal/credit/errors.go
+++ b/internal/credit/errors.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"time"
 
-	"hillknot/internal/remedy"
+	"hillknot/internal/operatorhint"
 )
 
 // FundsOut says that nothing is left of a balance, as far as this router knows. The request never ran.
@@ -103,5 +103,5 @@
 }
 
 // Errors holds an example of each type of this package, as docs/errors.md shows it.
-var Errors = []remedy.Error{FundsOut{Account: "acme"}, Paced{Account: "acme"}, Moving{Account: "acme"}, NoAccount{"acme"},
+var Errors = []operatorhint.Error{FundsOut{Account: "acme"}, Paced{Account: "acme"}, Moving{Account: "acme"}, NoAccount{"acme"},
 	ListRefused{"2026-12-01/1", "its amount is 0, or over a trillion"}, NameTaken{"r2"}, LedgerStale{"r2"}, Unwritten{"no space left on device"}}
--- a/internal/credit/move.go
+++ b/internal/credit/move.go
@@ -8,7 +8,7 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"hillknot/internal/parcel"
+	"hillknot/internal/cluster/messaging"
 )
 
 // kind is the kind of a message.
@@ -71,7 +71,7 @@
 func (b *Book) Live(others []string) { b.live = others }
 
 // Out returns the packets that are due.
-func (b *Book) Out(now time.Duration) []parcel.Packet { return b.post.Out(now) }
+func (b *Book) Out(now time.Duration) []messaging.Packet { return b.post.Out(now) }
 
 // elsewhere is what others have told lately that they hold of an account.
 func (b *Book) elsewhere(now time.Duration, name string) (sum int64) {
@@ -239,7 +239,7 @@
 }
 
 // taken takes a gift, once. The giver hears that only when it is written down here.
-func (b *Book) taken(p parcel.Arrival, m message) {
+func (b *Book) taken(p messaging.Arrival, m message) {
 	last := b.got[m.Ledger]
 	switch {
 	case m.Seq <= last:
@@ -329,7 +329,7 @@
 
 // birth answers whether another ledger is known under a router's name, and whether more has come from this one than it
 // knows. The first ledger that asks is written down before it hears yes.
-func (b *Book) birth(p parcel.Arrival, m message) {
+func (b *Book) birth(p messaging.Arrival, m message) {
 	switch was := b.names[p.From]; {
 	case was != "" && was != m.Ledger:
 		b.post.Answer(p, []byte(no))
--- a/internal/credit/sim_test.go
+++ b/internal/credit/sim_test.go
@@ -12,7 +12,7 @@
 	"testing"
 	"time"
 
-	"hillknot/internal/simtest"
+	"hillknot/internal/testutil/simulation"
 )
 
 var seeds = flag.Int("seeds", 60, "seeds of the simulated fleets")
@@ -256,7 +256,7 @@
 	r := f.routers[f.rnd.IntN(n)]
 	switch f.rnd.IntN(10) {
 	case 0:
-		simtest.Part(f.rnd, n, f.cut)
+		simulation.Part(f.rnd, n, f.cut)
 	case 1:
 		f.cut[[2]int{r.i, f.rnd.IntN(n)}] = true
 	case 2:
@@ -314,7 +314,7 @@
 func TestNeverOverspent(t *testing.T) {
 	var mu sync.Mutex
 	served, lost, funded := 0, int64(0), int64(0)
-	simtest.EachSeed(*seeds, func(seed uint64) {
+	simulation.EachSeed(*seeds, func(seed uint64) {
 		n := 3 + int(seed%5)
 		f := newFleet(seed, n)
 		for i := range 3 {
--- a/internal/ledger/kill_test.go
+++ b/internal/credit/store/kill_test.go
@@ -1,4 +1,4 @@
-package ledger
+package store
 
 import (
 	"bytes"
--- a/internal/ledger/ledger.go
+++ b/internal/credit/store/store.go
@@ -1,5 +1,5 @@
-// Package ledger keeps lines on the disk that must survive a kill, in one bbolt file: all lines of a group are there, or none.
-package ledger
+// Package store keeps lines on the disk that must survive a kill, in one bbolt file: all lines of a group are there, or none.
+package store
 
 import (
 	"bytes"
@@ -19,7 +19,7 @@
 	bolt "go.etcd.io/bbolt"
 	bolterrors "go.etcd.io/bbolt/errors"
 
-	"hillknot/internal/remedy"
+	"hillknot/internal/operatorhint"
 )
 
 // Foreign says that a file is no ledger of this router.
@@ -55,7 +55,7 @@
 }
 
 // Errors holds an example of each type of this package, as docs/errors.md shows it.
-var Errors = []remedy.Error{Foreign{"r1.ledger", "it is of \"r2\""}, Torn{"r1.ledger", "it is shorter than it says"}, InUse{"r1.ledger"}}
+var Errors = []operatorhint.Error{Foreign{"r1.ledger", "it is of \"r2\""}, Torn{"r1.ledger", "it is shorter than it says"}, InUse{"r1.ledger"}}
 
 // Line is a key and its value.
 type Line struct {
--- a/internal/journal/client.go
+++ b/internal/discovery/client.go
@@ -1,7 +1,7 @@
-// Package journal follows the operators' journal service, which tells of members and purges, as
+// Package discovery follows the operators' journal service, which tells of members and purges, as
 // server-sent events over HTTP. It calls again at once when the connection ends or falls silent: what the
 // journal holds counts as told whether or not we are connected.
-package journal
+package discovery
 
 import (
 	"errors"
@@ -14,7 +14,7 @@
 	"hillknot/internal/clock"
 	"hillknot/internal/config"
 	"hillknot/internal/core"
-	"hillknot/internal/fields"
+	"hillknot/internal/jsonfields"
 	"hillknot/internal/netio"
 )
 
@@ -44,7 +44,7 @@
 }
 
 // New returns a client that has handed on the events of the start.
-func New(c Core, addr string, lim config.Limits, start fields.Object) (*Client, error) {
+func New(c Core, addr string, lim config.Limits, start jsonfields.Object) (*Client, error) {
 	evs, last, err := known(start)
 	if err != nil {
 		return nil, err
--- a/internal/journal/client_test.go
+++ b/internal/discovery/client_test.go
@@ -1,4 +1,4 @@
-package journal
+package discovery
 
 import (
 	"fmt"
@@ -12,7 +12,7 @@
 
 	"hillknot/internal/config"
 	"hillknot/internal/core"
-	"hillknot/internal/fields"
+	"hillknot/internal/jsonfields"
 )
 
 type ledger struct{ hosts chan string }
@@ -49,7 +49,7 @@
 	l := &ledger{hosts: make(chan string, 100)}
 	lim := config.Limits{Connect: 10 * time.Second, JournalLine: 1 << 16, JournalQuiet: time.Minute, JournalRetry: time.Millisecond, JournalRetryMost: time.Millisecond,
 		Journal: config.Conn{Pending: 1 << 16, Read: time.Minute, Write: time.Minute}}
-	start := fields.Of(fastjson.MustParse(`{"pos":2,"entries":[{"pos":1,"hosts":{"instances":[{"instanceId":"a","lifecycle":"ready"}]}},
+	start := jsonfields.Of(fastjson.MustParse(`{"pos":2,"entries":[{"pos":1,"hosts":{"instances":[{"instanceId":"a","lifecycle":"ready"}]}},
 		{"pos":2,"hosts":{"instances":[{"instanceId":"b","lifecycle":"ready"}]}}]}`))
 	cl, err := New(l, ln.Addr().String(), lim, start)
 	if err != nil {
@@ -89,7 +89,7 @@
 	l := &ledger{hosts: make(chan string, 100)}
 	lim := config.Limits{Connect: 10 * time.Second, JournalLine: 1 << 16, JournalQuiet: time.Minute, JournalRetry: time.Minute,
 		JournalRetryMost: time.Minute, Journal: config.Conn{Pending: 1 << 16, Read: time.Minute, Write: time.Minute}}
-	cl, err := New(l, serve("old", 2), lim, fields.Object{})
+	cl, err := New(l, serve("old", 2), lim, jsonfields.Object{})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/journal/date_test.go
+++ b/internal/discovery/date_test.go
@@ -1,4 +1,4 @@
-package journal
+package discovery
 
 import (
 	"fmt"
@@ -10,7 +10,7 @@
 	"hillknot/internal/clock"
 	"hillknot/internal/config"
 	"hillknot/internal/core"
-	"hillknot/internal/fields"
+	"hillknot/internal/jsonfields"
 
 	"github.com/valyala/fastjson"
 )
@@ -41,7 +41,7 @@
 	d := &dates{starts: map[string]time.Duration{}, purges: make(chan time.Duration, 100)}
 	lim := config.Limits{Connect: 10 * time.Second, JournalLine: 1 << 16, JournalQuiet: time.Minute, JournalRetry: time.Millisecond,
 		JournalRetryMost: time.Millisecond, Journal: config.Conn{Pending: 1 << 16, Read: time.Minute, Write: time.Minute}}
-	start := fields.Of(fastjson.MustParse(fmt.Sprintf(`{"pos":1,"entries":[{"pos":1,"hosts":{"instances":[
+	start := jsonfields.Of(fastjson.MustParse(fmt.Sprintf(`{"pos":1,"entries":[{"pos":1,"hosts":{"instances":[
 		{"instanceId":"old","lifecycle":"ready","startedAtMs":%d}]}}]}`, (clock.Wall() - 2*time.Hour).Milliseconds())))
 	cl, err := New(d, ln.Addr().String(), lim, start)
 	if err != nil {
@@ -108,7 +108,7 @@
 	defer ln.Close()
 	lim := config.Limits{Connect: 10 * time.Second, JournalLine: 1 << 16, JournalQuiet: time.Minute, JournalRetry: time.Millisecond,
 		JournalRetryMost: time.Millisecond, Journal: config.Conn{Pending: 1 << 16, Read: time.Minute, Write: time.Minute}}
-	cl, err := New(&dates{}, ln.Addr().String(), lim, fields.Object{})
+	cl, err := New(&dates{}, ln.Addr().String(), lim, jsonfields.Object{})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/journal/event.go
+++ b/internal/discovery/event.go
@@ -1,4 +1,4 @@
-package journal
+package discovery
 
 import (
 	"strconv"
@@ -7,7 +7,7 @@
 	"hillknot/balancer"
 	"hillknot/internal/clock"
 	"hillknot/internal/core"
-	"hillknot/internal/fields"
+	"hillknot/internal/jsonfields"
 )
 
 // Event is one event of the journal: a list of members, or changes to it, or a purge.
@@ -51,7 +51,7 @@
 }
 
 // known reads the events of the start; the last position comes with them.
-func known(o fields.Object) (evs []Event, last int64, err error) {
+func known(o jsonfields.Object) (evs []Event, last int64, err error) {
 	for _, e := range o.Objects("entries") {
 		evs = append(evs, read(e))
 	}
@@ -61,7 +61,7 @@
 
 var states = map[string]balancer.State{"ready": balancer.InService, "draining": balancer.Draining, "gone": balancer.Gone}
 
-func read(o fields.Object) Event {
+func read(o jsonfields.Object) Event {
 	e := Event{Pos: o.Int("pos", 0), List: o.Has("hosts"), Purge: o.Has("expire")}
 	if e.List {
 		l := o.Object("hosts")
@@ -89,7 +89,7 @@
 }
 
 // readHost reads a line of the list.
-func readHost(h fields.Object) core.Host {
+func readHost(h jsonfields.Object) core.Host {
 	h.Must("instanceId", "lifecycle")
 	state, ok := states[h.Text("lifecycle", "")]
 	if !ok {
--- a/internal/journal/parse.go
+++ b/internal/discovery/parse.go
@@ -1,4 +1,4 @@
-package journal
+package discovery
 
 import (
 	"bytes"
@@ -6,7 +6,7 @@
 
 	"github.com/valyala/fastjson"
 
-	"hillknot/internal/fields"
+	"hillknot/internal/jsonfields"
 )
 
 // parser reads events from their JSON text. Its memory is used again for the next one, so that changes of the list, which come
@@ -61,12 +61,12 @@
 	return e, nil
 }
 
-func (p *parser) object(text []byte) (fields.Object, error) {
+func (p *parser) object(text []byte) (jsonfields.Object, error) {
 	v, err := p.json.ParseBytes(text)
 	if err != nil {
-		return fields.Object{}, err
+		return jsonfields.Object{}, err
 	}
-	return fields.Of(v), nil
+	return jsonfields.Of(v), nil
 }
 
 var (
--- a/internal/journal/parse_test.go
+++ b/internal/discovery/parse_test.go
@@ -1,4 +1,4 @@
-package journal
+package discovery
 
 import (
 	"encoding/json"
@@ -9,7 +9,7 @@
 
 	"github.com/valyala/fastjson"
 
-	"hillknot/internal/fields"
+	"hillknot/internal/jsonfields"
 )
 
 // largeEvent is an event with a long list, whose texts hold all that could be taken for an end of a line.
@@ -37,7 +37,7 @@
 			t.Fatal("not parsed line by line")
 		}
 		got, err := p.parse(text)
-		want := read(fields.Of(fastjson.MustParseBytes(text)))
+		want := read(jsonfields.Of(fastjson.MustParseBytes(text)))
 		if err != nil || !reflect.DeepEqual(got, want) {
 			t.Fatalf("seed %d: %v\n%.300s\nwant\n%.300s", seed, err, fmt.Sprint(got), fmt.Sprint(want))
 		}
@@ -63,7 +63,7 @@
 			}
 			continue
 		}
-		o := fields.Of(v)
+		o := jsonfields.Of(v)
 		want := read(o)
 		if (err == nil) != (o.Err() == nil) || err == nil && !reflect.DeepEqual(got, want) {
 			t.Fatalf("%v, whole: %v", err, o.Err())
--- a/internal/journal/stream.go
+++ b/internal/discovery/stream.go
@@ -1,4 +1,4 @@
-package journal
+package discovery
 
 import (
 	"bytes"
--- a/internal/journal/stream_test.go
+++ b/internal/discovery/stream_test.go
@@ -1,4 +1,4 @@
-package journal
+package discovery
 
 import (
 	"fmt"
@@ -10,7 +10,7 @@
 
 	"hillknot/balancer"
 	"hillknot/internal/clock"
-	"hillknot/internal/parsetest"
+	"hillknot/internal/testutil/parsertest"
 )
 
 // collect feeds the chunks as a connection would: what is not used up comes again with what follows.
@@ -51,7 +51,7 @@
 		}
 		return []byte(out)
 	}
-	parsetest.Chunks(t, gen, collect)
+	parsertest.Chunks(t, gen, collect)
 	if got := collect([][]byte{[]byte(head + "transfer-encoding: Chunked\r\n\r\n9;x=1\r\nid: 4\ndat\r\n9\r\na: {}\r\n\r\n\r\n1\r\n\n\r\n")}); got != `4="{}";` {
 		t.Errorf("got %q", got)
 	}
--- a/internal/outlive/outlive.go
+++ b/internal/extension/orderfailover/orderfailover.go
@@ -1,6 +1,6 @@
-// Package outlive puts work that outlives its router into the core: it carries out what takeover decides, and hands the
-// core's orders, and the packets of other routers, to it. Only programs built with the tag talk have it.
-package outlive
+// Package orderfailover puts work that outlives its router into the core: it carries out what takeover decides, and hands the
+// core's orders, and the packets of other routers, to it. Only programs built with the tag cluster have it.
+package orderfailover
 
 import (
 	"crypto/sha256"
@@ -10,16 +10,16 @@
 	"time"
 
 	"hillknot/balancer"
+	"hillknot/internal/cluster/failover"
+	"hillknot/internal/cluster/messaging"
 	"hillknot/internal/core"
-	"hillknot/internal/parcel"
-	"hillknot/internal/remedy"
-	"hillknot/internal/takeover"
+	"hillknot/internal/operatorhint"
 )
 
 // Carrier carries packets between routers. No method may block.
 type Carrier interface {
-	Carry([]parcel.Packet)
-	Others() []takeover.Other // alive, and of those that keep orders, in the order of their names
+	Carry([]messaging.Packet)
+	Others() []failover.Other // alive, and of those that keep orders, in the order of their names
 }
 
 // Step, if it is set, is called at each step of an order: for tests that kill the process there.
@@ -34,7 +34,7 @@
 // Hands implements core.Rights. All its methods belong to the core's goroutine.
 type Hands struct {
 	core    *core.Core
-	table   *takeover.Table
+	table   *failover.Table
 	carrier Carrier
 	writes  map[string]bool // by class
 	trace   bool
@@ -44,8 +44,8 @@
 
 // New returns the hands of a process that has just started, with the classes of its requests. With trace the log has a
 // line for each step of an order.
-func New(c *core.Core, set takeover.Settings, classes []balancer.Class, carrier Carrier, trace bool) (*Hands, error) {
-	t, err := takeover.New(set)
+func New(c *core.Core, set failover.Settings, classes []balancer.Class, carrier Carrier, trace bool) (*Hands, error) {
+	t, err := failover.New(set)
 	if err != nil {
 		return nil, err
 	}
@@ -112,31 +112,31 @@
 	}
 }
 
-func (h *Hands) act(a takeover.Action) {
+func (h *Hands) act(a failover.Action) {
 	switch a.Op {
-	case takeover.Go:
+	case failover.Go:
 		h.core.Granted(a.Txn)
-	case takeover.Stop:
-		h.core.Denied(a.Txn, a.Outcome.Kind == takeover.NeverRan, a.Err)
-	case takeover.Release:
+	case failover.Stop:
+		h.core.Denied(a.Txn, a.Outcome.Kind == failover.NeverRan, a.Err)
+	case failover.Release:
 		if a.Err != nil {
-			slog.Warn("order not withdrawn", "txn", a.Txn, remedy.Attr(a.Err))
+			slog.Warn("order not withdrawn", "txn", a.Txn, operatorhint.Attr(a.Err))
 		}
 		h.core.Released(a.Txn, a.Err == nil)
-	case takeover.Run:
+	case failover.Run:
 		h.run(a.Order)
-	case takeover.Begin:
+	case failover.Begin:
 		h.core.Settled(balancer.RequestID(a.ID), true, core.Answer{})
-	case takeover.Settle:
+	case failover.Settle:
 		if a.Err != nil {
-			slog.Warn("claim without an answer", "txn", a.Txn, remedy.Attr(a.Err))
+			slog.Warn("claim without an answer", "txn", a.Txn, operatorhint.Attr(a.Err))
 		}
 		h.core.Settled(balancer.RequestID(a.ID), false, answer(a.Outcome))
 	}
 }
 
 // run runs an order of a router that is lost. Nobody waits for its answer but those who claim it.
-func (h *Hands) run(o takeover.Order) {
+func (h *Hands) run(o failover.Order) {
 	object, _ := strconv.ParseUint(o.Item, 16, 64) // as the router that took it read it
 	slog.Info("order of a lost router is run here", "txn", o.Txn, "class", o.Class)
 	h.core.Submit(h.core.NewID(), core.Request{Txn: o.Txn, Item: o.Item, Nth: strconv.FormatUint(o.Part, 10), Class: o.Class,
@@ -148,8 +148,8 @@
 }
 
 // order is a request as its keeper knows it.
-func order(q *core.Request, txn string, left time.Duration) takeover.Order {
-	o := takeover.Order{Txn: txn, Class: q.Class, Item: q.Item, Account: q.Account, Part: q.Part, Group: q.Group, Left: left, Body: q.Body}
+func order(q *core.Request, txn string, left time.Duration) failover.Order {
+	o := failover.Order{Txn: txn, Class: q.Class, Item: q.Item, Account: q.Account, Part: q.Part, Group: q.Group, Left: left, Body: q.Body}
 	sum := sha256.New()
 	for _, s := range [][]byte{[]byte(q.Class), []byte(q.Item), []byte(q.Account), q.Body} {
 		sum.Write(binary.BigEndian.AppendUint64(nil, uint64(len(s))))
@@ -204,30 +204,30 @@
 func (h *Hands) Figures() []core.Figure { return h.figures }
 
 // outcome is what an answer tells of its order.
-func outcome(a core.Answer, ran bool) takeover.Outcome {
+func outcome(a core.Answer, ran bool) failover.Outcome {
 	switch {
 	case a.Verdict == core.Served:
-		return takeover.Outcome{Kind: takeover.Served, Body: a.Body}
+		return failover.Outcome{Kind: failover.Served, Body: a.Body}
 	case a.Verdict == core.Refused && !ran:
-		return takeover.Outcome{Kind: takeover.NeverRan, Wait: a.Wait}
+		return failover.Outcome{Kind: failover.NeverRan, Wait: a.Wait}
 	case a.Verdict == core.Failed:
-		return takeover.Outcome{Kind: takeover.Failed}
+		return failover.Outcome{Kind: failover.Failed}
 	}
-	return takeover.Outcome{Kind: takeover.MayHaveRun}
+	return failover.Outcome{Kind: failover.MayHaveRun}
 }
 
 // answer is what a client is told of an outcome.
-func answer(o takeover.Outcome) core.Answer {
+func answer(o failover.Outcome) core.Answer {
 	switch o.Kind {
-	case takeover.Served:
+	case failover.Served:
 		return core.Answer{Verdict: core.Served, Body: o.Body}
-	case takeover.NeverRan:
+	case failover.NeverRan:
 		return core.Answer{Verdict: core.Refused, Wait: o.Wait}
 	}
 	return core.Answer{Verdict: core.Failed, Reason: "Failed"}
 }
 
-func figures(f takeover.Figures) []core.Figure {
+func figures(f failover.Figures) []core.Figure {
 	return []core.Figure{
 		{Name: "hand_orders", Help: "Orders taken and kept by another router.", Value: f.Orders, Counts: true},
 		{Name: "hand_unkept", Help: "Orders refused, as no router kept them.", Value: f.Unkept, Counts: true},
--- a/internal/purse/purse.go
+++ b/internal/extension/prepaidcredit/prepaidcredit.go
@@ -1,23 +1,23 @@
-// Package purse puts prepaid credit into the core: it carries out what credit decides, writes its ledger, and hands requests
-// and the packets of other routers to it. Only programs built with the tag talk have it.
-package purse
+// Package prepaidcredit puts prepaid credit into the core: it carries out what credit decides, writes its ledger, and hands requests
+// and the packets of other routers to it. Only programs built with the tag cluster have it.
+package prepaidcredit
 
 import (
 	"errors"
 	"log/slog"
 	"time"
 
+	"hillknot/internal/cluster/messaging"
 	"hillknot/internal/core"
 	"hillknot/internal/credit"
-	"hillknot/internal/ledger"
-	"hillknot/internal/parcel"
-	"hillknot/internal/remedy"
-	"hillknot/internal/topups"
+	"hillknot/internal/credit/store"
+	"hillknot/internal/credit/topups"
+	"hillknot/internal/operatorhint"
 )
 
 // Carrier carries packets between routers. No method may block.
 type Carrier interface {
-	CarryCredit([]parcel.Packet)
+	CarryCredit([]messaging.Packet)
 	Alive() (others []string, owners int)
 }
 
@@ -32,9 +32,9 @@
 	core    *core.Core
 	set     Settings
 	book    *credit.Book
-	ledger  *ledger.Ledger
+	ledger  *store.Ledger
 	carrier Carrier
-	writes  chan []ledger.Line
+	writes  chan []store.Line
 	results chan error
 	writing []credit.Entry
 	figures []core.Figure
@@ -48,7 +48,7 @@
 
 // Open opens the ledger and reads the top-ups. Set.Ledger is the ledger's to tell.
 func Open(c *core.Core, path string, set credit.Settings, more Settings, carrier Carrier) (*Purse, error) {
-	l, lines, err := ledger.Open(path, set.Self)
+	l, lines, err := store.Open(path, set.Self)
 	if err != nil {
 		return nil, err
 	}
@@ -57,7 +57,7 @@
 		entries[i] = credit.Entry(line)
 	}
 	set.Ledger = l.ID
-	p := &Purse{core: c, set: more, ledger: l, carrier: carrier, writes: make(chan []ledger.Line, 1), results: make(chan error, 1), beat: set.Beat}
+	p := &Purse{core: c, set: more, ledger: l, carrier: carrier, writes: make(chan []store.Line, 1), results: make(chan error, 1), beat: set.Beat}
 	if p.book, err = credit.New(set, entries); err == nil {
 		err = p.fund(0)
 	}
@@ -123,9 +123,9 @@
 	if p.writing == nil {
 		return
 	}
-	group := make([]ledger.Line, len(p.writing))
+	group := make([]store.Line, len(p.writing))
 	for i, e := range p.writing {
-		group[i] = ledger.Line(e)
+		group[i] = store.Line(e)
 	}
 	p.writes <- group // there is room: nothing else is on its way
 }
@@ -151,7 +151,7 @@
 		text = err.Error()
 	}
 	if text != p.told && err != nil {
-		slog.Error("credit", remedy.Attr(err))
+		slog.Error("credit", operatorhint.Attr(err))
 	} else if text != p.told {
 		slog.Info("credit is well again")
 	}
@@ -234,9 +234,9 @@
 		p.book.Written(p.core.Now(), p.writing, <-p.results)
 		p.writing = nil
 	}
-	var all []ledger.Line
+	var all []store.Line
 	for _, e := range p.book.Write() {
-		all = append(all, ledger.Line(e))
+		all = append(all, store.Line(e))
 	}
 	if len(all) > 0 {
 		if err := p.ledger.Write(all); err != nil {
--- a/internal/ops/ops.go
+++ b/internal/frontend/admin/admin.go
@@ -1,9 +1,9 @@
-// Package ops is the front for operators: HTTP/1.1 on an address of its own, one call to a connection. It tells
+// Package admin is the front for operators: HTTP/1.1 on an address of its own, one call to a connection. It tells
 // how the router is, shows its figures, and empties it.
 //
 // It reads what the core's loop has published, and so waits for nobody; only what changes the router's state
 // goes through the loop.
-package ops
+package admin
 
 import (
 	"fmt"
--- a/internal/ops/ops_test.go
+++ b/internal/frontend/admin/admin_test.go
@@ -1,4 +1,4 @@
-package ops
+package admin
 
 import (
 	"bufio"
@@ -15,7 +15,7 @@
 
 	"hillknot/internal/config"
 	"hillknot/internal/core"
-	"hillknot/internal/parsetest"
+	"hillknot/internal/testutil/parsertest"
 )
 
 // desk is a core of which the test sets what it tells. Its loop runs nothing until the test has it run.
@@ -159,7 +159,7 @@
 		return append(fmt.Appendf(nil, "%s /%s HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\n\r\n", rapid.SampledFrom([]string{"GET", "POST"}).Draw(t, "method"),
 			rapid.StringMatching("[a-z/]{0,20}").Draw(t, "path"), len(body)), body...)
 	}
-	parsetest.Run(t, gen, func(buf []byte) (int, int, error) {
+	parsertest.Run(t, gen, func(buf []byte) (int, int, error) {
 		_, n, want, err := parse(buf, 1<<10, 100)
 		return n, want, err
 	})
--- a/internal/ops/http.go
+++ b/internal/frontend/admin/http.go
@@ -1,4 +1,4 @@
-package ops
+package admin
 
 import (
 	"bytes"
--- a/internal/dnsfront/codec.go
+++ b/internal/frontend/dns/codec.go
@@ -1,4 +1,4 @@
-package dnsfront
+package dns
 
 import (
 	"encoding/binary"
--- a/internal/dnsfront/front.go
+++ b/internal/frontend/dns/front.go
@@ -1,10 +1,10 @@
-// Package dnsfront is the front for resolvers: it answers A, AAAA and SRV queries for the configured names
+// Package dns is the front for resolvers: it answers A, AAAA and SRV queries for the configured names
 // with page caches that the core chooses, over UDP and TCP.
 //
 // A name stands for the page caches of the router's own location. Below it, each page cache has a name of
 // its own, to which SRV records point. Alike clients, by their subnet if the resolver tells it, get alike
 // answers, so that the copies that they want stay in one place.
-package dnsfront
+package dns
 
 import (
 	"encoding/binary"
--- a/internal/dnsfront/front_test.go
+++ b/internal/frontend/dns/front_test.go
@@ -1,4 +1,4 @@
-package dnsfront
+package dns
 
 import (
 	"encoding/binary"
@@ -16,7 +16,7 @@
 	"hillknot/internal/config"
 	"hillknot/internal/core"
 	"hillknot/internal/netio"
-	"hillknot/internal/parsetest"
+	"hillknot/internal/testutil/parsertest"
 )
 
 func TestParse(t *testing.T) {
@@ -32,7 +32,7 @@
 		}
 		return b
 	}
-	parsetest.Run(t, gen, func(buf []byte) (int, int, error) {
+	parsertest.Run(t, gen, func(buf []byte) (int, int, error) {
 		// A datagram has no length of its own: what is cut is an error, and what follows is passed over.
 		if _, _, err := parse(buf); err != nil {
 			return 0, 0, nil
--- a/internal/msgrpc/front.go
+++ b/internal/frontend/msgpackrpc/front.go
@@ -1,6 +1,6 @@
-// Package msgrpc is the front for clients that speak MessagePack-RPC over TCP. It only turns messages into
+// Package msgpackrpc is the front for clients that speak MessagePack-RPC over TCP. It only turns messages into
 // the core's requests and the core's answers into messages.
-package msgrpc
+package msgpackrpc
 
 import (
 	"bytes"
@@ -15,7 +15,7 @@
 	"hillknot/internal/config"
 	"hillknot/internal/core"
 	"hillknot/internal/netio"
-	"hillknot/internal/rpcwire"
+	"hillknot/internal/rpc"
 )
 
 // Core is what the front submits to. Its methods Submit, Withdraw and Count are called on the core's goroutine.
@@ -87,7 +87,7 @@
 // Take implements netio.Handler.
 func (c *conn) Take(buf []byte) (used, want int, err error) {
 	for {
-		m, n, want, err := rpcwire.Parse(buf[used:], c.f.lim.Message)
+		m, n, want, err := rpc.Parse(buf[used:], c.f.lim.Message)
 		if err != nil {
 			slog.Debug("client connection closed", "remote", c.nc.Remote(), "err", err)
 		}
@@ -119,15 +119,15 @@
 	}
 }
 
-func (c *conn) message(m rpcwire.Message) {
+func (c *conn) message(m rpc.Message) {
 	switch {
-	case m.Kind == rpcwire.Notice:
+	case m.Kind == rpc.Notice:
 		if string(m.Method) == "cancel" {
 			c.f.core.Post(func() { c.cancel(m.IDs) })
 		}
 	case string(m.Method) == "health":
 		c.nc.Owe(1)
-		c.f.core.Post(func() { _ = c.send(rpcwire.AppendHealth(nil, m.ID, c.f.core.Snapshot().Phase == core.Serving)) })
+		c.f.core.Post(func() { _ = c.send(rpc.AppendHealth(nil, m.ID, c.f.core.Snapshot().Phase == core.Serving)) })
 	default:
 		c.nc.Owe(1)
 		q, word := c.request(m)
@@ -137,10 +137,10 @@
 }
 
 // request turns a call into a request, or names the error that answers it. What it keeps is copied.
-func (c *conn) request(m rpcwire.Message) (q core.Request, word string) {
+func (c *conn) request(m rpc.Message) (q core.Request, word string) {
 	class, ok := c.f.classes[string(m.Method)]
 	if !ok {
-		return q, rpcwire.NoSuchMethod
+		return q, rpc.NoSuchMethod
 	}
 	q.Class = class.Name
 	f := m.Fields
@@ -154,11 +154,11 @@
 		txnOK = txnOK && lostOK
 	}
 	if !limitOK || !objectOK || !partOK || !groupOK || !txnOK || len(f.Limit) == 0 || !tag(f.Got) || !tag(f.Unique) || len(f.Account) > accountMost {
-		return q, rpcwire.BadRequest
+		return q, rpc.BadRequest
 	}
 	wait := time.Duration(limit) * time.Millisecond
 	if class.Deadline > 0 && wait > class.Deadline || len(m.Body) > c.f.lim.WriteBody {
-		return q, rpcwire.BadRequest // no client of the class waits so long or brings so much
+		return q, rpc.BadRequest // no client of the class waits so long or brings so much
 	}
 	nth := string(f.Nth)
 	if nth == "" {
@@ -213,10 +213,10 @@
 			return
 		}
 		c.f.core.Count(q.Class, core.Failed)
-		_ = c.send(rpcwire.AppendError(nil, msg, word, "", ""))
+		_ = c.send(rpc.AppendError(nil, msg, word, "", ""))
 	case len(c.open) >= c.f.lim.OpenPerConn || c.f.budget.Full():
 		c.f.core.Count(q.Class, core.Refused)
-		_ = c.send(rpcwire.AppendError(nil, msg, rpcwire.Throttled, "", ""))
+		_ = c.send(rpc.AppendError(nil, msg, rpc.Throttled, "", ""))
 	default:
 		id := c.f.core.NewID()
 		c.open[msg] = id
@@ -245,7 +245,7 @@
 		return a.Verdict
 	}
 	c.nc.Owe(1) // the answer is still owed
-	_ = c.send(rpcwire.AppendError(nil, msg, "Failed", "", ""))
+	_ = c.send(rpc.AppendError(nil, msg, "Failed", "", ""))
 	return core.Failed
 }
 
@@ -266,11 +266,11 @@
 func appendAnswer(b []byte, id uint64, a core.Answer) []byte {
 	switch a.Verdict {
 	case core.Served:
-		return rpcwire.AppendServed(make([]byte, 0, len(a.Body)+32), id, a.Body, "", "")
+		return rpc.AppendServed(make([]byte, 0, len(a.Body)+32), id, a.Body, "", "")
 	case core.Unchanged:
-		return rpcwire.AppendServed(b, id, nil, "ok304", "1")
+		return rpc.AppendServed(b, id, nil, "ok304", "1")
 	case core.Refused:
-		return rpcwire.AppendRefused(b, id, a.Wait.Milliseconds(), a.Reason)
+		return rpc.AppendRefused(b, id, a.Wait.Milliseconds(), a.Reason)
 	}
-	return rpcwire.AppendError(b, id, a.Reason, "", "")
+	return rpc.AppendError(b, id, a.Reason, "", "")
 }
--- a/internal/msgrpc/front_test.go
+++ b/internal/frontend/msgpackrpc/front_test.go
@@ -1,4 +1,4 @@
-package msgrpc
+package msgpackrpc
 
 import (
 	"io"
--- a/internal/handover/codec.go
+++ b/internal/handover/codec.go
@@ -10,7 +10,7 @@
 	"github.com/valyala/fastjson"
 
 	"hillknot/balancer"
-	"hillknot/internal/fields"
+	"hillknot/internal/jsonfields"
 )
 
 // version is of the messages and of what is in them. A process that meets another takes nothing over.
@@ -141,7 +141,7 @@
 	if err != nil {
 		return s, err
 	}
-	o, m := fields.Of(v), &s.Memory
+	o, m := jsonfields.Of(v), &s.Memory
 	rows := func(name string, width int, take func(r []int64)) {
 		all := o.Ints(name)
 		if len(all)%width != 0 {
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -12,7 +12,7 @@
 
 	"hillknot/balancer"
 	"hillknot/internal/config"
-	"hillknot/internal/parsetest"
+	"hillknot/internal/testutil/parsertest"
 )
 
 var lim = config.Limits{HandoverConns: 4, HandoverState: 1 << 16, HandoverWait: 20 * time.Second,
@@ -181,14 +181,14 @@
 }
 
 func TestParser(t *testing.T) {
-	parsetest.Run(t, func(t *rapid.T) []byte {
+	parsertest.Run(t, func(t *rapid.T) []byte {
 		return appendMessage(nil, rapid.StringMatching("[A-Z]{1,8}").Draw(t, "word"), rapid.SliceOfN(rapid.Byte(), 0, 200).Draw(t, "body"))
 	}, func(buf []byte) (int, int, error) {
 		_, n, want, err := parse(buf, 200)
 		return n, want, err
 	})
 	// A state in which bytes are bent is an error or a state, and no panic.
-	parsetest.Garbage(t, func(*rapid.T) []byte { return encode(some) }, func(buf []byte) (int, int, error) {
+	parsertest.Garbage(t, func(*rapid.T) []byte { return encode(some) }, func(buf []byte) (int, int, error) {
 		_, err := decode(buf)
 		return len(buf), 0, err
 	})
--- a/internal/fields/fields.go
+++ b/internal/jsonfields/jsonfields.go
@@ -1,6 +1,6 @@
-// Package fields reads typed values out of parsed JSON. It keeps the errors met, the first one of each key, which
+// Package jsonfields reads typed values out of parsed JSON. It keeps the errors met, the first one of each key, which
 // name the faulty key by its whole path, so that a reader is a plain list of fields with one check at its end.
-package fields
+package jsonfields
 
 import (
 	"errors"
--- a/internal/remedy/remedy.go
+++ b/internal/operatorhint/operatorhint.go
@@ -1,5 +1,5 @@
-// Package remedy is what all errors of the parts that routers share have in common: each says what an operator can do.
-package remedy
+// Package operatorhint is what all errors of the parts that routers share have in common: each says what an operator can do.
+package operatorhint
 
 import (
 	"errors"
--- a/internal/rpcwire/client.go
+++ b/internal/rpc/client.go
@@ -1,4 +1,4 @@
-package rpcwire
+package rpc
 
 import (
 	"errors"
--- a/internal/rpcwire/codec.go
+++ b/internal/rpc/codec.go
@@ -1,6 +1,6 @@
-// Package rpcwire is the MessagePack-RPC that clients and routers speak: what a router reads and answers, and what a
+// Package rpc is the MessagePack-RPC that clients and routers speak: what a router reads and answers, and what a
 // client asks and reads. It holds no state and does no I/O; what it returns are slices of the buffer that it read.
-package rpcwire
+package rpc
 
 import (
 	"encoding/binary"
--- a/internal/rpcwire/codec_test.go
+++ b/internal/rpc/codec_test.go
@@ -1,4 +1,4 @@
-package rpcwire
+package rpc
 
 import (
 	"bytes"
@@ -7,7 +7,7 @@
 
 	"pgregory.net/rapid"
 
-	"hillknot/internal/parsetest"
+	"hillknot/internal/testutil/parsertest"
 )
 
 func drawRequest(t *rapid.T) *Request {
@@ -18,7 +18,7 @@
 }
 
 func TestParse(t *testing.T) {
-	parsetest.Run(t, func(t *rapid.T) []byte {
+	parsertest.Run(t, func(t *rapid.T) []byte {
 		if rapid.Bool().Draw(t, "cancel") {
 			return append(appendText([]byte{0x93, Notice}, "cancel"), 0x92, 7, 0xcd, 1, 0)
 		}
@@ -58,7 +58,7 @@
 
 // Answers as a client reads them: the head up to the body, and the tail behind it.
 func TestParseHead(t *testing.T) {
-	parsetest.Run(t, func(t *rapid.T) []byte {
+	parsertest.Run(t, func(t *rapid.T) []byte {
 		id := rapid.Uint64Max(1<<32-1).Draw(t, "id")
 		switch rapid.IntRange(0, 2).Draw(t, "what") {
 		case 0:
@@ -73,7 +73,7 @@
 		_, n, want, err := ParseHead(buf, 1<<10, 1<<16)
 		return n, want, err
 	})
-	parsetest.Run(t, func(t *rapid.T) []byte {
+	parsertest.Run(t, func(t *rapid.T) []byte {
 		return appendPair(nil, rapid.StringN(0, 40, 90).Draw(t, "name"), rapid.StringN(0, 300, 900).Draw(t, "value"))
 	}, func(buf []byte) (int, int, error) {
 		_, n, want, err := ParseTail(buf, 1<<10)
--- a/internal/wire/wire.go
+++ b/internal/simulator/simulator.go
@@ -1,7 +1,7 @@
-// Package wire reads batches of events from, and writes replies to, the line protocol of the
+// Package simulator reads batches of events from, and writes replies to, the line protocol of the
 // operators' drill. It is strict: anything malformed is an error that names the line. It knows
 // no decisions; it only turns lines into the types of package balancer and back.
-package wire
+package simulator
 
 import (
 	"bufio"
@@ -14,7 +14,7 @@
 	"time"
 
 	"hillknot/balancer"
-	"hillknot/internal/settings"
+	"hillknot/internal/config/settings"
 )
 
 // Event is one event of a batch, for one instance.
--- a/internal/wire/wire_test.go
+++ b/internal/simulator/simulator_test.go
@@ -1,4 +1,4 @@
-package wire
+package simulator
 
 import (
 	"io"
--- a/internal/standin/standin.go
+++ b/internal/testutil/fakes/fakes.go
@@ -1,6 +1,6 @@
-// Package standin plays the parties that a router and its clients talk to, on loopback, as the tests and the
+// Package fakes plays the parties that a router and its clients talk to, on loopback, as the tests and the
 // laboratory script them: page caches, the journal service, a router, and a relay that breaks what passes it.
-package standin
+package fakes
 
 import (
 	"net"
--- a/internal/standin/flawed.go
+++ b/internal/testutil/fakes/flawed.go
@@ -1,4 +1,4 @@
-package standin
+package fakes
 
 import (
 	"io"
--- a/internal/standin/router.go
+++ b/internal/testutil/fakes/router.go
@@ -1,4 +1,4 @@
-package standin
+package fakes
 
 import (
 	"bytes"
@@ -6,13 +6,13 @@
 	"strconv"
 	"sync"
 
-	"hillknot/internal/rpcwire"
+	"hillknot/internal/rpc"
 )
 
 // Router plays an edge router: what it does with each message is scripted.
 type Router struct {
 	*listener
-	handle func(*Peer, rpcwire.Message)
+	handle func(*Peer, rpc.Message)
 }
 
 // Peer is a client's connection to a scripted router.
@@ -22,7 +22,7 @@
 }
 
 // NewRouter listens. Handle is called for each message of a connection in turn, with slices of its own.
-func NewRouter(addr string, handle func(*Peer, rpcwire.Message)) (*Router, error) {
+func NewRouter(addr string, handle func(*Peer, rpc.Message)) (*Router, error) {
 	r := &Router{handle: handle}
 	var err error
 	r.listener, err = listen(addr, r.serve)
@@ -30,8 +30,8 @@
 }
 
 // NewReadyRouter is NewRouter for one that says that it takes clients; handle gets all other messages.
-func NewReadyRouter(addr string, handle func(*Peer, rpcwire.Message)) (*Router, error) {
-	return NewRouter(addr, func(p *Peer, m rpcwire.Message) {
+func NewReadyRouter(addr string, handle func(*Peer, rpc.Message)) (*Router, error) {
+	return NewRouter(addr, func(p *Peer, m rpc.Message) {
 		if string(m.Method) == "health" {
 			p.Health(m.ID, true)
 			return
@@ -49,7 +49,7 @@
 		}
 		buf = append(buf, in[:n]...)
 		for {
-			m, used, _, err := rpcwire.Parse(buf, 1<<20)
+			m, used, _, err := rpc.Parse(buf, 1<<20)
 			if err != nil {
 				return
 			}
@@ -70,22 +70,22 @@
 }
 
 // Serve answers with bytes.
-func (p *Peer) Serve(id uint64, body []byte) { p.Raw(rpcwire.AppendServed(nil, id, body, "", "")) }
+func (p *Peer) Serve(id uint64, body []byte) { p.Raw(rpc.AppendServed(nil, id, body, "", "")) }
 
 // Fail answers with an error.
-func (p *Peer) Fail(id uint64, word string) { p.Raw(rpcwire.AppendError(nil, id, word, "", "")) }
+func (p *Peer) Fail(id uint64, word string) { p.Raw(rpc.AppendError(nil, id, word, "", "")) }
 
 // Refuse answers with a refusal, and how many milliseconds to stay away if that is over 0.
 func (p *Peer) Refuse(id uint64, later int) {
 	if later <= 0 {
-		p.Fail(id, rpcwire.Throttled)
+		p.Fail(id, rpc.Throttled)
 		return
 	}
-	p.Raw(rpcwire.AppendError(nil, id, rpcwire.Throttled, "later", strconv.Itoa(later)))
+	p.Raw(rpc.AppendError(nil, id, rpc.Throttled, "later", strconv.Itoa(later)))
 }
 
 // Health answers whether the router takes clients.
-func (p *Peer) Health(id uint64, ok bool) { p.Raw(rpcwire.AppendHealth(nil, id, ok)) }
+func (p *Peer) Health(id uint64, ok bool) { p.Raw(rpc.AppendHealth(nil, id, ok)) }
 
 // End closes the connection, with a reset if that is asked for.
 func (p *Peer) End(reset bool) { end(p.Conn, reset) }
--- a/internal/parsetest/parsetest.go
+++ b/internal/testutil/parsertest/parsertest.go
@@ -1,6 +1,6 @@
-// Package parsetest checks parsers against random cuts of valid messages and random garbage, from fixed
+// Package parsertest checks parsers against random cuts of valid messages and random garbage, from fixed
 // seeds: every run has the same verdict.
-package parsetest
+package parsertest
 
 import (
 	"bytes"
--- a/internal/simtest/simtest.go
+++ b/internal/testutil/simulation/simulation.go
@@ -1,5 +1,5 @@
-// Package simtest is what the tests in virtual time have in common.
-package simtest
+// Package simulation is what the tests in virtual time have in common.
+package simulation
 
 import (
 	"math/rand/v2"
--- a/internal/cachewire/client.go
+++ b/internal/upstream/client.go
@@ -1,6 +1,6 @@
-// Package cachewire carries attempts to page caches: ASK and QUIT out, one answer for each attempt in, over
+// Package upstream carries attempts to page caches: ASK and QUIT out, one answer for each attempt in, over
 // a small pool of connections for each cache.
-package cachewire
+package upstream
 
 import (
 	"errors"
--- a/internal/cachewire/codec.go
+++ b/internal/upstream/codec.go
@@ -1,4 +1,4 @@
-package cachewire
+package upstream
 
 import (
 	"bytes"
--- a/internal/cachewire/codec_test.go
+++ b/internal/upstream/codec_test.go
@@ -1,4 +1,4 @@
-package cachewire
+package upstream
 
 import (
 	"fmt"
@@ -9,12 +9,12 @@
 
 	"hillknot/balancer"
 	"hillknot/internal/core"
-	"hillknot/internal/parsetest"
+	"hillknot/internal/testutil/parsertest"
 )
 
 func TestParse(t *testing.T) {
 	word := rapid.StringMatching(`[a-zA-Z0-9=,._-]{1,12}`)
-	parsetest.Run(t, func(t *rapid.T) []byte {
+	parsertest.Run(t, func(t *rapid.T) []byte {
 		body := rapid.SliceOfN(rapid.Byte(), 0, 300).Draw(t, "body")
 		return fmt.Appendf(nil, "%s %s %s %d\r\n%s\r\n", word.Draw(t, "id"), word.Draw(t, "word"), word.Draw(t, "fields"),
 			len(body), body)
--- a/lab/clients.go
+++ b/loadtest/clients.go
@@ -1,4 +1,4 @@
-package lab
+package loadtest
 
 import (
 	"context"
--- a/lab/fleet.go
+++ b/loadtest/fleet.go
@@ -1,6 +1,6 @@
-// Package lab measures the product against itself: real router processes on loopback, stand-ins for all that they
+// Package loadtest measures the product against itself: real router processes on loopback, stand-ins for all that they
 // talk to, and clients of several kinds. It is not part of the router.
-package lab
+package loadtest
 
 import (
 	"cmp"
@@ -15,7 +15,7 @@
 	"syscall"
 	"time"
 
-	"hillknot/internal/standin"
+	"hillknot/internal/testutil/fakes"
 )
 
 // Fleet is some routers of one location with a page cache, an origin and a journal, all on loopback.
@@ -24,8 +24,8 @@
 	Routers []*Router
 	dir     string
 	set     Setup
-	caches  []*standin.Cache // on the list, the origin, spare
-	journal *standin.Journal
+	caches  []*fakes.Cache // on the list, the origin, spare
+	journal *fakes.Journal
 }
 
 // Router is a router process.
@@ -54,7 +54,7 @@
 	then   time.Time
 	Runs   map[string]int // orders that ran, by object
 	Asked  int
-	Heard  func(standin.Ask) // called with each request, if it is set before any comes
+	Heard  func(fakes.Ask) // called with each request, if it is set before any comes
 }
 
 // Set changes what it does.
@@ -64,7 +64,7 @@
 	b.refuse, b.delay, b.rate, b.work, b.then = refuse, delay, rate, 0, time.Now()
 }
 
-func (b *Backend) answer(a standin.Ask) standin.Reply {
+func (b *Backend) answer(a fakes.Ask) fakes.Reply {
 	if b.Heard != nil {
 		b.Heard(a)
 	}
@@ -86,7 +86,7 @@
 		}
 	}
 	if full {
-		return standin.Reply{Word: "WAIT"}
+		return fakes.Reply{Word: "WAIT"}
 	}
 	note, body := "cached", []byte(nil)
 	switch a.Fields["kind"] {
@@ -98,22 +98,22 @@
 	default:
 		body = make([]byte, 4<<10)
 	}
-	return standin.Reply{Word: "DONE", Body: body, After: wait,
+	return fakes.Reply{Word: "DONE", Body: body, After: wait,
 		Fields: fmt.Sprintf("res=%s,version=1,stamp=%d", note, time.Now().UnixMilli())}
 }
 
 // Setup is what a fleet consists of.
 type Setup struct {
 	Routers   int
-	Later     bool                                         // they tell refused clients how long to stay away
-	Caches    int                                          // page caches on the list; beside them there is an origin
-	Spare     int                                          // page caches that are not on the list yet
-	Beside    int                                          // routers that each router is told to stand beside, itself counted
-	Cold      int                                          // of its capacity, a new page cache may be sent this multiple
-	Answer    func(cache int, a standin.Ask) standin.Reply // nil: Backend answers
-	Addresses func(cache int) string                       // of page caches that others play, the origin last; nil: the fleet plays them
-	Operator  func(i int, ip string) string                // the operator's file of a router; nil: there is none
-	Log       string                                       // the least level that routers log; empty: errors
+	Later     bool                                     // they tell refused clients how long to stay away
+	Caches    int                                      // page caches on the list; beside them there is an origin
+	Spare     int                                      // page caches that are not on the list yet
+	Beside    int                                      // routers that each router is told to stand beside, itself counted
+	Cold      int                                      // of its capacity, a new page cache may be sent this multiple
+	Answer    func(cache int, a fakes.Ask) fakes.Reply // nil: Backend answers
+	Addresses func(cache int) string                   // of page caches that others play, the origin last; nil: the fleet plays them
+	Operator  func(i int, ip string) string            // the operator's file of a router; nil: there is none
+	Log       string                                   // the least level that routers log; empty: errors
 }
 
 // NewFleet starts so many routers of the program bin. With later, they tell refused clients how long to stay away.
@@ -135,19 +135,19 @@
 }
 
 func (f *Fleet) start(bin string) (err error) {
-	if f.dir, err = os.MkdirTemp("", "hillknot-lab-"); err != nil {
+	if f.dir, err = os.MkdirTemp("", "hillknot-loadtest-"); err != nil {
 		return err
 	}
-	if f.journal, err = standin.NewJournal("127.0.0.1:0", 2); err != nil {
+	if f.journal, err = fakes.NewJournal("127.0.0.1:0", 2); err != nil {
 		return err
 	}
 	var hosts []map[string]any
 	for i := range f.set.Caches + 1 + f.set.Spare {
 		answer := f.Backend.answer
 		if f.set.Answer != nil {
-			answer = func(a standin.Ask) standin.Reply { return f.set.Answer(i, a) }
+			answer = func(a fakes.Ask) fakes.Reply { return f.set.Answer(i, a) }
 		}
-		c, err := standin.NewCache("127.0.0.1:0", answer)
+		c, err := fakes.NewCache("127.0.0.1:0", answer)
 		if err != nil {
 			return err
 		}
--- a/lab/load.go
+++ b/loadtest/load.go
@@ -1,4 +1,4 @@
-package lab
+package loadtest
 
 import (
 	"math/rand/v2"
@@ -6,7 +6,7 @@
 	"sync"
 	"time"
 
-	"hillknot/internal/rpcwire"
+	"hillknot/internal/rpc"
 )
 
 // Load sends a router requests at a steady pace over one connection, whatever comes back, and holds each against its one
@@ -62,7 +62,7 @@
 			}
 			l.work.Go(func() { l.read(nc) })
 		}
-		q := &rpcwire.Request{Method: "part-page", Limit: 1500}
+		q := &rpc.Request{Method: "part-page", Limit: 1500}
 		l.mu.Lock()
 		q.Txn, q.Item = l.rnd.Uint64(), l.rnd.Uint64N(4000)
 		if l.rnd.IntN(20) == 0 {
@@ -79,7 +79,7 @@
 		if full {
 			continue
 		}
-		_, err := nc.Write(rpcwire.AppendCall(nil, id, q))
+		_, err := nc.Write(rpc.AppendCall(nil, id, q))
 		if err != nil {
 			_ = nc.Close() // its reader has ended, or does now
 		}
@@ -129,7 +129,7 @@
 }
 
 // readAnswers hands on the head of each answer that comes on a connection, until that ends or brings nonsense.
-func readAnswers(nc net.Conn, answered func(rpcwire.Head)) {
+func readAnswers(nc net.Conn, answered func(rpc.Head)) {
 	buf := make([]byte, 0, 256<<10)
 	for {
 		n, err := nc.Read(buf[len(buf):cap(buf)])
@@ -138,18 +138,18 @@
 		}
 		buf = buf[:len(buf)+n]
 		for {
-			h, used, _, err := rpcwire.ParseHead(buf, 4<<10, 64<<10)
+			h, used, _, err := rpc.ParseHead(buf, 4<<10, 64<<10)
 			if err != nil {
 				return
 			}
 			if used == 0 {
 				break
 			}
-			if h.What == rpcwire.Bytes {
+			if h.What == rpc.Bytes {
 				if len(buf) < used+h.Body {
 					break
 				}
-				_, tail, _, err := rpcwire.ParseTail(buf[used+h.Body:], 4<<10)
+				_, tail, _, err := rpc.ParseTail(buf[used+h.Body:], 4<<10)
 				if err != nil {
 					return
 				}
@@ -164,7 +164,7 @@
 	}
 }
 
-func (l *Load) answered(h rpcwire.Head) {
+func (l *Load) answered(h rpc.Head) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if _, ok := l.open[h.ID]; !ok {
@@ -173,9 +173,9 @@
 	}
 	delete(l.open, h.ID)
 	switch {
-	case h.What == rpcwire.Bytes:
+	case h.What == rpc.Bytes:
 		l.Served++
-	case string(h.Word) == rpcwire.Throttled:
+	case string(h.Word) == rpc.Throttled:
 		l.Refused++
 	default:
 		l.Failed++
--- a/lab/outlive.go
+++ b/loadtest/outlive.go
@@ -1,4 +1,4 @@
-package lab
+package loadtest
 
 import (
 	"context"
@@ -16,9 +16,9 @@
 
 	"hillknot/client"
 	"hillknot/client/policy"
-	"hillknot/internal/faultnet"
-	"hillknot/internal/standin"
-	"hillknot/internal/timeline"
+	"hillknot/internal/testutil/fakes"
+	"hillknot/internal/testutil/faultnet"
+	"hillknot/internal/testutil/timeline"
 )
 
 // orderBook is what the stand-in page caches saw of orders.
@@ -30,18 +30,18 @@
 	rnd   *rand.Rand
 }
 
-func (b *orderBook) answer(_ int, a standin.Ask) standin.Reply {
+func (b *orderBook) answer(_ int, a fakes.Ask) fakes.Reply {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	fields := fmt.Sprintf("res=cached,version=1,stamp=%d", time.Now().UnixMilli())
 	if a.Fields["kind"] != "new-arrange" {
 		if b.quick {
-			return standin.Reply{Word: "DONE", Body: make([]byte, 64), Fields: fields}
+			return fakes.Reply{Word: "DONE", Body: make([]byte, 64), Fields: fields}
 		}
-		return standin.Reply{Word: "DONE", Body: make([]byte, 1<<10), After: 20 * time.Millisecond, Fields: fields}
+		return fakes.Reply{Word: "DONE", Body: make([]byte, 1<<10), After: 20 * time.Millisecond, Fields: fields}
 	}
 	b.asks[a.Fields["obj"]]++
-	return standin.Reply{Word: "DONE", Body: []byte("done " + a.Fields["obj"]), After: b.work + time.Duration(b.rnd.Int64N(int64(20*time.Millisecond))), Fields: fields}
+	return fakes.Reply{Word: "DONE", Body: []byte("done " + a.Fields["obj"]), After: b.work + time.Duration(b.rnd.Int64N(int64(20*time.Millisecond))), Fields: fields}
 }
 
 func (b *orderBook) ran(item uint64) int {
--- a/lab/plain.go
+++ b/loadtest/plain.go
@@ -1,4 +1,4 @@
-package lab
+package loadtest
 
 import (
 	"context"
@@ -10,7 +10,7 @@
 	"time"
 
 	"hillknot/client"
-	"hillknot/internal/rpcwire"
+	"hillknot/internal/rpc"
 )
 
 // asker is a client of whichever kind.
@@ -68,7 +68,7 @@
 		return err
 	}
 	_ = nc.SetDeadline(end) // fails on a closed connection, as the write then does
-	b := rpcwire.AppendCall(nil, 1, &rpcwire.Request{Method: req.Class, Txn: rand.Uint64(), Limit: max(time.Until(end).Milliseconds(), 1), Second: second,
+	b := rpc.AppendCall(nil, 1, &rpc.Request{Method: req.Class, Txn: rand.Uint64(), Limit: max(time.Until(end).Milliseconds(), 1), Second: second,
 		Item: req.Item, Body: req.Body})
 	if _, err := nc.Write(b); err != nil {
 		_ = nc.Close()
@@ -82,21 +82,21 @@
 			return err
 		}
 		buf = buf[:len(buf)+n]
-		h, used, _, err := rpcwire.ParseHead(buf, 4<<10, 64<<10)
+		h, used, _, err := rpc.ParseHead(buf, 4<<10, 64<<10)
 		if err != nil {
 			_ = nc.Close()
 			return err
 		}
-		if used == 0 || h.What == rpcwire.Bytes && len(buf) < used+h.Body+1 {
+		if used == 0 || h.What == rpc.Bytes && len(buf) < used+h.Body+1 {
 			continue
 		}
 		p.mu.Lock()
 		p.free[addr] = append(p.free[addr], nc)
 		p.mu.Unlock()
 		switch {
-		case h.What == rpcwire.Bytes:
+		case h.What == rpc.Bytes:
 			return nil
-		case string(h.Word) == rpcwire.Throttled:
+		case string(h.Word) == rpc.Throttled:
 			return errRefused
 		}
 		return fmt.Errorf("failed: %s", h.Word)
--- a/lab/purge.go
+++ b/loadtest/purge.go
@@ -1,4 +1,4 @@
-package lab
+package loadtest
 
 import (
 	"fmt"
@@ -8,8 +8,8 @@
 	"syscall"
 	"time"
 
-	"hillknot/internal/rpcwire"
-	"hillknot/internal/standin"
+	"hillknot/internal/rpc"
+	"hillknot/internal/testutil/fakes"
 )
 
 // Purged counts what a router that was stopped asked for after it went on.
@@ -32,7 +32,7 @@
 	var mu sync.Mutex
 	var object string
 	var purged, resumed time.Time
-	f.Backend.Heard = func(a standin.Ask) {
+	f.Backend.Heard = func(a fakes.Ask) {
 		mu.Lock()
 		defer mu.Unlock()
 		if a.Fields["obj"] != object || purged.IsZero() {
@@ -67,8 +67,8 @@
 		}
 		send := func(from, to int) error {
 			for i, nc := range conns[from:to] {
-				q := &rpcwire.Request{Method: "part-page", Txn: item<<8 | uint64(from+i), Limit: 3000, Item: item}
-				if _, err := nc.Write(rpcwire.AppendCall(nil, 1, q)); err != nil {
+				q := &rpc.Request{Method: "part-page", Txn: item<<8 | uint64(from+i), Limit: 3000, Item: item}
+				if _, err := nc.Write(rpc.AppendCall(nil, 1, q)); err != nil {
 					return err
 				}
 			}
--- a/lab/soak.go
+++ b/loadtest/soak.go
@@ -1,4 +1,4 @@
-package lab
+package loadtest
 
 import (
 	"fmt"
@@ -8,7 +8,7 @@
 	"sync"
 	"time"
 
-	"hillknot/internal/standin"
+	"hillknot/internal/testutil/fakes"
 )
 
 // The soak test: router processes on loopback, with page caches, a journal and clients that misbehave, stops, restarts and
@@ -77,7 +77,7 @@
 	var err error
 	s.Fleet, err = StartFleet(set.Router, Setup{Routers: set.Routers, Later: true, Caches: set.Caches, Beside: set.Routers, Cold: 4,
 		Addresses: func(cache int) string { return s.soakCaches[cache].addr() },
-		Answer:    func(int, standin.Ask) standin.Reply { return standin.Reply{} }})
+		Answer:    func(int, fakes.Ask) fakes.Reply { return fakes.Reply{} }})
 	if err != nil {
 		return nil, err
 	}
--- a/lab/soak_client.go
+++ b/loadtest/soak_client.go
@@ -1,11 +1,11 @@
-package lab
+package loadtest
 
 import (
 	"math/rand/v2"
 	"net"
 	"time"
 
-	"hillknot/internal/rpcwire"
+	"hillknot/internal/rpc"
 )
 
 // soakClient sends a router requests on one connection after the other, and leaves, cancels and writes nonsense now and
@@ -65,7 +65,7 @@
 		case 1:
 			open.cancel(id, r)
 		case 3: // it stops in the middle of the next request, and waits
-			next := rpcwire.AppendCall(nil, id+1, &rpcwire.Request{Method: "part-page", Limit: 1000})
+			next := rpc.AppendCall(nil, id+1, &rpc.Request{Method: "part-page", Limit: 1000})
 			_, _ = nc.Write(next[:len(next)/2]) // its reader notes the end
 			open.settle()
 			return
@@ -90,7 +90,7 @@
 func (o *soakConn) send(id uint64) *soakRequest {
 	c := o.client
 	c.base++
-	q := &rpcwire.Request{Method: "part-page", Txn: c.base, Item: c.rnd.Uint64N(400), Limit: 600 + c.rnd.Int64N(1800)}
+	q := &rpc.Request{Method: "part-page", Txn: c.base, Item: c.rnd.Uint64N(400), Limit: 600 + c.rnd.Int64N(1800)}
 	switch c.rnd.IntN(8) {
 	case 0:
 		q.Method, q.Item, q.Body = "new-arrange", c.rnd.Uint64(), []byte("order")
@@ -102,7 +102,7 @@
 		c.history.requests[r.txn] = r
 		o.open[id] = r
 	})
-	if _, err := o.nc.Write(rpcwire.AppendCall(nil, id, q)); err != nil {
+	if _, err := o.nc.Write(rpc.AppendCall(nil, id, q)); err != nil {
 		_ = o.nc.Close() // its reader ends, and notes it
 	}
 	return r
@@ -125,7 +125,7 @@
 			delete(o.open, id)
 		}
 	})
-	_, _ = o.nc.Write(rpcwire.AppendCancel(nil, id)) // a router that has gone needs no cancel
+	_, _ = o.nc.Write(rpc.AppendCancel(nil, id)) // a router that has gone needs no cancel
 }
 
 // settle waits until all is answered, for a bounded time.
@@ -148,7 +148,7 @@
 // read takes answers until the connection ends. A cancelled request may still be answered.
 func (o *soakConn) read() {
 	defer close(o.ended)
-	readAnswers(o.nc, func(h rpcwire.Head) {
+	readAnswers(o.nc, func(h rpc.Head) {
 		o.client.history.change(func() {
 			if r := o.open[h.ID]; r != nil {
 				r.answers = append(r.answers, soakAnswer{at: time.Now(), word: string(h.Word)})
--- a/lab/steps.go
+++ b/loadtest/steps.go
@@ -1,4 +1,4 @@
-package lab
+package loadtest
 
 import (
 	"fmt"
@@ -6,8 +6,8 @@
 	"net"
 	"time"
 
-	"hillknot/internal/rpcwire"
-	"hillknot/internal/timeline"
+	"hillknot/internal/rpc"
+	"hillknot/internal/testutil/timeline"
 )
 
 // Killed is an order whose router was killed at a step, and which its client then claimed.
@@ -38,7 +38,7 @@
 	const limit = 2500 * time.Millisecond
 	begun := time.Now()
 	k.Txn = fmt.Sprintf("%016x", item+1)
-	q := &rpcwire.Request{Method: "new-arrange", Txn: item + 1, Item: item, Limit: limit.Milliseconds(), Body: []byte("order")}
+	q := &rpc.Request{Method: "new-arrange", Txn: item + 1, Item: item, Limit: limit.Milliseconds(), Body: []byte("order")}
 	if word, err := ask(r.Addr, q, limit); err == nil {
 		return k, fmt.Errorf("the router that was to be killed answers %q", word)
 	}
@@ -58,7 +58,7 @@
 }
 
 // ask sends a router one request on a connection of its own, and returns served, or the word of its error.
-func ask(addr string, q *rpcwire.Request, wait time.Duration) (string, error) {
+func ask(addr string, q *rpc.Request, wait time.Duration) (string, error) {
 	nc, err := net.DialTimeout("tcp", addr, time.Second)
 	if err != nil {
 		return "", err
@@ -67,21 +67,21 @@
 	if err := nc.SetDeadline(time.Now().Add(wait)); err != nil {
 		return "", err
 	}
-	if _, err := nc.Write(rpcwire.AppendCall(nil, 1, q)); err != nil {
+	if _, err := nc.Write(rpc.AppendCall(nil, 1, q)); err != nil {
 		return "", err
 	}
 	buf := make([]byte, 0, 64<<10)
 	for len(buf) < cap(buf) {
 		n, err := nc.Read(buf[len(buf):cap(buf)])
 		buf = buf[:len(buf)+n]
-		h, used, _, bad := rpcwire.ParseHead(buf, 4<<10, 32<<10)
+		h, used, _, bad := rpc.ParseHead(buf, 4<<10, 32<<10)
 		switch {
 		case bad != nil:
 			return "", bad
-		case used > 0 && h.What == rpcwire.Bytes:
+		case used > 0 && h.What == rpc.Bytes:
 			return "served", nil
 		case used > 0:
-			return map[string]string{"Failed": "failed", rpcwire.Throttled: "refused"}[string(h.Word)], nil
+			return map[string]string{"Failed": "failed", rpc.Throttled: "refused"}[string(h.Word)], nil
 		case err != nil:
 			return "", err
 		}
--- a/lab/together.go
+++ b/loadtest/together.go
@@ -1,4 +1,4 @@
-package lab
+package loadtest
 
 import (
 	"bytes"
@@ -18,8 +18,8 @@
 	"syscall"
 	"time"
 
-	"hillknot/internal/faultnet"
-	"hillknot/internal/standin"
+	"hillknot/internal/testutil/fakes"
+	"hillknot/internal/testutil/faultnet"
 )
 
 // What the fleet of Together shares: so little that its load asks for more all the time.
@@ -71,7 +71,7 @@
 	draw    func() float64
 }
 
-func (l *ledger) answer(place int, a standin.Ask) standin.Reply {
+func (l *ledger) answer(place int, a fakes.Ask) fakes.Reply {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	at := time.Now()
@@ -89,9 +89,9 @@
 	}
 	if place == l.sick || l.draw() < brokenShare && l.sick < 0 {
 		l.ran[a.ID] = true
-		return standin.Reply{Word: "BROKE"}
+		return fakes.Reply{Word: "BROKE"}
 	}
-	return standin.Reply{Word: "DONE", Body: make([]byte, 1<<10), After: 10 * time.Millisecond,
+	return fakes.Reply{Word: "DONE", Body: make([]byte, 1<<10), After: 10 * time.Millisecond,
 		Fields: fmt.Sprintf("res=cached,version=1,stamp=%d", at.UnixMilli())}
 }
 
