--- a/cmd/hillknot/errors_test.go
+++ b/cmd/hillknot/errors_test.go
@@ -25,10 +25,10 @@
 	want := map[string]bool{}
 	for _, list := range [][]operatorhint.Error{messaging.Errors, failover.Errors, credit.Errors, store.Errors} {
 		for _, e := range list {
-			if e.Remedy() == "" || operatorhint.Of(fmt.Errorf("wrapped: %w", e)) != e.Remedy() {
+			if e.Hint() == "" || operatorhint.For(fmt.Errorf("wrapped: %w", e)) != e.Hint() {
 				t.Errorf("%T: no remedy through what wraps it", e)
 			}
-			want[fmt.Sprintf("| `%T` | %s | %s |", e, e.Error(), e.Remedy())] = true
+			want[fmt.Sprintf("| `%T` | %s | %s |", e, e.Error(), e.Hint())] = true
 		}
 	}
 	for line := range strings.Lines(string(text)) {
--- a/internal/cluster/failover/errors.go
+++ b/internal/cluster/failover/errors.go
@@ -16,8 +16,8 @@
 	return fmt.Sprintf("no router keeps the order; asked: %q", e.Tried)
 }
 
-// Remedy implements remedy.Error.
-func (KeeperUnreachable) Remedy() string {
+// Hint implements remedy.Error.
+func (KeeperUnreachable) Hint() string {
 	return "Bring other routers up, or mend the network between them; with strict = false orders go out unkept."
 }
 
@@ -26,8 +26,8 @@
 
 func (e TableFull) Error() string { return fmt.Sprintf("%q has no room for a record", e.Keeper) }
 
-// Remedy implements remedy.Error.
-func (TableFull) Remedy() string {
+// Hint implements remedy.Error.
+func (TableFull) Hint() string {
 	return "Raise records at all routers, at some 1 kB of memory each, or lower keep_ms."
 }
 
@@ -38,8 +38,8 @@
 	return fmt.Sprintf("the right to run the order was lost to %q", e.Keeper)
 }
 
-// Remedy implements remedy.Error.
-func (RightLost) Remedy() string {
+// Hint implements remedy.Error.
+func (RightLost) Hint() string {
 	return "Find out why this router stood still or was cut off for longer than lease_ms; if that is usual, raise it."
 }
 
@@ -50,8 +50,8 @@
 	return fmt.Sprintf("%q did not say in time that it lets go of the order", e.Keeper)
 }
 
-// Remedy implements remedy.Error.
-func (NotWithdrawn) Remedy() string {
+// Hint implements remedy.Error.
+func (NotWithdrawn) Hint() string {
 	return "Look at the router that kept it: it is down or cut off. The client was told that the order may have run."
 }
 
@@ -60,8 +60,8 @@
 
 func (e MayRun) Error() string { return "the order may have run: " + e.Why }
 
-// Remedy implements remedy.Error.
-func (MayRun) Remedy() string {
+// Hint implements remedy.Error.
+func (MayRun) Hint() string {
 	return "Have the client look up what it ordered before it orders again; its router and that one's keeper were lost together, or it was being sent."
 }
 
--- a/internal/cluster/messaging/messaging.go
+++ b/internal/cluster/messaging/messaging.go
@@ -42,8 +42,8 @@
 
 func (e Full) Error() string { return fmt.Sprintf("too many parcels on the way to %q", e.To) }
 
-// Remedy implements remedy.Error.
-func (Full) Remedy() string {
+// Hint implements remedy.Error.
+func (Full) Hint() string {
 	return "Look whether that router is up and how busy its machine is; what is on the way to it is given up by itself."
 }
 
@@ -52,8 +52,8 @@
 
 func (e TooLong) Error() string { return fmt.Sprintf("a parcel of %d bytes, over %d", e.Bytes, e.Most) }
 
-// Remedy implements remedy.Error.
-func (TooLong) Remedy() string {
+// Hint implements remedy.Error.
+func (TooLong) Hint() string {
 	return "Lower body_bytes, so that longer bodies are left out of records."
 }
 
@@ -64,8 +64,8 @@
 	return fmt.Sprintf("%q did not say in time that it holds a parcel", e.To)
 }
 
-// Remedy implements remedy.Error.
-func (Unheld) Remedy() string {
+// Hint implements remedy.Error.
+func (Unheld) Hint() string {
 	return "Look at app_fleet_others: the router is down or cut off, or has other keys."
 }
 
@@ -74,8 +74,8 @@
 
 func (e OtherProcess) Error() string { return fmt.Sprintf("another process of %q is there now", e.To) }
 
-// Remedy implements remedy.Error.
-func (OtherProcess) Remedy() string {
+// Hint implements remedy.Error.
+func (OtherProcess) Hint() string {
 	return "None is needed after a restart; if it goes on, two routers have one name: give each its own."
 }
 
--- a/internal/credit/errors.go
+++ b/internal/credit/errors.go
@@ -15,8 +15,8 @@
 
 func (e FundsOut) Error() string { return fmt.Sprintf("the balance of %q is used up", e.Account) }
 
-// Remedy implements remedy.Error.
-func (FundsOut) Remedy() string {
+// Hint implements remedy.Error.
+func (FundsOut) Hint() string {
 	return "Add a top-up to the file and send SIGHUP; it counts within a second at each router that reads it."
 }
 
@@ -30,8 +30,8 @@
 	return fmt.Sprintf("the balance of %q is low, and paced to last", e.Account)
 }
 
-// Remedy implements remedy.Error.
-func (Paced) Remedy() string { return "Add a top-up, or shorten rest_s to have the rest spent sooner." }
+// Hint implements remedy.Error.
+func (Paced) Hint() string { return "Add a top-up, or shorten rest_s to have the rest spent sooner." }
 
 // Moving says that this router has no rights left while others do: some are on their way.
 type Moving struct {
@@ -43,8 +43,8 @@
 	return fmt.Sprintf("rights to spend of %q are on their way here", e.Account)
 }
 
-// Remedy implements remedy.Error.
-func (Moving) Remedy() string {
+// Hint implements remedy.Error.
+func (Moving) Hint() string {
 	return "None, if it is rare; else raise chunk_ms, or look whether routers are cut off from each other."
 }
 
@@ -53,8 +53,8 @@
 
 func (e NoAccount) Error() string { return fmt.Sprintf("no account %q", e.Account) }
 
-// Remedy implements remedy.Error.
-func (NoAccount) Remedy() string {
+// Hint implements remedy.Error.
+func (NoAccount) Hint() string {
 	return "Have the client send its account, or fund it; unnamed = \"free\" lets requests without one pass."
 }
 
@@ -63,8 +63,8 @@
 
 func (e ListRefused) Error() string { return fmt.Sprintf("top-up %q is refused: %s", e.ID, e.Why) }
 
-// Remedy implements remedy.Error.
-func (ListRefused) Remedy() string {
+// Hint implements remedy.Error.
+func (ListRefused) Hint() string {
 	return "Leave lines that were read once as they were, and put what is new into lines with ids of their own."
 }
 
@@ -75,8 +75,8 @@
 	return fmt.Sprintf("%q knows another ledger under this router's name", e.By)
 }
 
-// Remedy implements remedy.Error.
-func (NameTaken) Remedy() string {
+// Hint implements remedy.Error.
+func (NameTaken) Hint() string {
 	return "Give this router its old ledger back, or a name that no router had; until then it spends what others give it."
 }
 
@@ -87,8 +87,8 @@
 	return fmt.Sprintf("%q has got more from this ledger than it knows: it is a copy of before", e.By)
 }
 
-// Remedy implements remedy.Error.
-func (LedgerStale) Remedy() string {
+// Hint implements remedy.Error.
+func (LedgerStale) Hint() string {
 	return "Bring the latest ledger back; this router spends nothing, as what it holds may be spent already."
 }
 
@@ -97,8 +97,8 @@
 
 func (e Unwritten) Error() string { return "the ledger could not be written: " + e.Why }
 
-// Remedy implements remedy.Error.
-func (Unwritten) Remedy() string {
+// Hint implements remedy.Error.
+func (Unwritten) Hint() string {
 	return "Make room on the ledger's disk or mend it; what was drawn before goes on being spent."
 }
 
--- a/internal/credit/store/store.go
+++ b/internal/credit/store/store.go
@@ -29,8 +29,8 @@
 	return fmt.Sprintf("%s is no ledger of this router: %s", e.Path, e.Why)
 }
 
-// Remedy implements remedy.Error.
-func (Foreign) Remedy() string {
+// Hint implements remedy.Error.
+func (Foreign) Hint() string {
 	return "Name this router's own file; a copied ledger is refused, as what it holds may be spent already: move the first one back."
 }
 
@@ -39,8 +39,8 @@
 
 func (e Torn) Error() string { return fmt.Sprintf("%s is damaged: %s", e.Path, e.Why) }
 
-// Remedy implements remedy.Error.
-func (Torn) Remedy() string {
+// Hint implements remedy.Error.
+func (Torn) Hint() string {
 	return "Keep the file for who can read it, and start the router under a name that no router had; what it held rests."
 }
 
@@ -49,8 +49,8 @@
 
 func (e InUse) Error() string { return e.Path + " is open in another process" }
 
-// Remedy implements remedy.Error.
-func (InUse) Remedy() string {
+// Hint implements remedy.Error.
+func (InUse) Hint() string {
 	return "End the other process, or give each router a ledger of its own."
 }
 
