--- a/cmd/hillknot/replace.go
+++ b/cmd/hillknot/replace.go
@@ -92,7 +92,7 @@
 		lim = lim.Shared(!r.after)
 	}
 	debug.SetMemoryLimit(int64(lim.MemoryMB) << 20 * 3 / 4)
-	r.budget.Set(lim.HeldBytes)
+	r.budget.SetLimit(lim.HeldBytes)
 	r.front.SetMax(lim.ClientConns)
 	r.core.Post(func() { r.up.Limit(lim.CacheConns) })
 }
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -187,7 +187,7 @@
 	cl.mu.Lock()
 	nc, current := cl.now, cl.current
 	cl.mu.Unlock()
-	return nc == nil || !current || nc.Unread()
+	return nc == nil || !current || nc.HasUnreadInput()
 }
 
 // call reads the journal over one connection until that ends or falls silent, or the journal moves. It tells
@@ -203,7 +203,7 @@
 	defer func() { cl.open(nil); nc.Close() }()
 	req := "GET /journal HTTP/1.1\r\nHost: " + addr + "\r\nAccept: text/event-stream\r\nConnection: close\r\nLast-Event-ID: " +
 		strconv.FormatInt(pos, 10) + "\r\n\r\n"
-	if err := nc.WriteNow([]byte(req)); err != nil {
+	if err := nc.WriteSync([]byte(req)); err != nil {
 		return false, err
 	}
 	quiet := time.NewTimer(cl.lim.JournalQuiet)
@@ -237,15 +237,15 @@
 	closed chan struct{}
 }
 
-// Take implements netio.Handler.
-func (s *session) Take(buf []byte) (used, want int, err error) {
+// Consume implements netio.Handler.
+func (s *session) Consume(buf []byte) (used, want int, err error) {
 	select {
 	case s.heard <- struct{}{}:
 	default: // the sign of life before is still to be seen
 	}
 	s.pace()
 	read := clock.Now()
-	all := !s.nc.More(len(buf))
+	all := !s.nc.HasUnreadInputBeyond(len(buf))
 	used, err = s.stream.take(buf)
 	if err != nil {
 		slog.Warn("journal not understood", "err", err)
--- a/internal/frontend/admin/admin.go
+++ b/internal/frontend/admin/admin.go
@@ -49,8 +49,8 @@
 	answered bool
 }
 
-// Take implements netio.Handler. A connection is answered once; what follows is of no matter.
-func (c *conn) Take(buf []byte) (used, want int, err error) {
+// Consume implements netio.Handler. A connection is answered once; what follows is of no matter.
+func (c *conn) Consume(buf []byte) (used, want int, err error) {
 	if c.answered {
 		return len(buf), 0, nil
 	}
@@ -60,7 +60,7 @@
 	}
 	c.answered = true
 	if err != nil {
-		slog.Debug("operator's call not understood", "remote", c.nc.Remote(), "err", err)
+		slog.Debug("operator's call not understood", "remote", c.nc.RemoteAddr(), "err", err)
 		c.answer(false, "400 Bad Request", err.Error()+"\n", "")
 		return len(buf), 0, nil
 	}
@@ -119,7 +119,7 @@
 	if !head {
 		b = append(b, body...)
 	}
-	c.nc.Finish(b)
+	c.nc.SendAndClose(b)
 }
 
 // appendFigures appends the figures in the text format of Prometheus.
--- a/internal/frontend/agentcheck/agentcheck.go
+++ b/internal/frontend/agentcheck/agentcheck.go
@@ -48,11 +48,11 @@
 
 // Opened implements netio.Opener.
 func (a *agent) Opened() {
-	a.nc.Finish([]byte(word(a.core.Snapshot().Phase) + "\n"))
+	a.nc.SendAndClose([]byte(word(a.core.Snapshot().Phase) + "\n"))
 }
 
-// Take implements netio.Handler: what an agent check may send first is of no matter.
-func (a *agent) Take(buf []byte) (used, want int, err error) { return len(buf), 0, nil }
+// Consume implements netio.Handler: what an agent check may send first is of no matter.
+func (a *agent) Consume(buf []byte) (used, want int, err error) { return len(buf), 0, nil }
 
 // Closed implements netio.Handler.
 func (a *agent) Closed() {}
--- a/internal/frontend/dns/front.go
+++ b/internal/frontend/dns/front.go
@@ -144,9 +144,9 @@
 	nc *netio.Conn
 }
 
-// Take implements netio.Handler: two bytes of length stand before each message.
-func (c *conn) Take(buf []byte) (used, want int, err error) {
-	from, _ := netip.ParseAddrPort(c.nc.Remote().String()) // without one, all share one key
+// Consume implements netio.Handler: two bytes of length stand before each message.
+func (c *conn) Consume(buf []byte) (used, want int, err error) {
+	from, _ := netip.ParseAddrPort(c.nc.RemoteAddr().String()) // without one, all share one key
 	for {
 		rest := buf[used:]
 		if len(rest) < 2 {
--- a/internal/frontend/msgpackrpc/front.go
+++ b/internal/frontend/msgpackrpc/front.go
@@ -84,12 +84,12 @@
 	gone   bool                          // nothing is owed any more
 }
 
-// Take implements netio.Handler.
-func (c *conn) Take(buf []byte) (used, want int, err error) {
+// Consume implements netio.Handler.
+func (c *conn) Consume(buf []byte) (used, want int, err error) {
 	for {
 		m, n, want, err := rpc.Parse(buf[used:], c.f.lim.Message)
 		if err != nil {
-			slog.Debug("client connection closed", "remote", c.nc.Remote(), "err", err)
+			slog.Debug("client connection closed", "remote", c.nc.RemoteAddr(), "err", err)
 		}
 		if err != nil || n == 0 {
 			return used, want, err
@@ -126,10 +126,10 @@
 			c.f.core.Post(func() { c.cancel(m.IDs) })
 		}
 	case string(m.Method) == "health":
-		c.nc.Owe(1)
+		c.nc.AddPendingReplies(1)
 		c.f.core.Post(func() { _ = c.send(rpc.AppendHealth(nil, m.ID, c.f.core.Snapshot().Phase == core.Serving)) })
 	default:
-		c.nc.Owe(1)
+		c.nc.AddPendingReplies(1)
 		q, word := c.request(m)
 		q.Arrived = c.f.core.Arrival()
 		c.f.core.Post(func() { c.submit(m.ID, q, word) })
@@ -202,19 +202,19 @@
 	switch {
 	case c.gone: // it was read as the connection ended, and nobody could be told what came of it
 	case twice: // two answers under one id could not be told apart: this one gets none
-		c.nc.Owe(-1)
-		c.nc.CloseOwed(netio.CloseTwice)
+		c.nc.AddPendingReplies(-1)
+		c.nc.CloseAfterReplies(netio.CloseTwice)
 		c.abandonOpen()
 	case word != "":
 		if c.faults++; c.faults > c.f.lim.Faults { // it goes on for as long as it is answered
-			c.nc.Owe(-1)
-			c.nc.CloseOwed(netio.CloseFaults)
+			c.nc.AddPendingReplies(-1)
+			c.nc.CloseAfterReplies(netio.CloseFaults)
 			c.abandonOpen()
 			return
 		}
 		c.f.core.Count(q.Class, core.Failed)
 		_ = c.send(rpc.AppendError(nil, msg, word, "", ""))
-	case len(c.open) >= c.f.lim.OpenPerConn || c.f.budget.Full():
+	case len(c.open) >= c.f.lim.OpenPerConn || c.f.budget.AboveHighWater():
 		c.f.core.Count(q.Class, core.Refused)
 		_ = c.send(rpc.AppendError(nil, msg, rpc.Throttled, "", ""))
 	default:
@@ -232,7 +232,7 @@
 	for _, msg := range ids {
 		if id, ok := c.open[msg]; ok {
 			delete(c.open, msg)
-			c.nc.Owe(-1)
+			c.nc.AddPendingReplies(-1)
 			c.f.core.Withdraw(id)
 		}
 	}
@@ -241,10 +241,10 @@
 // reply passes an answer on, and returns what the client is told: where the memory for answers is used up, that
 // the request failed. To close the connection would lose all else on it.
 func (c *conn) reply(msg uint64, a core.Answer) core.Verdict {
-	if err := c.send(appendAnswer(nil, msg, a)); !errors.Is(err, netio.ErrBehind) {
+	if err := c.send(appendAnswer(nil, msg, a)); !errors.Is(err, netio.ErrBudgetExceeded) {
 		return a.Verdict
 	}
-	c.nc.Owe(1) // the answer is still owed
+	c.nc.AddPendingReplies(1) // the answer is still owed
 	_ = c.send(rpc.AppendError(nil, msg, "Failed", "", ""))
 	return core.Failed
 }
@@ -254,9 +254,9 @@
 func (c *conn) send(b []byte) error {
 	err := c.nc.Send(b)
 	if err != nil {
-		slog.Debug("answer not sent", "remote", c.nc.Remote(), "err", err)
+		slog.Debug("answer not sent", "remote", c.nc.RemoteAddr(), "err", err)
 	}
-	c.nc.Owe(-1)
+	c.nc.AddPendingReplies(-1)
 	if err == nil && c.f.core.Leaving() >= core.Behind {
 		c.nc.CloseWhenIdle()
 	}
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -102,8 +102,8 @@
 	took, ready bool
 }
 
-// Take implements netio.Handler.
-func (s *successor) Take(buf []byte) (used, want int, err error) {
+// Consume implements netio.Handler.
+func (s *successor) Consume(buf []byte) (used, want int, err error) {
 	for {
 		m, n, want, err := parse(buf[used:], 0)
 		if err != nil || n == 0 {
@@ -222,8 +222,8 @@
 // Close ends the connection, which tells the predecessor that nobody follows it.
 func (p *Predecessor) Close() { p.nc.Close() }
 
-// Take implements netio.Handler.
-func (p *Predecessor) Take(buf []byte) (used, want int, err error) {
+// Consume implements netio.Handler.
+func (p *Predecessor) Consume(buf []byte) (used, want int, err error) {
 	for {
 		m, n, want, err := parse(buf[used:], p.lim.HandoverState)
 		if err != nil || n == 0 {
--- a/internal/netio/budget.go
+++ b/internal/netio/budget.go
@@ -5,8 +5,8 @@
 	"sync/atomic"
 )
 
-// ErrBehind says that too many bytes are held for all peers together.
-var ErrBehind = errors.New("too many bytes held")
+// ErrBudgetExceeded says that too many bytes are held for all peers together.
+var ErrBudgetExceeded = errors.New("too many bytes held")
 
 // Budget bounds the bytes that connections hold together: of messages that are not whole yet, and of what
 // waits to be written.
@@ -15,16 +15,16 @@
 // NewBudget returns a budget of so many bytes.
 func NewBudget(max int) *Budget {
 	b := &Budget{}
-	b.Set(max)
+	b.SetLimit(max)
 	return b
 }
 
-// Set changes how many bytes may be held. What is held already stays.
-func (b *Budget) Set(max int) { b.max.Store(int64(max)) }
+// SetLimit changes how many bytes may be held. What is held already stays.
+func (b *Budget) SetLimit(max int) { b.max.Store(int64(max)) }
 
-// Full tells whether so much is held that nothing new should be taken. Up to the whole, what has been taken can
+// AboveHighWater tells whether so much is held that nothing new should be taken. Up to the whole, what has been taken can
 // still be finished.
-func (b *Budget) Full() bool { return b.used.Load() >= b.max.Load()/4*3 }
+func (b *Budget) AboveHighWater() bool { return b.used.Load() >= b.max.Load()/4*3 }
 
 func (b *Budget) add(n int) { b.used.Add(int64(n)) }
 
--- a/internal/netio/conn.go
+++ b/internal/netio/conn.go
@@ -24,10 +24,10 @@
 
 // Handler is what a wire makes of a connection.
 type Handler interface {
-	// Take is handed all that has come in and not been used up. It returns how much it used and how many
+	// Consume is handed all that has come in and not been used up. It returns how much it used and how many
 	// bytes it wants to see before it is called again (0: any more). The slice is valid for the call only.
 	// An error closes the connection.
-	Take(buf []byte) (used, want int, err error)
+	Consume(buf []byte) (used, want int, err error)
 	// Closed is called once, after the connection has closed for whatever reason, or as soon as nothing more is handed on.
 	Closed()
 }
@@ -78,9 +78,9 @@
 	return c
 }
 
-// Owe counts answers that the handler owes, or has given. A connection on which none is owed may be closed
+// AddPendingReplies counts answers that the handler owes, or has given. A connection on which none is owed may be closed
 // for being idle, or to make room; one that ends does so once none is.
-func (c *Conn) Owe(n int) {
+func (c *Conn) AddPendingReplies(n int) {
 	if c.owed.Add(int32(n)) <= 0 {
 		c.closeSettled()
 	}
@@ -92,13 +92,13 @@
 	now := c.owing && !c.taking && c.owed.Load() <= 0
 	c.mu.Unlock()
 	if now {
-		c.CloseBehind()
+		c.CloseAfterWrites()
 	}
 }
 
-// CloseOwed ends the connection behind the answers that are owed on it: nothing more is handed on, and what was handed on is
+// CloseAfterReplies ends the connection behind the answers that are owed on it: nothing more is handed on, and what was handed on is
 // answered. Where none is owed, it is CloseBehind.
-func (c *Conn) CloseOwed(why CloseReason) {
+func (c *Conn) CloseAfterReplies(why CloseReason) {
 	c.traceClose(why)
 	c.mu.Lock()
 	c.shut = true
@@ -106,7 +106,7 @@
 	c.owing = c.owing || wait
 	c.mu.Unlock()
 	if !wait {
-		c.CloseBehind()
+		c.CloseAfterWrites()
 	}
 }
 
@@ -149,7 +149,7 @@
 func (c *Conn) shutIfIdle(half bool) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.shut || c.taking || c.pending > 0 || c.owed.Load() > 0 || !half && (c.half.Load() > 0 || c.Unread()) {
+	if c.shut || c.taking || c.pending > 0 || c.owed.Load() > 0 || !half && (c.half.Load() > 0 || c.HasUnreadInput()) {
 		return false
 	}
 	c.shut = true
@@ -167,12 +167,12 @@
 // notifyClosed tells the handler that nothing more is handed on.
 func (c *Conn) notifyClosed() { c.told.Do(c.h.Closed) }
 
-// Unread tells whether bytes have come that the handler has not taken yet, in the socket or behind it. Where the system
+// HasUnreadInput tells whether bytes have come that the handler has not taken yet, in the socket or behind it. Where the system
 // does not say, there are none. A close in this moment may make it wrong, once.
-func (c *Conn) Unread() bool { return c.More(0) }
+func (c *Conn) HasUnreadInput() bool { return c.HasUnreadInputBeyond(0) }
 
-// More is Unread for a handler that is being handed so many bytes: it tells whether more than these have come.
-func (c *Conn) More(handed int) bool {
+// HasUnreadInputBeyond is Unread for a handler that is being handed so many bytes: it tells whether more than these have come.
+func (c *Conn) HasUnreadInputBeyond(handed int) bool {
 	if fd, ok := c.nc.(interface{ Fd() int }); ok && c.nc.IsActive() {
 		if n, err := unix.IoctlGetInt(fd.Fd(), unix.TIOCINQ); err == nil && n > 0 {
 			return true
@@ -181,8 +181,8 @@
 	return c.nc.Reader().Len() > handed
 }
 
-// Remote is the peer's address.
-func (c *Conn) Remote() net.Addr { return c.nc.RemoteAddr() }
+// RemoteAddr is the peer's address.
+func (c *Conn) RemoteAddr() net.Addr { return c.nc.RemoteAddr() }
 
 // Close closes the connection at once. What has not been read resets it.
 func (c *Conn) Close() {
--- a/internal/netio/netio_test.go
+++ b/internal/netio/netio_test.go
@@ -19,7 +19,7 @@
 
 type echo struct{ c *Conn }
 
-func (e echo) Take(buf []byte) (int, int, error) {
+func (e echo) Consume(buf []byte) (int, int, error) {
 	return len(buf), 0, e.c.Send(append([]byte(nil), buf...))
 }
 func (e echo) Closed() {}
@@ -129,7 +129,7 @@
 	go s.Serve()
 	t.Cleanup(s.Close)
 	owed := dial(t, s.Addr().String())
-	(<-owing).Owe(1)
+	(<-owing).AddPendingReplies(1)
 	for range 100 {
 		dial(t, s.Addr().String())
 		<-owing
@@ -199,11 +199,11 @@
 // lines is an echo of whole lines.
 type lines struct{ echo }
 
-func (l lines) Take(buf []byte) (int, int, error) {
+func (l lines) Consume(buf []byte) (int, int, error) {
 	if buf[len(buf)-1] != '\n' {
 		return 0, 0, nil
 	}
-	return l.echo.Take(buf)
+	return l.echo.Consume(buf)
 }
 
 // A write to a connection that the peer has just ended is an error. It once panicked in netpoll, which frees
@@ -227,7 +227,7 @@
 		}
 		<-ended
 		time.Sleep(time.Millisecond)
-		if err := c.WriteNow([]byte("x")); err == nil {
+		if err := c.WriteSync([]byte("x")); err == nil {
 			t.Error("written to a connection that has ended")
 		}
 	}
@@ -235,8 +235,8 @@
 
 type ender struct{ ended chan bool }
 
-func (e ender) Take(buf []byte) (int, int, error) { return len(buf), 0, nil }
-func (e ender) Closed()                           { close(e.ended) }
+func (e ender) Consume(buf []byte) (int, int, error) { return len(buf), 0, nil }
+func (e ender) Closed()                              { close(e.ended) }
 
 // Fewer places than before: those that idle close, those that are owed something and those that write stay.
 func TestFewerPlaces(t *testing.T) {
@@ -248,7 +248,7 @@
 	go s.Serve()
 	t.Cleanup(s.Close)
 	owed, half := dial(t, s.Addr().String()), dial(t, s.Addr().String())
-	(<-conns).Owe(1)
+	(<-conns).AddPendingReplies(1)
 	half.Write([]byte("h"))
 	for range 6 {
 		echoed(t, dial(t, s.Addr().String()))
@@ -373,7 +373,7 @@
 	closed chan bool
 }
 
-func (g *gated) Take(buf []byte) (int, int, error) {
+func (g *gated) Consume(buf []byte) (int, int, error) {
 	if buf[len(buf)-1] != '\n' {
 		return 0, 0, nil
 	}
@@ -429,12 +429,12 @@
 // What comes once a connection was closed is handed to nobody, also if it waited in the read buffer by then: a request that
 // is read after the close would be sent on, and its answer lost.
 func TestNothingIsHandedOnAfterAClose(t *testing.T) {
-	for name, end := range map[string]func(*Conn){"at once": (*Conn).Close, "behind what was sent": (*Conn).CloseBehind} {
+	for name, end := range map[string]func(*Conn){"at once": (*Conn).Close, "behind what was sent": (*Conn).CloseAfterWrites} {
 		s, nc, g := gatedPair(t, lingering())
 		write(t, nc, "one\n")
 		<-g.came
 		write(t, nc, "two\n")
-		for !g.c.Unread() { // until it has come
+		for !g.c.HasUnreadInput() { // until it has come
 			time.Sleep(time.Millisecond)
 		}
 		end(g.c)
@@ -462,12 +462,12 @@
 		write(t, nc, "one\n")
 		<-g.came
 		retire(s, g.c)
-		g.c.Owe(1)
+		g.c.AddPendingReplies(1)
 		g.let <- true
 		if err := g.c.Send([]byte("answer\n")); err != nil {
 			t.Errorf("%s: %v", name, err)
 		}
-		g.c.Owe(-1)
+		g.c.AddPendingReplies(-1)
 		g.c.CloseWhenIdle()
 		expect(t, nc, "answer\n")
 	}
@@ -478,13 +478,13 @@
 	s, nc, g := gatedPair(t, lingering())
 	write(t, nc, "one\n")
 	<-g.came
-	g.c.Owe(1)
+	g.c.AddPendingReplies(1)
 	g.let <- true
 	if err := g.c.Send([]byte("answer\n")); err != nil {
 		t.Fatal(err)
 	}
-	g.c.Owe(-1)
-	g.c.CloseBehind()
+	g.c.AddPendingReplies(-1)
+	g.c.CloseAfterWrites()
 	<-g.closed
 	for range 20 {
 		write(t, nc, "more\n") // fails once the connection is reset
@@ -505,7 +505,7 @@
 	short.Linger, long.Linger = 50*time.Millisecond, time.Minute
 	for name, l := range map[string]config.Conn{"sends": long, "rests": short} {
 		s, nc, g := gatedPair(t, l)
-		g.c.CloseBehind()
+		g.c.CloseAfterWrites()
 		for end := time.Now().Add(20 * time.Second); s.Conns() > 0; time.Sleep(time.Millisecond) {
 			if name == "sends" {
 				_, _ = nc.Write(make([]byte, 4096)) // fails in the end
@@ -523,13 +523,13 @@
 	rests := dial(t, s.Addr().String())
 	write(t, nc, "one\n")
 	<-g.came
-	g.c.Owe(1)
+	g.c.AddPendingReplies(1)
 	g.let <- true
 	answer := strings.Repeat("x", 1<<24) // more than the sockets hold
 	if err := g.c.Send([]byte(answer)); err != nil {
 		t.Fatal(err)
 	}
-	g.c.Owe(-1)
+	g.c.AddPendingReplies(-1)
 	done := make(chan bool)
 	go func() { s.Finish(clock.Now() + 20*time.Second); close(done) }()
 	expect(t, rests, "")
@@ -562,7 +562,7 @@
 // that had no time. It was cut off: a close over an answer that is owed loses the request.
 func TestFinishAnswersWhatWasRead(t *testing.T) {
 	s, nc, g := gatedPair(t, lingering())
-	g.c.Owe(1)
+	g.c.AddPendingReplies(1)
 	write(t, nc, "one\n")
 	<-g.came
 	g.let <- true
@@ -572,7 +572,7 @@
 	if err := g.c.Send([]byte("answer")); err != nil {
 		t.Errorf("the answer can't be sent: %v", err)
 	}
-	g.c.Owe(-1)
+	g.c.AddPendingReplies(-1)
 	expect(t, nc, "answer")
 	nc.Close()
 	<-done
--- a/internal/netio/read.go
+++ b/internal/netio/read.go
@@ -18,7 +18,7 @@
 	for {
 		buf, err := c.peek(r, max(want, r.Len()))
 		if err != nil { // closed, too much, or the rest did not come in time
-			c.CloseOwed(CloseStopped)
+			c.CloseAfterReplies(CloseStopped)
 			return nil
 		}
 		if !c.begin() { // it crossed our close
@@ -32,14 +32,14 @@
 			return nil
 		}
 		c.active.Store(int64(clock.Now()))
-		used, more, err := c.h.Take(buf)
+		used, more, err := c.h.Consume(buf)
 		if err == nil {
 			err = r.Skip(used)
 		}
 		rest := len(buf) - used
 		began := c.finish(used > 0, rest > 0 || more > 1, rest)
 		if err != nil {
-			c.CloseOwed(CloseUnreadable)
+			c.CloseAfterReplies(CloseUnreadable)
 			if h, ok := c.h.(Abandoner); ok {
 				h.Abandon()
 			}
@@ -89,7 +89,7 @@
 func (c *Conn) peek(r netpoll.Reader, n int) ([]byte, error) {
 	if n > r.Len() {
 		if !c.budget.take(n) {
-			return nil, ErrBehind
+			return nil, ErrBudgetExceeded
 		}
 		defer c.budget.add(-n)
 	}
--- a/internal/netio/server.go
+++ b/internal/netio/server.go
@@ -145,7 +145,7 @@
 func (s *Server) Finish(until time.Duration) {
 	s.ln.shut.Store(true)
 	for s.open.Load() > 0 && clock.Now() < until {
-		s.conns.Range(func(c, _ any) bool { c.(*Conn).CloseOwed(closeEnding); return true })
+		s.conns.Range(func(c, _ any) bool { c.(*Conn).CloseAfterReplies(closeEnding); return true })
 		time.Sleep(finishLook)
 	}
 }
--- a/internal/netio/unwritten_test.go
+++ b/internal/netio/unwritten_test.go
@@ -18,19 +18,19 @@
 // whose time was over meanwhile, may have.
 func TestUnwritten(t *testing.T) {
 	for _, errno := range sendErrors {
-		if err := fmt.Errorf("write: %w", netpoll.Exception(errno, "when flush")); !Unwritten(err) {
+		if err := fmt.Errorf("write: %w", netpoll.Exception(errno, "when flush")); !IsIncompleteWrite(err) {
 			t.Errorf("%v: taken for written", errno)
 		}
 	}
 	for _, errno := range []error{netpoll.ErrWriteTimeout, netpoll.ErrConnClosed, netpoll.ErrEOF} {
-		if err := fmt.Errorf("write: %w", netpoll.Exception(errno, "when flush")); Unwritten(err) {
+		if err := fmt.Errorf("write: %w", netpoll.Exception(errno, "when flush")); IsIncompleteWrite(err) {
 			t.Errorf("%v: taken for not written", errno)
 		}
 	}
-	if Unwritten(nil) {
+	if IsIncompleteWrite(nil) {
 		t.Error("no error: taken for not written")
 	}
-	if !Unwritten(fmt.Errorf("write: %w", ErrClosed)) {
+	if !IsIncompleteWrite(fmt.Errorf("write: %w", ErrClosed)) {
 		t.Error("closed before: taken for written")
 	}
 }
--- a/internal/netio/write.go
+++ b/internal/netio/write.go
@@ -25,7 +25,7 @@
 	}
 	if !c.budget.take(len(b)) {
 		if len(b) > shortWord {
-			return ErrBehind
+			return ErrBudgetExceeded
 		}
 		c.budget.add(len(b))
 	}
@@ -43,16 +43,16 @@
 // writePiece is how many bytes are written under one time-out, or a single message.
 const writePiece = 256 << 10
 
-// Finish sends bytes and ends the connection once all is written.
-func (c *Conn) Finish(b []byte) {
+// SendAndClose sends bytes and ends the connection once all is written.
+func (c *Conn) SendAndClose(b []byte) {
 	if err := c.Send(b); err != nil {
 		return // closed, or about to be
 	}
-	c.CloseBehind()
+	c.CloseAfterWrites()
 }
 
-// CloseBehind ends the connection once all is written that was sent. Nothing more is handed on or sent from now on.
-func (c *Conn) CloseBehind() {
+// CloseAfterWrites ends the connection once all is written that was sent. Nothing more is handed on or sent from now on.
+func (c *Conn) CloseAfterWrites() {
 	c.mu.Lock()
 	c.shut, c.owing, c.last = true, false, true
 	done := !c.writing
@@ -115,9 +115,9 @@
 	return w.Flush()
 }
 
-// WriteNow writes before it returns. It blocks only while the socket's buffer is full, and for the write
+// WriteSync writes before it returns. It blocks only while the socket's buffer is full, and for the write
 // time-out at most; after an error the connection is of no more use. It may not be mixed with Send.
-func (c *Conn) WriteNow(b []byte) error {
+func (c *Conn) WriteSync(b []byte) error {
 	if err := c.flush(b); err != nil {
 		c.Close()
 		return fmt.Errorf("write: %w", err)
@@ -125,11 +125,11 @@
 	return nil
 }
 
-// Unwritten tells, of an error of WriteNow, whether the bytes surely have not gone out whole: the connection was closed
+// IsIncompleteWrite tells, of an error of WriteNow, whether the bytes surely have not gone out whole: the connection was closed
 // before, or the system refused a part of them. Netpoll reports an error of the system only from its own first write, or
 // as it asks to be told of room for the rest; it holds a part then that is handed to the system no more. Its own
 // errors, of a time-out or a close while the rest waited for room, may have come as the last of the bytes went.
-func Unwritten(err error) bool {
+func IsIncompleteWrite(err error) bool {
 	var errno syscall.Errno
 	return errors.Is(err, ErrClosed) || errors.As(err, &errno) && errno < netpollErrors
 }
--- a/internal/upstream/client.go
+++ b/internal/upstream/client.go
@@ -190,7 +190,7 @@
 // the core's goroutine.
 func (cl *Client) Behind() bool {
 	for _, c := range cl.at {
-		if c.nc.Unread() {
+		if c.nc.HasUnreadInput() {
 			return true
 		}
 	}
@@ -311,8 +311,8 @@
 	if !cl.core.Ready(a) { // others must know of it first; it is sent anew then
 		return
 	}
-	err := c.nc.WriteNow(appendAsk(nil, a))
-	if netio.Unwritten(err) { // it has not come to the cache, so it can't run
+	err := c.nc.WriteSync(appendAsk(nil, a))
+	if netio.IsIncompleteWrite(err) { // it has not come to the cache, so it can't run
 		c.lost()
 		cl.again(a)
 		return
@@ -362,7 +362,7 @@
 	c.idled = cl.clock()
 	c.done(a)
 	c.p.past.add(a.Request.Txn, cl.clock(), cl.lim.Longest)
-	if err := c.nc.WriteNow(appendQuit(nil, a.Request.Txn)); err != nil {
+	if err := c.nc.WriteSync(appendQuit(nil, a.Request.Txn)); err != nil {
 		c.lost()
 	} else if c.p.dead && len(c.open) == 0 {
 		c.retire()
@@ -414,8 +414,8 @@
 	}
 }
 
-// Take implements netio.Handler.
-func (c *conn) Take(buf []byte) (used, want int, err error) {
+// Consume implements netio.Handler.
+func (c *conn) Consume(buf []byte) (used, want int, err error) {
 	for {
 		a, n, want, err := parse(buf[used:], c.cl.lim.AnswerLine, c.cl.lim.Object)
 		if err != nil || n == 0 {
@@ -445,7 +445,7 @@
 	if e.Status != balancer.OK {
 		if c.said.has(id) { // it may be the same answer once more: the attempt is given up before another is sent
 			c.p.past.add(id, c.since, c.cl.lim.Longest)
-			if err := c.nc.WriteNow(appendQuit(nil, id)); err != nil {
+			if err := c.nc.WriteSync(appendQuit(nil, id)); err != nil {
 				c.cl.core.End(a, e)
 				c.lost()
 				return
--- a/internal/upstream/client_test.go
+++ b/internal/upstream/client_test.go
@@ -361,7 +361,7 @@
 	b.do(func() { // the client has yet to be told of the reset as it sends
 		nc.(*net.TCPConn).SetLinger(0)
 		nc.Close()
-		for c := b.cl.pools[b.node].conns[0]; c.nc.WriteNow([]byte("\r\n")) == nil; {
+		for c := b.cl.pools[b.node].conns[0]; c.nc.WriteSync([]byte("\r\n")) == nil; {
 			time.Sleep(time.Millisecond)
 		}
 		b.cl.Send(&core.Attempt{Node: b.node, Request: &core.Request{Txn: "t2", Class: "c", Item: "0a", Nth: "0"}})
