--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -28,9 +28,9 @@
 // cache is free, and push requests to caches that lack their objects.
 func (b *Balancer) cacheLimit(m *member) float64 {
 	all, n := startLimit, max(b.fleet[cache], 1)
-	if b.s.SteadyWeights && m.weight > 0 && b.s.PaceKBps > 0 {
+	if b.s.StaticWeights && m.weight > 0 && b.s.PaceKBps > 0 {
 		all = cacheShare * m.weight
-	} else if fits := b.linkFits(); fits > 0 && !b.s.SteadyWeights {
+	} else if fits := b.linkFits(); fits > 0 && !b.s.StaticWeights {
 		all = cacheOver * fits / n / math.Sqrt(max(wideUnder/n, 1))
 	}
 	return max(leastLimit, all/b.routersHere())
@@ -54,8 +54,8 @@
 
 // routersHere is how many directors share the location's caches and link.
 func (b *Balancer) routersHere() float64 {
-	if i := slices.Index(b.s.Zones, b.s.Zone); i < len(b.s.DirectorsIn) && b.s.DirectorsIn[i] > 1 {
-		return float64(b.s.DirectorsIn[i])
+	if i := slices.Index(b.s.Zones, b.s.Zone); i < len(b.s.RoutersPerZone) && b.s.RoutersPerZone[i] > 1 {
+		return float64(b.s.RoutersPerZone[i])
 	}
 	return 1
 }
@@ -65,12 +65,12 @@
 // What others have on the link shows only in these times: a size not known counts as its class's, the more so
 // the more share the link.
 func (b *Balancer) learnLinkLimit(r *request, a *attempt, ev Outcome) {
-	w, filled := r.work, ev.Note == Filled || ev.Note == FilledByOrigin
+	w, filled := r.work, ev.Detail == Filled || ev.Detail == FilledByOrigin
 	if !filled || a.node.role != cache || a.source.role != parent {
 		return
 	}
-	room := b.linkPart * a.besideLink * (w + r.slack()) / max(ev.Took.Seconds(), w)
-	if ev.Took > seconds(congested*w) || room > b.linkRoom {
+	room := b.linkPart * a.besideLink * (w + r.slack()) / max(ev.Elapsed.Seconds(), w)
+	if ev.Elapsed > seconds(congested*w) || room > b.linkRoom {
 		gain := w / (w + r.class.work) * learnGain
 		if r.SizeKB == 0 && r.object.work == 0 {
 			gain *= 1 - 1/b.routersHere()
--- a/balancer/attempts.go
+++ b/balancer/attempts.go
@@ -9,12 +9,12 @@
 
 func (b *Balancer) send(r *request, a attempt) {
 	a.sent, a.out = b.now, true
-	g := Get{ID: r.ID, Attempt: len(r.attempts), Node: a.node.id, Source: a.source.id, Held: a.held}
-	g.Again = r.ran()
+	g := SendAttempt{ID: r.ID, Attempt: len(r.attempts), Endpoint: a.node.id, Source: a.source.id, CachedOnly: a.held}
+	g.MayHaveRun = r.ran()
 	if !r.class.Write && !r.Write {
 		// An object seen again ranks above one seen once, so that a scan washes nothing out.
-		g.Keep, g.MaxAge, g.Join = min(r.object.seen, 2), b.maxAge(r), b.s.Joins
-		g.Renew = r.class.Fresh > 0
+		g.CachePriority, g.MaxAge, g.Coalesce = min(r.object.seen, 2), b.maxAge(r), b.s.CoalesceFills
+		g.Revalidate = r.class.FreshnessLifetime > 0
 	}
 	a.node.out++
 	a.besideLink = b.link + a.fills
@@ -30,7 +30,7 @@
 			m.trial = b.now + trialEvery
 		}
 	}
-	b.s.Together.Sent(b.now, g)
+	b.s.Coordinator.AttemptSent(b.now, g)
 	b.do(g)
 }
 
@@ -60,18 +60,18 @@
 	}
 	b.learnOutcome(r, a, ev)
 	b.learnLinkLimit(r, a, ev)
-	if ev.Settled {
+	if ev.Answered {
 		b.close(r)
 	}
 	b.freed = true
 	if r.done {
 		return
 	}
-	if ev.Status == TimedOut && b.now >= r.end-time.Millisecond || ev.Status == Moot {
+	if ev.Status == TimedOut && b.now >= r.end-time.Millisecond || ev.Status == NotSent {
 		b.answer(r)
 		return
 	}
-	if ev.Status == Full && a.blame == a.node && len(r.attempts) < max(b.s.MaxAttempts, 1) && b.mayQueue(r) {
+	if ev.Status == Rejected && a.blame == a.node && len(r.attempts) < max(b.s.MaxAttempts, 1) && b.mayQueue(r) {
 		r.waiting = true // not at once: the others are likely as full
 		return
 	}
@@ -82,7 +82,7 @@
 func (b *Balancer) tick() {
 	if !b.ticking && len(b.order) > 0 {
 		b.ticking = true
-		b.do(SetTimer{Token: scanToken, In: scanEvery})
+		b.do(SetTimer{Token: scanToken, Delay: scanEvery})
 	}
 }
 
--- a/balancer/balancer_test.go
+++ b/balancer/balancer_test.go
@@ -15,18 +15,18 @@
 )
 
 func site() Settings {
-	cold := ColdRule{Share: 0.2, Warm: 15 * sec, Multiple: 2, Window: 3 * sec}
+	cold := SlowStartRule{InitialCapacity: 0.2, WarmUpTime: 15 * sec, OverloadFactor: 2, OverloadWindow: 3 * sec}
 	return Settings{
-		Zone: "edge", Zones: []string{"hub", "edge"}, DirectorsIn: []int{0, 1},
+		Zone: "edge", Zones: []string{"hub", "edge"}, RoutersPerZone: []int{0, 1},
 		Kinds: []string{"box", "mid", "store"}, ParentKind: 1, OriginKind: 2,
 		Classes: []Class{
-			{Name: "page", Aim: 300 * ms, AimStretch: 2, Deadline: 3 * sec, Effect: Safe, Worth: 1},
-			{Name: "news", Aim: 300 * ms, Deadline: 3 * sec, Effect: Safe, Worth: 1, Fresh: 20 * sec},
-			{Name: "pay", Aim: 600 * ms, Deadline: 3 * sec, Effect: Keyed, Group: GroupAll, Window: 2 * sec, Write: true},
-			{Name: "once", Aim: 600 * ms, Deadline: 3 * sec, Effect: Unsafe, Write: true},
+			{Name: "page", LatencyObjective: 300 * ms, ObjectiveStretch: 2, Deadline: 3 * sec, Idempotency: Idempotent, Weight: 1},
+			{Name: "news", LatencyObjective: 300 * ms, Deadline: 3 * sec, Idempotency: Idempotent, Weight: 1, FreshnessLifetime: 20 * sec},
+			{Name: "pay", LatencyObjective: 600 * ms, Deadline: 3 * sec, Idempotency: IdempotentByKey, DedupScope: DedupEverywhere, DedupWindow: 2 * sec, Write: true},
+			{Name: "once", LatencyObjective: 600 * ms, Deadline: 3 * sec, Idempotency: NotIdempotent, Write: true},
 		},
-		PaceKBps: 1000, MaxAttempts: 8, SecondCopies: true, Cancel: true, Direct: true, Joins: true,
-		PurgeDone: 6 * sec, Cache: cold, Parent: cold,
+		PaceKBps: 1000, MaxAttempts: 8, Hedging: true, Cancellation: true, DirectAttempts: true, CoalesceFills: true,
+		PurgeWindow: 6 * sec, CacheSlowStart: cold, ParentSlowStart: cold,
 	}
 }
 
@@ -38,31 +38,31 @@
 	id  RequestID
 }
 
-func node(id NodeID, kind, zone string) Entry {
-	return Entry{Node: id, Kind: kind, Zone: zone, Weight: 1}
+func node(id EndpointID, kind, zone string) Endpoint {
+	return Endpoint{ID: id, Kind: kind, Zone: zone, Weight: 1}
 }
 
-func fleet() []Entry {
-	return []Entry{node(1, "box", "edge"), node(2, "box", "edge"), node(3, "box", "edge"), node(9, "box", "elsewhere"),
+func fleet() []Endpoint {
+	return []Endpoint{node(1, "box", "edge"), node(2, "box", "edge"), node(3, "box", "edge"), node(9, "box", "elsewhere"),
 		node(11, "mid", "hub"), node(12, "mid", "hub"), node(13, "mid", "hub"), node(20, "store", "hub")}
 }
 
-func newRig(t *testing.T, s Settings, list []Entry) *rig {
+func newRig(t *testing.T, s Settings, list []Endpoint) *rig {
 	t.Helper()
 	b, err := New(s)
 	if err != nil {
 		t.Fatal(err)
 	}
 	r := &rig{t: t, b: b, now: 100 * sec}
-	r.do(Members{Full: true, Entries: list})
+	r.do(EndpointUpdate{Complete: true, Endpoints: list})
 	return r
 }
 
 func (r *rig) do(ev Event) []Action { return append([]Action(nil), r.b.Handle(r.now, ev)...) }
 
-func gets(as []Action) (g []Get) {
+func gets(as []Action) (g []SendAttempt) {
 	for _, a := range as {
-		if x, ok := a.(Get); ok {
+		if x, ok := a.(SendAttempt); ok {
 			g = append(g, x)
 		}
 	}
@@ -70,17 +70,17 @@
 }
 
 // ask sends a request and returns its first attempt; the zero Get if there was none.
-func (r *rig) ask(class string, object uint64) Get {
+func (r *rig) ask(class string, object uint64) SendAttempt {
 	r.id++
-	g := gets(r.do(Request{ID: r.id, Class: class, Object: object, Group: object % 8, Left: 3 * sec, SizeKB: 100}))
+	g := gets(r.do(Request{ID: r.id, Class: class, Object: object, Group: object % 8, Remaining: 3 * sec, SizeKB: 100}))
 	if len(g) == 0 {
-		return Get{}
+		return SendAttempt{}
 	}
 	return g[0]
 }
 
-func (r *rig) end(g Get, n int, st Status, note Note) []Action {
-	return r.do(Outcome{ID: g.ID, Attempt: n, Node: g.Node, Status: st, Settled: st == OK, Note: note, Took: 50 * ms})
+func (r *rig) end(g SendAttempt, n int, st Status, note Detail) []Action {
+	return r.do(Outcome{ID: g.ID, Attempt: n, Endpoint: g.Endpoint, Status: st, Answered: st == OK, Detail: note, Elapsed: 50 * ms})
 }
 
 // wait lets time pass with the timer running.
@@ -132,8 +132,8 @@
 	for name, bend := range map[string]func(*Settings){
 		"no classes":    func(s *Settings) { s.Classes = nil },
 		"own location":  func(s *Settings) { s.Zone = "nowhere" },
-		"negative time": func(s *Settings) { s.PurgeDone = -1 },
-		"negative aim":  func(s *Settings) { s.Classes[0].Aim = -1 },
+		"negative time": func(s *Settings) { s.PurgeWindow = -1 },
+		"negative aim":  func(s *Settings) { s.Classes[0].LatencyObjective = -1 },
 		"parent kind":   func(s *Settings) { s.ParentKind = 3 },
 	} {
 		s := site()
@@ -152,7 +152,7 @@
 		g := r.ask("page", o)
 		q := &request{Request: Request{Object: o}}
 		_, second := r.b.homes(q)
-		got += fmt.Sprintf("%d<%d,%d ", g.Node, g.Source, second.id)
+		got += fmt.Sprintf("%d<%d,%d ", g.Endpoint, g.Source, second.id)
 		r.end(g, 0, OK, Hit)
 	}
 	const want = "1<13,12 1<13,12 1<11,13 3<11,12 3<11,12 3<11,12 2<13,12 1<11,12 1<11,12 3<11,13 3<13,11 3<12,13 "
@@ -169,7 +169,7 @@
 	b := newRig(t, s, fleet())
 	for o := uint64(1); o < 50; o++ {
 		ga, gb := a.ask("page", o), b.ask("page", o)
-		if ga.Source != gb.Source || gb.Node != 9 || ga.Node == 9 {
+		if ga.Source != gb.Source || gb.Endpoint != 9 || ga.Endpoint == 9 {
 			t.Fatalf("object %d: %+v and %+v", o, ga, gb)
 		}
 		a.end(ga, 0, OK, Hit)
@@ -211,14 +211,14 @@
 
 func TestWithoutParentsTheOriginFills(t *testing.T) {
 	r := newRig(t, site(), append(fleet()[:3:3], node(20, "store", "hub")))
-	if g := r.ask("page", 5); g.Source != 20 || g.Node > 3 {
+	if g := r.ask("page", 5); g.Source != 20 || g.Endpoint > 3 {
 		t.Errorf("%+v", g)
 	}
 }
 
 func TestShareRises(t *testing.T) {
 	list := fleet()
-	list[0].Start = 100*sec - warmTime/2
+	list[0].StartedAt = 100*sec - warmTime/2
 	r := newRig(t, site(), list)
 	all, mine := 0, 0
 	for o := uint64(0); o < 400; o++ {
@@ -241,19 +241,19 @@
 func TestColdBudget(t *testing.T) {
 	list := fleet()
 	for i := range list[:3] {
-		list[i].Start = 99 * sec
+		list[i].StartedAt = 99 * sec
 	}
 	r := newRig(t, site(), list)
-	spent := map[NodeID]float64{}
+	spent := map[EndpointID]float64{}
 	for i := range uint64(600) { // 300 a second of 0.2 s: far more than three cold caches carry
 		r.now += 3 * ms
-		for _, g := range gets(r.do(Request{ID: RequestID(i), Class: "page", Object: i, Left: 3 * sec})) {
-			spent[g.Node] += seedWork.Seconds()
+		for _, g := range gets(r.do(Request{ID: RequestID(i), Class: "page", Object: i, Remaining: 3 * sec})) {
+			spent[g.Endpoint] += seedWork.Seconds()
 		}
 	}
 	usual := r.b.work(r.b.load[other].peak) / 2 / 3 // nothing served was seen yet
 	share := 0.2 + 0.8*2.8/15
-	for id := NodeID(1); id <= 3; id++ {
+	for id := EndpointID(1); id <= 3; id++ {
 		if most := 2 * share * 3 * usual; spent[id] > most {
 			t.Errorf("cold cache %d was sent %.1f s of work in a window, its budget is %.1f", id, spent[id], most)
 		}
@@ -281,7 +281,7 @@
 func TestColdBudgetCountsTheLost(t *testing.T) {
 	r := newRig(t, site(), fleet())
 	before := r.b.fleet[cache]
-	r.do(Members{Entries: []Entry{{Node: 1, Kind: "box", Zone: "edge", State: Gone}, {Node: 2, Kind: "box", Zone: "edge", State: Gone}}})
+	r.do(EndpointUpdate{Endpoints: []Endpoint{{ID: 1, Kind: "box", Zone: "edge", State: Removed}, {ID: 2, Kind: "box", Zone: "edge", State: Removed}}})
 	if after := r.b.fleet[cache]; after != before || len(r.b.caches) != 1 {
 		t.Errorf("fleet %v after the loss, %v before, %d listed", after, before, len(r.b.caches))
 	}
@@ -289,16 +289,16 @@
 
 func TestDrainsAreKept(t *testing.T) {
 	r := newRig(t, site(), fleet())
-	for _, id := range []NodeID{1, 11} {
+	for _, id := range []EndpointID{1, 11} {
 		kind, zone := "box", "edge"
 		if id == 11 {
 			kind, zone = "mid", "hub"
 		}
-		r.do(Members{Entries: []Entry{{Node: id, Kind: kind, Zone: zone, State: Draining}}})
+		r.do(EndpointUpdate{Endpoints: []Endpoint{{ID: id, Kind: kind, Zone: zone, State: Draining}}})
 	}
 	for o := uint64(0); o < 60; o++ {
 		g := r.ask("page", o)
-		if g.Node == 1 || g.Source == 11 || g.Node == 0 {
+		if g.Endpoint == 1 || g.Source == 11 || g.Endpoint == 0 {
 			t.Fatalf("%+v", g)
 		}
 		r.end(g, 0, OK, Hit)
@@ -307,7 +307,7 @@
 
 func TestPurgeBarsOlderCopies(t *testing.T) {
 	for name, p := range map[string]Purge{
-		"object": {Object: 5, Ago: 100 * ms}, "group": {ByGroup: true, Group: 5, Ago: 100 * ms},
+		"object": {Object: 5, Age: 100 * ms}, "group": {ByGroup: true, Group: 5, Age: 100 * ms},
 	} {
 		r := newRig(t, site(), fleet())
 		r.do(p)
@@ -316,7 +316,7 @@
 			t.Errorf("%s: age %v for a purge 100 ms ago", name, g.MaxAge)
 		}
 		r.now += sec
-		r.end(g, 0, ConnectFailed, NoNote)
+		r.end(g, 0, ConnectFailed, NoDetail)
 		if again := r.ask("page", 5); again.MaxAge >= 1100*ms || again.MaxAge <= 0 {
 			t.Errorf("%s: age %v a second later", name, again.MaxAge)
 		}
@@ -341,24 +341,24 @@
 func TestEffects(t *testing.T) {
 	r := newRig(t, site(), fleet())
 	g := r.ask("once", 1)
-	if g.Node != 20 || g.Keep != 0 {
+	if g.Endpoint != 20 || g.CachePriority != 0 {
 		t.Errorf("a write goes straight to the origin and keeps nothing: %+v", g)
 	}
-	as := r.end(g, 0, Reset, NoNote)
+	as := r.end(g, 0, Reset, NoDetail)
 	if _, ok := as[0].(Fail); !ok {
 		t.Errorf("after an unsafe attempt that may have run: %v", as)
 	}
 	g = r.ask("once", 1)
-	if as = r.end(g, 0, ConnectFailed, NoNote); len(gets(as)) != 1 {
+	if as = r.end(g, 0, ConnectFailed, NoDetail); len(gets(as)) != 1 {
 		t.Errorf("after one that never ran: %v", as)
 	}
 	g = r.ask("pay", 1)
-	if as = r.end(g, 0, Reset, NoNote); len(gets(as)) != 1 {
+	if as = r.end(g, 0, Reset, NoDetail); len(gets(as)) != 1 {
 		t.Errorf("keyed, within its window: %v", as)
 	}
 	g = r.ask("pay", 1)
 	r.now += 2500 * ms
-	if as = r.end(g, 0, Reset, NoNote); len(gets(as)) != 0 {
+	if as = r.end(g, 0, Reset, NoDetail); len(gets(as)) != 0 {
 		t.Errorf("keyed, after its window: %v", as)
 	}
 }
@@ -366,16 +366,16 @@
 // A repeat goes only to a cache of the group that drops it, also of a class that is read: another group would run it again.
 func TestRepeatWithinItsGroup(t *testing.T) {
 	set, list := site(), fleet()
-	set.Classes = append(set.Classes, Class{Name: "read", Aim: 600 * ms, Deadline: 3 * sec, Effect: Keyed, Window: 2 * sec})
+	set.Classes = append(set.Classes, Class{Name: "read", LatencyObjective: 600 * ms, Deadline: 3 * sec, Idempotency: IdempotentByKey, DedupWindow: 2 * sec})
 	for i := range list {
 		list[i].Cell = i % 2 // the caches of the location are in cells 0, 1 and 0
 	}
 	for object := range uint64(40) {
 		r := newRig(t, set, list)
 		g := r.ask("read", object)
-		for _, again := range gets(r.end(g, 0, Reset, NoNote)) {
-			if r.b.members[again.Node].cell != r.b.members[g.Node].cell {
-				t.Errorf("object %d: first at cell %d, then at another", object, r.b.members[g.Node].cell)
+		for _, again := range gets(r.end(g, 0, Reset, NoDetail)) {
+			if r.b.members[again.Endpoint].cell != r.b.members[g.Endpoint].cell {
+				t.Errorf("object %d: first at cell %d, then at another", object, r.b.members[g.Endpoint].cell)
 			}
 		}
 	}
@@ -384,10 +384,10 @@
 // A cache that hangs is left long before any time-out, and what waited there moves.
 func TestSilentCache(t *testing.T) {
 	r := newRig(t, site(), fleet())
-	var stuck []Get
+	var stuck []SendAttempt
 	for o := uint64(0); len(stuck) < 4; o++ {
 		g := r.ask("page", o)
-		if g.Node == 1 {
+		if g.Endpoint == 1 {
 			stuck = append(stuck, g)
 		} else {
 			r.end(g, 0, OK, Hit)
@@ -395,14 +395,14 @@
 	}
 	cancelled := 0
 	for _, a := range r.wait(1200 * ms) {
-		if _, ok := a.(Cancel); ok {
+		if _, ok := a.(CancelAttempt); ok {
 			cancelled++
 		}
 	}
 	if !r.b.members[1].bad || cancelled == 0 {
 		t.Fatalf("bad %v, %d attempts called off", r.b.members[1].bad, cancelled)
 	}
-	if g := gets(r.end(stuck[0], 0, Cancelled, NoNote)); len(g) != 1 || g[0].Node == 1 {
+	if g := gets(r.end(stuck[0], 0, Cancelled, NoDetail)); len(g) != 1 || g[0].Endpoint == 1 {
 		t.Errorf("the stuck request went to %v", g)
 	}
 }
@@ -425,13 +425,13 @@
 func TestSourceTakesTheBlame(t *testing.T) {
 	r := newRig(t, site(), fleet())
 	home := r.ask("page", 5)
-	r.end(home, 0, Full, SourceLost)
+	r.end(home, 0, Rejected, SourceUnreachable)
 	for o := uint64(100); !r.b.members[home.Source].bad; o++ {
 		if o > 400 {
 			t.Fatal("a source that fails every fill was never shunned")
 		}
 		if g := r.ask("page", o); g.Source == home.Source {
-			r.end(g, 0, Full, SourceLost)
+			r.end(g, 0, Rejected, SourceUnreachable)
 		} else {
 			r.end(g, 0, OK, Filled)
 		}
@@ -455,10 +455,10 @@
 	for o := range uint64(200) {
 		g := r.ask("page", o)
 		switch {
-		case g.Node == 0:
-		case g.Source == g.Node:
+		case g.Endpoint == 0:
+		case g.Source == g.Endpoint:
 			looks++
-			r.end(g, 0, Miss, NoNote)
+			r.end(g, 0, Miss, NoDetail)
 		case g.Source > 10:
 			fills++
 			r.b.link += 1 - r.b.open[g.ID].attempts[0].fills
@@ -470,7 +470,7 @@
 	}
 	refused := 0
 	for _, a := range r.wait(sec) {
-		if _, ok := a.(Refuse); ok {
+		if _, ok := a.(Reject); ok {
 			refused++
 		}
 	}
@@ -482,9 +482,9 @@
 // A hot object spills to the next score before its cache is far above the others.
 func TestHotObjectSpills(t *testing.T) {
 	r := newRig(t, site(), fleet())
-	at := map[NodeID]int{}
+	at := map[EndpointID]int{}
 	for range 9 {
-		at[r.ask("page", 5).Node]++
+		at[r.ask("page", 5).Endpoint]++
 	}
 	if len(at) < 2 {
 		t.Errorf("all attempts at %v", at)
@@ -497,20 +497,20 @@
 	for _, m := range r.b.caches {
 		m.limit = 0
 	}
-	as := r.do(Request{ID: 7, Class: "page", Object: 1, Left: 10 * ms})
-	if _, ok := as[0].(Refuse); !ok && len(gets(as)) == 0 {
+	as := r.do(Request{ID: 7, Class: "page", Object: 1, Remaining: 10 * ms})
+	if _, ok := as[0].(Reject); !ok && len(gets(as)) == 0 {
 		t.Errorf("held beyond its time: %v", as)
 	}
 }
 
 func TestOddInput(t *testing.T) {
 	r := newRig(t, site(), nil)
-	r.do(Outcome{ID: 99, Node: 5})
-	r.do(ClientGone{ID: 99})
-	r.do(Started{ID: 99})
-	r.do(Members{Failed: true})
-	r.do(Members{Full: true, Entries: []Entry{{Node: 4, Kind: "strange", Zone: "edge"}}})
-	if as := r.do(Request{ID: 1, Class: "unheard of", Left: sec}); len(as) == 0 {
+	r.do(Outcome{ID: 99, Endpoint: 5})
+	r.do(ClientAborted{ID: 99})
+	r.do(ResponseStarted{ID: 99})
+	r.do(EndpointUpdate{Failed: true})
+	r.do(EndpointUpdate{Complete: true, Endpoints: []Endpoint{{ID: 4, Kind: "strange", Zone: "edge"}}})
+	if as := r.do(Request{ID: 1, Class: "unheard of", Remaining: sec}); len(as) == 0 {
 		t.Errorf("no decision")
 	}
 }
@@ -518,13 +518,13 @@
 // Under overload what costs little for its worth goes first.
 func TestCheapGoesFirst(t *testing.T) {
 	s := site()
-	s.Direct = false
+	s.DirectAttempts = false
 	r := newRig(t, s, fleet())
 	for _, m := range r.b.caches {
 		m.limit = 0
 	}
 	for i, kb := range []float64{300, 100, 200} {
-		r.do(Request{ID: RequestID(i + 1), Class: "page", Object: uint64(i), Left: 3 * sec, SizeKB: kb})
+		r.do(Request{ID: RequestID(i + 1), Class: "page", Object: uint64(i), Remaining: 3 * sec, SizeKB: kb})
 	}
 	for _, m := range r.b.caches {
 		m.limit = 9
@@ -542,24 +542,24 @@
 func TestSlowRefusalIsTheSources(t *testing.T) {
 	r := newRig(t, site(), fleet())
 	first := r.ask("page", 5)
-	as := r.do(Outcome{ID: first.ID, Node: first.Node, Status: Full, Took: 200 * ms})
-	if g := gets(as); len(g) != 1 || g[0].Node != first.Node || g[0].Source == first.Source {
+	as := r.do(Outcome{ID: first.ID, Endpoint: first.Endpoint, Status: Rejected, Elapsed: 200 * ms})
+	if g := gets(as); len(g) != 1 || g[0].Endpoint != first.Endpoint || g[0].Source == first.Source {
 		t.Fatalf("after the first refusal: %v, it was %v", g, first)
 	}
 	for o := uint64(100); o < 400 && !r.b.members[first.Source].bad; o++ {
 		if g := r.ask("page", o); g.Source == first.Source {
-			r.do(Outcome{ID: g.ID, Node: g.Node, Status: Full, Took: 200 * ms})
+			r.do(Outcome{ID: g.ID, Endpoint: g.Endpoint, Status: Rejected, Elapsed: 200 * ms})
 		} else {
 			r.end(g, 0, OK, Filled)
 		}
 	}
-	if !r.b.members[first.Source].bad || r.b.members[first.Node].bad {
-		t.Errorf("source bad %v, cache bad %v", r.b.members[first.Source].bad, r.b.members[first.Node].bad)
+	if !r.b.members[first.Source].bad || r.b.members[first.Endpoint].bad {
+		t.Errorf("source bad %v, cache bad %v", r.b.members[first.Source].bad, r.b.members[first.Endpoint].bad)
 	}
 	q := newRig(t, site(), fleet())
 	for range failsInRow {
 		g := q.ask("page", 5)
-		q.do(Outcome{ID: g.ID, Node: g.Node, Status: Full, Took: ms})
+		q.do(Outcome{ID: g.ID, Endpoint: g.Endpoint, Status: Rejected, Elapsed: ms})
 	}
 	for _, m := range q.b.members {
 		if m.bad {
--- a/balancer/cold_test.go
+++ b/balancer/cold_test.go
@@ -30,32 +30,32 @@
 )
 
 // fleet is the list, and the settings of a router in the first location; parents have the ids from 10, caches those from 100.
-func (c trial) fleet() (s Settings, list []Entry) {
+func (c trial) fleet() (s Settings, list []Endpoint) {
 	s = site()
-	s.Direct, s.Joins, s.Zones, s.DirectorsIn = false, false, []string{"hub"}, []int{0}
-	s.Cache = ColdRule{Share: 0.2, Warm: 15 * sec, Multiple: 3, Window: 2 * sec}
-	s.Parent = ColdRule{Share: 0.08, Warm: 18 * sec, Multiple: 2, Window: 2 * sec}
+	s.DirectAttempts, s.CoalesceFills, s.Zones, s.RoutersPerZone = false, false, []string{"hub"}, []int{0}
+	s.CacheSlowStart = SlowStartRule{InitialCapacity: 0.2, WarmUpTime: 15 * sec, OverloadFactor: 3, OverloadWindow: 2 * sec}
+	s.ParentSlowStart = SlowStartRule{InitialCapacity: 0.08, WarmUpTime: 18 * sec, OverloadFactor: 2, OverloadWindow: 2 * sec}
 	places := (c.routers + 29) / 30
 	for p := range places {
 		s.Zones = append(s.Zones, fmt.Sprint("e", p))
-		s.DirectorsIn = append(s.DirectorsIn, (c.routers-p+places-1)/places)
+		s.RoutersPerZone = append(s.RoutersPerZone, (c.routers-p+places-1)/places)
 		for i := range 4 {
-			list = append(list, node(NodeID(100*(p+1)+i), "box", s.Zones[p+1]))
+			list = append(list, node(EndpointID(100*(p+1)+i), "box", s.Zones[p+1]))
 		}
 	}
 	for i := range max(2, places/2) {
-		list = append(list, node(NodeID(10+i), "mid", "hub"))
+		list = append(list, node(EndpointID(10+i), "mid", "hub"))
 	}
 	return s, append(list, node(store, "store", "hub"))
 }
 
 // starts tells whether a member is one of those that start.
-func (c trial) starts(e Entry) bool {
+func (c trial) starts(e Endpoint) bool {
 	switch c.what {
 	case "cache":
-		return e.Node == 100
+		return e.ID == 100
 	case "parent":
-		return e.Node == 10
+		return e.ID == 10
 	case "all parents":
 		return e.Kind == "mid"
 	}
@@ -65,7 +65,7 @@
 // member is what a page cache or a parent can do: a bucket that fills at its rate of that moment. What finds it empty is
 // turned away.
 type capacity struct {
-	rule       ColdRule
+	rule       SlowStartRule
 	warm, room float64
 	filled     time.Duration
 	cold       bool
@@ -73,7 +73,7 @@
 }
 
 func (m *capacity) share(at time.Duration) float64 {
-	return min(1, m.rule.Share+(1-m.rule.Share)*float64(at)/float64(m.rule.Warm))
+	return min(1, m.rule.InitialCapacity+(1-m.rule.InitialCapacity)*float64(at)/float64(m.rule.WarmUpTime))
 }
 
 func (m *capacity) takes(now time.Duration, known bool) bool {
@@ -97,11 +97,11 @@
 // put down to chance.
 func (m *capacity) worst() (worst float64) {
 	for i, at := range m.calls {
-		if at > m.rule.Warm {
+		if at > m.rule.WarmUpTime {
 			break // the rule holds no longer
 		}
-		from, _ := slices.BinarySearch(m.calls, at-m.rule.Window)
-		n := m.rule.Multiple * m.share((max(at-m.rule.Window, 0)+at)/2) * m.warm * m.rule.Window.Seconds()
+		from, _ := slices.BinarySearch(m.calls, at-m.rule.OverloadWindow)
+		n := m.rule.OverloadFactor * m.share((max(at-m.rule.OverloadWindow, 0)+at)/2) * m.warm * m.rule.OverloadWindow.Seconds()
 		worst = max(worst, float64(i-from+1)/(n+2*math.Sqrt(n)+2))
 	}
 	return worst
@@ -113,27 +113,27 @@
 	rnd := rand.New(rand.NewPCG(c.seed, 17))
 	s, list := c.fleet()
 	places := len(s.Zones) - 1
-	members, parents := map[NodeID]*capacity{}, max(2, places/2)
+	members, parents := map[EndpointID]*capacity{}, max(2, places/2)
 	for _, e := range list {
-		m := &capacity{rule: s.Cache, warm: c.capacity, cold: c.starts(e), filled: trialFrom}
+		m := &capacity{rule: s.CacheSlowStart, warm: c.capacity, cold: c.starts(e), filled: trialFrom}
 		if e.Kind == "mid" { // a third of all calls are filled
-			m.rule, m.warm = s.Parent, c.capacity*float64(4*places)/3/float64(parents)*1.4
+			m.rule, m.warm = s.ParentSlowStart, c.capacity*float64(4*places)/3/float64(parents)*1.4
 		}
-		members[e.Node] = m
+		members[e.ID] = m
 	}
 	rigs, told := make([]*rig, c.routers), make([]time.Duration, c.routers)
 	started := slices.Clone(list)
 	for i, e := range started {
 		if c.starts(e) {
-			started[i].Start = trialCold
+			started[i].StartedAt = trialCold
 		}
 	}
-	start := func(i int, now time.Duration, list []Entry) {
+	start := func(i int, now time.Duration, list []Endpoint) {
 		own := s
 		own.Zone = s.Zones[1+i%places]
 		rigs[i] = newRig(t, own, nil)
 		rigs[i].now = now
-		rigs[i].do(Members{Full: true, Entries: list})
+		rigs[i].do(EndpointUpdate{Complete: true, Endpoints: list})
 	}
 	for i := range rigs {
 		start(i, trialFrom, list)
@@ -154,7 +154,7 @@
 				start(j, now, started)
 			default:
 				rigs[j].now = now
-				rigs[j].do(Members{Full: true, Entries: started})
+				rigs[j].do(EndpointUpdate{Complete: true, Endpoints: started})
 			}
 			known[j] = true
 		}
@@ -163,24 +163,24 @@
 		r.id++
 		class := []string{"page", "page", "news"}[rnd.IntN(3)]
 		object := rnd.Uint64() >> 8
-		asked := gets(r.do(Request{ID: r.id, Class: class, Object: object, Group: object % 8, Left: 3 * sec}))
+		asked := gets(r.do(Request{ID: r.id, Class: class, Object: object, Group: object % 8, Remaining: 3 * sec}))
 		for len(asked) > 0 { // also of requests that waited
 			g := asked[0]
 			asked = asked[1:]
-			fill := rnd.IntN(3) == 0 || members[g.Node].cold && now >= trialCold && now < trialCold+10*sec
+			fill := rnd.IntN(3) == 0 || members[g.Endpoint].cold && now >= trialCold && now < trialCold+10*sec
 			status, note := OK, Hit
 			switch {
-			case !members[g.Node].takes(now, known[i]):
-				status, note = Full, NoNote
-			case fill && g.Source == g.Node:
-				status, note = Miss, NoNote
+			case !members[g.Endpoint].takes(now, known[i]):
+				status, note = Rejected, NoDetail
+			case fill && g.Source == g.Endpoint:
+				status, note = Miss, NoDetail
 			case fill && g.Source != store && !members[g.Source].takes(now, known[i]):
-				status, note = Full, SourceRefused
+				status, note = Rejected, SourceRejected
 			case fill:
 				note = Filled
 			}
-			asked = append(asked, gets(r.do(Outcome{ID: g.ID, Attempt: g.Attempt, Node: g.Node, Status: status, Settled: status == OK,
-				Note: note, Took: c.took}))...)
+			asked = append(asked, gets(r.do(Outcome{ID: g.ID, Attempt: g.Attempt, Endpoint: g.Endpoint, Status: status, Answered: status == OK,
+				Detail: note, Elapsed: c.took}))...)
 		}
 	}
 	for _, m := range members {
--- a/balancer/events.go
+++ b/balancer/events.go
@@ -26,11 +26,11 @@
 		b.request(ev)
 	case Outcome:
 		b.outcome(ev)
-	case Started:
+	case ResponseStarted:
 		if r := b.open[ev.ID]; r != nil {
 			r.streamed = true
 		}
-	case ClientGone:
+	case ClientAborted:
 		b.close(b.open[ev.ID])
 	case Purge:
 		b.purge(ev)
@@ -40,7 +40,7 @@
 		}
 	case Resolve:
 		b.resolve(ev)
-	case Members:
+	case EndpointUpdate:
 		b.updateList(ev)
 	}
 }
--- a/balancer/example_test.go
+++ b/balancer/example_test.go
@@ -12,20 +12,20 @@
 	b, err := balancer.New(balancer.Settings{
 		Zone: "branch", Zones: []string{"hub", "branch"},
 		Kinds: []string{"cache", "parent", "origin"}, ParentKind: 1, OriginKind: 2,
-		Classes: []balancer.Class{{Name: "page", Aim: 300 * time.Millisecond, Deadline: 3 * time.Second,
-			Effect: balancer.Safe, Worth: 1}},
+		Classes: []balancer.Class{{Name: "page", LatencyObjective: 300 * time.Millisecond, Deadline: 3 * time.Second,
+			Idempotency: balancer.Idempotent, Weight: 1}},
 	})
 	if err != nil {
 		fmt.Println(err)
 		return
 	}
 	now := 10 * time.Second // of the clock that the director keeps
-	b.Handle(now, balancer.Members{Full: true, Entries: []balancer.Entry{
-		{Node: 1, Kind: "cache", Zone: "branch"}, {Node: 7, Kind: "parent", Zone: "hub"},
+	b.Handle(now, balancer.EndpointUpdate{Complete: true, Endpoints: []balancer.Endpoint{
+		{ID: 1, Kind: "cache", Zone: "branch"}, {ID: 7, Kind: "parent", Zone: "hub"},
 	}})
-	for _, a := range b.Handle(now, balancer.Request{ID: 42, Class: "page", Object: 0xfeed, Left: time.Second}) {
-		if g, ok := a.(balancer.Get); ok {
-			fmt.Printf("ask cache %d for request %d, filling from %d\n", g.Node, g.ID, g.Source)
+	for _, a := range b.Handle(now, balancer.Request{ID: 42, Class: "page", Object: 0xfeed, Remaining: time.Second}) {
+		if g, ok := a.(balancer.SendAttempt); ok {
+			fmt.Printf("ask cache %d for request %d, filling from %d\n", g.Endpoint, g.ID, g.Source)
 		}
 	}
 	// Output: ask cache 1 for request 42, filling from 7
--- a/balancer/fleet_test.go
+++ b/balancer/fleet_test.go
@@ -9,7 +9,7 @@
 // try has used up the time, and the fill would make requests late that are still in time.
 func TestAskedAgainLeavesTheLinkToFirstTries(t *testing.T) {
 	s := site()
-	s.Direct, s.LinkKBps, s.SteadyWeights = false, []float64{0, 4000}, true // the link fits 4 transfers
+	s.DirectAttempts, s.LinkKBps, s.StaticWeights = false, []float64{0, 4000}, true // the link fits 4 transfers
 	list := fleet()
 	for i := range list {
 		list[i].Weight = 20 // and the caches many
@@ -18,8 +18,8 @@
 	fills := func(again bool) (n int) {
 		for range 30 {
 			r.id++
-			g := gets(r.do(Request{ID: r.id, Class: "page", Object: uint64(r.id), Left: 3 * sec, SizeKB: 100, Again: again}))
-			if len(g) == 1 && g[0].Source != g[0].Node {
+			g := gets(r.do(Request{ID: r.id, Class: "page", Object: uint64(r.id), Remaining: 3 * sec, SizeKB: 100, Retry: again}))
+			if len(g) == 1 && g[0].Source != g[0].Endpoint {
 				n++
 			}
 		}
@@ -53,11 +53,11 @@
 func TestOriginIsDoubtedSoonerWhereManyShareIt(t *testing.T) {
 	trust := func(directors int) float64 {
 		s := site()
-		s.DirectorsIn = []int{0, directors}
+		s.RoutersPerZone = []int{0, directors}
 		r := newRig(t, s, fleet())
 		g := r.ask("page", 1)
 		r.now += 400 * ms
-		r.do(Outcome{ID: g.ID, Node: g.Node, Settled: true, Note: FilledByOrigin, Took: 400 * ms, Waited: 300 * ms})
+		r.do(Outcome{ID: g.ID, Endpoint: g.Endpoint, Answered: true, Detail: FilledByOrigin, Elapsed: 400 * ms, SourceWait: 300 * ms})
 		if parent := r.b.trust(r.b.members[g.Source]); parent != 1 {
 			t.Errorf("%d directors: the parent has the trust %.2f", directors, parent)
 		}
@@ -72,17 +72,17 @@
 // A release lists the new members while the old ones drain. The usual load is that of as many as served at once: with
 // both counted, each new one would get half of what it may be sent for as long as the router lives.
 func TestReleaseKeepsColdBudget(t *testing.T) {
-	drained, fresh := fleet()[:3], []Entry{}
+	drained, fresh := fleet()[:3], []Endpoint{}
 	for i := range drained {
 		drained[i].State = Draining
-		e := node(NodeID(5+i), "box", "edge")
-		e.Start = 100 * sec
+		e := node(EndpointID(5+i), "box", "edge")
+		e.StartedAt = 100 * sec
 		fresh = append(fresh, e)
 	}
-	for _, order := range [][2][]Entry{{drained, fresh}, {fresh, drained}} { // some take the old ones out last
+	for _, order := range [][2][]Endpoint{{drained, fresh}, {fresh, drained}} { // some take the old ones out last
 		r := newRig(t, site(), fleet())
-		r.do(Members{Entries: order[0]})
-		r.do(Members{Entries: order[1]})
+		r.do(EndpointUpdate{Endpoints: order[0]})
+		r.do(EndpointUpdate{Endpoints: order[1]})
 		if n := r.b.fleet[cache]; n != 3 {
 			t.Errorf("%v page caches at once, not 3", n)
 		}
@@ -98,7 +98,7 @@
 func TestLinkLeavesRoomForChance(t *testing.T) {
 	for beside, want := range map[int][2]float64{1: {16, 16}, 4: {4.5, 5}, 16: {1.9, 2.1}} {
 		s := site()
-		s.DirectorsIn, s.LinkKBps = []int{0, beside}, []float64{0, 8000} // the link fits 8 transfers
+		s.RoutersPerZone, s.LinkKBps = []int{0, beside}, []float64{0, 8000} // the link fits 8 transfers
 		if room := newRig(t, s, fleet()).b.linkRoom; room < want[0] || room > want[1] {
 			t.Errorf("%d directors: room for %.2f each, not %v", beside, room, want)
 		}
@@ -110,14 +110,14 @@
 func TestLinkLearnsFromUnknownSizesWhereShared(t *testing.T) {
 	for beside, shrinks := range map[int]bool{1: false, 8: true} {
 		s := site()
-		s.DirectorsIn, s.LinkKBps, s.Direct = []int{0, beside}, []float64{0, 8000}, false
+		s.RoutersPerZone, s.LinkKBps, s.DirectAttempts = []int{0, beside}, []float64{0, 8000}, false
 		r := newRig(t, s, fleet())
 		before := r.b.linkRoom
 		for range 5 {
 			r.id++
-			for _, g := range gets(r.do(Request{ID: r.id, Class: "page", Object: uint64(r.id), Left: 3 * sec})) {
+			for _, g := range gets(r.do(Request{ID: r.id, Class: "page", Object: uint64(r.id), Remaining: 3 * sec})) {
 				r.now += 500 * ms
-				r.do(Outcome{ID: g.ID, Node: g.Node, Settled: true, Note: Filled, Took: 2 * sec, Waited: 50 * ms})
+				r.do(Outcome{ID: g.ID, Endpoint: g.Endpoint, Answered: true, Detail: Filled, Elapsed: 2 * sec, SourceWait: 50 * ms})
 			}
 		}
 		if after := r.b.linkRoom; (after < before) != shrinks {
@@ -133,24 +133,24 @@
 	s.LinkKBps = []float64{0, 6000} // the location's link fits 6 transfers
 	list := fleet()
 	for i := range list {
-		list[i].Start = 100 * sec // where the rig begins
+		list[i].StartedAt = 100 * sec // where the rig begins
 	}
 	r := newRig(t, s, list)
-	sent := map[NodeID]float64{}
+	sent := map[EndpointID]float64{}
 	for r.now < 104*sec {
 		r.now += 10 * ms
 		for range 5 { // 500 a second, 0.1 s each
-			if g := r.ask("page", uint64(r.id)); g.Node != 0 {
+			if g := r.ask("page", uint64(r.id)); g.Endpoint != 0 {
 				if r.now >= 102*sec {
-					sent[g.Node] += 0.1
+					sent[g.Endpoint] += 0.1
 				}
 				r.end(g, 0, OK, Filled)
 			}
 		}
 	}
 	m := r.b.members[1]
-	share := s.Cache.Share + (1-s.Cache.Share)*4/15
-	if most := s.Cache.Multiple * share * m.limit / cacheShare * 2; sent[1] == 0 || sent[1] > most {
+	share := s.CacheSlowStart.InitialCapacity + (1-s.CacheSlowStart.InitialCapacity)*4/15
+	if most := s.CacheSlowStart.OverloadFactor * share * m.limit / cacheShare * 2; sent[1] == 0 || sent[1] > most {
 		t.Errorf("a cold cache was sent %.1f s of work in 2 s, of %.1f that its link may bear", sent[1], most)
 	}
 }
@@ -160,7 +160,7 @@
 func TestFillsOfAllDirectors(t *testing.T) {
 	for _, directors := range []int{4, 8, 16} {
 		s := site()
-		s.Direct, s.LinkKBps, s.DirectorsIn, s.SteadyWeights = false, []float64{0, 20_000}, []int{0, directors}, true // the link fits 20 transfers
+		s.DirectAttempts, s.LinkKBps, s.RoutersPerZone, s.StaticWeights = false, []float64{0, 20_000}, []int{0, directors}, true // the link fits 20 transfers
 		list := fleet()
 		for i := range list {
 			list[i].Weight = 100 // and the caches' own links many
--- a/balancer/handover.go
+++ b/balancer/handover.go
@@ -33,7 +33,7 @@
 	}
 	// MemberMemory is what was seen of a member: its health, and what it may be sent while it is cold.
 	MemberMemory struct {
-		Node           NodeID
+		Node           EndpointID
 		Start          time.Duration
 		Saved, Misses  float64
 		Fails          int
--- a/balancer/handover_test.go
+++ b/balancer/handover_test.go
@@ -11,11 +11,11 @@
 	r := newRig(t, site(), fleet())
 	r.fail(1, ConnectFailed)
 	fresh := node(4, "box", "edge")
-	fresh.Start = r.now
-	r.do(Members{Entries: []Entry{fresh}})
+	fresh.StartedAt = r.now
+	r.do(EndpointUpdate{Endpoints: []Endpoint{fresh}})
 	for o := range uint64(40) { // less than a second: the bad cache is not tried again yet
 		r.now += 20 * ms
-		if g := r.ask("page", o); g.Node != 0 {
+		if g := r.ask("page", o); g.Endpoint != 0 {
 			r.end(g, 0, OK, Hit)
 		}
 	}
@@ -41,13 +41,13 @@
 	r := newRig(t, site(), fleet())
 	r.now = old.now
 	fresh := node(4, "box", "edge")
-	fresh.Start = old.b.members[4].start
-	r.do(Members{Entries: []Entry{fresh}})
+	fresh.StartedAt = old.b.members[4].start
+	r.do(EndpointUpdate{Endpoints: []Endpoint{fresh}})
 	r.b.TakeOver(r.now, m)
 	if s := r.b.members[4].saved; s != spare {
 		t.Errorf("saved for the cold cache: %v, want %v", s, spare)
 	}
-	if _, avoided := r.b.Targets(); avoided != 1 || !r.b.members[1].bad {
+	if _, avoided := r.b.CacheCounts(); avoided != 1 || !r.b.members[1].bad {
 		t.Errorf("%d avoided; want the one that the predecessor held to be bad", avoided)
 	}
 	if p := (part{3, 0}); r.b.objects[0][p] == nil || r.b.objects[0][p].okAt == 0 {
@@ -64,8 +64,8 @@
 	r := newRig(t, site(), fleet())
 	inf := math.Inf(1)
 	fresh := node(4, "box", "edge")
-	fresh.Start = r.now
-	r.do(Members{Entries: []Entry{fresh}})
+	fresh.StartedAt = r.now
+	r.do(EndpointUpdate{Endpoints: []Endpoint{fresh}})
 	r.b.TakeOver(r.now, Memory{LinkRoom: -inf, Floor: -1, Loads: make([]LoadMemory, 9), Purges: []PurgeMemory{{At: math.MaxInt64}},
 		Classes: []ClassMemory{{Name: "page", Work: -1}, {Name: "what", Work: 1}}, Objects: make([]ObjectMemory, 2*handedObjects),
 		Members: []MemberMemory{{Node: 1, Saved: -1, Misses: inf, Doubt: 7, Doubted: math.MaxInt64, Trial: math.MaxInt64, Bad: true},
@@ -75,7 +75,7 @@
 	}
 	for o := range uint64(50) {
 		r.now += 50 * ms
-		if g := r.ask("page", o); g.Node != 0 {
+		if g := r.ask("page", o); g.Endpoint != 0 {
 			r.end(g, 0, OK, Hit)
 		}
 	}
--- a/balancer/health.go
+++ b/balancer/health.go
@@ -12,7 +12,7 @@
 // usable tells whether a member may get ordinary work: it is not bad, or a trial is due, and routers that
 // talk have not agreed to leave its trials to another.
 func (b *Balancer) usable(m *member) bool {
-	return b.inService(m) && (!m.bad || b.now >= m.trial) && !b.s.Together.Shun(b.now, m.id)
+	return b.inService(m) && (!m.bad || b.now >= m.trial) && !b.s.Coordinator.ProbedByPeer(b.now, m.id)
 }
 
 // learnOutcome learns from an outcome who is well and who is not.
@@ -24,7 +24,7 @@
 	switch ev.Status {
 	case OK:
 		b.recordSuccess(a.node)
-		hit := ev.Note == Hit || ev.Note == Stale
+		hit := ev.Detail == Hit || ev.Detail == Stale
 		if a.node.role == cache {
 			b.recordLoad(cache, r.class, 1)
 			if a.node.misses -= a.node.misses / recent; !hit {
@@ -33,22 +33,22 @@
 		}
 		if hit {
 			b.adjustTrust(a.node, !b.slow(r, a))
-		} else if src != nil && ev.Note == FilledByOrigin && b.origin != nil {
-			b.adjustTrust(b.origin, ev.Waited.Seconds() <= slowFrom*r.slack())
-			b.adjustTrust(src, (ev.Took-ev.Waited).Seconds()-r.work <= slowFrom*r.slack())
+		} else if src != nil && ev.Detail == FilledByOrigin && b.origin != nil {
+			b.adjustTrust(b.origin, ev.SourceWait.Seconds() <= slowFrom*r.slack())
+			b.adjustTrust(src, (ev.Elapsed-ev.SourceWait).Seconds()-r.work <= slowFrom*r.slack())
 		} else if src != nil && !a.late {
 			b.adjustTrust(src, !b.slow(r, a))
 		}
 		if hit && r.SizeKB == 0 {
-			w := ev.Took.Seconds()
+			w := ev.Elapsed.Seconds()
 			if r.object.work == 0 || w < r.object.work {
 				r.object.work = w
 			}
 			r.class.learn(w)
 		}
-		if src != nil && (ev.Note == Filled || ev.Note == FilledByOrigin) {
+		if src != nil && (ev.Detail == Filled || ev.Detail == FilledByOrigin) {
 			b.recordSuccess(src)
-			r.object.held = ev.Note == Filled
+			r.object.held = ev.Detail == Filled
 			if a.warming || r.object.copied == 0 {
 				r.object.copied = b.now
 			}
@@ -60,7 +60,7 @@
 		}
 		a.node.broke = b.now
 	case Error:
-		if ev.Note == SourceLost && src != nil {
+		if ev.Detail == SourceUnreachable && src != nil {
 			b.recordFailure(src)
 			a.blame = src
 		} else if b.recordFailure(a.node); src != nil { // an error that names no cause may be the source's
@@ -70,14 +70,14 @@
 		if src != nil && !b.known(r) {
 			b.adjustTrust(src, false)
 		}
-	case Full, Miss:
+	case Rejected, Miss:
 		a.node.sign = b.now
 		switch {
-		case ev.Note == OriginFailed && b.origin != nil:
+		case ev.Detail == OriginFailed && b.origin != nil:
 			b.recordFailure(b.origin)
 			a.blame = src
-		case src != nil && src.role != cache && (ev.Note == SourceRefused || ev.Note == SourceLost ||
-			ev.Note == NoNote && ev.Status == Full && ev.Took > turnedAway):
+		case src != nil && src.role != cache && (ev.Detail == SourceRejected || ev.Detail == SourceUnreachable ||
+			ev.Detail == NoDetail && ev.Status == Rejected && ev.Elapsed > turnedAway):
 			b.recordFailure(src) // where nothing is told: a cache's own refusal comes at once, a source's from afar
 			a.blame = src
 		}
@@ -94,7 +94,7 @@
 	if m.bad == bad {
 		return
 	}
-	listed := m.state != Gone
+	listed := m.state != Removed
 	if listed {
 		b.tally(m, -1)
 	}
@@ -150,7 +150,7 @@
 
 // slack is the time that the aim of a request leaves beside its sending time, in seconds.
 func (r *request) slack() float64 {
-	return max(r.class.Aim.Seconds()+(r.class.AimStretch-1)*r.work, leastSlack.Seconds())
+	return max(r.class.LatencyObjective.Seconds()+(r.class.ObjectiveStretch-1)*r.work, leastSlack.Seconds())
 }
 
 // slow tells whether an answer that comes now, or has yet to come, takes up most of the time to spare.
@@ -178,8 +178,8 @@
 		}
 	}
 	elsewhere := (a.node.bad || a.source.bad) && a.source.role != origin
-	if elsewhere && !r.done && r.class.Effect == Safe && b.s.Cancel {
+	if elsewhere && !r.done && r.class.Idempotency == Idempotent && b.s.Cancellation {
 		a.cancelled = true
-		b.do(Cancel{ID: r.ID, Attempt: i})
+		b.do(CancelAttempt{ID: r.ID, Attempt: i})
 	}
 }
--- a/balancer/membership.go
+++ b/balancer/membership.go
@@ -10,19 +10,19 @@
 // in order and changed in place.
 
 // updateList takes the whole updateList, or changes to it.
-func (b *Balancer) updateList(ev Members) {
-	if b.s.Ask && (ev.Failed || !b.asked) {
+func (b *Balancer) updateList(ev EndpointUpdate) {
+	if b.s.WatchRequired && (ev.Failed || !b.asked) {
 		b.asked = true
-		b.do(Watch{})
+		b.do(WatchEndpoints{})
 	}
 	if ev.Failed {
 		return
 	}
-	for _, e := range ev.Entries {
+	for _, e := range ev.Endpoints {
 		b.listEntry(e)
 	}
-	if ev.Full {
-		b.dropUnlisted(ev.Entries)
+	if ev.Complete {
+		b.dropUnlisted(ev.Endpoints)
 	}
 	b.countWarmed()
 	b.raiseFleet()
@@ -30,34 +30,34 @@
 }
 
 // listEntry takes a line of the list.
-func (b *Balancer) listEntry(e Entry) {
-	m := b.members[e.Node]
+func (b *Balancer) listEntry(e Endpoint) {
+	m := b.members[e.ID]
 	if m == nil {
-		m = &member{id: e.Node, state: Gone, misses: firstMisses}
-		b.members[e.Node] = m
+		m = &member{id: e.ID, state: Removed, misses: firstMisses}
+		b.members[e.ID] = m
 	}
 	b.unlist(m)
 	m.role, m.zone, m.cell, m.weight, m.state = b.roleOf(e), e.Zone, e.Cell, e.Weight, e.State
 	if m.role != cache {
 		m.misses = 1 // what passes the caches by is all fill
 	}
-	if e.Start > m.start {
-		m.start, m.misses, m.bad, m.fails = e.Start, 1, false, 0
+	if e.StartedAt > m.start {
+		m.start, m.misses, m.bad, m.fails = e.StartedAt, 1, false, 0
 		m.saved, m.savedAt, m.doubt = 0, b.now, 0
 	}
 	b.enlist(m)
 }
 
 // dropUnlisted takes all members to be gone that a whole list lacks.
-func (b *Balancer) dropUnlisted(entries []Entry) {
-	listed := make(map[NodeID]bool, len(entries))
+func (b *Balancer) dropUnlisted(entries []Endpoint) {
+	listed := make(map[EndpointID]bool, len(entries))
 	for _, e := range entries {
-		listed[e.Node] = true
+		listed[e.ID] = true
 	}
 	for id, m := range b.members { // in no set order: what is done to one is nothing to another
-		if !listed[id] && m.state != Gone {
+		if !listed[id] && m.state != Removed {
 			b.unlist(m)
-			m.state = Gone
+			m.state = Removed
 			b.enlist(m)
 		}
 	}
@@ -65,7 +65,7 @@
 
 // enlist puts a member where decisions find it, and counts it.
 func (b *Balancer) enlist(m *member) {
-	if m.state == Gone {
+	if m.state == Removed {
 		b.departed = append(b.departed, m)
 		return
 	}
@@ -85,7 +85,7 @@
 
 // unlist undoes enlist. It comes before anything that enlist goes by changes.
 func (b *Balancer) unlist(m *member) {
-	if m.state == Gone {
+	if m.state == Removed {
 		b.departed = slices.DeleteFunc(b.departed, func(d *member) bool { return d == m })
 		return
 	}
@@ -145,7 +145,7 @@
 func (b *Balancer) countWarmed() {
 	for ro, queue := range b.warming {
 		n := 0
-		for n < len(queue) && b.now-queue[n].start >= b.rules[ro].Warm {
+		for n < len(queue) && b.now-queue[n].start >= b.rules[ro].WarmUpTime {
 			if w := queue[n]; w.m.countedReady > 0 && w.m.countedSettled == 0 && w.m.start == w.start {
 				w.m.countedSettled = w.m.countedReady
 				b.settled[ro] += w.m.countedSettled
@@ -189,7 +189,7 @@
 	return slices.Delete(list, at, at+1)
 }
 
-func compareID(m *member, id NodeID) int { return cmp.Compare(m.id, id) }
+func compareID(m *member, id EndpointID) int { return cmp.Compare(m.id, id) }
 
 func compareStart(w warmUp, start time.Duration) int { return cmp.Compare(w.start, start) }
 
@@ -200,7 +200,7 @@
 	return list[0]
 }
 
-func (b *Balancer) roleOf(e Entry) role {
+func (b *Balancer) roleOf(e Endpoint) role {
 	is := func(kind int) bool { return kind >= 0 && kind < len(b.s.Kinds) && b.s.Kinds[kind] == e.Kind }
 	switch {
 	case is(b.s.ParentKind):
--- a/balancer/membership_test.go
+++ b/balancer/membership_test.go
@@ -10,21 +10,21 @@
 
 // rebuilt is what the list came to when it was rebuilt at each change: members by id, and the most that was in service.
 type rebuilt struct {
-	members map[NodeID]Entry
-	starts  map[NodeID]time.Duration
+	members map[EndpointID]Endpoint
+	starts  map[EndpointID]time.Duration
 	fleet   [4]float64
 }
 
 // take applies an event, and rebuilds all that follows from the list.
-func (l *rebuilt) take(b *Balancer, ev Members) (caches, parents, origins []NodeID, targets int) {
-	if ev.Full {
+func (l *rebuilt) take(b *Balancer, ev EndpointUpdate) (caches, parents, origins []EndpointID, targets int) {
+	if ev.Complete {
 		clear(l.members)
 	}
-	for _, e := range ev.Entries {
-		l.members[e.Node] = e
-		l.starts[e.Node] = max(l.starts[e.Node], e.Start)
-		if e.State == Gone {
-			delete(l.members, e.Node)
+	for _, e := range ev.Endpoints {
+		l.members[e.ID] = e
+		l.starts[e.ID] = max(l.starts[e.ID], e.StartedAt)
+		if e.State == Removed {
+			delete(l.members, e.ID)
 		}
 	}
 	for id := range l.starts { // a member that has left is forgotten, its start too
@@ -58,8 +58,8 @@
 	return caches, parents, origins, targets
 }
 
-func keys(m map[NodeID]Entry) func(func(NodeID) bool) {
-	return func(yield func(NodeID) bool) {
+func keys(m map[EndpointID]Endpoint) func(func(EndpointID) bool) {
+	return func(yield func(EndpointID) bool) {
 		for id := range m {
 			if !yield(id) {
 				return
@@ -68,7 +68,7 @@
 	}
 }
 
-func ids(list []*member) (out []NodeID) {
+func ids(list []*member) (out []EndpointID) {
 	for _, m := range list {
 		out = append(out, m.id)
 	}
@@ -80,18 +80,18 @@
 	for seed := range uint64(40) {
 		rnd := rand.New(rand.NewPCG(seed, 1))
 		s := site()
-		s.SteadyWeights = seed%2 == 0
+		s.StaticWeights = seed%2 == 0
 		b, err := New(s)
 		if err != nil {
 			t.Fatal(err)
 		}
-		ref := &rebuilt{members: map[NodeID]Entry{}, starts: map[NodeID]time.Duration{}}
+		ref := &rebuilt{members: map[EndpointID]Endpoint{}, starts: map[EndpointID]time.Duration{}}
 		now := 1000 * time.Hour
 		for step := range 300 {
 			now += time.Duration(rnd.IntN(2000)) * time.Millisecond
-			ev := Members{Full: step == 0 || rnd.IntN(20) == 0}
+			ev := EndpointUpdate{Complete: step == 0 || rnd.IntN(20) == 0}
 			for range rnd.IntN(12) {
-				ev.Entries = append(ev.Entries, randomEntry(rnd, now))
+				ev.Endpoints = append(ev.Endpoints, randomEntry(rnd, now))
 			}
 			b.Handle(now, ev)
 			caches, parents, origins, targets := ref.take(b, ev)
@@ -115,15 +115,15 @@
 	}
 }
 
-func randomEntry(rnd *rand.Rand, now time.Duration) Entry {
-	e := Entry{Node: NodeID(1 + rnd.IntN(40)), Zone: "edge", Weight: []float64{0.5, 1, 1.5, 2}[rnd.IntN(4)], State: State(rnd.IntN(3))}
+func randomEntry(rnd *rand.Rand, now time.Duration) Endpoint {
+	e := Endpoint{ID: EndpointID(1 + rnd.IntN(40)), Zone: "edge", Weight: []float64{0.5, 1, 1.5, 2}[rnd.IntN(4)], State: EndpointState(rnd.IntN(3))}
 	kinds := site().Kinds
-	e.Kind = kinds[int(e.Node)%len(kinds)]
+	e.Kind = kinds[int(e.ID)%len(kinds)]
 	if rnd.IntN(4) == 0 {
 		e.Zone = "hub"
 	}
 	if rnd.IntN(2) == 0 {
-		e.Start = now - time.Duration(rnd.IntN(30))*time.Second
+		e.StartedAt = now - time.Duration(rnd.IntN(30))*time.Second
 	}
 	return e
 }
@@ -135,19 +135,19 @@
 	if err != nil {
 		tb.Fatal(err)
 	}
-	all := Members{Full: true}
+	all := EndpointUpdate{Complete: true}
 	for i := range size {
-		all.Entries = append(all.Entries, Entry{Node: NodeID(mix(uint64(i + 1))), Kind: site().Kinds[0], Zone: "edge", Weight: 1, State: InService})
+		all.Endpoints = append(all.Endpoints, Endpoint{ID: EndpointID(mix(uint64(i + 1))), Kind: site().Kinds[0], Zone: "edge", Weight: 1, State: InService})
 	}
 	now := 1000 * time.Hour
 	b.Handle(now, all)
-	states, i := []State{Draining, Gone, InService}, 0
-	one := Members{Entries: make([]Entry, 1)}
+	states, i := []EndpointState{Draining, Removed, InService}, 0
+	one := EndpointUpdate{Endpoints: make([]Endpoint, 1)}
 	return b, func() {
-		one.Entries[0] = all.Entries[i/3%size]
-		one.Entries[0].State = states[i%3]
-		if one.Entries[0].State == InService {
-			one.Entries[0].Start = now
+		one.Endpoints[0] = all.Endpoints[i/3%size]
+		one.Endpoints[0].State = states[i%3]
+		if one.Endpoints[0].State == InService {
+			one.Endpoints[0].StartedAt = now
 		}
 		now += time.Millisecond
 		i++
@@ -185,9 +185,9 @@
 			for b.Loop() {
 				id++
 				now += time.Millisecond
-				for _, a := range m.Handle(now, Request{ID: id, Class: "page", Object: uint64(id), Left: 3 * time.Second, SizeKB: 100}) {
-					if g, ok := a.(Get); ok {
-						m.Handle(now, Outcome{ID: id, Node: g.Node, Status: OK, Note: Hit, Took: time.Millisecond, Settled: true})
+				for _, a := range m.Handle(now, Request{ID: id, Class: "page", Object: uint64(id), Remaining: 3 * time.Second, SizeKB: 100}) {
+					if g, ok := a.(SendAttempt); ok {
+						m.Handle(now, Outcome{ID: id, Endpoint: g.Endpoint, Status: OK, Detail: Hit, Elapsed: time.Millisecond, Answered: true})
 					}
 				}
 				if id%25 == 0 {
--- a/balancer/requests.go
+++ b/balancer/requests.go
@@ -13,12 +13,12 @@
 	if c == nil { // unknown: served as carefully as possible
 		c = newClass(Class{Name: ev.Class})
 	}
-	r := &request{Request: ev, class: c, end: b.now + ev.Left, object: b.remember(part{ev.Object, ev.Part})}
+	r := &request{Request: ev, class: c, end: b.now + ev.Remaining, object: b.remember(part{ev.Object, ev.Part})}
 	r.object.seen++
 	r.work = b.workOf(r)
-	r.aim = b.now + c.Aim + seconds(c.AimStretch*r.work)
-	if r.cost = r.work; c.Worth > 0 {
-		r.cost /= c.Worth
+	r.aim = b.now + c.LatencyObjective + seconds(c.ObjectiveStretch*r.work)
+	if r.cost = r.work; c.Weight > 0 {
+		r.cost /= c.Weight
 	}
 	b.cost += (r.cost - b.cost) / recent
 	b.open[ev.ID] = r
@@ -117,17 +117,17 @@
 func (b *Balancer) mayResend(r *request) bool {
 	for i := range r.attempts {
 		a := &r.attempts[i]
-		if a.out && !(b.s.SecondCopies && r.class.Effect == Safe) {
+		if a.out && !(b.s.Hedging && r.class.Idempotency == Idempotent) {
 			return false
 		}
-		if a.neverRan || r.class.Effect == Safe {
+		if a.neverRan || r.class.Idempotency == Idempotent {
 			continue
 		}
-		if r.class.Effect == Unsafe || b.now-a.sent >= r.class.Window {
+		if r.class.Idempotency == NotIdempotent || b.now-a.sent >= r.class.DedupWindow {
 			return false
 		}
 	}
-	return !r.ran() || b.s.Together.Repeat(b.now)
+	return !r.ran() || b.s.Coordinator.AdmitRetry(b.now)
 }
 
 // answer gives the final answer that the router itself owes: a refusal where trying again is harmless. It
@@ -139,11 +139,12 @@
 			return
 		}
 		if !r.attempts[i].neverRan {
-			harmless = r.class.Effect == Safe || r.class.Effect == Keyed && r.class.Group == GroupAll
+			harmless = r.class.Idempotency == Idempotent ||
+				r.class.Idempotency == IdempotentByKey && r.class.DedupScope == DedupEverywhere
 		}
 	}
 	if harmless {
-		b.do(Refuse{ID: r.ID, Wait: b.s.MaxWait})
+		b.do(Reject{ID: r.ID, RetryAfter: b.s.MaxRetryAfter})
 	} else {
 		b.do(Fail{ID: r.ID})
 	}
@@ -155,9 +156,9 @@
 		r.waiting = false
 		r.done = true
 		for i := range r.attempts { // nobody waits for these any more
-			if a := &r.attempts[i]; a.out && !a.cancelled && b.s.Cancel && !r.streamed {
+			if a := &r.attempts[i]; a.out && !a.cancelled && b.s.Cancellation && !r.streamed {
 				a.cancelled = true
-				b.do(Cancel{ID: r.ID, Attempt: i})
+				b.do(CancelAttempt{ID: r.ID, Attempt: i})
 			}
 		}
 	}
--- a/balancer/resolve.go
+++ b/balancer/resolve.go
@@ -13,13 +13,13 @@
 	r := &request{Request: Request{Object: ev.Key}, class: newClass(Class{}), lease: max(ev.Load, leastLease)}
 	var from []*member
 	for _, m := range b.caches {
-		if b.inService(m) && !m.bad && (ev.Only == 0 || m.id == ev.Only) {
+		if b.inService(m) && !m.bad && (ev.OnlyEndpoint == 0 || m.id == ev.OnlyEndpoint) {
 			from = append(from, m)
 		}
 	}
 	some, key := len(from) > 0, mix(ev.Key)
-	var nodes []NodeID
-	for len(nodes) < max(ev.Want, 1) {
+	var nodes []EndpointID
+	for len(nodes) < max(ev.MaxEndpoints, 1) {
 		m := b.pick(r, key, from, saltCache, nil)
 		if m == nil || len(nodes) > 0 && !b.owns(key, m) {
 			break // a further name is worth less than the share of a started member
@@ -27,16 +27,16 @@
 		nodes = append(nodes, m.id)
 		from = slices.DeleteFunc(from, func(o *member) bool { return o == m })
 		if b.cold(m) {
-			m.leases = append(m.leases, lease{r.lease, b.now + ev.Hold})
+			m.leases = append(m.leases, lease{r.lease, b.now + ev.TTL})
 		} else {
-			b.recordLoad(cache, b.kinds[0], r.lease*ev.Hold.Seconds())
+			b.recordLoad(cache, b.kinds[0], r.lease*ev.TTL.Seconds())
 		}
 	}
 	switch {
 	case len(nodes) > 0:
-		b.do(Answer{ID: ev.ID, Nodes: nodes})
+		b.do(ResolveAnswer{ID: ev.ID, Endpoints: nodes})
 	case some:
-		b.do(Refuse{ID: ev.ID, Wait: b.s.MaxWait})
+		b.do(Reject{ID: ev.ID, RetryAfter: b.s.MaxRetryAfter})
 	default:
 		b.do(Fail{ID: ev.ID})
 	}
--- a/balancer/resolve_test.go
+++ b/balancer/resolve_test.go
@@ -7,12 +7,12 @@
 )
 
 // named returns the members that a resolver is told, and whether it was refused.
-func (r *rig) named(ev Resolve) (nodes []NodeID, refused bool) {
+func (r *rig) named(ev Resolve) (nodes []EndpointID, refused bool) {
 	for _, a := range r.do(ev) {
 		switch a := a.(type) {
-		case Answer:
-			nodes = a.Nodes
-		case Refuse:
+		case ResolveAnswer:
+			nodes = a.Endpoints
+		case Reject:
 			refused = true
 		}
 	}
@@ -22,10 +22,10 @@
 // Resolvers' answers follow the rules of requests: the same hash, no other location, nobody who drains.
 func TestResolve(t *testing.T) {
 	r := newRig(t, site(), fleet())
-	seen := map[NodeID]int{}
+	seen := map[EndpointID]int{}
 	for key := range uint64(60) {
-		first, _ := r.named(Resolve{ID: 1, Key: key, Want: 2, Load: 0.01, Hold: sec})
-		again, _ := r.named(Resolve{ID: 2, Key: key, Want: 2, Load: 0.01, Hold: sec})
+		first, _ := r.named(Resolve{ID: 1, Key: key, MaxEndpoints: 2, Load: 0.01, TTL: sec})
+		again, _ := r.named(Resolve{ID: 2, Key: key, MaxEndpoints: 2, Load: 0.01, TTL: sec})
 		if len(first) != 2 || first[0] == first[1] || !reflect.DeepEqual(first, again) {
 			t.Fatalf("key %d: %v, then %v", key, first, again)
 		}
@@ -36,13 +36,13 @@
 	}
 	drained := node(2, "box", "edge")
 	drained.State = Draining
-	r.do(Members{Entries: []Entry{drained}})
+	r.do(EndpointUpdate{Endpoints: []Endpoint{drained}})
 	for key := range uint64(60) {
-		if got, _ := r.named(Resolve{ID: 3, Key: key, Want: 3}); len(got) != 2 || got[0] == 2 || got[1] == 2 {
+		if got, _ := r.named(Resolve{ID: 3, Key: key, MaxEndpoints: 3}); len(got) != 2 || got[0] == 2 || got[1] == 2 {
 			t.Errorf("key %d: %v after 2 drains", key, got)
 		}
 	}
-	if got, refused := r.named(Resolve{ID: 4, Want: 1, Only: 2}); got != nil || refused {
+	if got, refused := r.named(Resolve{ID: 4, MaxEndpoints: 1, OnlyEndpoint: 2}); got != nil || refused {
 		t.Errorf("only the drained one: %v, refused %v; want none", got, refused)
 	}
 }
@@ -51,16 +51,16 @@
 // more once they let go of it.
 func TestResolveKeepsColdBudget(t *testing.T) {
 	start := node(1, "box", "edge")
-	r := newRig(t, site(), []Entry{start, node(11, "mid", "hub"), node(20, "store", "hub")})
+	r := newRig(t, site(), []Endpoint{start, node(11, "mid", "hub"), node(20, "store", "hub")})
 	for range 50 { // a usual load, while it is warm
 		r.end(r.ask("page", 7), 0, OK, Hit)
 		r.now += 20 * ms
 	}
-	start.Start = r.now
-	r.do(Members{Entries: []Entry{start}})
+	start.StartedAt = r.now
+	r.do(EndpointUpdate{Endpoints: []Endpoint{start}})
 	ask := func() (told int) {
 		for key := range uint64(200) {
-			if nodes, _ := r.named(Resolve{ID: 5, Key: key, Want: 1, Load: 0.01, Hold: 3 * sec}); nodes != nil {
+			if nodes, _ := r.named(Resolve{ID: 5, Key: key, MaxEndpoints: 1, Load: 0.01, TTL: 3 * sec}); nodes != nil {
 				told++
 			}
 		}
@@ -74,7 +74,7 @@
 	if later := ask(); later < first {
 		t.Errorf("%d resolvers were told after the first let go, %d at first", later, first)
 	}
-	if _, refused := r.named(Resolve{ID: 6, Want: 1, Load: 0.01, Hold: sec}); !refused {
+	if _, refused := r.named(Resolve{ID: 6, MaxEndpoints: 1, Load: 0.01, TTL: sec}); !refused {
 		t.Error("no refusal with the budget used up")
 	}
 }
@@ -85,7 +85,7 @@
 	var evs []Event
 	var want []Action
 	for i := range 20 {
-		ev := Request{ID: RequestID(i + 1), Class: "page", Object: uint64(i % 5), Left: 3 * sec, SizeKB: 100}
+		ev := Request{ID: RequestID(i + 1), Class: "page", Object: uint64(i % 5), Remaining: 3 * sec, SizeKB: 100}
 		evs, want = append(evs, ev), append(want, one.do(ev)...)
 	}
 	if got := append([]Action(nil), all.b.Handle(all.now, evs...)...); !reflect.DeepEqual(got, want) {
@@ -96,10 +96,10 @@
 // A refusal comes at once and says how long to stay away.
 func TestRefusalTellsWait(t *testing.T) {
 	s := site()
-	s.MaxWait = 500 * time.Millisecond
+	s.MaxRetryAfter = 500 * time.Millisecond
 	r := newRig(t, s, nil)
-	as := r.do(Request{ID: 1, Class: "page", Left: 3 * sec})
-	if len(as) == 0 || as[0] != (Refuse{ID: 1, Wait: s.MaxWait}) {
+	as := r.do(Request{ID: 1, Class: "page", Remaining: 3 * sec})
+	if len(as) == 0 || as[0] != (Reject{ID: 1, RetryAfter: s.MaxRetryAfter}) {
 		t.Errorf("actions %v", as)
 	}
 }
--- a/balancer/routing.go
+++ b/balancer/routing.go
@@ -10,7 +10,7 @@
 // cache with a parent or the origin as the source. A repeat takes another way.
 func (b *Balancer) writePath(r *request) attempt {
 	home, second := b.homes(r)
-	if b.s.Direct && b.origin != nil && b.inService(b.origin) {
+	if b.s.DirectAttempts && b.origin != nil && b.inService(b.origin) {
 		way := attempt{node: b.origin, source: b.origin}
 		if home != nil && !b.allowed(r, way.node) || len(r.attempts)%2 == 1 && home != nil && b.usable(home) {
 			way = attempt{node: home, source: home}
@@ -59,7 +59,7 @@
 		a.source, a.warming = second, true
 	}
 	a.held = up && !asks && a.source != nil && a.source.role == parent
-	if a.node == nil && b.s.Direct && a.source != nil && up && b.link < b.linkRoom {
+	if a.node == nil && b.s.DirectAttempts && a.source != nil && up && b.link < b.linkRoom {
 		if a.node = a.source; !a.held { // no edge cache has room: pass them by
 			a.source = b.origin
 		}
@@ -72,7 +72,7 @@
 		a.fills = a.node.misses
 	}
 	room := b.linkRoom * b.sizeAllowance(r)
-	if r.Again {
+	if r.Retry {
 		room = b.linkRoom * retryPart
 	}
 	if a.source == nil || b.link+a.fills > room {
@@ -107,10 +107,10 @@
 func (b *Balancer) allowed(r *request, m *member) bool {
 	for i := range r.attempts {
 		e := &r.attempts[i]
-		if r.class.Effect != Keyed || e.neverRan || r.class.Group == GroupAll {
+		if r.class.Idempotency != IdempotentByKey || e.neverRan || r.class.DedupScope == DedupEverywhere {
 			continue
 		}
-		if e.node.zone != m.zone || r.class.Group == GroupCell && e.node.cell != m.cell {
+		if e.node.zone != m.zone || r.class.DedupScope == DedupInCell && e.node.cell != m.cell {
 			return false
 		}
 	}
--- a/balancer/rules_test.go
+++ b/balancer/rules_test.go
@@ -22,20 +22,20 @@
 // deployment is what the module is given: settings, a list, and the mix of classes asked for.
 type deployment struct {
 	s     Settings
-	list  []Entry
+	list  []Endpoint
 	names []string
 }
 
 // scores has the first deployment's shape: an unsafe class beside two safe ones, three zones, six attempts.
 func scores() deployment {
 	s := site()
-	s.Zone, s.Zones, s.DirectorsIn, s.MaxAttempts = "coastal", []string{"upper", "coastal", "river"}, []int{0, 3, 0}, 6
+	s.Zone, s.Zones, s.RoutersPerZone, s.MaxAttempts = "coastal", []string{"upper", "coastal", "river"}, []int{0, 3, 0}, 6
 	s.Classes = []Class{
-		{Name: "score", Aim: 400 * ms, AimStretch: 2, Deadline: 5 * sec, Effect: Safe, Worth: 2},
-		{Name: "page", Aim: 250 * ms, AimStretch: 2, Deadline: 3 * sec, Effect: Safe, Worth: 1},
-		{Name: "arrange", Aim: 700 * ms, Deadline: 3 * sec, Effect: Unsafe, Worth: 3, Write: true},
+		{Name: "score", LatencyObjective: 400 * ms, ObjectiveStretch: 2, Deadline: 5 * sec, Idempotency: Idempotent, Weight: 2},
+		{Name: "page", LatencyObjective: 250 * ms, ObjectiveStretch: 2, Deadline: 3 * sec, Idempotency: Idempotent, Weight: 1},
+		{Name: "arrange", LatencyObjective: 700 * ms, Deadline: 3 * sec, Idempotency: NotIdempotent, Weight: 3, Write: true},
 	}
-	list := []Entry{node(11, "mid", "upper"), node(12, "mid", "river"), node(20, "store", "upper"), node(1, "box", "coastal"),
+	list := []Endpoint{node(11, "mid", "upper"), node(12, "mid", "river"), node(20, "store", "upper"), node(1, "box", "coastal"),
 		node(2, "box", "coastal"), node(3, "box", "coastal"), node(4, "box", "coastal"), node(5, "box", "coastal")}
 	return deployment{s, list, []string{"score", "score", "page", "page", "arrange"}}
 }
@@ -43,13 +43,13 @@
 // episodes has the second's: parts that wait 6 s, assets fresh for 8 s, a listen event that must never run twice.
 func episodes() deployment {
 	s := site()
-	s.Zone, s.Zones, s.DirectorsIn, s.MaxAttempts = "west", []string{"north", "west", "south"}, []int{0, 4, 0}, 8
+	s.Zone, s.Zones, s.RoutersPerZone, s.MaxAttempts = "west", []string{"north", "west", "south"}, []int{0, 4, 0}, 8
 	s.Classes = []Class{
-		{Name: "part", Aim: 600 * ms, AimStretch: 2, Deadline: 6 * sec, Effect: Safe, Worth: 2},
-		{Name: "asset", Aim: 300 * ms, AimStretch: 2, Deadline: 2500 * ms, Effect: Safe, Worth: 1, Fresh: 8 * sec},
-		{Name: "listen", Aim: 800 * ms, Deadline: 3 * sec, Effect: Unsafe, Worth: 3, Write: true},
+		{Name: "part", LatencyObjective: 600 * ms, ObjectiveStretch: 2, Deadline: 6 * sec, Idempotency: Idempotent, Weight: 2},
+		{Name: "asset", LatencyObjective: 300 * ms, ObjectiveStretch: 2, Deadline: 2500 * ms, Idempotency: Idempotent, Weight: 1, FreshnessLifetime: 8 * sec},
+		{Name: "listen", LatencyObjective: 800 * ms, Deadline: 3 * sec, Idempotency: NotIdempotent, Weight: 3, Write: true},
 	}
-	list := []Entry{node(11, "mid", "north"), node(12, "mid", "west"), node(13, "mid", "south"), node(20, "store", "west"),
+	list := []Endpoint{node(11, "mid", "north"), node(12, "mid", "west"), node(13, "mid", "south"), node(20, "store", "west"),
 		node(1, "box", "west"), node(2, "box", "west"), node(9, "box", "north")}
 	return deployment{s, list, []string{"part", "part", "part", "part", "asset", "asset", "asset", "listen"}}
 }
@@ -58,7 +58,7 @@
 	class  *Class
 	object uint64
 	end    time.Duration
-	out    map[int]Get
+	out    map[int]SendAttempt
 	sent   int
 	mayRan []time.Duration // sends that may have run
 	final  int
@@ -67,7 +67,7 @@
 func rules(t *testing.T, seed uint64, d deployment) {
 	rnd := rand.New(rand.NewPCG(seed, 7))
 	s := d.s
-	s.SecondCopies, s.Joins = seed%2 == 0, seed%3 != 0
+	s.Hedging, s.CoalesceFills = seed%2 == 0, seed%3 != 0
 	classes := map[string]*Class{}
 	for i := range s.Classes {
 		classes[s.Classes[i].Name] = &s.Classes[i]
@@ -76,31 +76,31 @@
 	r := newRig(t, s, list)
 	tries := map[RequestID]*try{}
 	var ids []RequestID
-	barred := map[NodeID]time.Duration{} // told draining or gone
+	barred := map[EndpointID]time.Duration{} // told draining or gone
 	purged := map[uint64]time.Duration{}
 	timer := time.Duration(-1)
 	apply := func(as []Action) {
 		for _, a := range as {
 			switch a := a.(type) {
-			case Get:
+			case SendAttempt:
 				q := tries[a.ID]
 				if q == nil || q.final > 0 {
 					t.Fatalf("seed %d: attempt for a request that is over: %+v", seed, a)
 				}
-				if len(q.out) > 0 && (!s.SecondCopies || q.class.Effect != Safe) {
+				if len(q.out) > 0 && (!s.Hedging || q.class.Idempotency != Idempotent) {
 					t.Fatalf("seed %d: second attempt in flight: %+v", seed, a)
 				}
 				for _, at := range q.mayRan {
-					if q.class.Effect == Unsafe || q.class.Effect == Keyed && r.now-at > q.class.Window {
+					if q.class.Idempotency == NotIdempotent || q.class.Idempotency == IdempotentByKey && r.now-at > q.class.DedupWindow {
 						t.Fatalf("seed %d: effect twice: %+v", seed, a)
 					}
 				}
-				for _, id := range []NodeID{a.Node, a.Source} {
+				for _, id := range []EndpointID{a.Endpoint, a.Source} {
 					if at, ok := barred[id]; ok && r.now-at > drainGrace {
 						t.Fatalf("seed %d: sent to drained %d", seed, id)
 					}
 				}
-				if at, ok := purged[q.object]; ok && r.now-at < s.PurgeDone && !q.class.Write {
+				if at, ok := purged[q.object]; ok && r.now-at < s.PurgeWindow && !q.class.Write {
 					if a.MaxAge <= 0 || r.now-a.MaxAge < at {
 						t.Fatalf("seed %d: age %v for a purge %v ago", seed, a.MaxAge, r.now-at)
 					}
@@ -110,23 +110,23 @@
 				if q.sent > s.MaxAttempts {
 					t.Fatalf("seed %d: %d attempts", seed, q.sent)
 				}
-			case Refuse, Fail:
+			case Reject, Fail:
 				var id RequestID
 				if f, ok := a.(Fail); ok {
 					id = f.ID
 				} else {
-					id = a.(Refuse).ID
+					id = a.(Reject).ID
 				}
 				q := tries[id]
 				if q == nil || q.final > 0 {
 					t.Fatalf("seed %d: a second final answer for %d", seed, id)
 				}
-				if _, refused := a.(Refuse); refused && len(q.mayRan) > 0 && q.class.Effect == Unsafe {
+				if _, refused := a.(Reject); refused && len(q.mayRan) > 0 && q.class.Idempotency == NotIdempotent {
 					t.Fatalf("seed %d: refused what may have run", seed)
 				}
 				q.final++
 			case SetTimer:
-				timer = r.now + a.In
+				timer = r.now + a.Delay
 			}
 		}
 	}
@@ -141,8 +141,8 @@
 		if st == OK && q.final == 0 {
 			q.final++
 		}
-		apply(r.do(Outcome{ID: id, Attempt: n, Node: g.Node, Status: st, Took: time.Duration(rnd.IntN(300)) * ms,
-			Settled: settled, Note: Note(rnd.IntN(11))}))
+		apply(r.do(Outcome{ID: id, Attempt: n, Endpoint: g.Endpoint, Status: st, Elapsed: time.Duration(rnd.IntN(300)) * ms,
+			Answered: settled, Detail: Detail(rnd.IntN(11))}))
 	}
 	for step := range 3000 {
 		r.now += time.Duration(rnd.IntN(4)) * ms
@@ -156,9 +156,9 @@
 			c := names[rnd.IntN(len(names))]
 			left := time.Duration(20+rnd.IntN(int(classes[c].Deadline/ms))) * ms
 			o := uint64(rnd.IntN(60))
-			tries[id] = &try{class: classes[c], object: o, end: r.now + left, out: map[int]Get{}}
+			tries[id] = &try{class: classes[c], object: o, end: r.now + left, out: map[int]SendAttempt{}}
 			ids = append(ids, id)
-			apply(r.do(Request{ID: id, Class: c, Object: o, Group: o % 8, Left: left, SizeKB: float64(rnd.IntN(400))}))
+			apply(r.do(Request{ID: id, Class: c, Object: o, Group: o % 8, Remaining: left, SizeKB: float64(rnd.IntN(400))}))
 		case k < 16 && len(ids) > 0:
 			id := ids[rnd.IntN(len(ids))]
 			for n := range 8 {
@@ -174,21 +174,21 @@
 				for x := o % 8; x < 60; x += 8 {
 					purged[x] = max(purged[x], r.now-ago)
 				}
-				apply(r.do(Purge{ByGroup: true, Group: o % 8, Ago: ago}))
+				apply(r.do(Purge{ByGroup: true, Group: o % 8, Age: ago}))
 			} else {
 				purged[o] = max(purged[o], r.now-ago)
-				apply(r.do(Purge{Object: o, Ago: ago}))
+				apply(r.do(Purge{Object: o, Age: ago}))
 			}
 		case k == 17:
 			e := list[rnd.IntN(len(list))]
-			e.State = State(rnd.IntN(3))
+			e.State = EndpointState(rnd.IntN(3))
 			if e.State == InService {
-				e.Start = r.now - time.Duration(rnd.IntN(20000))*ms
-				delete(barred, e.Node)
-			} else if _, told := barred[e.Node]; !told {
-				barred[e.Node] = r.now
+				e.StartedAt = r.now - time.Duration(rnd.IntN(20000))*ms
+				delete(barred, e.ID)
+			} else if _, told := barred[e.ID]; !told {
+				barred[e.ID] = r.now
 			}
-			apply(r.do(Members{Entries: []Entry{e}}))
+			apply(r.do(EndpointUpdate{Endpoints: []Endpoint{e}}))
 		}
 		for _, id := range ids { // the wire ends attempts at the client's deadline
 			q := tries[id]
@@ -211,9 +211,9 @@
 		for o := range uint64(300) {
 			r.now += ms
 			g := r.ask("page", o%40)
-			n = n*31 + int(g.Node)*7 + int(g.Source)
-			if o%3 == 0 && g.Node != 0 {
-				r.end(g, 0, Status(o%9), NoNote)
+			n = n*31 + int(g.Endpoint)*7 + int(g.Source)
+			if o%3 == 0 && g.Endpoint != 0 {
+				r.end(g, 0, Status(o%9), NoDetail)
 			}
 		}
 		return n
--- a/balancer/slowstart.go
+++ b/balancer/slowstart.go
@@ -29,7 +29,7 @@
 // cold tells whether the fail-back rule bounds what a member is sent.
 func (b *Balancer) cold(m *member) bool {
 	c := b.rules[m.role]
-	return m.start > 0 && b.now-m.start < c.Warm && c.Window > 0
+	return m.start > 0 && b.now-m.start < c.WarmUpTime && c.OverloadWindow > 0
 }
 
 // withinBudget keeps the fail-back rule alone. Each router takes the usual load that it sends to a warm
@@ -48,19 +48,19 @@
 	if r.lease > 0 {
 		return r.lease <= b.coldRate(m, usual, b.now)
 	}
-	most := max(b.coldRate(m, usual, b.now)*c.Window.Seconds()*savedMost, b.largest())
+	most := max(b.coldRate(m, usual, b.now)*c.OverloadWindow.Seconds()*savedMost, b.largest())
 	mean := b.coldRate(m, usual, (m.savedAt+b.now)/2) // the rate rises in a line
 	m.saved = min(m.saved+mean*(b.now-m.savedAt).Seconds(), most)
 	m.savedAt = b.now
-	return m.saved >= min(r.class.work, most) && b.s.Together.Spare(b.now, m.id)
+	return m.saved >= min(r.class.work, most) && b.s.Coordinator.AdmitWarmingUp(b.now, m.id)
 }
 
 // coldRate is the work that a cold member may be sent each second, as far as it has warmed at a time, less what resolvers hold
 // of it.
 func (b *Balancer) coldRate(m *member, usual float64, at time.Duration) float64 {
 	c, w := b.rules[m.role], b.sizeOf(m)
-	share := c.Share + (1-c.Share)*float64(max(at-m.start, 0))/float64(c.Warm)
-	rate := budgetSlack * c.Multiple * share * usual * w / max(b.fleet[m.role], w)
+	share := c.InitialCapacity + (1-c.InitialCapacity)*float64(max(at-m.start, 0))/float64(c.WarmUpTime)
+	rate := budgetSlack * c.OverloadFactor * share * usual * w / max(b.fleet[m.role], w)
 	m.leases = slices.DeleteFunc(m.leases, func(l lease) bool { return b.now >= l.until })
 	for _, l := range m.leases {
 		rate -= l.load
@@ -70,7 +70,7 @@
 
 // sizeOf is what counts of a member in its fleet.
 func (b *Balancer) sizeOf(m *member) float64 {
-	if b.s.SteadyWeights && m.weight > 0 {
+	if b.s.StaticWeights && m.weight > 0 {
 		return m.weight
 	}
 	return 1
--- a/balancer/state.go
+++ b/balancer/state.go
@@ -26,7 +26,7 @@
 	out      []Action
 	classes  map[string]*class
 	kinds    []*class // the same, in the order of the settings, behind one whose calls are seconds
-	members  map[NodeID]*member
+	members  map[EndpointID]*member
 	caches   []*member   // of the own location, by id
 	parents  []*member   // by id
 	origins  []*member   // by id
@@ -49,9 +49,9 @@
 	objects  [2]map[part]*object // young and old generation
 	born     time.Duration       // first request
 	best     [4]float64
-	rules    [4]ColdRule   // of members by role; the origin has none
-	asked    bool          // for changes of the list
-	turned   time.Duration // when the generations were turned
+	rules    [4]SlowStartRule // of members by role; the origin has none
+	asked    bool             // for changes of the list
+	turned   time.Duration    // when the generations were turned
 	purges   map[purgeKey]time.Duration
 	floor    time.Duration // copies older than this count as purged, whatever the object
 	load     [4]load       // usual load by role
@@ -60,7 +60,7 @@
 
 // directors is how many there are in all locations.
 func (b *Balancer) directors() (n float64) {
-	for _, in := range b.s.DirectorsIn {
+	for _, in := range b.s.RoutersPerZone {
 		n += float64(max(in, 0))
 	}
 	return n
@@ -82,12 +82,12 @@
 
 // member is a node on the list, with what this router has seen of it.
 type member struct {
-	id      NodeID
+	id      EndpointID
 	role    role
 	zone    string
 	cell    int
 	weight  float64
-	state   State
+	state   EndpointState
 	start   time.Duration // latest start told or concluded; 0: long ago
 	out     int           // own attempts outstanding there, or naming it as source
 	fails   int           // failures in a row
@@ -200,10 +200,10 @@
 // alone is a router that talks to no other.
 type alone struct{}
 
-func (alone) Spare(time.Duration, NodeID) bool { return true }
-func (alone) Repeat(time.Duration) bool        { return true }
-func (alone) Shun(time.Duration, NodeID) bool  { return false }
-func (alone) Sent(time.Duration, Get)          {}
+func (alone) AdmitWarmingUp(time.Duration, EndpointID) bool { return true }
+func (alone) AdmitRetry(time.Duration) bool                 { return true }
+func (alone) ProbedByPeer(time.Duration, EndpointID) bool   { return false }
+func (alone) AttemptSent(time.Duration, SendAttempt)        {}
 
 // New returns a director's balancer. Settings that make no sense are an error.
 func New(s Settings) (*Balancer, error) {
@@ -216,24 +216,24 @@
 	if s.ParentKind >= len(s.Kinds) || s.OriginKind >= len(s.Kinds) {
 		return nil, errors.New("kind of the parents or the origin is not listed")
 	}
-	for _, d := range []time.Duration{s.PurgeDone,
-		s.Cache.Warm, s.Cache.Window, s.Parent.Warm, s.Parent.Window} {
+	for _, d := range []time.Duration{s.PurgeWindow, s.CacheSlowStart.WarmUpTime, s.CacheSlowStart.OverloadWindow,
+		s.ParentSlowStart.WarmUpTime, s.ParentSlowStart.OverloadWindow} {
 		if d < 0 {
 			return nil, errors.New("negative time")
 		}
 	}
-	if s.Together == nil {
-		s.Together = alone{}
+	if s.Coordinator == nil {
+		s.Coordinator = alone{}
 	}
-	b := &Balancer{s: s, classes: map[string]*class{}, members: map[NodeID]*member{},
+	b := &Balancer{s: s, classes: map[string]*class{}, members: map[EndpointID]*member{},
 		open: map[RequestID]*request{}, purges: map[purgeKey]time.Duration{}}
 	b.linkRoom, b.linkMost, b.linkPart = b.linkLimit()
 	b.best = [4]float64{1, 1, 1, 1}
 	b.kinds = []*class{{work: 1}}
-	b.rules = [4]ColdRule{cache: s.Cache, parent: s.Parent}
+	b.rules = [4]SlowStartRule{cache: s.CacheSlowStart, parent: s.ParentSlowStart}
 	b.objects = [2]map[part]*object{{}, {}}
 	for _, c := range s.Classes {
-		if c.Aim < 0 || c.Deadline < 0 || c.Window < 0 || c.Fresh < 0 {
+		if c.LatencyObjective < 0 || c.Deadline < 0 || c.DedupWindow < 0 || c.FreshnessLifetime < 0 {
 			return nil, fmt.Errorf("class %q: negative time", c.Name)
 		}
 		k := newClass(c)
--- a/balancer/troubles_test.go
+++ b/balancer/troubles_test.go
@@ -6,16 +6,16 @@
 )
 
 // fail ends what is sent to a node in the given way until the balancer avoids it.
-func (r *rig) fail(id NodeID, st Status) {
+func (r *rig) fail(id EndpointID, st Status) {
 	r.t.Helper()
 	for o := uint64(1000); !r.b.members[id].bad; o++ {
 		if o > 1200 {
 			r.t.Fatalf("node %d was never shunned", id)
 		}
 		r.now += ms
-		if g := r.ask("page", o); g.Node == id {
-			r.end(g, 0, st, NoNote)
-		} else if g.Node != 0 {
+		if g := r.ask("page", o); g.Endpoint == id {
+			r.end(g, 0, st, NoDetail)
+		} else if g.Endpoint != 0 {
 			r.end(g, 0, OK, Hit)
 		}
 	}
@@ -24,9 +24,9 @@
 // A connection that breaks ends all attempts on it at once: one spoilt answer must not make its cache bad.
 func TestBrokenConnectionCountsOnce(t *testing.T) {
 	r := newRig(t, site(), fleet())
-	var out []Get
+	var out []SendAttempt
 	for o := range uint64(24) {
-		if g := r.ask("page", o); g.Node == 1 {
+		if g := r.ask("page", o); g.Endpoint == 1 {
 			out = append(out, g)
 		}
 	}
@@ -34,7 +34,7 @@
 		t.Fatalf("only %d attempts at the cache", len(out))
 	}
 	for _, g := range out {
-		r.end(g, 0, Reset, NoNote)
+		r.end(g, 0, Reset, NoDetail)
 	}
 	if m := r.b.members[1]; m.bad || m.fails != 1 {
 		t.Errorf("%d failures, bad: %v; want one", m.fails, m.bad)
@@ -47,7 +47,7 @@
 	r := newRig(t, site(), fleet())
 	r.fail(1, ConnectFailed)
 	for o := range uint64(40) {
-		if g := r.ask("page", o); g.Node == 1 {
+		if g := r.ask("page", o); g.Endpoint == 1 {
 			t.Fatalf("sent to the dead cache")
 		} else {
 			r.end(g, 0, OK, Hit)
@@ -57,7 +57,7 @@
 	trials := 0
 	for o := range uint64(40) {
 		g := r.ask("page", o)
-		if g.Node == 1 {
+		if g.Endpoint == 1 {
 			trials++
 			r.now += ms
 			r.end(g, 0, OK, Filled)
@@ -77,14 +77,14 @@
 	r := newRig(t, site(), fleet())
 	gone := fleet()[:3]
 	for i := range gone {
-		gone[i].State = Gone
+		gone[i].State = Removed
 	}
-	r.do(Members{Entries: gone})
+	r.do(EndpointUpdate{Endpoints: gone})
 	passed := 0
 	for o := range uint64(100) {
-		if g := r.ask("page", o); g.Node >= 11 && g.Source == 20 {
+		if g := r.ask("page", o); g.Endpoint >= 11 && g.Source == 20 {
 			passed++
-		} else if g.Node != 0 {
+		} else if g.Endpoint != 0 {
 			t.Fatalf("%+v", g)
 		}
 	}
@@ -94,11 +94,11 @@
 	r.now += 60 * sec
 	back := fleet()[:3]
 	for i := range back {
-		back[i].Start = r.now - 30*sec
+		back[i].StartedAt = r.now - 30*sec
 	}
-	r.do(Members{Entries: back})
+	r.do(EndpointUpdate{Endpoints: back})
 	r.b.link = 0
-	if g := r.ask("page", 500); g.Node < 1 || g.Node > 3 {
+	if g := r.ask("page", 500); g.Endpoint < 1 || g.Endpoint > 3 {
 		t.Errorf("after the return: %+v", g)
 	}
 }
@@ -111,16 +111,16 @@
 		r.end(r.ask("page", o), 0, OK, Hit)
 	}
 	old, fresh := node(1, "box", "edge"), node(4, "box", "edge")
-	old.State, fresh.Start = Draining, r.now
-	r.do(Members{Entries: []Entry{old, fresh}})
+	old.State, fresh.StartedAt = Draining, r.now
+	r.do(EndpointUpdate{Endpoints: []Endpoint{old, fresh}})
 	part := func() (n int) {
 		for o := range uint64(200) {
 			r.now += 5 * ms
 			g := r.ask("page", o)
-			if g.Node == 1 {
+			if g.Endpoint == 1 {
 				t.Fatalf("sent to what drains")
 			}
-			if g.Node == 4 {
+			if g.Endpoint == 4 {
 				n++
 			}
 			r.end(g, 0, OK, Hit)
@@ -139,8 +139,8 @@
 	r := newRig(t, site(), fleet())
 	for n, want := range []int{1, 2, 2} {
 		g := r.ask("page", 5)
-		if g.Keep != want {
-			t.Errorf("request %d: rank %d, want %d", n, g.Keep, want)
+		if g.CachePriority != want {
+			t.Errorf("request %d: rank %d, want %d", n, g.CachePriority, want)
 		}
 		r.end(g, 0, OK, Hit)
 	}
@@ -150,7 +150,7 @@
 func TestMassPurge(t *testing.T) {
 	r := newRig(t, site(), fleet())
 	for g := range uint64(8) {
-		r.do(Purge{ByGroup: true, Group: g, Ago: 50 * ms})
+		r.do(Purge{ByGroup: true, Group: g, Age: 50 * ms})
 	}
 	for o := range uint64(40) {
 		g := r.ask("page", o)
@@ -168,8 +168,8 @@
 		t.Fatal(err)
 	}
 	r := &rig{t: t, b: b, now: 20 * ms}
-	r.do(Members{Full: true, Entries: fleet()})
-	r.do(Purge{Object: 5, Ago: 80 * ms})
+	r.do(EndpointUpdate{Complete: true, Endpoints: fleet()})
+	r.do(Purge{Object: 5, Age: 80 * ms})
 	if g := r.ask("page", 5); g.MaxAge <= 0 || g.MaxAge > 100*ms {
 		t.Errorf("age %v", g.MaxAge)
 	}
@@ -182,7 +182,7 @@
 	for o := range uint64(30) {
 		g := r.ask("page", o)
 		r.now += sec
-		r.do(Outcome{ID: g.ID, Node: g.Node, Status: OK, Settled: true, Note: Filled, Took: sec})
+		r.do(Outcome{ID: g.ID, Endpoint: g.Endpoint, Status: OK, Answered: true, Detail: Filled, Elapsed: sec})
 	}
 	if r.b.linkRoom >= room || r.b.members[1].limit != limit {
 		t.Errorf("link %.1f of %.1f, cache %.1f of %.1f", r.b.linkRoom, room, r.b.members[1].limit, limit)
@@ -194,24 +194,24 @@
 	r := newRig(t, site(), fleet())
 	home := r.ask("page", 5)
 	r.end(home, 0, OK, Filled)
-	r.fail(home.Node, Reset)
+	r.fail(home.Endpoint, Reset)
 	h := r.b.members[home.Source]
 	h.bad, h.trial = true, r.now+time.Minute
 	g := r.ask("page", 5)
-	if g.Node == home.Node || g.Source == home.Source || g.Node == 0 {
-		t.Errorf("%+v, the lost are %d and %d", g, home.Node, home.Source)
+	if g.Endpoint == home.Endpoint || g.Source == home.Source || g.Endpoint == 0 {
+		t.Errorf("%+v, the lost are %d and %d", g, home.Endpoint, home.Source)
 	}
 }
 
 // While the living caches are full, requests wait rather than run into the dead one.
 func TestDeadCacheIsNoWayOut(t *testing.T) {
 	s := site()
-	s.Direct = false
+	s.DirectAttempts = false
 	r := newRig(t, s, fleet())
 	r.fail(1, ConnectFailed)
 	r.b.members[2].limit, r.b.members[3].limit = 0, 0
 	for o := range uint64(30) {
-		if g := r.ask("page", o); g.Node != 0 {
+		if g := r.ask("page", o); g.Endpoint != 0 {
 			t.Fatalf("%+v", g)
 		}
 	}
@@ -224,11 +224,11 @@
 		r.now += 50 * ms
 		r.end(r.ask("page", o), 0, OK, Filled)
 	}
-	lost := []Entry{node(11, "mid", "hub"), node(12, "mid", "hub")}
+	lost := []Endpoint{node(11, "mid", "hub"), node(12, "mid", "hub")}
 	for i := range lost {
-		lost[i].State = Gone
+		lost[i].State = Removed
 	}
-	r.do(Members{Entries: lost})
+	r.do(EndpointUpdate{Endpoints: lost})
 	part := func() (n int) {
 		for o := range uint64(200) {
 			r.now += 5 * ms
@@ -244,9 +244,9 @@
 		t.Errorf("%d fills named a lost parent", n)
 	}
 	for i := range lost {
-		lost[i].State, lost[i].Start = InService, r.now
+		lost[i].State, lost[i].StartedAt = InService, r.now
 	}
-	r.do(Members{Entries: lost})
+	r.do(EndpointUpdate{Endpoints: lost})
 	early := part()
 	r.now += 20 * sec
 	if late := part(); early >= late/2 || late < 80 {
@@ -255,17 +255,17 @@
 }
 
 // late answers a request after the given time, however long the balancer's clock must move for it.
-func (r *rig) late(g Get, took time.Duration, note Note) {
+func (r *rig) late(g SendAttempt, took time.Duration, note Detail) {
 	r.now += took
 	waited := time.Duration(0)
 	if note == FilledByOrigin {
 		waited = took
 	}
-	r.do(Outcome{ID: g.ID, Node: g.Node, Status: OK, Settled: true, Note: note, Took: took, Waited: waited})
+	r.do(Outcome{ID: g.ID, Endpoint: g.Endpoint, Status: OK, Answered: true, Detail: note, Elapsed: took, SourceWait: waited})
 }
 
 // share counts how many of 300 objects a member owns.
-func (r *rig) share(id NodeID) (n int) {
+func (r *rig) share(id EndpointID) (n int) {
 	for o := range uint64(300) {
 		if r.b.owns(o, r.b.members[id]) {
 			n++
@@ -279,7 +279,7 @@
 func TestAgeingCacheLosesRange(t *testing.T) {
 	r := newRig(t, site(), fleet())
 	for o := uint64(0); o < 500 && r.b.trust(r.b.members[1]) > 0.1; o++ {
-		if g := r.ask("page", o); g.Node == 1 {
+		if g := r.ask("page", o); g.Endpoint == 1 {
 			r.late(g, 900*ms, Hit)
 		} else {
 			r.late(g, 100*ms, Hit)
@@ -326,7 +326,7 @@
 	for o := uint64(0); o < 500 && r.b.trust(r.b.members[11]) > 0.1; o++ {
 		g := r.ask("page", o)
 		if r.now += 10 * ms; g.Source == 11 && o%2 == 0 {
-			r.end(g, 0, Error, NoNote)
+			r.end(g, 0, Error, NoDetail)
 			r.end(r.ask("page", o), 1, OK, Filled) // the client's retry is served elsewhere
 		} else {
 			r.late(g, 100*ms, Filled)
@@ -341,7 +341,7 @@
 func TestAllSlowMovesNothing(t *testing.T) {
 	r := newRig(t, site(), fleet())
 	for o := range uint64(40) {
-		if g := r.ask("page", o); g.Node != 0 {
+		if g := r.ask("page", o); g.Endpoint != 0 {
 			r.late(g, 900*ms, Hit)
 		}
 	}
@@ -357,22 +357,22 @@
 func TestSlowOriginIsSpared(t *testing.T) {
 	r := newRig(t, site(), fleet())
 	for o := uint64(0); o < 500 && r.b.trust(r.b.origin) > 0.1; o++ {
-		if g := r.ask("page", o); g.Node != 0 {
+		if g := r.ask("page", o); g.Endpoint != 0 {
 			r.late(g, 900*ms, FilledByOrigin)
 		}
 	}
 	held := 0
 	for o := uint64(900); o < 1000; o++ {
 		g := r.ask("page", o)
-		if g.Held {
+		if g.CachedOnly {
 			held++
-			for n, next := 0, []Get{g}; len(next) > 0; n++ {
+			for n, next := 0, []SendAttempt{g}; len(next) > 0; n++ {
 				if next[0].Source == 20 {
 					t.Fatalf("object %d went to the slow origin", o)
 				}
-				next = gets(r.end(next[0], n, Miss, SourceLacks))
+				next = gets(r.end(next[0], n, Miss, SourceMiss))
 			}
-		} else if g.Node != 0 {
+		} else if g.Endpoint != 0 {
 			r.end(g, 0, OK, Hit)
 		}
 		r.wait(scanEvery)
@@ -386,7 +386,7 @@
 func TestLimitHasAFloor(t *testing.T) {
 	for beside, want := range map[int]float64{1: 12, 4: 3, 20: 2, 200: 2} {
 		s := site()
-		s.DirectorsIn = []int{0, beside}
+		s.RoutersPerZone = []int{0, beside}
 		r := newRig(t, s, fleet())
 		if got := r.b.caches[0].limit; got != want {
 			t.Errorf("%d directors: limit %.1f, want %.1f", beside, got, want)
@@ -402,9 +402,9 @@
 // warm.
 func TestManyDirectorsOverOneColdMember(t *testing.T) {
 	const directors = 60
-	for _, cold := range []NodeID{1, 11} {
+	for _, cold := range []EndpointID{1, 11} {
 		s := site()
-		s.DirectorsIn = []int{0, directors}
+		s.RoutersPerZone = []int{0, directors}
 		var rigs []*rig
 		for range directors {
 			rigs = append(rigs, newRig(t, s, fleet()))
@@ -425,36 +425,36 @@
 					if cold == 11 {
 						e = fleet()[4]
 					}
-					e.Start = now
-					x.do(Members{Entries: []Entry{e}})
+					e.StartedAt = now
+					x.do(EndpointUpdate{Endpoints: []Endpoint{e}})
 				}
 			}
 			g := r.ask("page", uint64(step)*2654435761>>8)
-			if g.Node == 0 {
+			if g.Endpoint == 0 {
 				continue
 			}
 			work, kind := r.b.classes["page"].work, Hit
 			fill := step%3 == 0
-			if fill && g.Source != g.Node {
+			if fill && g.Source != g.Endpoint {
 				kind = Filled
 			}
-			hits := g.Node == cold || kind == Filled && g.Source == cold
+			hits := g.Endpoint == cold || kind == Filled && g.Source == cold
 			if hits && now < told {
 				busy += work / 30
 			} else if hits {
 				all = append(all, sent{(now - told).Seconds(), work})
 			}
-			if g.Source == g.Node && fill {
-				r.end(g, 0, Miss, NoNote)
+			if g.Source == g.Endpoint && fill {
+				r.end(g, 0, Miss, NoDetail)
 			} else {
 				r.end(g, 0, OK, kind)
 			}
 		}
-		rule, early := s.Cache, 0.0
+		rule, early := s.CacheSlowStart, 0.0
 		for i, a := range all {
 			total := 0.0
 			for _, x := range all[:i+1] {
-				if x.at > a.at-rule.Window.Seconds() {
+				if x.at > a.at-rule.OverloadWindow.Seconds() {
 					total += x.work
 				}
 			}
@@ -462,8 +462,8 @@
 				early += a.work
 			}
 			// The window's mean share, and the capacity at least what a warm member carried.
-			share := rule.Share + (1-rule.Share)*a.at/rule.Warm.Seconds()
-			if most := rule.Multiple * share * rule.Window.Seconds() * busy * 1.1; total > most {
+			share := rule.InitialCapacity + (1-rule.InitialCapacity)*a.at/rule.WarmUpTime.Seconds()
+			if most := rule.OverloadFactor * share * rule.OverloadWindow.Seconds() * busy * 1.1; total > most {
 				t.Fatalf("member %d, %.1f s after its start: %.2f of work in a window, the rule allows %.2f",
 					cold, a.at, total, most)
 			}
@@ -479,7 +479,7 @@
 	list := append(fleet()[:3], fleet()[7]) // no parents
 	r := newRig(t, site(), list)
 	for o := range uint64(6) {
-		if g := r.ask("page", o); g.Source != 20 && g.Source != g.Node {
+		if g := r.ask("page", o); g.Source != 20 && g.Source != g.Endpoint {
 			t.Fatalf("source %d without parents", g.Source)
 		}
 	}
@@ -489,7 +489,7 @@
 			m.sign = r.now // the caches answer others
 		}
 		for _, a := range r.do(Timer{Token: scanToken}) {
-			if c, ok := a.(Cancel); ok {
+			if c, ok := a.(CancelAttempt); ok {
 				t.Fatalf("called off: %+v", c)
 			}
 		}
--- a/cmd/hillknot/cluster.go
+++ b/cmd/hillknot/cluster.go
@@ -96,7 +96,7 @@
 	f := cfg.Fleet
 	longest := time.Duration(0)
 	for _, k := range cfg.Settings.Classes {
-		if k.Effect != balancer.Safe {
+		if k.Idempotency != balancer.Idempotent {
 			longest = max(longest, cmp.Or(k.Deadline, cfg.Limits.Longest))
 		}
 	}
--- a/cmd/hillknot/share.go
+++ b/cmd/hillknot/share.go
@@ -14,7 +14,7 @@
 	cfg.Fleet.State.Process = uint64(clock.Wall()) // higher than that of any process before
 	s, err := core.NewShared(core.Talk{State: cfg.Fleet.State, Cold: cfg.Fleet.Cold, Retries: cfg.Fleet.Retries})
 	if err == nil {
-		cfg.Settings.Together = s
+		cfg.Settings.Coordinator = s
 	}
 	return s, err
 }
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -177,13 +177,13 @@
 	switch {
 	case own < 0 || !spec.Has(name): // told already
 		return
-	case len(s.DirectorsIn) != len(s.Zones):
-		spec.Fail(name, fmt.Sprintf("holds %d figures for %d locations", len(s.DirectorsIn), len(s.Zones)))
+	case len(s.RoutersPerZone) != len(s.Zones):
+		spec.Fail(name, fmt.Sprintf("holds %d figures for %d locations", len(s.RoutersPerZone), len(s.Zones)))
 		return
-	case s.DirectorsIn[own] < 1:
+	case s.RoutersPerZone[own] < 1:
 		spec.Fail(name, "holds no router for the own location")
 	}
-	for _, n := range s.DirectorsIn {
+	for _, n := range s.RoutersPerZone {
 		if n < 0 || n > mostRouters {
 			spec.Fail(name, fmt.Sprintf("holds %d, which is out of range (0 to %d)", n, mostRouters))
 		}
@@ -199,7 +199,7 @@
 			spec.Fail("pipeKbPerS", "holds a figure under 0")
 		}
 	}
-	c.Limits.ConnsPerCache = max(1, min(connsPerCache, connsOfCache/max(1, s.DirectorsIn[own])))
+	c.Limits.ConnsPerCache = max(1, min(connsPerCache, connsOfCache/max(1, s.RoutersPerZone[own])))
 }
 
 // isJSON tells JSON from HCL, which can't begin with a brace.
--- a/internal/config/fleet.go
+++ b/internal/config/fleet.go
@@ -174,7 +174,7 @@
 			continue // it is free
 		}
 		p := prices.Object(k.Name)
-		c.Prices[k.Name] = Price{Each: p.Number("each", 0), PerMB: p.Number("per_mb", 0), Worth: p.Number("worth", k.Worth)}
+		c.Prices[k.Name] = Price{Each: p.Number("each", 0), PerMB: p.Number("per_mb", 0), Worth: p.Number("worth", k.Weight)}
 		for _, n := range []string{"each", "per_mb", "worth"} {
 			if v := p.Number(n, 0); !(v >= 0 && v <= 1e6) {
 				p.Fail(n, "is not 0 to a million")
--- a/internal/config/settings/settings.go
+++ b/internal/config/settings/settings.go
@@ -32,41 +32,41 @@
 		Zone: o.Text("locality", ""), Zones: o.Texts("dcs"), Kinds: o.Texts("hostTypes"),
 		ParentKind: int(spec.Int("midKind", -1)), OriginKind: int(spec.Int("storeKind", -1)),
 		PaceKBps: spec.Number("paceKbPerS", 0), LinkKBps: spec.Numbers("pipeKbPerS"),
-		SteadyWeights: weights == "nominal" || weights == "rough",
-		MaxAttempts:   int(allowed.Int("maxAttempts", 0)), SecondCopies: allowed.Flag("mayDuplicate"),
-		Cancel: allowed.Flag("cancel"),
-		Direct: spec.Flag("passThroughOk"),
-		Joins:  spec.Flag("collapses"), Ask: o.Text("discovery", "") == "ask",
-		PurgeDone: spec.Span("purgeTakesUs", us, 0),
-		Cache: balancer.ColdRule{
-			Share: rules.Number("coldFrom", 0), Warm: rules.Span("coldUs", us, 0),
-			Multiple: rules.Number("overloadFactor", 0), Window: rules.Span("fallUs", us, 0),
+		StaticWeights: weights == "nominal" || weights == "rough",
+		MaxAttempts:   int(allowed.Int("maxAttempts", 0)), Hedging: allowed.Flag("mayDuplicate"),
+		Cancellation:   allowed.Flag("cancel"),
+		DirectAttempts: spec.Flag("passThroughOk"),
+		CoalesceFills:  spec.Flag("collapses"), WatchRequired: o.Text("discovery", "") == "ask",
+		PurgeWindow: spec.Span("purgeTakesUs", us, 0),
+		CacheSlowStart: balancer.SlowStartRule{
+			InitialCapacity: rules.Number("coldFrom", 0), WarmUpTime: rules.Span("coldUs", us, 0),
+			OverloadFactor: rules.Number("overloadFactor", 0), OverloadWindow: rules.Span("fallUs", us, 0),
 		},
-		Parent: balancer.ColdRule{
-			Share: spec.Number("parentFloor", 0), Warm: spec.Span("parentColdUs", us, 0),
-			Multiple: spec.Number("parentBreaksAt", 0), Window: rules.Span("fallUs", us, 0),
+		ParentSlowStart: balancer.SlowStartRule{
+			InitialCapacity: spec.Number("parentFloor", 0), WarmUpTime: spec.Span("parentColdUs", us, 0),
+			OverloadFactor: spec.Number("parentBreaksAt", 0), OverloadWindow: rules.Span("fallUs", us, 0),
 		},
 	}
 	if allowed.Flag("retryAfter") {
-		s.MaxWait = allowed.Span("maxRetryAfterUs", us, 0)
+		s.MaxRetryAfter = allowed.Span("maxRetryAfterUs", us, 0)
 	}
 	for _, n := range spec.Ints("instancesByZone") {
-		s.DirectorsIn = append(s.DirectorsIn, int(n))
+		s.RoutersPerZone = append(s.RoutersPerZone, int(n))
 	}
-	effects := map[string]balancer.Effect{"safe": balancer.Safe, "keyed": balancer.Keyed}
-	groups := map[string]balancer.Group{"all": balancer.GroupAll, "zone": balancer.GroupZone}
+	effects := map[string]balancer.Idempotency{"safe": balancer.Idempotent, "keyed": balancer.IdempotentByKey}
+	groups := map[string]balancer.DedupScope{"all": balancer.DedupEverywhere, "zone": balancer.DedupInZone}
 	writes, fresh := spec.Flags("classWrite"), spec.Spans("classFreshUs", us)
 	for i, p := range o.Objects("profiles") {
 		k := balancer.Class{
-			Name: p.Text("name", ""), Aim: p.Span("promiseUs", us, 0), AimStretch: p.Number("aimStretch", 0),
-			Deadline: p.Span("deadlineUs", us, 0), Window: p.Span("windowUs", us, 0),
-			Effect: effects[p.Text("repeat", "")], Group: groups[p.Text("group", "")], Worth: p.Number("worth", 0),
+			Name: p.Text("name", ""), LatencyObjective: p.Span("promiseUs", us, 0), ObjectiveStretch: p.Number("aimStretch", 0),
+			Deadline: p.Span("deadlineUs", us, 0), DedupWindow: p.Span("windowUs", us, 0),
+			Idempotency: effects[p.Text("repeat", "")], DedupScope: groups[p.Text("group", "")], Weight: p.Number("worth", 0),
 		}
 		if i < len(writes) {
 			k.Write = writes[i]
 		}
 		if i < len(fresh) {
-			k.Fresh = fresh[i]
+			k.FreshnessLifetime = fresh[i]
 		}
 		s.Classes = append(s.Classes, k)
 	}
--- a/internal/core/api.go
+++ b/internal/core/api.go
@@ -53,7 +53,7 @@
 	Request *Request
 	Node    *Member
 	Source  *Member // nil: no fill
-	Get     balancer.Get
+	Get     balancer.SendAttempt
 	Index   int
 	Left    time.Duration // how long the cache is told that the router will wait, from when Permit was asked; never longer than the client waits
 	Broken  int           // connections that broke before it was written whole; the upstream counts them
@@ -68,7 +68,7 @@
 // End is how an attempt ended.
 type End struct {
 	Status    balancer.Status
-	Note      balancer.Note
+	Note      balancer.Detail
 	Waited    time.Duration // for the source's first byte
 	Body      []byte        // belongs to the receiver
 	Unchanged bool          // the client's own copy is the one
@@ -87,9 +87,9 @@
 type Member struct {
 	ID    string
 	Addr  string
-	State balancer.State
+	State balancer.EndpointState
 	kind  string
-	node  balancer.NodeID
+	node  balancer.EndpointID
 	stamp clock.Stamp   // of the latest start
 	start time.Duration // when that was, on the core's clock; 0: long ago
 }
--- a/internal/core/attempts.go
+++ b/internal/core/attempts.go
@@ -8,23 +8,23 @@
 
 // Attempts: whether one may be written now, and what its end means.
 
-func (c *Core) send(g balancer.Get) {
+func (c *Core) send(g balancer.SendAttempt) {
 	r := c.open[g.ID]
 	if r == nil { // its client left in the moment of the decision; the module counts the attempt until it is told
-		c.events = append(c.events, balancer.Outcome{ID: g.ID, Attempt: g.Attempt, Node: g.Node, Status: balancer.Moot, Settled: true})
+		c.events = append(c.events, balancer.Outcome{ID: g.ID, Attempt: g.Attempt, Endpoint: g.Endpoint, Status: balancer.NotSent, Answered: true})
 		return
 	}
-	a := &Attempt{Request: &r.Request, Get: g, Index: g.Attempt, Node: c.members[g.Node], Unsafe: c.unsafe[r.Class], owner: r,
+	a := &Attempt{Request: &r.Request, Get: g, Index: g.Attempt, Node: c.members[g.Endpoint], Unsafe: c.unsafe[r.Class], owner: r,
 		sent: c.now, until: r.end}
 	if g.Timeout > 0 {
 		a.until = min(a.until, c.now+g.Timeout)
 	}
 	if r.attempt != nil || a.Node == nil { // never two at once, and only to who is listed
 		a.over = true
-		c.outcome(a, End{Status: balancer.Moot})
+		c.outcome(a, End{Status: balancer.NotSent})
 		return
 	}
-	if g.Source != g.Node {
+	if g.Source != g.Endpoint {
 		a.Source = c.members[g.Source]
 	}
 	r.attempt = a
@@ -45,21 +45,21 @@
 // Permit tells whether an attempt may be written now: balancer.OK, or how it ends instead. What was decided
 // before a connection came up may no longer hold: it guards the rule on drains, for the cache and for the
 // source of a fill, the client's time, and the time in which a repeat is dropped.
-func (c *Core) Permit(a *Attempt) (balancer.Status, balancer.Note) {
+func (c *Core) Permit(a *Attempt) (balancer.Status, balancer.Detail) {
 	c.catchUp()
 	now := c.clock()
 	switch {
 	case a.over || now >= a.until:
-		return balancer.Moot, balancer.NoNote
+		return balancer.NotSent, balancer.NoDetail
 	case a.owner.ran && c.unsafe[a.owner.Class] && now-a.owner.ranAt >= c.repeat[a.owner.Class]:
-		return balancer.Moot, balancer.NoNote
+		return balancer.NotSent, balancer.NoDetail
 	case a.Node.State != balancer.InService:
-		return balancer.ConnectFailed, balancer.NoNote
-	case a.Get.Source != a.Get.Node && (a.Source == nil || a.Source.State != balancer.InService):
-		return balancer.Full, balancer.SourceRefused
+		return balancer.ConnectFailed, balancer.NoDetail
+	case a.Get.Source != a.Get.Endpoint && (a.Source == nil || a.Source.State != balancer.InService):
+		return balancer.Rejected, balancer.SourceRejected
 	}
 	a.Left = min(a.until+c.lim.AttemptGrace, a.owner.expiry) - now
-	return balancer.OK, balancer.NoNote
+	return balancer.OK, balancer.NoDetail
 }
 
 // End reports how an attempt ended. What has ended already is ignored.
@@ -90,8 +90,8 @@
 }
 
 func (c *Core) outcome(a *Attempt, e End) {
-	c.events = append(c.events, balancer.Outcome{ID: a.owner.id, Attempt: a.Index, Node: a.Get.Node, Status: e.Status,
-		Took: c.now - a.sent, Waited: e.Waited, Settled: c.open[a.owner.id] != a.owner, Note: e.Note})
+	c.events = append(c.events, balancer.Outcome{ID: a.owner.id, Attempt: a.Index, Endpoint: a.Get.Endpoint, Status: e.Status,
+		Elapsed: c.now - a.sent, SourceWait: e.Waited, Answered: c.open[a.owner.id] != a.owner, Detail: e.Note})
 }
 
 func (c *Core) timeOut(a *Attempt) {
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -39,7 +39,7 @@
 	purged  []told // purges that came after the module had decided what is being carried out
 	open    map[balancer.RequestID]*request
 	txns    map[string]*request // the open requests
-	members map[balancer.NodeID]*Member
+	members map[balancer.EndpointID]*Member
 	queries map[balancer.RequestID]*query
 	timers  timers
 	listed  bool
@@ -73,14 +73,14 @@
 		return nil, err
 	}
 	c := &Core{balancer: b, clock: clock, lim: lim, wake: make(chan struct{}, 1), unsafe: map[string]bool{}, repeat: map[string]time.Duration{}, fresh: map[string]time.Duration{},
-		open: map[balancer.RequestID]*request{}, txns: map[string]*request{}, members: map[balancer.NodeID]*Member{},
-		queries: map[balancer.RequestID]*query{}, classes: map[string]int{}, maxWait: s.MaxWait}
+		open: map[balancer.RequestID]*request{}, txns: map[string]*request{}, members: map[balancer.EndpointID]*Member{},
+		queries: map[balancer.RequestID]*query{}, classes: map[string]int{}, maxWait: s.MaxRetryAfter}
 	for i, k := range s.Classes {
-		c.unsafe[k.Name] = k.Effect != balancer.Safe
-		if k.Effect == balancer.Keyed {
-			c.repeat[k.Name] = k.Window
+		c.unsafe[k.Name] = k.Idempotency != balancer.Idempotent
+		if k.Idempotency == balancer.IdempotentByKey {
+			c.repeat[k.Name] = k.DedupWindow
 		}
-		c.fresh[k.Name] = k.Fresh
+		c.fresh[k.Name] = k.FreshnessLifetime
 		c.classes[k.Name] = i
 		c.tallies = append(c.tallies, Tally{Class: k.Name})
 	}
@@ -89,10 +89,10 @@
 	for i, kind := range s.Kinds {
 		switch i {
 		case s.ParentKind:
-			c.warm[kind] = s.Parent.Warm
+			c.warm[kind] = s.ParentSlowStart.WarmUpTime
 		case s.OriginKind:
 		default:
-			c.warm[kind] = s.Cache.Warm
+			c.warm[kind] = s.CacheSlowStart.WarmUpTime
 		}
 	}
 	c.now, c.trace = clock(), tracing()
@@ -243,21 +243,21 @@
 
 func (c *Core) act(a balancer.Action) {
 	switch a := a.(type) {
-	case balancer.Get:
+	case balancer.SendAttempt:
 		c.send(a)
-	case balancer.Cancel:
+	case balancer.CancelAttempt:
 		if r := c.open[a.ID]; r != nil && r.attempt != nil && r.attempt.Index == a.Attempt {
 			c.giveUp(r.attempt, balancer.Cancelled)
 		}
-	case balancer.Refuse:
+	case balancer.Reject:
 		c.resolved(a.ID, Resolved{Refused: true})
-		c.answer(c.open[a.ID], Answer{Verdict: Refused, Wait: a.Wait})
+		c.answer(c.open[a.ID], Answer{Verdict: Refused, Wait: a.RetryAfter})
 	case balancer.Fail:
 		c.resolved(a.ID, Resolved{})
 		c.answer(c.open[a.ID], Answer{Verdict: Failed, Reason: "Failed"})
-	case balancer.Answer:
+	case balancer.ResolveAnswer:
 		c.named(a)
 	case balancer.SetTimer:
-		heap.Push(&c.timers, timer{at: c.now + a.In, token: a.Token})
+		heap.Push(&c.timers, timer{at: c.now + a.Delay, token: a.Token})
 	}
 }
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -63,9 +63,9 @@
 	r := &rig{t: t, now: 1e6 * second}
 	lim := config.Limits{Open: 100, Resolves: 10, Margin: 15 * time.Millisecond, Longest: 5 * second, AttemptGrace: 200 * time.Millisecond, FinishMargin: 200 * time.Millisecond}
 	c, err := New(balancer.Settings{Zone: "edge", Zones: []string{"hub", "edge"}, Kinds: []string{"box", "mid", "store"}, ParentKind: 1,
-		OriginKind: 2, MaxAttempts: 6, Cancel: true, PurgeDone: 6 * second, Classes: []balancer.Class{
-			{Name: "page", Aim: 250 * time.Millisecond, AimStretch: 2, Deadline: 3 * second, Effect: balancer.Safe, Worth: 1},
-			{Name: "order", Aim: 700 * time.Millisecond, Deadline: 3 * second, Worth: 3, Write: true}}},
+		OriginKind: 2, MaxAttempts: 6, Cancellation: true, PurgeWindow: 6 * second, Classes: []balancer.Class{
+			{Name: "page", LatencyObjective: 250 * time.Millisecond, ObjectiveStretch: 2, Deadline: 3 * second, Idempotency: balancer.Idempotent, Weight: 1},
+			{Name: "order", LatencyObjective: 700 * time.Millisecond, Deadline: 3 * second, Weight: 3, Write: true}}},
 		lim, func() time.Duration { return r.now })
 	if err != nil {
 		t.Fatal(err)
@@ -453,7 +453,7 @@
 // if it cancelled first, none; and no attempt follows.
 func TestAllInOneTurn(t *testing.T) {
 	for _, class := range []string{"page", "order"} {
-		for _, status := range []balancer.Status{balancer.OK, balancer.Error, balancer.Full} {
+		for _, status := range []balancer.Status{balancer.OK, balancer.Error, balancer.Rejected} {
 			for _, cancelFirst := range []bool{true, false} {
 				r := newRig(t)
 				id := r.submit(class, second)
--- a/internal/core/members.go
+++ b/internal/core/members.go
@@ -16,23 +16,23 @@
 	ID, Addr, Kind, Zone string
 	Cell                 int
 	Weight               float64
-	State                balancer.State
+	State                balancer.EndpointState
 	Stamp                clock.Stamp   // of a late start, by which it is known; 0: long ago
 	Start                time.Duration // when that was, on the core's clock
 }
 
 // NodeOf is the module's id of a member. All routers derive the same.
-func NodeOf(id string) balancer.NodeID {
+func NodeOf(id string) balancer.EndpointID {
 	h := uint64(14695981039346656037) // FNV-1a
 	for i := range len(id) {
 		h = (h ^ uint64(id[i])) * 1099511628211
 	}
-	return balancer.NodeID(h)
+	return balancer.EndpointID(h)
 }
 
 // Members takes the list, or changes to it.
 func (c *Core) Members(full bool, hosts []Host) {
-	ev := balancer.Members{Full: full, Entries: make([]balancer.Entry, 0, len(hosts))}
+	ev := balancer.EndpointUpdate{Complete: full, Endpoints: make([]balancer.Endpoint, 0, len(hosts))}
 	for _, h := range hosts {
 		n := NodeOf(h.ID)
 		m := c.members[n]
@@ -48,11 +48,11 @@
 		if c.shared != nil {
 			c.shared.listed(m)
 		}
-		if h.State == balancer.Gone {
+		if h.State == balancer.Removed {
 			c.gone(m)
 		}
-		ev.Entries = append(ev.Entries, balancer.Entry{Node: n, Kind: h.Kind, Zone: h.Zone, Cell: h.Cell,
-			Weight: h.Weight, Start: m.start, State: h.State})
+		ev.Endpoints = append(ev.Endpoints, balancer.Endpoint{ID: n, Kind: h.Kind, Zone: h.Zone, Cell: h.Cell,
+			Weight: h.Weight, StartedAt: m.start, State: h.State})
 	}
 	if full {
 		c.dropUnlisted(hosts)
@@ -64,7 +64,7 @@
 
 // dropUnlisted takes all members to be gone that a whole list lacks.
 func (c *Core) dropUnlisted(hosts []Host) {
-	listed := make(map[balancer.NodeID]bool, len(hosts))
+	listed := make(map[balancer.EndpointID]bool, len(hosts))
 	for _, h := range hosts {
 		listed[NodeOf(h.ID)] = true
 	}
@@ -117,7 +117,7 @@
 }
 
 func (c *Core) gone(m *Member) {
-	m.State = balancer.Gone
+	m.State = balancer.Removed
 	if c.shared != nil {
 		c.shared.listed(m)
 	}
@@ -142,7 +142,7 @@
 		}
 	}
 	c.purged = append(c.purged, p)
-	c.events = append(c.events, balancer.Purge{ByGroup: byGroup, Object: object, Group: group, Ago: max(c.now-at, 0)})
+	c.events = append(c.events, balancer.Purge{ByGroup: byGroup, Object: object, Group: group, Age: max(c.now-at, 0)})
 }
 
 // bar has an attempt ask for no copy of before a purge.
--- a/internal/core/requests.go
+++ b/internal/core/requests.go
@@ -74,7 +74,7 @@
 		return
 	}
 	c.events = append(c.events, balancer.Request{ID: r.id, Class: r.Class, Object: r.Object, Part: r.Part, Group: r.Group,
-		Left: r.end - c.now, Write: r.Write, Again: r.Again})
+		Remaining: r.end - c.now, Write: r.Write, Retry: r.Again})
 }
 
 // Withdraw ends a request whose client no longer waits: nothing is owed, and its attempt is given up.
@@ -95,7 +95,7 @@
 	if r.claiming || c.unsafe[r.Class] && (r.ran || r.attempt != nil) {
 		a = failed
 	}
-	c.events = append(c.events, balancer.ClientGone{ID: r.id})
+	c.events = append(c.events, balancer.ClientAborted{ID: r.id})
 	c.answer(r, a)
 }
 
@@ -107,7 +107,7 @@
 // drop closes a request without an answer.
 func (c *Core) drop(r *request) {
 	c.forget(r)
-	c.events = append(c.events, balancer.ClientGone{ID: r.id})
+	c.events = append(c.events, balancer.ClientAborted{ID: r.id})
 	if a := r.attempt; a != nil {
 		c.giveUp(a, balancer.Cancelled)
 	}
@@ -118,7 +118,7 @@
 func (c *Core) giveUp(a *Attempt, s balancer.Status) {
 	c.up.Quit(a)
 	if a.owner.asking == a {
-		s = balancer.Moot
+		s = balancer.NotSent
 	}
 	c.End(a, End{Status: s})
 }
@@ -160,6 +160,6 @@
 	if r.claiming || r.ran && c.unsafe[r.Class] {
 		a = failed
 	}
-	c.events = append(c.events, balancer.ClientGone{ID: r.id})
+	c.events = append(c.events, balancer.ClientAborted{ID: r.id})
 	c.answer(r, a)
 }
--- a/internal/core/resolve.go
+++ b/internal/core/resolve.go
@@ -11,7 +11,7 @@
 type Query struct {
 	Key   uint64
 	Want  int
-	Only  balancer.NodeID // the only member that will do; 0: any
+	Only  balancer.EndpointID // the only member that will do; 0: any
 	Load  float64
 	Hold  time.Duration // how long the resolver may keep the answer
 	Limit time.Duration
@@ -44,19 +44,19 @@
 
 // decide hands the query to the module.
 func (c *Core) decide(q *query) {
-	ev := balancer.Resolve{ID: q.id, Key: q.Key, Want: q.Want, Only: q.Only, Load: q.Load, Hold: q.Hold}
+	ev := balancer.Resolve{ID: q.id, Key: q.Key, MaxEndpoints: q.Want, OnlyEndpoint: q.Only, Load: q.Load, TTL: q.Hold}
 	c.events = append(c.events, ev)
 }
 
 // named answers a query with members, all of them in service as it is answered. Where one was lost since the
 // decision, which was made on all that came in together, the query is decided again, until its time is over.
-func (c *Core) named(a balancer.Answer) {
+func (c *Core) named(a balancer.ResolveAnswer) {
 	q := c.queries[a.ID]
 	if q == nil {
 		return
 	}
 	var ms []*Member
-	for _, n := range a.Nodes {
+	for _, n := range a.Endpoints {
 		m := c.members[n]
 		if m == nil || m.State != balancer.InService {
 			if c.clock() < q.end {
--- a/internal/core/rights.go
+++ b/internal/core/rights.go
@@ -120,7 +120,7 @@
 		return
 	}
 	slog.Warn("order given up", "txn", txn, operatorhint.Attr(err))
-	c.events = append(c.events, balancer.ClientGone{ID: r.id})
+	c.events = append(c.events, balancer.ClientAborted{ID: r.id})
 	r.kept = false // it is over there already
 	a := failed
 	if never && !r.ran {
--- a/internal/core/rights_test.go
+++ b/internal/core/rights_test.go
@@ -106,9 +106,9 @@
 		r.submit("order", 2*second)
 		r.c.Ready(r.out[0])
 		txn := r.out[0].Request.Txn
-		r.end(r.out[0], End{Status: balancer.Full})
+		r.end(r.out[0], End{Status: balancer.Rejected})
 		for len(r.out) > 0 { // no page cache takes it
-			r.end(r.out[len(r.out)-1], End{Status: balancer.Full})
+			r.end(r.out[len(r.out)-1], End{Status: balancer.Rejected})
 		}
 		if len(r.answers) > 0 || r.c.Open() != 1 {
 			t.Fatalf("told %+v before the keeper let go", r.answers)
@@ -206,7 +206,7 @@
 	}
 	r.submit("order", second)
 	for len(r.out) > 0 {
-		r.end(r.out[len(r.out)-1], End{Status: balancer.Full})
+		r.end(r.out[len(r.out)-1], End{Status: balancer.Rejected})
 	}
 	if p.freed != 1 {
 		t.Errorf("never ran: %+v", p)
--- a/internal/core/rules_test.go
+++ b/internal/core/rules_test.go
@@ -43,7 +43,7 @@
 // A run with answers of all kinds violates nothing.
 func TestNoViolations(t *testing.T) {
 	r := newRig(t)
-	for _, status := range []balancer.Status{balancer.OK, balancer.Full, balancer.Error, balancer.Reset, balancer.TimedOut} {
+	for _, status := range []balancer.Status{balancer.OK, balancer.Rejected, balancer.Error, balancer.Reset, balancer.TimedOut} {
 		for _, class := range []string{"page", "order"} {
 			r.submit(class, second)
 			for len(r.out) > 0 {
--- a/internal/core/shared.go
+++ b/internal/core/shared.go
@@ -76,7 +76,7 @@
 	s := c.shared
 	heap.Push(&c.timers, timer{at: c.now + s.talk.State.Beat, call: c.beat})
 	s.state.Live(s.peers.Alive())
-	c.balancer.Health(func(n balancer.NodeID, fails int, well time.Duration) {
+	c.balancer.VisitHealth(func(n balancer.EndpointID, fails int, well time.Duration) {
 		if m := c.members[n]; m != nil {
 			s.state.Observe(c.now, m.ID, fails, well)
 		}
@@ -98,7 +98,7 @@
 	warm := m.start + s.core.warm[m.kind]
 	switch {
 	case s.talk.Cold.Rate <= 0:
-	case m.State == balancer.Gone:
+	case m.State == balancer.Removed:
 		s.state.Close(cold + m.ID)
 	case m.start > 0 && s.core.now < warm:
 		s.state.Open(s.core.now, cold+m.ID, s.talk.Cold, warm)
@@ -120,36 +120,36 @@
 	}
 }
 
-// Spare implements balancer.Together.
-func (s *Shared) Spare(now time.Duration, n balancer.NodeID) bool {
+// AdmitWarmingUp implements balancer.Coordinator.
+func (s *Shared) AdmitWarmingUp(now time.Duration, n balancer.EndpointID) bool {
 	m := s.member(n)
 	return m == nil || s.state.May(now, cold+m.ID)
 }
 
-// Repeat implements balancer.Together.
-func (s *Shared) Repeat(now time.Duration) bool { return s.state.May(now, retries) }
+// AdmitRetry implements balancer.Coordinator.
+func (s *Shared) AdmitRetry(now time.Duration) bool { return s.state.May(now, retries) }
 
-// Shun implements balancer.Together.
-func (s *Shared) Shun(now time.Duration, n balancer.NodeID) bool {
+// ProbedByPeer implements balancer.Coordinator.
+func (s *Shared) ProbedByPeer(now time.Duration, n balancer.EndpointID) bool {
 	m := s.member(n)
 	return m != nil && s.state.Shun(now, m.ID)
 }
 
-// Sent implements balancer.Together.
-func (s *Shared) Sent(now time.Duration, g balancer.Get) {
-	if g.Again {
+// AttemptSent implements balancer.Coordinator.
+func (s *Shared) AttemptSent(now time.Duration, g balancer.SendAttempt) {
+	if g.MayHaveRun {
 		s.state.Spend(now, retries)
 	}
-	if m := s.member(g.Node); m != nil {
+	if m := s.member(g.Endpoint); m != nil {
 		s.state.Spend(now, cold+m.ID)
 	}
-	if m := s.member(g.Source); m != nil && g.Source != g.Node {
+	if m := s.member(g.Source); m != nil && g.Source != g.Endpoint {
 		s.state.Spend(now, cold+m.ID)
 	}
 }
 
 // member is nil as long as nothing is shared: then the module's own bounds hold alone.
-func (s *Shared) member(n balancer.NodeID) *Member {
+func (s *Shared) member(n balancer.EndpointID) *Member {
 	if s.core == nil {
 		return nil
 	}
--- a/internal/core/stall_test.go
+++ b/internal/core/stall_test.go
@@ -68,7 +68,7 @@
 	r.c.Purge(false, 7, 0, r.now-100*time.Millisecond)
 	id := r.c.NewID()
 	r.c.open[id] = &request{Request: Request{Txn: "t", Class: "page", Object: 7, Reply: r.reply}, id: id, since: r.now, end: r.now + second, expiry: r.now + second}
-	r.c.act(balancer.Get{ID: id, Node: first.Get.Node, Source: first.Get.Source}) // decided before the purge
+	r.c.act(balancer.SendAttempt{ID: id, Endpoint: first.Get.Endpoint, Source: first.Get.Source}) // decided before the purge
 	if late := r.out[1]; late.Get.MaxAge == 0 || late.Get.MaxAge > 100*time.Millisecond {
 		t.Errorf("a copy of %v will do, 100 ms after a purge", late.Get.MaxAge)
 	}
--- a/internal/core/status.go
+++ b/internal/core/status.go
@@ -52,7 +52,7 @@
 func (c *Core) publish() {
 	s := &Snapshot{Phase: c.phase(), Since: c.left, Followed: c.followed, Tallies: append([]Tally(nil), c.tallies...), Dispatches: c.dispatches, Violations: c.violations,
 		Open: len(c.open)}
-	s.Targets, s.Avoided = c.balancer.Targets()
+	s.Targets, s.Avoided = c.balancer.CacheCounts()
 	if c.shared != nil {
 		s.Fleet = c.shared.last
 	}
--- a/internal/core/trace.go
+++ b/internal/core/trace.go
@@ -31,7 +31,7 @@
 		if a.Source != nil {
 			source = a.Source.ID
 		}
-		slog.Debug("attempt", "id", a.owner.id, "n", a.Index, "node", a.Node.ID, "source", source, "keep", a.Get.Keep, "age", a.Get.MaxAge)
+		slog.Debug("attempt", "id", a.owner.id, "n", a.Index, "node", a.Node.ID, "source", source, "keep", a.Get.CachePriority, "age", a.Get.MaxAge)
 	}
 }
 
--- a/internal/discovery/event.go
+++ b/internal/discovery/event.go
@@ -59,7 +59,7 @@
 	return evs, last, o.Err()
 }
 
-var states = map[string]balancer.State{"ready": balancer.InService, "draining": balancer.Draining, "gone": balancer.Gone}
+var states = map[string]balancer.EndpointState{"ready": balancer.InService, "draining": balancer.Draining, "gone": balancer.Removed}
 
 func read(o jsonfields.Object) Event {
 	e := Event{Pos: o.Int("pos", 0), List: o.Has("hosts"), Purge: o.Has("expire")}
--- a/internal/frontend/dns/front.go
+++ b/internal/frontend/dns/front.go
@@ -185,7 +185,7 @@
 	}
 	bare := func(code int) { send(newReply(q, code).finish(q, code, size)) }
 	name, below, ours := f.name(q.name)
-	var only balancer.NodeID
+	var only balancer.EndpointID
 	known := true
 	if below != "" {
 		only, known = labelled(below)
@@ -288,10 +288,10 @@
 const labelStart = "m-"
 
 // labelled is the member that a label names.
-func labelled(s string) (balancer.NodeID, bool) {
+func labelled(s string) (balancer.EndpointID, bool) {
 	s, ok := strings.CutPrefix(s, labelStart)
 	n, err := strconv.ParseUint(s, 16, 64)
-	return balancer.NodeID(n), ok && err == nil && len(s) == 16
+	return balancer.EndpointID(n), ok && err == nil && len(s) == 16
 }
 
 // none says that there is no such record, with the SOA record that tells how long that holds.
--- a/internal/frontend/dns/front_test.go
+++ b/internal/frontend/dns/front_test.go
@@ -88,8 +88,8 @@
 	conn := config.Conn{Pending: 1 << 18, Read: time.Minute, Write: time.Minute, Idle: time.Minute, Silent: time.Minute}
 	lim := config.Limits{Resolves: 100, DNSConns: 10, Open: 10, DNS: conn}
 	c, err := core.New(balancer.Settings{Zone: "edge", Zones: []string{"edge"}, Kinds: []string{"box", "mid", "store"}, ParentKind: 1,
-		OriginKind: 2, Classes: []balancer.Class{{Name: "a"}}, Cache: balancer.ColdRule{Share: 0.2, Warm: 18 * time.Second,
-			Multiple: 4, Window: 2 * time.Second}}, lim, s.clock)
+		OriginKind: 2, Classes: []balancer.Class{{Name: "a"}}, CacheSlowStart: balancer.SlowStartRule{InitialCapacity: 0.2, WarmUpTime: 18 * time.Second,
+			OverloadFactor: 4, OverloadWindow: 2 * time.Second}}, lim, s.clock)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -107,7 +107,7 @@
 	return s
 }
 
-func host(i int, state balancer.State) core.Host {
+func host(i int, state balancer.EndpointState) core.Host {
 	return core.Host{ID: fmt.Sprintf("s-%d", i), Addr: fmt.Sprintf("127.1.0.%d:7001", i), Kind: "box", Zone: "edge", Weight: 1, State: state}
 }
 
--- a/internal/handover/codec.go
+++ b/internal/handover/codec.go
@@ -158,7 +158,7 @@
 		m.Purges = append(m.Purges, balancer.PurgeMemory{ByGroup: r[0] != 0, Name: uint64(r[1]), At: time.Duration(r[2])})
 	})
 	rows("members", memberRow, func(r []int64) {
-		m.Members = append(m.Members, balancer.MemberMemory{Node: balancer.NodeID(r[0]), Start: time.Duration(r[1]), Saved: part(r[2]),
+		m.Members = append(m.Members, balancer.MemberMemory{Node: balancer.EndpointID(r[0]), Start: time.Duration(r[1]), Saved: part(r[2]),
 			Misses: part(r[3]), Fails: int(r[4]), Bad: r[5] != 0, Trial: time.Duration(r[6]), Doubted: time.Duration(r[7]), Doubt: part(r[8])})
 	})
 	rows("loads", loadRow, func(r []int64) {
--- a/internal/simulator/simulator.go
+++ b/internal/simulator/simulator.go
@@ -36,12 +36,12 @@
 type Reader struct {
 	r     *bufio.Reader
 	line  int
-	lists map[uint64][]balancer.Entry
+	lists map[uint64][]balancer.Endpoint
 }
 
 // NewReader returns a Reader on r.
 func NewReader(r io.Reader) *Reader {
-	return &Reader{r: bufio.NewReaderSize(r, 1<<16), lists: map[uint64][]balancer.Entry{}}
+	return &Reader{r: bufio.NewReaderSize(r, 1<<16), lists: map[uint64][]balancer.Endpoint{}}
 }
 
 // Line is the number of the line read last.
@@ -121,7 +121,7 @@
 	if f.err != nil {
 		return f.err
 	}
-	var entries []balancer.Entry
+	var entries []balancer.Endpoint
 	for range count {
 		text, err := r.next()
 		if err != nil {
@@ -134,13 +134,13 @@
 		if name != "ITEM" {
 			return fmt.Errorf("expected ITEM, got %q", name)
 		}
-		e := balancer.Entry{
-			Node:   balancer.NodeID(f.uint("node", 32, true)),
-			Kind:   f.text("flavor", false),
-			Zone:   f.text("hall", false),
-			Cell:   int(f.uint("stripe", 31, false)),
-			Weight: f.number("capacityHint"),
-			Start:  f.micros("startTimeUs", false),
+		e := balancer.Endpoint{
+			ID:        balancer.EndpointID(f.uint("node", 32, true)),
+			Kind:      f.text("flavor", false),
+			Zone:      f.text("hall", false),
+			Cell:      int(f.uint("stripe", 31, false)),
+			Weight:    f.number("capacityHint"),
+			StartedAt: f.micros("startTimeUs", false),
 		}
 		switch s := f.text("state", true); s {
 		case "in_service":
@@ -148,7 +148,7 @@
 		case "terminating":
 			e.State = balancer.Draining
 		case "terminated":
-			e.State = balancer.Gone
+			e.State = balancer.Removed
 		default:
 			f.fail(fmt.Errorf("unknown state %q", s))
 		}
@@ -162,8 +162,8 @@
 }
 
 var statuses = map[uint64]balancer.Status{
-	200: balancer.OK, 500: balancer.Error, 503: balancer.Full, 504: balancer.TimedOut, 502: balancer.ConnectFailed,
-	598: balancer.Reset, 499: balancer.Cancelled, 410: balancer.Moot, 404: balancer.Miss,
+	200: balancer.OK, 500: balancer.Error, 503: balancer.Rejected, 504: balancer.TimedOut, 502: balancer.ConnectFailed,
+	598: balancer.Reset, 499: balancer.Cancelled, 410: balancer.NotSent, 404: balancer.Miss,
 }
 
 func (f *fields) status() balancer.Status {
@@ -178,7 +178,7 @@
 func (r *Reader) event(name string, f *fields) (Event, error) {
 	ev := Event{Instance: f.text("i", true), Line: r.line}
 	id := func() balancer.RequestID { return balancer.RequestID(f.uint("id", 52, true)) }
-	node := func() balancer.NodeID { return balancer.NodeID(f.uint("node", 32, true)) }
+	node := func() balancer.EndpointID { return balancer.EndpointID(f.uint("node", 32, true)) }
 	switch name {
 	case "CREATE":
 		f.uint("nonce64", 64, true) // the module draws no random numbers
@@ -192,7 +192,7 @@
 	case "REGISTRY":
 		form := f.text("form", true)
 		if form == "FAILED" {
-			ev.Event = balancer.Members{Failed: true}
+			ev.Event = balancer.EndpointUpdate{Failed: true}
 			break
 		}
 		if form != "FULL" && form != "SAVED" && form != "INCREMENTAL" {
@@ -203,33 +203,33 @@
 		if !ok {
 			f.fail(fmt.Errorf("list %d was never given", num))
 		}
-		ev.Event = balancer.Members{Full: form != "INCREMENTAL", Entries: entries}
+		ev.Event = balancer.EndpointUpdate{Complete: form != "INCREMENTAL", Endpoints: entries}
 	case "NEW_REQUEST":
 		ev.Event = balancer.Request{
 			ID: id(), Class: f.text("grade", true), Object: f.hex("file", false),
 			Part: f.uint("rangeNo", 64, false), Group: f.uint("group", 64, false),
-			Left: f.micros("remainingUs", true), SizeKB: f.number("kbytes"),
-			Write: f.flag("update"), Again: f.flag("isRetry"),
+			Remaining: f.micros("remainingUs", true), SizeKB: f.number("kbytes"),
+			Write: f.flag("update"), Retry: f.flag("isRetry"),
 		}
 	case "WITHDRAWN_COPY":
 		_, byObject := f.m["file"]
 		ev.Event = balancer.Purge{
 			ByGroup: !byObject, Object: f.hex("file", false), Group: f.uint("setNo", 64, !byObject),
-			Ago: f.micros("ageSpanUs", false),
+			Age: f.micros("ageSpanUs", false),
 		}
 	case "RESOLVED":
 		ev.Event = balancer.Outcome{
-			ID: id(), Attempt: int(f.uint("copy", 31, false)), Node: node(), Status: f.status(),
-			Took: f.micros("tookUs", false), Waited: f.micros("upstreamWaitUs", false), Settled: f.flag("settled"),
-			Note: balancer.Note(f.uint("remark", 8, false)),
+			ID: id(), Attempt: int(f.uint("copy", 31, false)), Endpoint: node(), Status: f.status(),
+			Elapsed: f.micros("tookUs", false), SourceWait: f.micros("upstreamWaitUs", false), Answered: f.flag("settled"),
+			Detail: balancer.Detail(f.uint("remark", 8, false)),
 		}
 	case "CHECKED":
 		node() // the module asks for none, so a result is checked and dropped
 		f.status()
 	case "GONE":
-		ev.Event = balancer.ClientGone{ID: id()}
+		ev.Event = balancer.ClientAborted{ID: id()}
 	case "HEADERS":
-		ev.Event = balancer.Started{ID: id(), Attempt: int(f.uint("copy", 31, false)), Node: node()}
+		ev.Event = balancer.ResponseStarted{ID: id(), Attempt: int(f.uint("copy", 31, false)), Endpoint: node()}
 	case "REMINDER":
 		ev.Event = balancer.Timer{Token: f.uint("cookie", 63, true)}
 	case "NOTE_FROM":
@@ -381,39 +381,39 @@
 	}
 	head := func(name string) { b = append(append(append(b, name...), "\ti="...), instance...) }
 	switch a := a.(type) {
-	case balancer.Get:
+	case balancer.SendAttempt:
 		head("LOOK_AND_FILL")
 		num("id", uint64(a.ID))
-		num("node", uint64(a.Node))
+		num("node", uint64(a.Endpoint))
 		us("allowForUs", a.Timeout, false)
 		num("fromWhere", uint64(a.Source))
-		num("admit", uint64(a.Keep))
+		num("admit", uint64(a.CachePriority))
 		us("ageSpanUs", a.MaxAge, false)
 		bits := uint64(0)
-		for i, on := range []bool{a.Join, a.Held, false, a.Renew} {
+		for i, on := range []bool{a.Coalesce, a.CachedOnly, false, a.Revalidate} {
 			if on {
 				bits |= 1 << i
 			}
 		}
 		num("manner", bits)
-	case balancer.Refuse:
+	case balancer.Reject:
 		head("SAY_NO")
 		num("id", uint64(a.ID))
-		us("stayAwayUs", a.Wait, false)
+		us("stayAwayUs", a.RetryAfter, false)
 	case balancer.Fail:
 		head("END_FAILED")
 		num("id", uint64(a.ID))
-	case balancer.Cancel:
+	case balancer.CancelAttempt:
 		head("ABANDON")
 		num("id", uint64(a.ID))
 		num("copy", uint64(a.Attempt))
-	case balancer.Watch:
+	case balancer.WatchEndpoints:
 		head("OBSERVE")
 		num("want", 1)
 	case balancer.SetTimer:
 		head("SCHEDULE")
 		num("cookie", a.Token)
-		us("spanUs", a.In, true)
+		us("spanUs", a.Delay, true)
 	}
 	return append(b, '\n')
 }
--- a/internal/simulator/simulator_test.go
+++ b/internal/simulator/simulator_test.go
@@ -47,26 +47,26 @@
 		t.Errorf("clock %v", b.Now)
 	}
 	s := b.Events[0].Create
-	if s == nil || s.ParentKind != 1 || !s.SteadyWeights ||
-		s.Classes[0].Effect != balancer.Keyed || s.Classes[0].Group != balancer.GroupAll || !s.Classes[0].Write ||
-		s.Classes[0].Fresh != 20*time.Second {
+	if s == nil || s.ParentKind != 1 || !s.StaticWeights ||
+		s.Classes[0].Idempotency != balancer.IdempotentByKey || s.Classes[0].DedupScope != balancer.DedupEverywhere || !s.Classes[0].Write ||
+		s.Classes[0].FreshnessLifetime != 20*time.Second {
 		t.Errorf("settings %+v", s)
 	}
 	want := []balancer.Event{
 		nil,
-		balancer.Members{Full: true, Entries: []balancer.Entry{{Node: 51530247, Kind: "box", Zone: "edge", Cell: 2,
-			Weight: 1.5, Start: 61 * time.Microsecond}}},
-		balancer.Members{},
-		balancer.Members{Failed: true},
+		balancer.EndpointUpdate{Complete: true, Endpoints: []balancer.Endpoint{{ID: 51530247, Kind: "box", Zone: "edge", Cell: 2,
+			Weight: 1.5, StartedAt: 61 * time.Microsecond}}},
+		balancer.EndpointUpdate{},
+		balancer.EndpointUpdate{Failed: true},
 		balancer.Request{ID: 36, Class: "a", Object: 0x91f03b7c55d20a64, Part: 3, Group: 11,
-			Left: 240 * time.Millisecond, SizeKB: 640, Again: true},
-		balancer.Purge{ByGroup: true, Group: 11, Ago: 85 * time.Millisecond},
-		balancer.Outcome{ID: 36, Attempt: 1, Node: 51530247, Status: balancer.Full, Took: 18500 * time.Microsecond,
-			Note: balancer.NoPlace},
+			Remaining: 240 * time.Millisecond, SizeKB: 640, Retry: true},
+		balancer.Purge{ByGroup: true, Group: 11, Age: 85 * time.Millisecond},
+		balancer.Outcome{ID: 36, Attempt: 1, Endpoint: 51530247, Status: balancer.Rejected, Elapsed: 18500 * time.Microsecond,
+			Detail: balancer.NoFillSlot},
 		nil,
 		nil,
-		balancer.ClientGone{ID: 36},
-		balancer.Started{ID: 36, Node: 5},
+		balancer.ClientAborted{ID: 36},
+		balancer.ResponseStarted{ID: 36, Endpoint: 5},
 		balancer.Timer{Token: 77},
 		nil,
 	}
@@ -112,13 +112,13 @@
 
 func TestAppendAction(t *testing.T) {
 	for want, a := range map[string]balancer.Action{
-		"LOOK_AND_FILL\ti=d\tid=36\tnode=5\tallowForUs=900000\tfromWhere=7\tadmit=2\tageSpanUs=1500000\tmanner=9\n": balancer.Get{
-			ID: 36, Node: 5, Timeout: 900 * time.Millisecond, Source: 7, Keep: 2, MaxAge: 1500 * time.Millisecond,
-			Join: true, Renew: true},
-		"SAY_NO\ti=d\tid=1\n":                  balancer.Refuse{ID: 1},
+		"LOOK_AND_FILL\ti=d\tid=36\tnode=5\tallowForUs=900000\tfromWhere=7\tadmit=2\tageSpanUs=1500000\tmanner=9\n": balancer.SendAttempt{
+			ID: 36, Endpoint: 5, Timeout: 900 * time.Millisecond, Source: 7, CachePriority: 2, MaxAge: 1500 * time.Millisecond,
+			Coalesce: true, Revalidate: true},
+		"SAY_NO\ti=d\tid=1\n":                  balancer.Reject{ID: 1},
 		"END_FAILED\ti=d\tid=1\n":              balancer.Fail{ID: 1},
-		"ABANDON\ti=d\tid=1\tcopy=0\n":         balancer.Cancel{ID: 1},
-		"OBSERVE\ti=d\twant=1\n":               balancer.Watch{},
+		"ABANDON\ti=d\tid=1\tcopy=0\n":         balancer.CancelAttempt{ID: 1},
+		"OBSERVE\ti=d\twant=1\n":               balancer.WatchEndpoints{},
 		"SCHEDULE\ti=d\tcookie=77\tspanUs=0\n": balancer.SetTimer{Token: 77},
 	} {
 		if got := string(AppendAction(nil, "d", a)); got != want {
--- a/internal/upstream/client.go
+++ b/internal/upstream/client.go
@@ -18,7 +18,7 @@
 // Core is what the client reports to. Its methods but Post are called on the core's goroutine.
 type Core interface {
 	Post(f func())
-	Permit(a *core.Attempt) (balancer.Status, balancer.Note)
+	Permit(a *core.Attempt) (balancer.Status, balancer.Detail)
 	Ready(a *core.Attempt) bool
 	End(a *core.Attempt, e core.End)
 	Dispatched(a *core.Attempt)
@@ -108,7 +108,7 @@
 	}
 	cl.closeIdle(p)
 	if p.past.has(a.Request.Txn) { // turned away unseen: it goes to another cache
-		cl.core.End(a, core.End{Status: balancer.Full})
+		cl.core.End(a, core.End{Status: balancer.Rejected})
 		return
 	}
 	c := p.pick(a)
@@ -126,7 +126,7 @@
 	case p.dialing > 0: // it shares what comes up
 		p.waiting = append(p.waiting, a)
 	default: // this router has no more connections, which is not the cache's fault
-		cl.core.End(a, core.End{Status: balancer.Full})
+		cl.core.End(a, core.End{Status: balancer.Rejected})
 	}
 }
 
@@ -231,7 +231,7 @@
 		slog.Debug("page cache not reached", "addr", p.addr, "err", err)
 		failed := balancer.ConnectFailed
 		if exhausted(err) { // this router's fault, not the cache's
-			failed = balancer.Full
+			failed = balancer.Rejected
 		}
 		if a := p.next(nil); a != nil {
 			cl.core.End(a, core.End{Status: failed})
--- a/internal/upstream/client_test.go
+++ b/internal/upstream/client_test.go
@@ -31,8 +31,8 @@
 
 func (b *bench) Post(f func())            { b.posts <- f }
 func (b *bench) Ready(*core.Attempt) bool { return true }
-func (b *bench) Permit(*core.Attempt) (balancer.Status, balancer.Note) {
-	return b.permit, balancer.NoNote
+func (b *bench) Permit(*core.Attempt) (balancer.Status, balancer.Detail) {
+	return b.permit, balancer.NoDetail
 }
 func (b *bench) End(_ *core.Attempt, e core.End) { b.ends <- e }
 
@@ -150,12 +150,12 @@
 	b.expect(r, "QUIT t1")
 	b.expect(r, "ASK t2 ")
 	b.send("t1")
-	b.ended(balancer.Full)
+	b.ended(balancer.Rejected)
 	b.send("t3")
 	_, other := b.accept()
 	b.expect(other, "ASK t3 ") // t1 was not written before it, on this connection or another
 	fmt.Fprint(nc, "t1 DONE - 0\r\n\r\nt2 WAIT - 0\r\n\r\n")
-	b.ended(balancer.Full)
+	b.ended(balancer.Rejected)
 	if len(b.ends) != 0 {
 		t.Error("an answer that crossed the QUIT ended an attempt")
 	}
@@ -171,7 +171,7 @@
 	fmt.Fprint(nc, "garbage\r\n")
 	b.ended(balancer.Reset)
 	b.send("t1")
-	b.ended(balancer.Full)
+	b.ended(balancer.Rejected)
 	b.send("t2")
 	_, other := b.accept()
 	b.expect(other, "ASK t2 ")
@@ -236,11 +236,11 @@
 	b.expect(r2, "ASK t2 ")
 	b.now.Store(int64(time.Millisecond))
 	fmt.Fprint(older, "t1 WAIT - 0\r\n\r\n")
-	b.ended(balancer.Full)
+	b.ended(balancer.Rejected)
 	b.do(func() {}) // it is idle by now
 	b.now.Store(int64(2 * time.Millisecond))
 	fmt.Fprint(newer, "t2 WAIT - 0\r\n\r\n")
-	b.ended(balancer.Full)
+	b.ended(balancer.Rejected)
 	b.do(func() {}) // it is idle by now
 	b.send("t3")
 	b.expect(r2, "ASK t3 ")
@@ -305,7 +305,7 @@
 	b.do(func() {
 		b.cl.Send(&core.Attempt{Node: other, Request: &core.Request{Txn: "t2", Class: "c", Item: "0a", Nth: "0"}})
 	})
-	b.ended(balancer.Full)
+	b.ended(balancer.Rejected)
 	fmt.Fprint(nc, "t1 DONE - 0\r\n\r\n")
 	b.ended(balancer.OK)
 	b.do(func() {
@@ -327,7 +327,7 @@
 	nc, r := b.accept()
 	b.expect(r, "ASK t1 ")
 	fmt.Fprint(nc, "t1 WAIT - 0\r\n\r\n")
-	b.ended(balancer.Full)
+	b.ended(balancer.Rejected)
 	b.do(func() { b.cl.Send(order(ask("t1"))) })
 	again, second := b.accept()
 	b.expect(second, "ASK t1 ")
@@ -347,7 +347,7 @@
 	b.ended(balancer.Miss)
 	b.expect(r, "QUIT t2")
 	b.send("t2")
-	b.ended(balancer.Full)
+	b.ended(balancer.Rejected)
 }
 
 // A reset of an idle connection proves that what is sent next has not run: it goes out again on a new one.
@@ -357,7 +357,7 @@
 	nc, r := b.accept()
 	b.expect(r, "ASK t1 ")
 	fmt.Fprint(nc, "t1 WAIT - 0\r\n\r\n")
-	b.ended(balancer.Full)
+	b.ended(balancer.Rejected)
 	b.do(func() { // the client has yet to be told of the reset as it sends
 		nc.(*net.TCPConn).SetLinger(0)
 		nc.Close()
@@ -440,7 +440,7 @@
 	nc, r := b.accept()
 	b.expect(r, "ASK t2 ")
 	fmt.Fprint(nc, "t2 WAIT - 0\r\n\r\n")
-	b.ended(balancer.Full)
+	b.ended(balancer.Rejected)
 	b.do(func() { b.cl.Quit(a) })
 	b.expect(silent, "QUIT t1")
 	b.now.Store(int64(4 * time.Second))
--- a/internal/upstream/codec.go
+++ b/internal/upstream/codec.go
@@ -73,11 +73,11 @@
 
 // Each word and each note has exactly one meaning in the module.
 var (
-	statuses = map[string]balancer.Status{"DONE": balancer.OK, "KEEP": balancer.OK, "LACK": balancer.Miss, "WAIT": balancer.Full,
-		"BROKE": balancer.Error, "PAST": balancer.Moot}
-	notes = map[string]balancer.Note{"cached": balancer.Hit, "fetched": balancer.Filled, "fetched_root": balancer.FilledByOrigin,
-		"merged": balancer.Joined, "past_fresh": balancer.Stale, "up_refused": balancer.SourceRefused, "up_lost": balancer.SourceLost,
-		"up_empty": balancer.SourceLacks, "fills_full": balancer.NoPlace, "root_failed": balancer.OriginFailed}
+	statuses = map[string]balancer.Status{"DONE": balancer.OK, "KEEP": balancer.OK, "LACK": balancer.Miss, "WAIT": balancer.Rejected,
+		"BROKE": balancer.Error, "PAST": balancer.NotSent}
+	notes = map[string]balancer.Detail{"cached": balancer.Hit, "fetched": balancer.Filled, "fetched_root": balancer.FilledByOrigin,
+		"merged": balancer.Coalesced, "past_fresh": balancer.Stale, "up_refused": balancer.SourceRejected, "up_lost": balancer.SourceUnreachable,
+		"up_empty": balancer.SourceMiss, "fills_full": balancer.NoFillSlot, "root_failed": balancer.OriginFailed}
 )
 
 // end turns an answer into the end of an attempt. The body is copied: it outlives the read buffer.
@@ -110,8 +110,8 @@
 	if a.Source != nil {
 		b = append(append(b, ",fetch="...), a.Source.ID...)
 	}
-	if g.Keep > 0 {
-		b = strconv.AppendInt(append(b, ",retain="...), int64(g.Keep), 10)
+	if g.CachePriority > 0 {
+		b = strconv.AppendInt(append(b, ",retain="...), int64(g.CachePriority), 10)
 	}
 	if g.MaxAge > 0 { // 0 would ask for the fresh time of the class
 		b = strconv.AppendInt(append(b, ",newer="...), max(g.MaxAge.Milliseconds(), 1), 10)
@@ -120,7 +120,7 @@
 	for _, h := range []struct {
 		on   bool
 		word string
-	}{{g.Join, "j"}, {g.Held, "h"}, {g.Renew, "r"}} {
+	}{{g.Coalesce, "j"}, {g.CachedOnly, "h"}, {g.Revalidate, "r"}} {
 		if h.on {
 			b = append(append(b, sep...), h.word...)
 			sep = "+"
--- a/internal/upstream/codec_test.go
+++ b/internal/upstream/codec_test.go
@@ -36,10 +36,10 @@
 		"a DONE res=past_fresh,took=1.5,version=x 2\r\nhi\r\n": {Status: balancer.OK, Note: balancer.Stale,
 			Waited: 1500 * time.Microsecond, Body: []byte("hi")},
 		"a KEEP version=x,res=cached 0\r\n\r\n": {Status: balancer.OK, Note: balancer.Hit, Unchanged: true, Tag: "x"},
-		"a LACK res=up_empty 0\r\n\r\n":         {Status: balancer.Miss, Note: balancer.SourceLacks},
-		"a WAIT - 0\r\n\r\n":                    {Status: balancer.Full},
-		"a BROKE res=up_lost 0\r\n\r\n":         {Status: balancer.Error, Note: balancer.SourceLost},
-		"a PAST took=-3,res=what 0\r\n\r\n":     {Status: balancer.Moot},
+		"a LACK res=up_empty 0\r\n\r\n":         {Status: balancer.Miss, Note: balancer.SourceMiss},
+		"a WAIT - 0\r\n\r\n":                    {Status: balancer.Rejected},
+		"a BROKE res=up_lost 0\r\n\r\n":         {Status: balancer.Error, Note: balancer.SourceUnreachable},
+		"a PAST took=-3,res=what 0\r\n\r\n":     {Status: balancer.NotSent},
 	} {
 		a, _, _, err := parse([]byte(text), 100, 100)
 		if err != nil {
@@ -58,7 +58,7 @@
 func TestAppendAsk(t *testing.T) {
 	a := &core.Attempt{Request: &core.Request{Txn: "t", Class: "c", Item: "0a", Nth: "3", Holds: "h", Key: "k", Body: []byte("xy")},
 		Left: 900 * time.Millisecond, Source: &core.Member{ID: "s-1"},
-		Get: balancer.Get{Keep: 2, MaxAge: time.Microsecond, Join: true, Renew: true}}
+		Get: balancer.SendAttempt{CachePriority: 2, MaxAge: time.Microsecond, Coalesce: true, Revalidate: true}}
 	want := "ASK t kind=c,obj=0a,seg=3,ms=900,fetch=s-1,retain=2,newer=1,handle=j+r,holds=h,token=k 2\r\nxy\r\n"
 	if got := string(appendAsk(nil, a)); got != want {
 		t.Errorf("got %q, want %q", got, want)
--- a/internal/upstream/faults_test.go
+++ b/internal/upstream/faults_test.go
@@ -17,9 +17,9 @@
 var connectErrors = map[syscall.Errno]balancer.Status{
 	syscall.ECONNREFUSED: balancer.ConnectFailed, syscall.ETIMEDOUT: balancer.ConnectFailed, syscall.EHOSTUNREACH: balancer.ConnectFailed,
 	syscall.ECONNRESET: balancer.ConnectFailed, syscall.EHOSTDOWN: balancer.ConnectFailed,
-	syscall.EMFILE: balancer.Full, syscall.ENFILE: balancer.Full, syscall.ENOBUFS: balancer.Full, syscall.ENOMEM: balancer.Full,
-	syscall.EADDRNOTAVAIL: balancer.Full, syscall.EADDRINUSE: balancer.Full, syscall.ENETUNREACH: balancer.Full, syscall.ENETDOWN: balancer.Full,
-	syscall.EACCES: balancer.Full, syscall.EPERM: balancer.Full, syscall.EAGAIN: balancer.Full, syscall.EINTR: balancer.Full,
+	syscall.EMFILE: balancer.Rejected, syscall.ENFILE: balancer.Rejected, syscall.ENOBUFS: balancer.Rejected, syscall.ENOMEM: balancer.Rejected,
+	syscall.EADDRNOTAVAIL: balancer.Rejected, syscall.EADDRINUSE: balancer.Rejected, syscall.ENETUNREACH: balancer.Rejected, syscall.ENETDOWN: balancer.Rejected,
+	syscall.EACCES: balancer.Rejected, syscall.EPERM: balancer.Rejected, syscall.EAGAIN: balancer.Rejected, syscall.EINTR: balancer.Rejected,
 }
 
 // failDials has connections not come up for a reason; calls counts them.
@@ -46,7 +46,7 @@
 		}
 		given := b.send("given up")
 		b.do(func() { b.cl.Quit(given) }) // its connection is still to fail, or has failed
-		b.permit = balancer.Moot
+		b.permit = balancer.NotSent
 		b.send("too late")
 		deadline := time.After(20 * time.Second)
 		for n := 0; n < 1; n++ {
