--- a/cmd/hillknot/cluster.go
+++ b/cmd/hillknot/cluster.go
@@ -23,10 +23,10 @@
 
 // talk begins to share, and to talk to the others until stop is closed. It is called once a predecessor, if there is one,
 // has been told that this process takes its place.
-func talk(cfg *config.Config, c *core.Core, shared *core.Shared, stop <-chan struct{}) (keyed, error) {
+func talk(cfg *config.Config, c *core.Core, shared *core.ClusterState, stop <-chan struct{}) (keyed, error) {
 	var hands *orderfailover.Hands // these are of the core's goroutine
 	var money *prepaidcredit.Purse
-	m, err := membership.New(cfg.Name, cfg.Fleet, func(msgs []state.Message) { c.Post(func() { c.Hear(msgs) }) }, membership.Lanes{
+	m, err := membership.New(cfg.Name, cfg.Fleet, func(msgs []state.Message) { c.Post(func() { c.ReceiveGossip(msgs) }) }, membership.Lanes{
 		Orders: func(packet []byte) {
 			c.Post(func() {
 				if hands != nil {
@@ -59,7 +59,7 @@
 		}
 		c.Post(func() { hands = h; h.Guard() })
 	}
-	c.Post(func() { c.Share(shared, m) })
+	c.Post(func() { c.JoinCluster(shared, m) })
 	go m.Run(stop)
 	return t, nil
 }
--- a/cmd/hillknot/cluster_disabled.go
+++ b/cmd/hillknot/cluster_disabled.go
@@ -10,6 +10,6 @@
 )
 
 // talk refuses: the library that routers talk by costs every router 4 MB, used or not.
-func talk(*config.Config, *core.Core, *core.Shared, <-chan struct{}) (keyed, error) {
+func talk(*config.Config, *core.Core, *core.ClusterState, <-chan struct{}) (keyed, error) {
 	return nil, errors.New("key \"fleet\": this program was built without the tag cluster; make build puts one with it at bin/hillknot-cluster")
 }
--- a/cmd/hillknot/replace.go
+++ b/cmd/hillknot/replace.go
@@ -43,7 +43,7 @@
 		return
 	}
 	done := make(chan struct{})
-	r.core.Post(func() { r.core.TakeOver(s.Memory); close(done) })
+	r.core.Post(func() { r.core.ImportMemory(s.Memory); close(done) })
 	<-done
 	slog.Info("taken over", "members", len(s.Memory.Members), "purges", len(s.Memory.Purges), "objects", len(s.Memory.Objects))
 }
@@ -64,7 +64,7 @@
 // State implements handover.Owner. A loop that has no time hands nothing over.
 func (r *replacement) State() handover.State {
 	got := make(chan handover.State, 1)
-	r.core.Post(func() { got <- handover.State{Pos: r.feed.Position(), Memory: r.core.HandOver()} })
+	r.core.Post(func() { got <- handover.State{Pos: r.feed.Position(), Memory: r.core.ExportMemory()} })
 	t := time.NewTimer(r.lim.HandoverWait / 2)
 	defer t.Stop()
 	select {
--- a/cmd/hillknot/serve.go
+++ b/cmd/hillknot/serve.go
@@ -57,7 +57,7 @@
 	if err := netpoll.Configure(netpoll.Config{PollerNum: 1, LoggerOutput: os.Stderr}); err != nil {
 		return fmt.Errorf("configure netpoll: %w", err)
 	}
-	var shared *core.Shared
+	var shared *core.ClusterState
 	if cfg.Fleet.On {
 		if shared, err = share(cfg); err != nil {
 			return err
@@ -69,7 +69,7 @@
 	}
 	budget := netio.NewBudget(cfg.Limits.HeldBytes)
 	up := upstream.New(c, cfg.Limits, budget, clock.Now)
-	c.Use(up)
+	c.SetUpstream(up)
 	feed, err := discovery.New(c, cfg.Journal, cfg.Limits, cfg.Known)
 	if err != nil {
 		return fmt.Errorf("configuration: %w", err)
@@ -80,7 +80,7 @@
 		return err
 	}
 	defer front.Close()
-	c.Follow(func() bool { return feed.Behind() || front.Behind() || up.Behind() })
+	c.SetBacklogCheck(func() bool { return feed.Behind() || front.Behind() || up.Behind() })
 	var fronts []server
 	if cfg.DNS.Listen != "" {
 		f, err := dns.Listen(c, cfg.DNS, cfg.Limits, budget)
@@ -188,23 +188,23 @@
 // taken is answered. Where a successor has taken over, new connections are left to that at once, and the open ones
 // close as on standby.
 func finish(c *core.Core, front *msgpackrpc.Front, lim config.Limits) {
-	start := c.SignalArrival() // the signal may have come while the process stood still
-	c.Post(func() { c.Stop(start) })
+	start := c.EarliestSignal() // the signal may have come while the process stood still
+	c.Post(func() { c.BeginShutdown(start) })
 	for ; clock.Now()-start < lim.Finish; time.Sleep(10 * time.Millisecond) {
-		empty, followed := make(chan bool, 1), c.Snapshot().Followed
+		empty, followed := make(chan bool, 1), c.Snapshot().HasSuccessor
 		if followed {
 			front.StopAccepting()
 		}
 		if followed && front.Conns() > 0 || !followed && clock.Now()-start <= lim.Grace {
 			continue
 		}
-		if c.Post(func() { empty <- c.Empty() }); <-empty {
+		if c.Post(func() { empty <- c.CloseIfIdle() }); <-empty {
 			break
 		}
 	}
 	closed := make(chan struct{})
-	c.Post(func() { c.CloseFunds(); close(closed) })
+	c.Post(func() { c.CloseCredit(); close(closed) })
 	<-closed
-	slog.Info("ended", "after", clock.Now()-start, "followed", c.Snapshot().Followed)
+	slog.Info("ended", "after", clock.Now()-start, "followed", c.Snapshot().HasSuccessor)
 	front.Finish(start + lim.Finish + lim.Exit)
 }
--- a/cmd/hillknot/share.go
+++ b/cmd/hillknot/share.go
@@ -10,9 +10,9 @@
 type keyed interface{ Reread() error }
 
 // share prepares what the router shares with others, and has the module ask for it.
-func share(cfg *config.Config) (*core.Shared, error) {
+func share(cfg *config.Config) (*core.ClusterState, error) {
 	cfg.Fleet.State.Process = uint64(clock.Wall()) // higher than that of any process before
-	s, err := core.NewShared(core.Talk{State: cfg.Fleet.State, Cold: cfg.Fleet.Cold, Retries: cfg.Fleet.Retries})
+	s, err := core.NewClusterState(core.ClusterSettings{State: cfg.Fleet.State, WarmUp: cfg.Fleet.Cold, Retries: cfg.Fleet.Retries})
 	if err == nil {
 		cfg.Settings.Coordinator = s
 	}
--- a/internal/cluster/membership/membership.go
+++ b/internal/cluster/membership/membership.go
@@ -243,8 +243,8 @@
 	}
 }
 
-// Lost is how many letters were dropped because too many waited.
-func (m *Members) Lost() uint64 { return m.lost.Load() }
+// DroppedMessages is how many letters were dropped because too many waited.
+func (m *Members) DroppedMessages() uint64 { return m.lost.Load() }
 
 func (m *Members) post(p post) {
 	if p.to == "" {
@@ -279,8 +279,8 @@
 	}
 }
 
-// Know is all that one who has heard nothing is told when this router meets it.
-func (m *Members) Know(all []state.Message) {
+// PublishFullState is all that one who has heard nothing is told when this router meets it.
+func (m *Members) PublishFullState(all []state.Message) {
 	var b []byte
 	for _, msg := range all {
 		if b = msg.Append(b); len(b) > wholeMost/2 {
--- a/internal/core/attempts.go
+++ b/internal/core/attempts.go
@@ -14,14 +14,14 @@
 		c.events = append(c.events, balancer.Outcome{ID: g.ID, Attempt: g.Attempt, Endpoint: g.Endpoint, Status: balancer.NotSent, Answered: true})
 		return
 	}
-	a := &Attempt{Request: &r.Request, Get: g, Index: g.Attempt, Node: c.members[g.Endpoint], Unsafe: c.unsafe[r.Class], owner: r,
+	a := &Attempt{Request: &r.Request, Decision: g, Index: g.Attempt, Endpoint: c.members[g.Endpoint], NonIdempotent: c.unsafe[r.Class], owner: r,
 		sent: c.now, until: r.end}
 	if g.Timeout > 0 {
 		a.until = min(a.until, c.now+g.Timeout)
 	}
-	if r.attempt != nil || a.Node == nil { // never two at once, and only to who is listed
+	if r.attempt != nil || a.Endpoint == nil { // never two at once, and only to who is listed
 		a.over = true
-		c.outcome(a, End{Status: balancer.NotSent})
+		c.outcome(a, AttemptResult{Status: balancer.NotSent})
 		return
 	}
 	if g.Source != g.Endpoint {
@@ -36,7 +36,7 @@
 		heap.Push(&c.timers, timer{at: a.until, attempt: a})
 	}
 	if s, n := c.Permit(a); s != balancer.OK {
-		c.End(a, End{Status: s, Note: n})
+		c.CompleteAttempt(a, AttemptResult{Status: s, Note: n})
 		return
 	}
 	c.up.Send(a)
@@ -53,17 +53,17 @@
 		return balancer.NotSent, balancer.NoDetail
 	case a.owner.ran && c.unsafe[a.owner.Class] && now-a.owner.ranAt >= c.repeat[a.owner.Class]:
 		return balancer.NotSent, balancer.NoDetail
-	case a.Node.State != balancer.InService:
+	case a.Endpoint.State != balancer.InService:
 		return balancer.ConnectFailed, balancer.NoDetail
-	case a.Get.Source != a.Get.Endpoint && (a.Source == nil || a.Source.State != balancer.InService):
+	case a.Decision.Source != a.Decision.Endpoint && (a.Source == nil || a.Source.State != balancer.InService):
 		return balancer.Rejected, balancer.SourceRejected
 	}
-	a.Left = min(a.until+c.lim.AttemptGrace, a.owner.expiry) - now
+	a.Timeout = min(a.until+c.lim.AttemptGrace, a.owner.expiry) - now
 	return balancer.OK, balancer.NoDetail
 }
 
-// End reports how an attempt ended. What has ended already is ignored.
-func (c *Core) End(a *Attempt, e End) {
+// CompleteAttempt reports how an attempt ended. What has ended already is ignored.
+func (c *Core) CompleteAttempt(a *Attempt, e AttemptResult) {
 	if a.over {
 		return
 	}
@@ -80,8 +80,8 @@
 	if e.Status == balancer.OK && c.open[r.id] == r {
 		c.forget(r)
 		a := Answer{Verdict: Served, Body: e.Body}
-		if e.Unchanged {
-			a = Answer{Verdict: Unchanged}
+		if e.NotModified {
+			a = Answer{Verdict: NotModified}
 		}
 		c.ended(r, a)
 		c.conclude(r, a)
@@ -89,9 +89,9 @@
 	c.outcome(a, e)
 }
 
-func (c *Core) outcome(a *Attempt, e End) {
-	c.events = append(c.events, balancer.Outcome{ID: a.owner.id, Attempt: a.Index, Endpoint: a.Get.Endpoint, Status: e.Status,
-		Elapsed: c.now - a.sent, SourceWait: e.Waited, Answered: c.open[a.owner.id] != a.owner, Detail: e.Note})
+func (c *Core) outcome(a *Attempt, e AttemptResult) {
+	c.events = append(c.events, balancer.Outcome{ID: a.owner.id, Attempt: a.Index, Endpoint: a.Decision.Endpoint, Status: e.Status,
+		Elapsed: c.now - a.sent, SourceWait: e.SourceWait, Answered: c.open[a.owner.id] != a.owner, Detail: e.Note})
 }
 
 func (c *Core) timeOut(a *Attempt) {
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -39,7 +39,7 @@
 	purged  []told // purges that came after the module had decided what is being carried out
 	open    map[balancer.RequestID]*request
 	txns    map[string]*request // the open requests
-	members map[balancer.EndpointID]*Member
+	members map[balancer.EndpointID]*Endpoint
 	queries map[balancer.RequestID]*query
 	timers  timers
 	listed  bool
@@ -55,14 +55,14 @@
 	maxWait  time.Duration // the longest that a refused client may be told to stay away
 
 	classes    map[string]int // places in tallies
-	tallies    []Tally
+	tallies    []ClassCounts
 	dispatches uint64
 	violations uint64 // of rules, as they are checked at run time
 	snap       atomic.Pointer[Snapshot]
 	trace      bool
-	funds      Funds                    // nil: requests are free
-	rights     Rights                   // nil: orders end with their router
-	shared     *Shared                  // nil: nothing is shared with other routers
+	funds      Credit                   // nil: requests are free
+	rights     OrderFailover            // nil: orders end with their router
+	shared     *ClusterState            // nil: nothing is shared with other routers
 	warm       map[string]time.Duration // by kind: a member that started so long ago is warm
 }
 
@@ -73,7 +73,7 @@
 		return nil, err
 	}
 	c := &Core{balancer: b, clock: clock, lim: lim, wake: make(chan struct{}, 1), unsafe: map[string]bool{}, repeat: map[string]time.Duration{}, fresh: map[string]time.Duration{},
-		open: map[balancer.RequestID]*request{}, txns: map[string]*request{}, members: map[balancer.EndpointID]*Member{},
+		open: map[balancer.RequestID]*request{}, txns: map[string]*request{}, members: map[balancer.EndpointID]*Endpoint{},
 		queries: map[balancer.RequestID]*query{}, classes: map[string]int{}, maxWait: s.MaxRetryAfter}
 	for i, k := range s.Classes {
 		c.unsafe[k.Name] = k.Idempotency != balancer.Idempotent
@@ -82,9 +82,9 @@
 		}
 		c.fresh[k.Name] = k.FreshnessLifetime
 		c.classes[k.Name] = i
-		c.tallies = append(c.tallies, Tally{Class: k.Name})
+		c.tallies = append(c.tallies, ClassCounts{Class: k.Name})
 	}
-	c.tallies = append(c.tallies, Tally{Class: Unknown})
+	c.tallies = append(c.tallies, ClassCounts{Class: UnknownClass})
 	c.warm = map[string]time.Duration{}
 	for i, kind := range s.Kinds {
 		switch i {
@@ -102,12 +102,12 @@
 	return c, nil
 }
 
-// Use sets the upstream. It is called once, before Run.
-func (c *Core) Use(up Upstream) { c.up = up }
+// SetUpstream sets the upstream. It is called once, before Run.
+func (c *Core) SetUpstream(up Upstream) { c.up = up }
 
-// Follow sets what tells whether sockets hold something that came in before now and has not been handed on yet: of the
+// SetBacklogCheck sets what tells whether sockets hold something that came in before now and has not been handed on yet: of the
 // journal, of clients, or of page caches that owe answers. It is called once, before Run.
-func (c *Core) Follow(behind func() bool) { c.behind = behind }
+func (c *Core) SetBacklogCheck(behind func() bool) { c.behind = behind }
 
 // NewID returns an id that no other request has. It may be called anywhere.
 func (c *Core) NewID() balancer.RequestID { return balancer.RequestID(c.ids.Add(1)) }
@@ -127,8 +127,8 @@
 	}
 }
 
-// Tell is Post for what the journal tells: in the turn that takes it, it comes before all else.
-func (c *Core) Tell(f func()) {
+// PostWatchEvent is Post for what the journal tells: in the turn that takes it, it comes before all else.
+func (c *Core) PostWatchEvent(f func()) {
 	c.mu.Lock()
 	c.news = append(c.news, f)
 	c.mu.Unlock()
@@ -192,15 +192,15 @@
 	}
 }
 
-// Arrival returns the earliest moment at which what is read from a socket now may have come in: now, or where the process
+// EarliestArrival returns the earliest moment at which what is read from a socket now may have come in: now, or where the process
 // stood still, the moment from which on it did. It may be called anywhere.
-func (c *Core) Arrival() time.Duration { return c.stalls.arrival(c.clock()) }
+func (c *Core) EarliestArrival() time.Duration { return c.stalls.arrival(c.clock()) }
 
-// SignalArrival is Arrival for a signal.
-func (c *Core) SignalArrival() time.Duration { return c.stalls.signal(c.clock()) }
+// EarliestSignal is Arrival for a signal.
+func (c *Core) EarliestSignal() time.Duration { return c.stalls.signal(c.clock()) }
 
-// Turn does all that is ready and returns when the next timer is due, if any.
-func (c *Core) Turn() (next time.Duration, any bool) { return c.turn(c.clock()) }
+// RunOnce does all that is ready and returns when the next timer is due, if any.
+func (c *Core) RunOnce() (next time.Duration, any bool) { return c.turn(c.clock()) }
 
 // turn is Turn where it was looked for a stall at a time that may be some while ago.
 func (c *Core) turn(checked time.Duration) (next time.Duration, any bool) {
@@ -250,10 +250,10 @@
 			c.giveUp(r.attempt, balancer.Cancelled)
 		}
 	case balancer.Reject:
-		c.resolved(a.ID, Resolved{Refused: true})
-		c.answer(c.open[a.ID], Answer{Verdict: Refused, Wait: a.RetryAfter})
+		c.resolved(a.ID, QueryResult{Rejected: true})
+		c.answer(c.open[a.ID], Answer{Verdict: Rejected, RetryAfter: a.RetryAfter})
 	case balancer.Fail:
-		c.resolved(a.ID, Resolved{})
+		c.resolved(a.ID, QueryResult{})
 		c.answer(c.open[a.ID], Answer{Verdict: Failed, Reason: "Failed"})
 	case balancer.ResolveAnswer:
 		c.named(a)
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -30,7 +30,7 @@
 	r.most = max(r.most, n)
 }
 
-func (r *rig) Quit(a *Attempt) {
+func (r *rig) Cancel(a *Attempt) {
 	for i, o := range r.out {
 		if o == a {
 			r.out = append(r.out[:i], r.out[i+1:]...)
@@ -39,20 +39,20 @@
 	}
 }
 
-func (r *rig) Forget(*Member) {}
+func (r *rig) CloseEndpoint(*Endpoint) {}
 
 func (r *rig) reply(a Answer) Verdict { r.answers = append(r.answers, a); return a.Verdict }
 
-func (r *rig) end(a *Attempt, e End) {
-	r.Quit(a)
-	r.c.End(a, e)
-	r.c.Turn()
+func (r *rig) end(a *Attempt, e AttemptResult) {
+	r.Cancel(a)
+	r.c.CompleteAttempt(a, e)
+	r.c.RunOnce()
 }
 
 func (r *rig) wait(d time.Duration) {
 	for until := r.now + d; r.now < until; {
 		r.now += min(5*time.Millisecond, until-r.now)
-		r.c.Turn()
+		r.c.RunOnce()
 	}
 }
 
@@ -71,10 +71,10 @@
 		t.Fatal(err)
 	}
 	r.c = c
-	c.Use(r)
-	c.Members(true, []Host{{ID: "a", Addr: "127.1.0.1:1", Kind: "box", Zone: "edge"}, {ID: "b", Addr: "127.1.0.2:1", Kind: "box", Zone: "edge"},
+	c.SetUpstream(r)
+	c.UpdateEndpoints(true, []EndpointUpdate{{ID: "a", Addr: "127.1.0.1:1", Kind: "box", Zone: "edge"}, {ID: "b", Addr: "127.1.0.2:1", Kind: "box", Zone: "edge"},
 		{ID: "m", Addr: "127.1.0.3:1", Kind: "mid", Zone: "hub"}, {ID: "o", Addr: "127.1.0.4:1", Kind: "store", Zone: "hub"}})
-	c.Turn()
+	c.RunOnce()
 	return r
 }
 
@@ -85,9 +85,9 @@
 // submitted submits a request that came in some time ago.
 func (r *rig) submitted(class string, limit, ago time.Duration) balancer.RequestID {
 	id := r.c.NewID()
-	r.c.Submit(id, Request{Txn: strconv.Itoa(int(id)), Class: class, Object: 7, Limit: limit, Write: class == "order",
-		Arrived: r.now - ago, Reply: r.reply})
-	r.c.Turn()
+	r.c.Submit(id, Request{Txn: strconv.Itoa(int(id)), Class: class, Object: 7, Timeout: limit, Write: class == "order",
+		ArrivedAt: r.now - ago, Reply: r.reply})
+	r.c.RunOnce()
 	return id
 }
 
@@ -104,7 +104,7 @@
 	if len(r.out) != 1 || r.out[0].Source == nil {
 		t.Fatalf("attempts %+v", r.out)
 	}
-	r.end(r.out[0], End{Status: balancer.OK, Note: balancer.Hit, Body: []byte("x")})
+	r.end(r.out[0], AttemptResult{Status: balancer.OK, Note: balancer.Hit, Body: []byte("x")})
 	r.wait(4 * second)
 	r.one("served", Served)
 }
@@ -119,7 +119,7 @@
 			for end := r.now + 3*second; r.now < end && len(r.answers) == 0; r.wait(20 * time.Millisecond) {
 				if len(r.out) > 0 {
 					sent++
-					r.end(r.out[0], End{Status: s})
+					r.end(r.out[0], AttemptResult{Status: s})
 				}
 			}
 			if len(r.answers) != 1 || r.most != 1 {
@@ -150,8 +150,8 @@
 	for _, waited := range []time.Duration{0, 200 * ms, 700 * ms} {
 		r := newRig(t)
 		r.submitted("page", second, waited)
-		if a := r.out[0]; a.Left != second-waited {
-			t.Errorf("%v after it came in: told %v", waited, a.Left)
+		if a := r.out[0]; a.Timeout != second-waited {
+			t.Errorf("%v after it came in: told %v", waited, a.Timeout)
 		}
 		r.wait(second - waited - 15*ms - ms)
 		if len(r.out) != 1 {
@@ -161,7 +161,7 @@
 		if len(r.out) != 0 {
 			t.Errorf("%v after it came in: still out as the page cache's time ends", waited)
 		}
-		r.one("silent", Refused)
+		r.one("silent", Rejected)
 	}
 }
 
@@ -169,7 +169,7 @@
 func TestRequestReadTooLate(t *testing.T) {
 	r := newRig(t)
 	r.submitted("page", second, second)
-	r.one("too late", Refused)
+	r.one("too late", Rejected)
 	if r.most != 0 {
 		t.Error("it was sent on")
 	}
@@ -179,8 +179,8 @@
 func TestWithdraw(t *testing.T) {
 	r := newRig(t)
 	id := r.submit("page", second)
-	r.c.Withdraw(id)
-	r.c.Turn()
+	r.c.CancelRequest(id)
+	r.c.RunOnce()
 	r.wait(2 * second)
 	if len(r.out) != 0 || len(r.answers) != 0 {
 		t.Errorf("%d attempts out, answers %+v", len(r.out), r.answers)
@@ -193,14 +193,14 @@
 		r := newRig(t)
 		r.submit("page", second)
 		a := r.out[0]
-		m := a.Node
+		m := a.Endpoint
 		if drained == "source" {
 			m = a.Source
 		}
 		if s, _ := r.c.Permit(a); s != balancer.OK {
 			t.Fatalf("before: %d", s)
 		}
-		r.c.Members(false, []Host{{ID: m.ID, Addr: m.Addr, Kind: "box", Zone: "edge", State: balancer.Draining}})
+		r.c.UpdateEndpoints(false, []EndpointUpdate{{ID: m.ID, Addr: m.Addr, Kind: "box", Zone: "edge", State: balancer.Draining}})
 		if s, _ := r.c.Permit(a); !s.NeverRan() {
 			t.Errorf("%s drained: status %d, want one that proves that it never ran", drained, s)
 		}
@@ -212,9 +212,9 @@
 	r := newRig(t)
 	id := r.submit("page", second)
 	a := r.out[0]
-	r.c.Withdraw(id)
-	r.c.End(a, End{Status: balancer.OK})
-	r.c.Turn()
+	r.c.CancelRequest(id)
+	r.c.CompleteAttempt(a, AttemptResult{Status: balancer.OK})
+	r.c.RunOnce()
 	if len(r.answers) != 0 {
 		t.Errorf("answers %+v", r.answers)
 	}
@@ -228,7 +228,7 @@
 	}
 	before := len(r.answers)
 	r.submit("page", 3*second)
-	if got := r.answers[before:]; len(got) != 1 || got[0].Verdict != Refused {
+	if got := r.answers[before:]; len(got) != 1 || got[0].Verdict != Rejected {
 		t.Errorf("answers %+v, want a refusal", got)
 	}
 }
@@ -238,14 +238,14 @@
 func TestSameIDTwice(t *testing.T) {
 	r := newRig(t)
 	for range 2 {
-		r.c.Submit(r.c.NewID(), Request{Txn: "t", Class: "page", Object: 7, Limit: second, Reply: r.reply})
-		r.c.Turn()
+		r.c.Submit(r.c.NewID(), Request{Txn: "t", Class: "page", Object: 7, Timeout: second, Reply: r.reply})
+		r.c.RunOnce()
 	}
 	r.one("second", Failed)
 	if len(r.out) != 1 {
 		t.Fatalf("%d attempts are out", len(r.out))
 	}
-	r.end(r.out[0], End{Status: balancer.OK})
+	r.end(r.out[0], AttemptResult{Status: balancer.OK})
 	if len(r.answers) != 2 || r.answers[1].Verdict != Served {
 		t.Errorf("answers %+v", r.answers)
 	}
@@ -257,9 +257,9 @@
 	r := newRig(t)
 	for range 500 {
 		id := r.c.NewID()
-		r.c.Submit(id, Request{Txn: strconv.Itoa(int(id)), Class: "page", Object: 7, Limit: second, Reply: r.reply})
-		r.c.Withdraw(id)
-		r.c.Turn()
+		r.c.Submit(id, Request{Txn: strconv.Itoa(int(id)), Class: "page", Object: 7, Timeout: second, Reply: r.reply})
+		r.c.CancelRequest(id)
+		r.c.RunOnce()
 	}
 	r.submit("page", second)
 	if len(r.out) != 1 || len(r.answers) != 0 {
@@ -273,47 +273,47 @@
 	for range 3 {
 		r.submit("page", 3*second)
 	}
-	if s := r.c.Snapshot(); s.Open != 3 || s.Targets != 2 || s.Avoided != 0 {
+	if s := r.c.Snapshot(); s.OpenRequests != 3 || s.Endpoints != 2 || s.AvoidedEndpoints != 0 {
 		t.Errorf("three are open, two page caches are well: %+v", s)
 	}
-	r.end(r.out[0], End{Status: balancer.OK})
+	r.end(r.out[0], AttemptResult{Status: balancer.OK})
 	id := r.submit("page", 3*second)
-	r.c.Withdraw(id)
+	r.c.CancelRequest(id)
 	r.submit("order", second)
 	r.submit("page", time.Millisecond) // less time than the margin: refused at once
-	r.c.Count("what", Failed)
+	r.c.CountAnswer("what", Failed)
 	r.wait(4 * second) // the rest gets no answer from its page cache
 	s := r.c.Snapshot()
-	if p, o, u := s.Tallies[0], s.Tallies[1], s.Tallies[2]; p != (Tally{"page", 1, 3, 0}) || o != (Tally{"order", 0, 0, 1}) || u != (Tally{Unknown, 0, 0, 1}) {
-		t.Errorf("tallies %+v", s.Tallies)
+	if p, o, u := s.ByClass[0], s.ByClass[1], s.ByClass[2]; p != (ClassCounts{"page", 1, 3, 0}) || o != (ClassCounts{"order", 0, 0, 1}) || u != (ClassCounts{UnknownClass, 0, 0, 1}) {
+		t.Errorf("tallies %+v", s.ByClass)
 	}
-	if s.Open != 0 {
-		t.Errorf("%d are open", s.Open)
+	if s.OpenRequests != 0 {
+		t.Errorf("%d are open", s.OpenRequests)
 	}
 }
 
 // What drains, and what fails all that it is asked, is told as avoided; once it is well again it is not.
 func TestAvoided(t *testing.T) {
 	r := newRig(t)
-	r.c.Members(false, []Host{{ID: "a", Addr: "127.1.0.1:1", Kind: "box", Zone: "edge", State: balancer.Draining}})
-	r.c.Turn()
-	if s := r.c.Snapshot(); s.Targets != 2 || s.Avoided != 1 {
-		t.Errorf("one drains: %d of %d are avoided", s.Avoided, s.Targets)
+	r.c.UpdateEndpoints(false, []EndpointUpdate{{ID: "a", Addr: "127.1.0.1:1", Kind: "box", Zone: "edge", State: balancer.Draining}})
+	r.c.RunOnce()
+	if s := r.c.Snapshot(); s.Endpoints != 2 || s.AvoidedEndpoints != 1 {
+		t.Errorf("one drains: %d of %d are avoided", s.AvoidedEndpoints, s.Endpoints)
 	}
 	for range 3 {
 		r.submit("page", second)
 		for len(r.out) > 0 {
-			r.end(r.out[0], End{Status: balancer.Error})
+			r.end(r.out[0], AttemptResult{Status: balancer.Error})
 		}
 	}
-	if s := r.c.Snapshot(); s.Avoided != 2 {
-		t.Errorf("the other fails: %d are avoided", s.Avoided)
+	if s := r.c.Snapshot(); s.AvoidedEndpoints != 2 {
+		t.Errorf("the other fails: %d are avoided", s.AvoidedEndpoints)
 	}
 	r.wait(2 * second)
 	r.submit("page", second)
-	r.end(r.out[0], End{Status: balancer.OK, Note: balancer.Hit})
-	if s := r.c.Snapshot(); s.Avoided != 1 {
-		t.Errorf("the other is well again: %d are avoided", s.Avoided)
+	r.end(r.out[0], AttemptResult{Status: balancer.OK, Note: balancer.Hit})
+	if s := r.c.Snapshot(); s.AvoidedEndpoints != 1 {
+		t.Errorf("the other is well again: %d are avoided", s.AvoidedEndpoints)
 	}
 }
 
@@ -322,34 +322,34 @@
 func TestStandby(t *testing.T) {
 	r := newRig(t)
 	r.c.lim.LeaveBehind, r.c.lim.LeaveIdle, r.c.lim.LeaveRefuse, r.c.lim.LeaveCut = second/2, second, 2*second, 3*second
-	r.c.Standby()
-	r.c.Turn()
-	if r.c.Snapshot().Phase != Standby || r.c.Leaving() != Stay {
-		t.Errorf("phase %v, leaving %d", r.c.Snapshot().Phase, r.c.Leaving())
+	r.c.EnterStandby()
+	r.c.RunOnce()
+	if r.c.Snapshot().Phase != Standby || r.c.DrainStage() != NotDraining {
+		t.Errorf("phase %v, leaving %d", r.c.Snapshot().Phase, r.c.DrainStage())
 	}
 	r.submit("page", second)
-	r.end(r.out[0], End{Status: balancer.OK})
+	r.end(r.out[0], AttemptResult{Status: balancer.OK})
 	r.one("on standby", Served)
-	for _, want := range []Leave{Behind, Idle, Idle, Refuse, Refuse, Cut} {
-		if r.wait(second / 2); r.c.Leaving() != want {
-			t.Errorf("after %v: leaving %d, want %d", r.now-r.c.left, r.c.Leaving(), want)
+	for _, want := range []DrainStage{CloseAfterResponse, CloseIdle, CloseIdle, RejectNew, RejectNew, CloseAll} {
+		if r.wait(second / 2); r.c.DrainStage() != want {
+			t.Errorf("after %v: leaving %d, want %d", r.now-r.c.left, r.c.DrainStage(), want)
 		}
 	}
 	r.c.maxWait = second
 	r.submit("page", second)
-	if a := r.answers[1]; a.Verdict != Refused || a.Wait != second || len(r.out) != 0 {
+	if a := r.answers[1]; a.Verdict != Rejected || a.RetryAfter != second || len(r.out) != 0 {
 		t.Errorf("at the end: %+v, %d attempts; want a refusal that says when to come back", a, len(r.out))
 	}
-	if !r.c.Active() {
+	if !r.c.LeaveStandby() {
 		t.Error("not active again")
 	}
-	r.c.Turn()
-	if r.submit("page", second); r.c.Snapshot().Phase != Serving || r.c.Leaving() != Stay || len(r.out) != 1 {
-		t.Errorf("active again: phase %v, leaving %d, %d attempts", r.c.Snapshot().Phase, r.c.Leaving(), len(r.out))
+	r.c.RunOnce()
+	if r.submit("page", second); r.c.Snapshot().Phase != Serving || r.c.DrainStage() != NotDraining || len(r.out) != 1 {
+		t.Errorf("active again: phase %v, leaving %d, %d attempts", r.c.Snapshot().Phase, r.c.DrainStage(), len(r.out))
 	}
-	r.c.Stop(r.now)
-	r.c.Standby()
-	if r.c.Active() || r.c.phase() != Ending {
+	r.c.BeginShutdown(r.now)
+	r.c.EnterStandby()
+	if r.c.LeaveStandby() || r.c.phase() != ShuttingDown {
 		t.Errorf("phase %v; a router that ends goes on with that", r.c.phase())
 	}
 }
@@ -360,19 +360,19 @@
 	r := newRig(t)
 	r.c.lim.LeaveBehind, r.c.lim.LeaveIdle, r.c.lim.LeaveRefuse, r.c.lim.LeaveCut = second/2, second, 2*second, 3*second
 	r.c.lim.Finish = 3 * second
-	r.c.Stop(r.now)
+	r.c.BeginShutdown(r.now)
 	r.wait(second)
 	r.submit("page", 5*second)
-	if r.c.Leaving() != Stay || r.c.Snapshot().Phase != Ending || len(r.out) != 1 {
-		t.Errorf("no successor: leaving %d, %d attempts", r.c.Leaving(), len(r.out))
+	if r.c.DrainStage() != NotDraining || r.c.Snapshot().Phase != ShuttingDown || len(r.out) != 1 {
+		t.Errorf("no successor: leaving %d, %d attempts", r.c.DrainStage(), len(r.out))
 	}
 	r.c.Followed(true)
-	r.c.Turn()
-	if r.c.Leaving() != Idle {
-		t.Errorf("a successor: leaving %d", r.c.Leaving())
+	r.c.RunOnce()
+	if r.c.DrainStage() != CloseIdle {
+		t.Errorf("a successor: leaving %d", r.c.DrainStage())
 	}
 	r.wait(2 * second)
-	r.one("still open", Refused)
+	r.one("still open", Rejected)
 }
 
 // A request open as SIGTERM comes ends, answered, before the platform may kill the process, though its client would
@@ -381,17 +381,17 @@
 func TestNothingIsTakenAtTheEnd(t *testing.T) {
 	r := newRig(t)
 	r.c.lim.Finish = 3 * second
-	r.c.Stop(r.now)
+	r.c.BeginShutdown(r.now)
 	r.submit("page", second)
-	if r.c.Empty() {
+	if r.c.CloseIfIdle() {
 		t.Fatal("it is empty with a request open")
 	}
-	r.end(r.out[0], End{Status: balancer.OK})
-	if len(r.answers) != 1 || !r.c.Empty() {
+	r.end(r.out[0], AttemptResult{Status: balancer.OK})
+	if len(r.answers) != 1 || !r.c.CloseIfIdle() {
 		t.Fatalf("%d answers, then not empty", len(r.answers))
 	}
 	r.submit("page", second)
-	if len(r.out) > 0 || len(r.answers) != 2 || r.answers[1].Verdict != Refused {
+	if len(r.out) > 0 || len(r.answers) != 2 || r.answers[1].Verdict != Rejected {
 		t.Errorf("%d sent, answers %+v", len(r.out), r.answers)
 	}
 }
@@ -401,21 +401,21 @@
 	r.c.lim.Finish = 3 * second
 	r.submit("page", 5*second)
 	r.wait(second)
-	r.c.Stop(r.now)
+	r.c.BeginShutdown(r.now)
 	r.wait(r.c.lim.Finish - r.c.lim.FinishMargin + 10*time.Millisecond)
-	r.one("open at SIGTERM", Refused)
+	r.one("open at SIGTERM", Rejected)
 }
 
 // A process that follows another is not ready before it is told so, though it knows the list.
 func TestHold(t *testing.T) {
 	r := newRig(t)
 	r.c.Hold(true)
-	r.c.Turn()
+	r.c.RunOnce()
 	if p := r.c.Snapshot().Phase; p != Starting {
 		t.Errorf("phase %v", p)
 	}
 	r.c.Hold(false)
-	r.c.Turn()
+	r.c.RunOnce()
 	if p := r.c.Snapshot().Phase; p != Serving {
 		t.Errorf("phase %v", p)
 	}
@@ -428,23 +428,23 @@
 	r.submit("page", 3*second)
 	r.submit("page", 3*second)
 	r.c.Purge(false, 8, 0, r.now)
-	if r.out[0].Get.MaxAge != 0 {
-		t.Errorf("the purge of another object: newer than %v", r.out[0].Get.MaxAge)
+	if r.out[0].Decision.MaxAge != 0 {
+		t.Errorf("the purge of another object: newer than %v", r.out[0].Decision.MaxAge)
 	}
 	r.c.Post(func() {
-		r.c.Submit(r.c.NewID(), Request{Txn: "late", Class: "page", Object: 7, Limit: 3 * second, Reply: r.reply})
+		r.c.Submit(r.c.NewID(), Request{Txn: "late", Class: "page", Object: 7, Timeout: 3 * second, Reply: r.reply})
 	})
 	at := r.now
 	r.now += 100 * time.Millisecond
-	r.c.Tell(func() { r.c.Purge(false, 7, 0, at) })
-	r.c.Turn()
+	r.c.PostWatchEvent(func() { r.c.Purge(false, 7, 0, at) })
+	r.c.RunOnce()
 	r.c.Purge(false, 7, 0, at-second)
 	if len(r.out) != 3 {
 		t.Fatalf("%d attempts", len(r.out))
 	}
 	for i, a := range r.out {
-		if a.Get.MaxAge <= 0 || a.Get.MaxAge > 100*time.Millisecond {
-			t.Errorf("attempt %d may be served a copy %v old, of an object purged 100 ms ago", i, a.Get.MaxAge)
+		if a.Decision.MaxAge <= 0 || a.Decision.MaxAge > 100*time.Millisecond {
+			t.Errorf("attempt %d may be served a copy %v old, of an object purged 100 ms ago", i, a.Decision.MaxAge)
 		}
 	}
 }
@@ -458,7 +458,7 @@
 				r := newRig(t)
 				id := r.submit(class, second)
 				a := r.out[0]
-				steps := []func(){func() { r.c.Withdraw(id) }, func() { r.Quit(a); r.c.End(a, End{Status: status}) }}
+				steps := []func(){func() { r.c.CancelRequest(id) }, func() { r.Cancel(a); r.c.CompleteAttempt(a, AttemptResult{Status: status}) }}
 				if !cancelFirst {
 					steps[0], steps[1] = steps[1], steps[0]
 				}
@@ -466,7 +466,7 @@
 					r.c.Post(f)
 				}
 				r.now += second // the time is up, too
-				r.c.Turn()
+				r.c.RunOnce()
 				r.wait(2 * second)
 				if len(r.out) > 0 || r.most > 1 {
 					t.Errorf("%s, status %d, cancelled first %v: %d attempts out, %d at once", class, status, cancelFirst, len(r.out), r.most)
--- a/internal/core/funds.go
+++ b/internal/core/funds.go
@@ -7,24 +7,24 @@
 	"hillknot/internal/operatorhint"
 )
 
-// Payment is what is set aside for a request, as Funds knows it; nil: nothing.
-type Payment any
-
-// Funds says what a request's account allows. Its methods are called on the core's goroutine; none may block but Close.
-type Funds interface {
-	Reserve(q *Request) (Payment, error)                 // an error: it is refused, and never ran
-	Settle(p Payment, ran bool, bytes int)               // it was served with so many bytes, or may have run; or surely not
-	Later(err error) (wait time.Duration, reason string) // what a refused client is told
-	Flush()                                              // what is to be written and said goes out
-	Figures() []Figure                                   // for operators
-	Close()                                              // the router ends
+// Reservation is what is set aside for a request, as Funds knows it; nil: nothing.
+type Reservation any
+
+// Credit says what a request's account allows. Its methods are called on the core's goroutine; none may block but Close.
+type Credit interface {
+	Reserve(q *Request) (Reservation, error)                  // an error: it is refused, and never ran
+	Settle(p Reservation, ran bool, bytes int)                // it was served with so many bytes, or may have run; or surely not
+	RetryAfter(err error) (wait time.Duration, reason string) // what a refused client is told
+	Flush()                                                   // what is to be written and said goes out
+	Metrics() []Metric                                        // for operators
+	Close()                                                   // the router ends
 }
 
-// Charge has requests paid for. It is called once, on the core's goroutine.
-func (c *Core) Charge(f Funds) { c.funds = f }
+// SetCredit has requests paid for. It is called once, on the core's goroutine.
+func (c *Core) SetCredit(f Credit) { c.funds = f }
 
-// CloseFunds brings back what is not spent. It is called once nothing is open any more.
-func (c *Core) CloseFunds() {
+// CloseCredit brings back what is not spent. It is called once nothing is open any more.
+func (c *Core) CloseCredit() {
 	if c.funds != nil {
 		c.funds.Close()
 		c.funds = nil
@@ -38,9 +38,9 @@
 	}
 	p, err := c.funds.Reserve(&r.Request)
 	if err != nil {
-		wait, reason := c.funds.Later(err)
+		wait, reason := c.funds.RetryAfter(err)
 		slog.Debug("request not paid for", "txn", r.Txn, "account", r.Account, operatorhint.Attr(err))
-		c.answer(r, Answer{Verdict: Refused, Wait: wait, Reason: reason})
+		c.answer(r, Answer{Verdict: Rejected, RetryAfter: wait, Reason: reason})
 		return false
 	}
 	r.paid = p
--- a/internal/core/members.go
+++ b/internal/core/members.go
@@ -11,18 +11,18 @@
 
 // The list of members as the journal tells it, and purges.
 
-// Host is a line of the list.
-type Host struct {
+// EndpointUpdate is a line of the list.
+type EndpointUpdate struct {
 	ID, Addr, Kind, Zone string
 	Cell                 int
 	Weight               float64
 	State                balancer.EndpointState
-	Stamp                clock.Stamp   // of a late start, by which it is known; 0: long ago
-	Start                time.Duration // when that was, on the core's clock
+	StartStamp           clock.Stamp   // of a late start, by which it is known; 0: long ago
+	StartedAt            time.Duration // when that was, on the core's clock
 }
 
-// NodeOf is the module's id of a member. All routers derive the same.
-func NodeOf(id string) balancer.EndpointID {
+// NodeIDOf is the module's id of a member. All routers derive the same.
+func NodeIDOf(id string) balancer.EndpointID {
 	h := uint64(14695981039346656037) // FNV-1a
 	for i := range len(id) {
 		h = (h ^ uint64(id[i])) * 1099511628211
@@ -30,18 +30,18 @@
 	return balancer.EndpointID(h)
 }
 
-// Members takes the list, or changes to it.
-func (c *Core) Members(full bool, hosts []Host) {
+// UpdateEndpoints takes the list, or changes to it.
+func (c *Core) UpdateEndpoints(full bool, hosts []EndpointUpdate) {
 	ev := balancer.EndpointUpdate{Complete: full, Endpoints: make([]balancer.Endpoint, 0, len(hosts))}
 	for _, h := range hosts {
-		n := NodeOf(h.ID)
+		n := NodeIDOf(h.ID)
 		m := c.members[n]
 		if m == nil {
-			m = &Member{ID: h.ID, node: n}
+			m = &Endpoint{ID: h.ID, node: n}
 		}
 		restarted := m.started(h)
 		if m.Addr != "" && (m.Addr != h.Addr || restarted) {
-			c.up.Forget(m) // another process is there now
+			c.up.CloseEndpoint(m) // another process is there now
 		}
 		m.Addr, m.State, m.kind = h.Addr, h.State, h.Kind
 		c.members[n] = m
@@ -63,10 +63,10 @@
 }
 
 // dropUnlisted takes all members to be gone that a whole list lacks.
-func (c *Core) dropUnlisted(hosts []Host) {
+func (c *Core) dropUnlisted(hosts []EndpointUpdate) {
 	listed := make(map[balancer.EndpointID]bool, len(hosts))
 	for _, h := range hosts {
-		listed[NodeOf(h.ID)] = true
+		listed[NodeIDOf(h.ID)] = true
 	}
 	for n, m := range c.members {
 		if !listed[n] {
@@ -93,7 +93,7 @@
 	}
 	l.due = true
 	l.tell(c)
-	c.At(c.now+listLogEvery, func() {
+	c.Schedule(c.now+listLogEvery, func() {
 		l.due = false
 		if l.events > 0 {
 			l.tell(c)
@@ -108,20 +108,20 @@
 
 // started takes the start that the list tells of a member, and tells whether it is another than was told before. A stamp is
 // compared with its own kind alone: it is the word of a clock that may have been stepped between two starts.
-func (m *Member) started(h Host) bool {
-	if h.Stamp == 0 || h.Stamp == m.stamp {
+func (m *Endpoint) started(h EndpointUpdate) bool {
+	if h.StartStamp == 0 || h.StartStamp == m.stamp {
 		return false
 	}
-	m.stamp, m.start = h.Stamp, max(h.Start, m.start+1) // a later start is later, however they were dated
+	m.stamp, m.start = h.StartStamp, max(h.StartedAt, m.start+1) // a later start is later, however they were dated
 	return true
 }
 
-func (c *Core) gone(m *Member) {
+func (c *Core) gone(m *Endpoint) {
 	m.State = balancer.Removed
 	if c.shared != nil {
 		c.shared.listed(m)
 	}
-	c.up.Forget(m)
+	c.up.CloseEndpoint(m)
 	delete(c.members, m.node)
 }
 
@@ -152,7 +152,7 @@
 		return
 	}
 	age := max(c.now-p.at-time.Microsecond, time.Microsecond)
-	if most := cmp.Or(a.Get.MaxAge, c.fresh[r.Class]); most == 0 || age < most {
-		a.Get.MaxAge = age
+	if most := cmp.Or(a.Decision.MaxAge, c.fresh[r.Class]); most == 0 || age < most {
+		a.Decision.MaxAge = age
 	}
 }
--- a/internal/core/requests.go
+++ b/internal/core/requests.go
@@ -22,7 +22,7 @@
 
 	answered bool // its client was told
 
-	paid Payment // set aside for it
+	paid Reservation // set aside for it
 
 	// Where the loss of routers is guarded against.
 	kept     bool     // another router knows of it
@@ -31,25 +31,25 @@
 	ending   *Answer  // its refusal waits until no other router can run it
 }
 
-// Open is how many requests and queries are owed an answer.
-func (c *Core) Open() int { return len(c.open) + len(c.queries) }
+// OpenCount is how many requests and queries are owed an answer.
+func (c *Core) OpenCount() int { return len(c.open) + len(c.queries) }
 
 // Submit takes a request. Its answer is owed from now on.
 func (c *Core) Submit(id balancer.RequestID, q Request) {
-	arrived := cmp.Or(min(q.Arrived, c.now), c.now)
-	expiry := arrived + min(q.Limit, c.lim.Longest)
+	arrived := cmp.Or(min(q.ArrivedAt, c.now), c.now)
+	expiry := arrived + min(q.Timeout, c.lim.Longest)
 	left := expiry - c.lim.Margin - c.now
 	if c.stopping { // what is open as the router ends would be lost
 		left = min(left, c.last()-c.now)
 	}
 	switch {
-	case len(c.open) >= c.lim.Open || c.empty || c.Leaving() >= Refuse:
+	case len(c.open) >= c.lim.Open || c.empty || c.DrainStage() >= RejectNew:
 		c.traceTurnedAway(&q, "no room, or the router ends")
-		c.reply(&q, Answer{Verdict: Refused, Wait: c.maxWait})
+		c.reply(&q, Answer{Verdict: Rejected, RetryAfter: c.maxWait})
 		return
 	case left <= 0:
 		c.traceTurnedAway(&q, "no time is left")
-		c.reply(&q, Answer{Verdict: Refused})
+		c.reply(&q, Answer{Verdict: Rejected})
 		return
 	case c.txns[q.Txn] != nil: // page caches know a request by this id: two under one could not be told apart
 		c.traceTurnedAway(&q, "its txn is open already")
@@ -61,7 +61,7 @@
 	c.open[id] = r
 	c.txns[q.Txn] = r
 	heap.Push(&c.timers, timer{at: r.end, request: r})
-	if q.Resumes != "" && c.unsafe[q.Class] {
+	if q.ResumesTxn != "" && c.unsafe[q.Class] {
 		c.claim(r)
 		return
 	}
@@ -74,24 +74,24 @@
 		return
 	}
 	c.events = append(c.events, balancer.Request{ID: r.id, Class: r.Class, Object: r.Object, Part: r.Part, Group: r.Group,
-		Remaining: r.end - c.now, Write: r.Write, Retry: r.Again})
+		Remaining: r.end - c.now, Write: r.Write, Retry: r.Retry})
 }
 
-// Withdraw ends a request whose client no longer waits: nothing is owed, and its attempt is given up.
-func (c *Core) Withdraw(id balancer.RequestID) {
+// CancelRequest ends a request whose client no longer waits: nothing is owed, and its attempt is given up.
+func (c *Core) CancelRequest(id balancer.RequestID) {
 	if r := c.open[id]; r != nil {
 		c.drop(r)
 	}
 }
 
-// Abandon answers a request at once that is not worth any more work: its client breaks the protocol. It is refused where it
+// AbortRequest answers a request at once that is not worth any more work: its client breaks the protocol. It is refused where it
 // surely has not run, or may run again.
-func (c *Core) Abandon(id balancer.RequestID) {
+func (c *Core) AbortRequest(id balancer.RequestID) {
 	r := c.open[id]
 	if r == nil || r.ending != nil {
 		return
 	}
-	a := Answer{Verdict: Refused, Wait: c.maxWait}
+	a := Answer{Verdict: Rejected, RetryAfter: c.maxWait}
 	if r.claiming || c.unsafe[r.Class] && (r.ran || r.attempt != nil) {
 		a = failed
 	}
@@ -116,11 +116,11 @@
 
 // giveUp ends an attempt that is out. One that waits for the right to be written has surely not run.
 func (c *Core) giveUp(a *Attempt, s balancer.Status) {
-	c.up.Quit(a)
+	c.up.Cancel(a)
 	if a.owner.asking == a {
 		s = balancer.NotSent
 	}
-	c.End(a, End{Status: s})
+	c.CompleteAttempt(a, AttemptResult{Status: s})
 }
 
 // answer gives the final answer. An attempt that is still out is given up first.
@@ -139,7 +139,7 @@
 
 // conclude tells the client.
 func (c *Core) conclude(r *request, a Answer) {
-	c.settled(r, a.Verdict == Served || a.Verdict == Unchanged || r.ran, len(a.Body))
+	c.settled(r, a.Verdict == Served || a.Verdict == NotModified || r.ran, len(a.Body))
 	c.traceAnswer(r, a.Verdict)
 	c.checkAnswer(r)
 	c.reply(&r.Request, a)
@@ -147,7 +147,7 @@
 
 // reply gives the one answer to a request, and counts it.
 func (c *Core) reply(q *Request, a Answer) {
-	c.Count(q.Class, q.Reply(a))
+	c.CountAnswer(q.Class, q.Reply(a))
 }
 
 // overdue gives the answer that a silent module did not: no request may go without.
@@ -156,7 +156,7 @@
 		c.release(r, false)
 		return
 	}
-	a := Answer{Verdict: Refused}
+	a := Answer{Verdict: Rejected}
 	if r.claiming || r.ran && c.unsafe[r.Class] {
 		a = failed
 	}
--- a/internal/core/resolve.go
+++ b/internal/core/resolve.go
@@ -7,36 +7,36 @@
 	"hillknot/balancer"
 )
 
-// Query asks for members to name to a resolver.
-type Query struct {
-	Key   uint64
-	Want  int
-	Only  balancer.EndpointID // the only member that will do; 0: any
-	Load  float64
-	Hold  time.Duration // how long the resolver may keep the answer
-	Limit time.Duration
-	Reply func(Resolved) // called once on the core's goroutine
+// EndpointQuery asks for members to name to a resolver.
+type EndpointQuery struct {
+	Key      uint64
+	Count    int
+	OnlyNode balancer.EndpointID // the only member that will do; 0: any
+	Load     float64
+	TTL      time.Duration // how long the resolver may keep the answer
+	Timeout  time.Duration
+	Reply    func(QueryResult) // called once on the core's goroutine
 }
 
-// Resolved answers a query. No member and no refusal says that there is none.
-type Resolved struct {
-	Members []*Member
-	Refused bool
+// QueryResult answers a query. No member and no refusal says that there is none.
+type QueryResult struct {
+	Endpoints []*Endpoint
+	Rejected  bool
 }
 
 type query struct {
-	Query
+	EndpointQuery
 	id  balancer.RequestID
 	end time.Duration
 }
 
 // Resolve takes a query.
-func (c *Core) Resolve(q Query) {
+func (c *Core) Resolve(q EndpointQuery) {
 	if len(c.queries) >= c.lim.Resolves {
-		q.Reply(Resolved{Refused: true})
+		q.Reply(QueryResult{Rejected: true})
 		return
 	}
-	r := &query{Query: q, id: c.NewID(), end: c.now + q.Limit}
+	r := &query{EndpointQuery: q, id: c.NewID(), end: c.now + q.Timeout}
 	c.queries[r.id] = r
 	heap.Push(&c.timers, timer{at: r.end, query: r})
 	c.decide(r)
@@ -44,7 +44,7 @@
 
 // decide hands the query to the module.
 func (c *Core) decide(q *query) {
-	ev := balancer.Resolve{ID: q.id, Key: q.Key, MaxEndpoints: q.Want, OnlyEndpoint: q.Only, Load: q.Load, TTL: q.Hold}
+	ev := balancer.Resolve{ID: q.id, Key: q.Key, MaxEndpoints: q.Count, OnlyEndpoint: q.OnlyNode, Load: q.Load, TTL: q.TTL}
 	c.events = append(c.events, ev)
 }
 
@@ -55,23 +55,23 @@
 	if q == nil {
 		return
 	}
-	var ms []*Member
+	var ms []*Endpoint
 	for _, n := range a.Endpoints {
 		m := c.members[n]
 		if m == nil || m.State != balancer.InService {
 			if c.clock() < q.end {
 				c.decide(q)
 			} else {
-				c.resolved(q.id, Resolved{})
+				c.resolved(q.id, QueryResult{})
 			}
 			return
 		}
 		ms = append(ms, m)
 	}
-	c.resolved(q.id, Resolved{Members: ms})
+	c.resolved(q.id, QueryResult{Endpoints: ms})
 }
 
-func (c *Core) resolved(id balancer.RequestID, r Resolved) {
+func (c *Core) resolved(id balancer.RequestID, r QueryResult) {
 	if q := c.queries[id]; q != nil {
 		delete(c.queries, id)
 		q.Reply(r)
--- a/internal/core/rights.go
+++ b/internal/core/rights.go
@@ -9,50 +9,50 @@
 	"hillknot/internal/operatorhint"
 )
 
-// Rights decides whether an order may be written, where routers keep each other's orders so that these outlive them. Its
+// OrderFailover decides whether an order may be written, where routers keep each other's orders so that these outlive them. Its
 // methods are called on the core's goroutine; none may block, and it reports there by Granted, Denied, Released and Settled.
-type Rights interface {
-	Begin(q *Request, left time.Duration) error                  // an order is taken; an error says that it can't be
+type OrderFailover interface {
+	Replicate(q *Request, left time.Duration) error              // an order is taken; an error says that it can't be
 	Claim(id balancer.RequestID, q *Request, left time.Duration) // what became of the order that a request resumes?
-	Drop(id balancer.RequestID)                                  // nobody waits for a claim any more
-	Ask(txn string)                                              // an order is to be written
-	Right(txn string) bool                                       // it may be written now, and is
-	End(txn string, a Answer, ran bool) (wait bool)              // its client is to be told
-	Overdue(txn string)                                          // what End had wait, waits no more
-	Withdraw(txn string, ran bool)                               // its client does not wait
+	CancelClaim(id balancer.RequestID)                           // nobody waits for a claim any more
+	RequestLease(txn string)                                     // an order is to be written
+	UseLease(txn string) bool                                    // it may be written now, and is
+	Finish(txn string, a Answer, ran bool) (wait bool)           // its client is to be told
+	StopWaiting(txn string)                                      // what End had wait, waits no more
+	Cancel(txn string, ran bool)                                 // its client does not wait
 	Flush()                                                      // what is to be said goes out
-	Figures() []Figure                                           // for operators
+	Metrics() []Metric                                           // for operators
 }
 
-// Figure is a number for operators, under a name.
-type Figure struct {
+// Metric is a number for operators, under a name.
+type Metric struct {
 	Name, Help string
 	Value      uint64
-	Counts     bool // it only grows
+	Counter    bool // it only grows
 }
 
 var failed = Answer{Verdict: Failed, Reason: "Failed"}
 
-// Guard has orders outlive this router. It is called once, on the core's goroutine.
-func (c *Core) Guard(r Rights) { c.rights = r }
+// SetOrderFailover has orders outlive this router. It is called once, on the core's goroutine.
+func (c *Core) SetOrderFailover(r OrderFailover) { c.rights = r }
 
-// At has f called in the turn that comes at a time.
-func (c *Core) At(at time.Duration, f func()) { heap.Push(&c.timers, timer{at: at, call: f}) }
+// Schedule has f called in the turn that comes at a time.
+func (c *Core) Schedule(at time.Duration, f func()) { heap.Push(&c.timers, timer{at: at, call: f}) }
 
-// Now is the time of this turn.
-func (c *Core) Now() time.Duration { return c.now }
+// LoopTime is the time of this turn.
+func (c *Core) LoopTime() time.Duration { return c.now }
 
-// Clock is the time of this moment.
-func (c *Core) Clock() time.Duration { return c.clock() }
+// CurrentTime is the time of this moment.
+func (c *Core) CurrentTime() time.Duration { return c.clock() }
 
 // keep has an order kept by another router, and tells whether it goes on. One that nobody keeps is refused at once.
 func (c *Core) keep(r *request) bool {
 	if c.rights == nil || !c.unsafe[r.Class] {
 		return true
 	}
-	if err := c.rights.Begin(&r.Request, r.end-c.now); err != nil {
+	if err := c.rights.Replicate(&r.Request, r.end-c.now); err != nil {
 		slog.Warn("order refused", "txn", r.Txn, operatorhint.Attr(err))
-		c.answer(r, Answer{Verdict: Refused, Wait: c.maxWait})
+		c.answer(r, Answer{Verdict: Rejected, RetryAfter: c.maxWait})
 		return false
 	}
 	r.kept = true
@@ -70,9 +70,9 @@
 	c.rights.Claim(r.id, &r.Request, r.end-c.now)
 }
 
-// Settled takes what came of a claim: with run, the order is this router's to run, under the txn that it had; else its
+// ClaimResolved takes what came of a claim: with run, the order is this router's to run, under the txn that it had; else its
 // answer is known.
-func (c *Core) Settled(id balancer.RequestID, run bool, a Answer) {
+func (c *Core) ClaimResolved(id balancer.RequestID, run bool, a Answer) {
 	r := c.open[id]
 	if r == nil || !r.claiming {
 		return
@@ -82,30 +82,30 @@
 		c.answer(r, a)
 		return
 	}
-	if c.txns[r.Resumes] != nil { // it is open here already, which the claim would have found
+	if c.txns[r.ResumesTxn] != nil { // it is open here already, which the claim would have found
 		c.answer(r, failed)
 		return
 	}
 	delete(c.txns, r.Txn)
-	r.Txn, r.Again = r.Resumes, true
+	r.Txn, r.Retry = r.ResumesTxn, true
 	c.txns[r.Txn] = r
 	c.begin(r)
 }
 
-// Ready tells whether an attempt may be written as far as other routers have to know of it first. Where they have, it is
+// AcquireLease tells whether an attempt may be written as far as other routers have to know of it first. Where they have, it is
 // sent anew once they do.
-func (c *Core) Ready(a *Attempt) bool {
+func (c *Core) AcquireLease(a *Attempt) bool {
 	r := a.owner
-	if !r.kept || c.rights.Right(r.Txn) {
+	if !r.kept || c.rights.UseLease(r.Txn) {
 		return true
 	}
 	r.asking = a
-	c.rights.Ask(r.Txn)
+	c.rights.RequestLease(r.Txn)
 	return false
 }
 
-// Granted tells that an order may be written now.
-func (c *Core) Granted(txn string) {
+// LeaseGranted tells that an order may be written now.
+func (c *Core) LeaseGranted(txn string) {
 	if r := c.txns[txn]; r != nil && r.asking != nil {
 		a := r.asking
 		r.asking = nil
@@ -113,8 +113,8 @@
 	}
 }
 
-// Denied tells that an order may not be written any more, and what its client is to be told.
-func (c *Core) Denied(txn string, never bool, err error) {
+// LeaseDenied tells that an order may not be written any more, and what its client is to be told.
+func (c *Core) LeaseDenied(txn string, never bool, err error) {
 	r := c.txns[txn]
 	if r == nil {
 		return
@@ -124,19 +124,19 @@
 	r.kept = false // it is over there already
 	a := failed
 	if never && !r.ran {
-		a = Answer{Verdict: Refused, Wait: c.maxWait}
+		a = Answer{Verdict: Rejected, RetryAfter: c.maxWait}
 	}
 	c.answer(r, a)
 }
 
 // ended takes that an order's client is to be told now, and tells whether it is.
 func (c *Core) ended(r *request, a Answer) bool {
-	if !r.kept || !c.rights.End(r.Txn, a, r.ran) {
+	if !r.kept || !c.rights.Finish(r.Txn, a, r.ran) {
 		return true
 	}
 	r.ending = &a
 	c.open[r.id], c.txns[r.Txn] = r, r
-	c.At(c.now+c.lim.LetGo, func() {
+	c.Schedule(c.now+c.lim.LetGo, func() {
 		if c.open[r.id] == r {
 			c.release(r, false)
 		}
@@ -144,8 +144,8 @@
 	return false
 }
 
-// Released tells that no other router runs an order that was refused, or where it is not sure, that one may.
-func (c *Core) Released(txn string, sure bool) {
+// OrderReleased tells that no other router runs an order that was refused, or where it is not sure, that one may.
+func (c *Core) OrderReleased(txn string, sure bool) {
 	if r := c.txns[txn]; r != nil && r.ending != nil {
 		c.release(r, sure)
 	}
@@ -155,7 +155,7 @@
 	a := *r.ending
 	if !sure {
 		a = failed
-		c.rights.Overdue(r.Txn)
+		c.rights.StopWaiting(r.Txn)
 	}
 	c.forget(r)
 	c.conclude(r, a)
@@ -166,10 +166,10 @@
 	c.settled(r, r.ran, 0)
 	switch {
 	case r.claiming:
-		c.rights.Drop(r.id)
+		c.rights.CancelClaim(r.id)
 	case r.ending != nil:
-		c.rights.Overdue(r.Txn)
+		c.rights.StopWaiting(r.Txn)
 	case r.kept:
-		c.rights.Withdraw(r.Txn, r.ran)
+		c.rights.Cancel(r.Txn, r.ran)
 	}
 }
--- a/internal/core/rights_test.go
+++ b/internal/core/rights_test.go
@@ -17,7 +17,7 @@
 	overdue, dropped    int
 }
 
-func (k *keeper) Begin(*Request, time.Duration) error {
+func (k *keeper) Replicate(*Request, time.Duration) error {
 	if k.refuse {
 		return errors.New("nobody keeps it")
 	}
@@ -26,22 +26,27 @@
 func (k *keeper) Claim(id balancer.RequestID, _ *Request, _ time.Duration) {
 	k.claims = append(k.claims, id)
 }
-func (k *keeper) Drop(balancer.RequestID) { k.dropped++ }
-func (k *keeper) Ask(txn string)          { k.asked = append(k.asked, txn) }
-func (k *keeper) Right(string) bool       { return k.right }
-func (k *keeper) End(_ string, a Answer, _ bool) bool {
+func (k *keeper) CancelClaim(balancer.RequestID) { k.dropped++ }
+func (k *keeper) RequestLease(txn string)        { k.asked = append(k.asked, txn) }
+func (k *keeper) UseLease(string) bool           { return k.right }
+func (k *keeper) Finish(_ string, a Answer, _ bool) bool {
 	k.ends = append(k.ends, a)
-	return k.wait && a.Verdict == Refused
+	return k.wait && a.Verdict == Rejected
+}
+func (k *keeper) StopWaiting(string)        { k.overdue++ }
+func (k *keeper) Cancel(txn string, _ bool) { k.withdrawn = append(k.withdrawn, txn) }
+func (k *keeper) Flush()                    {}
+func (k *keeper) Metrics() []Metric         { return nil }
+func (r *rig) kept() *keeper {
+	k := &keeper{}
+	r.c.SetOrderFailover(k)
+	r.c.lim.LetGo = second / 4
+	return k
 }
-func (k *keeper) Overdue(string)              { k.overdue++ }
-func (k *keeper) Withdraw(txn string, _ bool) { k.withdrawn = append(k.withdrawn, txn) }
-func (k *keeper) Flush()                      {}
-func (k *keeper) Figures() []Figure           { return nil }
-func (r *rig) kept() *keeper                  { k := &keeper{}; r.c.Guard(k); r.c.lim.LetGo = second / 4; return k }
 func (r *rig) claim(class, txn string) (id balancer.RequestID) {
 	id = r.c.NewID()
-	r.c.Submit(id, Request{Txn: txn + " again", Resumes: txn, Class: class, Object: 7, Limit: 2 * second, Write: class == "order", Reply: r.reply})
-	r.c.Turn()
+	r.c.Submit(id, Request{Txn: txn + " again", ResumesTxn: txn, Class: class, Object: 7, Timeout: 2 * second, Write: class == "order", Reply: r.reply})
+	r.c.RunOnce()
 	return id
 }
 
@@ -51,17 +56,17 @@
 	k := r.kept()
 	r.submit("order", 2*second)
 	a := r.out[0]
-	if r.c.Ready(a) || len(k.asked) != 1 {
+	if r.c.AcquireLease(a) || len(k.asked) != 1 {
 		t.Fatalf("ready without a word; asked %v", k.asked)
 	}
 	k.right = true
-	r.c.Granted(a.Request.Txn)
-	if len(r.out) != 2 || !r.c.Ready(a) {
+	r.c.LeaseGranted(a.Request.Txn)
+	if len(r.out) != 2 || !r.c.AcquireLease(a) {
 		t.Error("it was not sent anew with the word")
 	}
 	k.right = false
 	r.submit("page", second)
-	if page := r.out[len(r.out)-1]; page.Request.Class != "page" || !r.c.Ready(page) {
+	if page := r.out[len(r.out)-1]; page.Request.Class != "page" || !r.c.AcquireLease(page) {
 		t.Error("a page waits for a keeper")
 	}
 }
@@ -72,10 +77,10 @@
 	r := newRig(t)
 	k := r.kept()
 	r.submit("order", second)
-	r.c.Ready(r.out[0])
+	r.c.AcquireLease(r.out[0])
 	r.wait(2 * second)
-	r.one("the right never came", Refused)
-	if len(k.ends) != 1 || k.ends[0].Verdict != Refused {
+	r.one("the right never came", Rejected)
+	if len(k.ends) != 1 || k.ends[0].Verdict != Rejected {
 		t.Errorf("the keeper was told %+v", k.ends)
 	}
 }
@@ -86,14 +91,14 @@
 	k := r.kept()
 	k.refuse = true
 	r.submit("order", second)
-	r.one("nobody keeps it", Refused)
+	r.one("nobody keeps it", Rejected)
 	k.refuse = false
 	for _, never := range []bool{true, false} {
 		r.answers, r.out = nil, nil
 		r.submit("order", second)
-		r.c.Denied(r.out[0].Request.Txn, never, errors.New("lost"))
-		r.c.Turn()
-		r.one("denied", map[bool]Verdict{true: Refused, false: Failed}[never])
+		r.c.LeaseDenied(r.out[0].Request.Txn, never, errors.New("lost"))
+		r.c.RunOnce()
+		r.one("denied", map[bool]Verdict{true: Rejected, false: Failed}[never])
 	}
 }
 
@@ -104,24 +109,24 @@
 		k := r.kept()
 		k.wait = true
 		r.submit("order", 2*second)
-		r.c.Ready(r.out[0])
+		r.c.AcquireLease(r.out[0])
 		txn := r.out[0].Request.Txn
-		r.end(r.out[0], End{Status: balancer.Rejected})
+		r.end(r.out[0], AttemptResult{Status: balancer.Rejected})
 		for len(r.out) > 0 { // no page cache takes it
-			r.end(r.out[len(r.out)-1], End{Status: balancer.Rejected})
+			r.end(r.out[len(r.out)-1], AttemptResult{Status: balancer.Rejected})
 		}
-		if len(r.answers) > 0 || r.c.Open() != 1 {
+		if len(r.answers) > 0 || r.c.OpenCount() != 1 {
 			t.Fatalf("told %+v before the keeper let go", r.answers)
 		}
 		if sure {
-			r.c.Released(txn, true)
-			r.one("let go", Refused)
+			r.c.OrderReleased(txn, true)
+			r.one("let go", Rejected)
 		} else {
 			r.wait(second)
 			r.one("not let go in time", Failed)
 		}
-		if r.c.Open() != 0 || k.overdue != map[bool]int{true: 0, false: 1}[sure] {
-			t.Errorf("%d open, %d overdue", r.c.Open(), k.overdue)
+		if r.c.OpenCount() != 0 || k.overdue != map[bool]int{true: 0, false: 1}[sure] {
+			t.Errorf("%d open, %d overdue", r.c.OpenCount(), k.overdue)
 		}
 	}
 }
@@ -138,16 +143,16 @@
 	if len(k.claims) != 1 || len(r.out) > 0 {
 		t.Fatalf("claims %v, sent %d", k.claims, len(r.out))
 	}
-	r.c.Settled(id, true, Answer{})
-	r.c.Turn()
+	r.c.ClaimResolved(id, true, Answer{})
+	r.c.RunOnce()
 	if len(r.out) != 1 || r.out[0].Request.Txn != "old" {
 		t.Fatalf("sent %d", len(r.out))
 	}
 	k.right = true
-	r.end(r.out[0], End{Status: balancer.OK, Body: []byte("x")})
+	r.end(r.out[0], AttemptResult{Status: balancer.OK, Body: []byte("x")})
 	r.one("run", Served)
 	r.answers = nil
-	r.c.Settled(r.claim("order", "older"), false, Answer{Verdict: Served, Body: []byte("y")})
+	r.c.ClaimResolved(r.claim("order", "older"), false, Answer{Verdict: Served, Body: []byte("y")})
 	r.one("known", Served)
 	r.answers = nil
 	r.claim("order", "oldest")
@@ -159,7 +164,7 @@
 		t.Error("a page that was lost is not asked for again")
 	}
 	id = r.claim("order", "gone")
-	r.c.Withdraw(id)
+	r.c.CancelRequest(id)
 	if k.dropped != 1 {
 		t.Errorf("%d claims dropped", k.dropped)
 	}
@@ -171,50 +176,50 @@
 	charged, freed int
 }
 
-func (p *purse) Reserve(*Request) (Payment, error) { return 1, p.err }
-func (p *purse) Settle(_ Payment, ran bool, bytes int) {
+func (p *purse) Reserve(*Request) (Reservation, error) { return 1, p.err }
+func (p *purse) Settle(_ Reservation, ran bool, bytes int) {
 	if ran {
 		p.charged++
 	} else {
 		p.freed++
 	}
 }
-func (p *purse) Later(error) (time.Duration, string) { return second, "funds-out" }
-func (p *purse) Flush()                              {}
-func (p *purse) Figures() []Figure                   { return nil }
-func (p *purse) Close()                              {}
+func (p *purse) RetryAfter(error) (time.Duration, string) { return second, "funds-out" }
+func (p *purse) Flush()                                   {}
+func (p *purse) Metrics() []Metric                        { return nil }
+func (p *purse) Close()                                   {}
 
 // What was served or may have run is charged, once; what never ran is not; what can't be paid for is refused at once.
 func TestPayment(t *testing.T) {
 	r := newRig(t)
 	p := &purse{}
-	r.c.Charge(p)
+	r.c.SetCredit(p)
 	r.submit("page", second)
-	r.end(r.out[0], End{Status: balancer.OK, Body: []byte("x")})
+	r.end(r.out[0], AttemptResult{Status: balancer.OK, Body: []byte("x")})
 	if p.charged != 1 || p.freed != 0 {
 		t.Errorf("served: %+v", p)
 	}
 	r.submit("order", second)
-	r.end(r.out[0], End{Status: balancer.Reset}) // it may have run
+	r.end(r.out[0], AttemptResult{Status: balancer.Reset}) // it may have run
 	if p.charged != 2 || p.freed != 0 {
 		t.Errorf("may have run: %+v", p)
 	}
 	id := r.submit("order", second)
-	r.c.Withdraw(id)
+	r.c.CancelRequest(id)
 	if p.charged != 3 {
 		t.Errorf("withdrawn while it was out: %+v", p)
 	}
 	r.submit("order", second)
 	for len(r.out) > 0 {
-		r.end(r.out[len(r.out)-1], End{Status: balancer.Rejected})
+		r.end(r.out[len(r.out)-1], AttemptResult{Status: balancer.Rejected})
 	}
 	if p.freed != 1 {
 		t.Errorf("never ran: %+v", p)
 	}
 	p.err, r.answers = errors.New("out"), nil
 	r.submit("page", second)
-	r.one("out of funds", Refused)
-	if a := r.answers[0]; a.Wait != second || a.Reason != "funds-out" || len(r.out) > 0 {
+	r.one("out of funds", Rejected)
+	if a := r.answers[0]; a.RetryAfter != second || a.Reason != "funds-out" || len(r.out) > 0 {
 		t.Errorf("told %+v", a)
 	}
 }
--- a/internal/core/rules.go
+++ b/internal/core/rules.go
@@ -38,7 +38,7 @@
 	if c.open[r.id] != r {
 		c.violated(ruleOwed, r)
 	}
-	if a.Left > r.expiry-c.clock()+deadlineSlack {
+	if a.Timeout > r.expiry-c.clock()+deadlineSlack {
 		c.violated(ruleDeadline, r)
 	}
 	if window := c.repeat[r.Class]; r.ran && c.unsafe[r.Class] && a.sent-r.ranAt >= window {
--- a/internal/core/rules_test.go
+++ b/internal/core/rules_test.go
@@ -10,17 +10,17 @@
 // Each rule that is checked at run time is seen to be violated where it is, and is counted.
 func TestViolationsAreCounted(t *testing.T) {
 	for name, break1 := range map[string]func(r *rig, a *Attempt){
-		"nothing": func(r *rig, a *Attempt) { r.c.Dispatched(a) },
+		"nothing": func(r *rig, a *Attempt) { r.c.AttemptWritten(a) },
 		"a second attempt": func(r *rig, a *Attempt) {
 			other := *a
-			r.c.Dispatched(&other)
+			r.c.AttemptWritten(&other)
 		},
-		"told too long": func(r *rig, a *Attempt) { a.Left += 151 * time.Millisecond; r.c.Dispatched(a) },
+		"told too long": func(r *rig, a *Attempt) { a.Timeout += 151 * time.Millisecond; r.c.AttemptWritten(a) },
 		"a repeat": func(r *rig, a *Attempt) {
 			a.owner.ran, a.owner.ranAt = true, a.sent
-			r.c.Dispatched(a)
+			r.c.AttemptWritten(a)
 		},
-		"a request that is over": func(r *rig, a *Attempt) { delete(r.c.open, a.owner.id); r.c.Dispatched(a) },
+		"a request that is over": func(r *rig, a *Attempt) { delete(r.c.open, a.owner.id); r.c.AttemptWritten(a) },
 		"a second answer": func(r *rig, a *Attempt) {
 			r.c.conclude(a.owner, failed)
 			r.c.conclude(a.owner, failed)
@@ -29,12 +29,12 @@
 		r := newRig(t)
 		r.submit("order", second)
 		break1(r, r.out[0])
-		r.c.Turn()
+		r.c.RunOnce()
 		want := uint64(1)
 		if name == "nothing" {
 			want = 0
 		}
-		if got := r.c.Snapshot().Violations; got != want {
+		if got := r.c.Snapshot().RuleViolations; got != want {
 			t.Errorf("%s: %d violations, want %d", name, got, want)
 		}
 	}
@@ -48,13 +48,13 @@
 			r.submit(class, second)
 			for len(r.out) > 0 {
 				a := r.out[0]
-				r.c.Dispatched(a)
-				r.end(a, End{Status: status})
+				r.c.AttemptWritten(a)
+				r.end(a, AttemptResult{Status: status})
 			}
 			r.wait(second)
 		}
 	}
-	if n := r.c.Snapshot().Violations; n != 0 {
+	if n := r.c.Snapshot().RuleViolations; n != 0 {
 		t.Errorf("%d violations", n)
 	}
 }
--- a/internal/core/shared.go
+++ b/internal/core/shared.go
@@ -8,28 +8,28 @@
 	"hillknot/internal/cluster/state"
 )
 
-// Talk sets up what a router shares with others that it may talk to.
-type Talk struct {
+// ClusterSettings sets up what a router shares with others that it may talk to.
+type ClusterSettings struct {
 	State   state.Settings
-	Cold    state.Terms // of each page cache that started lately; a rate of 0: not shared
+	WarmUp  state.Terms // of each page cache that started lately; a rate of 0: not shared
 	Retries state.Terms // of attempts that follow one that may have run; a rate of 0: not shared
 }
 
 // Peers are the others, as the core needs them. No method may block.
 type Peers interface {
 	Send(letters []state.Letter)
-	Know(all []state.Message)             // what one who has heard nothing is told
-	Lost() uint64                         // letters that were dropped, as too many waited
+	PublishFullState(all []state.Message) // what one who has heard nothing is told
+	DroppedMessages() uint64              // letters that were dropped, as too many waited
 	Alive() (others []string, owners int) // names in order; routers with a part of their own
 }
 
-// Shared is what this router shares with others, as the module asks for it. It belongs to the core's goroutine.
-type Shared struct {
-	talk  Talk
+// ClusterState is what this router shares with others, as the module asks for it. It belongs to the core's goroutine.
+type ClusterState struct {
+	talk  ClusterSettings
 	state *state.State
 	core  *Core
 	peers Peers
-	last  *FleetFigures
+	last  *ClusterMetrics
 }
 
 const (
@@ -37,19 +37,19 @@
 	cold    = "cold " // and the id of a page cache
 )
 
-// NewShared returns what a router shares that has just started. It goes into the settings of the module, as Together,
+// NewClusterState returns what a router shares that has just started. It goes into the settings of the module, as Together,
 // before the core is made.
-func NewShared(talk Talk) (*Shared, error) {
+func NewClusterState(talk ClusterSettings) (*ClusterState, error) {
 	state, err := state.New(talk.State)
 	if err != nil {
 		return nil, err
 	}
-	return &Shared{talk: talk, state: state}, nil
+	return &ClusterState{talk: talk, state: state}, nil
 }
 
-// Share begins to share. It is called once, on the core's goroutine, as soon as no process before this one spends any
+// JoinCluster begins to share. It is called once, on the core's goroutine, as soon as no process before this one spends any
 // more.
-func (c *Core) Share(s *Shared, p Peers) {
+func (c *Core) JoinCluster(s *ClusterState, p Peers) {
 	c.shared, s.core, s.peers = s, c, p
 	if s.talk.Retries.Rate > 0 {
 		s.state.Open(c.now, retries, s.talk.Retries, 0)
@@ -60,8 +60,8 @@
 	c.beat()
 }
 
-// Hear takes what others said.
-func (c *Core) Hear(msgs []state.Message) {
+// ReceiveGossip takes what others said.
+func (c *Core) ReceiveGossip(msgs []state.Message) {
 	if c.shared == nil {
 		return
 	}
@@ -82,61 +82,61 @@
 		}
 	})
 	s.state.Beat(c.now)
-	s.peers.Know(s.state.Whole(c.now))
+	s.peers.PublishFullState(s.state.Whole(c.now))
 	s.last = s.figures()
 	s.flush()
 }
 
-func (s *Shared) flush() {
+func (s *ClusterState) flush() {
 	if out := s.state.Outbox(); len(out) > 0 {
 		s.peers.Send(out)
 	}
 }
 
 // listed opens the budget of a member that has started lately, or closes that of one that has gone.
-func (s *Shared) listed(m *Member) {
+func (s *ClusterState) listed(m *Endpoint) {
 	warm := m.start + s.core.warm[m.kind]
 	switch {
-	case s.talk.Cold.Rate <= 0:
+	case s.talk.WarmUp.Rate <= 0:
 	case m.State == balancer.Removed:
 		s.state.Close(cold + m.ID)
 	case m.start > 0 && s.core.now < warm:
-		s.state.Open(s.core.now, cold+m.ID, s.talk.Cold, warm)
+		s.state.Open(s.core.now, cold+m.ID, s.talk.WarmUp, warm)
 	}
 }
 
 // count notes how an attempt ended.
-func (s *Shared) count(a *Attempt, e End) {
-	if a.Node == nil {
+func (s *ClusterState) count(a *Attempt, e AttemptResult) {
+	if a.Endpoint == nil {
 		return
 	}
 	switch {
 	case e.Status == balancer.OK && (e.Note == balancer.Hit || e.Note == balancer.Stale):
-		s.state.Count("hits "+a.Node.ID, 1)
+		s.state.Count("hits "+a.Endpoint.ID, 1)
 	case e.Status == balancer.OK, e.Status == balancer.Miss:
-		s.state.Count("misses "+a.Node.ID, 1)
+		s.state.Count("misses "+a.Endpoint.ID, 1)
 	case !e.Status.NeverRan() && e.Status != balancer.Cancelled:
-		s.state.Count("errors "+a.Node.ID, 1)
+		s.state.Count("errors "+a.Endpoint.ID, 1)
 	}
 }
 
 // AdmitWarmingUp implements balancer.Coordinator.
-func (s *Shared) AdmitWarmingUp(now time.Duration, n balancer.EndpointID) bool {
+func (s *ClusterState) AdmitWarmingUp(now time.Duration, n balancer.EndpointID) bool {
 	m := s.member(n)
 	return m == nil || s.state.May(now, cold+m.ID)
 }
 
 // AdmitRetry implements balancer.Coordinator.
-func (s *Shared) AdmitRetry(now time.Duration) bool { return s.state.May(now, retries) }
+func (s *ClusterState) AdmitRetry(now time.Duration) bool { return s.state.May(now, retries) }
 
 // ProbedByPeer implements balancer.Coordinator.
-func (s *Shared) ProbedByPeer(now time.Duration, n balancer.EndpointID) bool {
+func (s *ClusterState) ProbedByPeer(now time.Duration, n balancer.EndpointID) bool {
 	m := s.member(n)
 	return m != nil && s.state.Shun(now, m.ID)
 }
 
 // AttemptSent implements balancer.Coordinator.
-func (s *Shared) AttemptSent(now time.Duration, g balancer.SendAttempt) {
+func (s *ClusterState) AttemptSent(now time.Duration, g balancer.SendAttempt) {
 	if g.MayHaveRun {
 		s.state.Spend(now, retries)
 	}
@@ -149,37 +149,37 @@
 }
 
 // member is nil as long as nothing is shared: then the module's own bounds hold alone.
-func (s *Shared) member(n balancer.EndpointID) *Member {
+func (s *ClusterState) member(n balancer.EndpointID) *Endpoint {
 	if s.core == nil {
 		return nil
 	}
 	return s.core.members[n]
 }
 
-// FleetFigures are what a router shares, for operators.
-type FleetFigures struct {
-	Others int      // routers that are alive beside this one
-	Lost   uint64   // letters to them that were dropped, as too many waited
-	Sick   []string // page caches that all keep away from but one router
-	Made   uint64   // verdicts so far
-	Counts []FleetCount
-	Spends []state.Holding
+// ClusterMetrics are what a router shares, for operators.
+type ClusterMetrics struct {
+	Peers           int      // routers that are alive beside this one
+	DroppedMessages uint64   // letters to them that were dropped, as too many waited
+	Ejected         []string // page caches that all keep away from but one router
+	Verdicts        uint64   // verdicts so far
+	Counters        []ClusterCounter
+	Budgets         []state.Holding
 }
 
-// FleetCount is a count over all routers.
-type FleetCount struct {
+// ClusterCounter is a count over all routers.
+type ClusterCounter struct {
 	Key   string
 	Total uint64
 }
 
-func (s *Shared) figures() *FleetFigures {
-	f := &FleetFigures{}
+func (s *ClusterState) figures() *ClusterMetrics {
+	f := &ClusterMetrics{}
 	others, _ := s.peers.Alive()
-	f.Others, f.Lost = len(others), s.peers.Lost()
-	f.Sick, f.Made = s.state.Verdicts(s.core.now)
+	f.Peers, f.DroppedMessages = len(others), s.peers.DroppedMessages()
+	f.Ejected, f.Verdicts = s.state.Verdicts(s.core.now)
 	for _, key := range s.state.Counts() {
-		f.Counts = append(f.Counts, FleetCount{key, s.state.Total(key)})
+		f.Counters = append(f.Counters, ClusterCounter{key, s.state.Total(key)})
 	}
-	f.Spends = s.state.Holdings(s.core.now)
+	f.Budgets = s.state.Holdings(s.core.now)
 	return f
 }
--- a/internal/core/stall_test.go
+++ b/internal/core/stall_test.go
@@ -68,9 +68,9 @@
 	r.c.Purge(false, 7, 0, r.now-100*time.Millisecond)
 	id := r.c.NewID()
 	r.c.open[id] = &request{Request: Request{Txn: "t", Class: "page", Object: 7, Reply: r.reply}, id: id, since: r.now, end: r.now + second, expiry: r.now + second}
-	r.c.act(balancer.SendAttempt{ID: id, Endpoint: first.Get.Endpoint, Source: first.Get.Source}) // decided before the purge
-	if late := r.out[1]; late.Get.MaxAge == 0 || late.Get.MaxAge > 100*time.Millisecond {
-		t.Errorf("a copy of %v will do, 100 ms after a purge", late.Get.MaxAge)
+	r.c.act(balancer.SendAttempt{ID: id, Endpoint: first.Decision.Endpoint, Source: first.Decision.Source}) // decided before the purge
+	if late := r.out[1]; late.Decision.MaxAge == 0 || late.Decision.MaxAge > 100*time.Millisecond {
+		t.Errorf("a copy of %v will do, 100 ms after a purge", late.Decision.MaxAge)
 	}
 }
 
@@ -79,23 +79,23 @@
 func TestStallBetweenDecisionAndWrite(t *testing.T) {
 	for _, told := range []string{"purge", "drain"} {
 		r := newRig(t)
-		r.c.Follow(func() bool { return false })
+		r.c.SetBacklogCheck(func() bool { return false })
 		r.submit("page", 3*second)
 		a := r.out[0]
 		r.now += 600 * time.Millisecond // the process stands still
-		r.c.Tell(func() {
+		r.c.PostWatchEvent(func() {
 			if told == "purge" {
 				r.c.Purge(false, 7, 0, r.now-100*time.Millisecond)
 				return
 			}
-			r.c.Members(false, []Host{{ID: a.Node.ID, Addr: a.Node.Addr, Kind: "box", Zone: "edge", State: balancer.Draining}})
+			r.c.UpdateEndpoints(false, []EndpointUpdate{{ID: a.Endpoint.ID, Addr: a.Endpoint.Addr, Kind: "box", Zone: "edge", State: balancer.Draining}})
 		})
 		status, _ := r.c.Permit(a)
 		if told == "drain" && status != balancer.ConnectFailed {
 			t.Errorf("written to a page cache that drains: %d", status)
 		}
-		if told == "purge" && (status != balancer.OK || a.Get.MaxAge > 100*time.Millisecond || a.Get.MaxAge < 99*time.Millisecond) {
-			t.Errorf("a copy of %v will do, 100 ms after a purge; status %d", a.Get.MaxAge, status)
+		if told == "purge" && (status != balancer.OK || a.Decision.MaxAge > 100*time.Millisecond || a.Decision.MaxAge < 99*time.Millisecond) {
+			t.Errorf("a copy of %v will do, 100 ms after a purge; status %d", a.Decision.MaxAge, status)
 		}
 	}
 }
--- a/internal/core/timers.go
+++ b/internal/core/timers.go
@@ -41,7 +41,7 @@
 	case t.call != nil:
 		t.call()
 	case t.query != nil:
-		c.resolved(t.query.id, Resolved{})
+		c.resolved(t.query.id, QueryResult{})
 	case t.attempt != nil:
 		c.timeOut(t.attempt)
 	case r == nil:
--- a/internal/core/trace.go
+++ b/internal/core/trace.go
@@ -14,7 +14,7 @@
 
 func (c *Core) traceRequest(r *request) {
 	if c.trace {
-		slog.Debug("request", "id", r.id, "txn", r.Txn, "class", r.Class, "object", r.Item, "part", r.Part, "left", r.end-c.now, "again", r.Again)
+		slog.Debug("request", "id", r.id, "txn", r.Txn, "class", r.Class, "object", r.ObjectText, "part", r.Part, "left", r.end-c.now, "again", r.Retry)
 	}
 }
 
@@ -31,13 +31,13 @@
 		if a.Source != nil {
 			source = a.Source.ID
 		}
-		slog.Debug("attempt", "id", a.owner.id, "n", a.Index, "node", a.Node.ID, "source", source, "keep", a.Get.CachePriority, "age", a.Get.MaxAge)
+		slog.Debug("attempt", "id", a.owner.id, "n", a.Index, "node", a.Endpoint.ID, "source", source, "keep", a.Decision.CachePriority, "age", a.Decision.MaxAge)
 	}
 }
 
-func (c *Core) traceEnd(a *Attempt, e End) {
+func (c *Core) traceEnd(a *Attempt, e AttemptResult) {
 	if c.trace {
-		slog.Debug("end", "id", a.owner.id, "n", a.Index, "status", e.Status, "note", e.Note, "took", c.now-a.sent, "waited", e.Waited)
+		slog.Debug("end", "id", a.owner.id, "n", a.Index, "status", e.Status, "note", e.Note, "took", c.now-a.sent, "waited", e.SourceWait)
 	}
 }
 
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -20,8 +20,8 @@
 
 // Core is what the events are handed to. Members and Purge are called on the core's goroutine, by way of Tell.
 type Core interface {
-	Tell(f func())
-	Members(full bool, hosts []core.Host)
+	PostWatchEvent(f func())
+	UpdateEndpoints(full bool, hosts []core.EndpointUpdate)
 	Purge(byGroup bool, object, group uint64, at time.Duration)
 }
 
@@ -124,7 +124,7 @@
 	cl.last = e.Pos
 	close(cl.grown)
 	cl.grown = make(chan struct{})
-	cl.core.Tell(func() { e.apply(cl.core) })
+	cl.core.PostWatchEvent(func() { e.apply(cl.core) })
 }
 
 // Move goes on with the journal at another address, at once and from the latest event on.
--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -17,8 +17,8 @@
 
 type ledger struct{ hosts chan string }
 
-func (l *ledger) Tell(f func()) { f() }
-func (l *ledger) Members(full bool, hs []core.Host) {
+func (l *ledger) PostWatchEvent(f func()) { f() }
+func (l *ledger) UpdateEndpoints(full bool, hs []core.EndpointUpdate) {
 	for _, h := range hs {
 		l.hosts <- fmt.Sprint(full, " ", h.ID)
 	}
--- a/internal/discovery/date_test.go
+++ b/internal/discovery/date_test.go
@@ -21,10 +21,10 @@
 	purges chan time.Duration
 }
 
-func (d *dates) Tell(f func()) { f() }
-func (d *dates) Members(_ bool, hosts []core.Host) {
+func (d *dates) PostWatchEvent(f func()) { f() }
+func (d *dates) UpdateEndpoints(_ bool, hosts []core.EndpointUpdate) {
 	for _, h := range hosts {
-		d.starts[h.ID] = h.Start
+		d.starts[h.ID] = h.StartedAt
 	}
 }
 func (d *dates) Purge(_ bool, _, _ uint64, at time.Duration) { d.purges <- at }
--- a/internal/discovery/event.go
+++ b/internal/discovery/event.go
@@ -15,7 +15,7 @@
 	Pos   int64
 	List  bool
 	Full  bool
-	Hosts []core.Host
+	Hosts []core.EndpointUpdate
 
 	Purge         bool
 	ByGroup       bool
@@ -28,7 +28,7 @@
 func (e Event) apply(c Core) {
 	switch {
 	case e.List:
-		c.Members(e.Full, e.Hosts)
+		c.UpdateEndpoints(e.Full, e.Hosts)
 	case e.Purge:
 		c.Purge(e.ByGroup, e.Object, e.Group, e.At)
 	}
@@ -41,8 +41,8 @@
 		earliest = 0
 	}
 	for i := range e.Hosts {
-		if h := &e.Hosts[i]; h.Stamp != 0 {
-			h.Start = h.Stamp.Date(now, wall, earliest)
+		if h := &e.Hosts[i]; h.StartStamp != 0 {
+			h.StartedAt = h.StartStamp.Date(now, wall, earliest)
 		}
 	}
 	if e.Purge {
@@ -89,13 +89,13 @@
 }
 
 // readHost reads a line of the list.
-func readHost(h jsonfields.Object) core.Host {
+func readHost(h jsonfields.Object) core.EndpointUpdate {
 	h.Must("instanceId", "lifecycle")
 	state, ok := states[h.Text("lifecycle", "")]
 	if !ok {
 		h.Fail("lifecycle", "is no state that is known")
 	}
-	return core.Host{ID: h.Text("instanceId", ""), Addr: h.Text("hostPort", ""),
+	return core.EndpointUpdate{ID: h.Text("instanceId", ""), Addr: h.Text("hostPort", ""),
 		Kind: h.Text("machineType", ""), Zone: h.Text("zone", ""), Cell: int(h.Int("cell", 0)),
-		Weight: h.Number("weight", 1), State: state, Stamp: clock.Stamp(h.Span("startedAtMs", time.Millisecond, 0))}
+		Weight: h.Number("weight", 1), State: state, StartStamp: clock.Stamp(h.Span("startedAtMs", time.Millisecond, 0))}
 }
--- a/internal/discovery/stream_test.go
+++ b/internal/discovery/stream_test.go
@@ -68,7 +68,7 @@
 	if err != nil || !e.Full || len(e.Hosts) != 1 {
 		t.Fatalf("event %+v, error %v", e, err)
 	}
-	if h := e.Hosts[0]; h.ID != "s-00c41f7a" || h.State != balancer.Draining || h.Stamp != clock.Stamp(5*time.Millisecond) || h.Cell != 2 {
+	if h := e.Hosts[0]; h.ID != "s-00c41f7a" || h.State != balancer.Draining || h.StartStamp != clock.Stamp(5*time.Millisecond) || h.Cell != 2 {
 		t.Errorf("host %+v", h)
 	}
 	e, err = new(parser).parse([]byte(`{"pos":43,"expire":{"set":17,"stamp":1764576000480}}`))
--- a/internal/extension/orderfailover/orderfailover.go
+++ b/internal/extension/orderfailover/orderfailover.go
@@ -31,14 +31,14 @@
 // figuresEvery is how often figures are made anew.
 const figuresEvery = 200 * time.Millisecond
 
-// Hands implements core.Rights. All its methods belong to the core's goroutine.
+// Hands implements core.OrderFailover. All its methods belong to the core's goroutine.
 type Hands struct {
 	core    *core.Core
 	table   *failover.Table
 	carrier Carrier
 	writes  map[string]bool // by class
 	trace   bool
-	figures []core.Figure
+	figures []core.Metric
 	fresh   time.Duration // when figures are to be made
 }
 
@@ -58,16 +58,16 @@
 
 // Guard begins to keep and take over orders.
 func (h *Hands) Guard() {
-	h.core.Guard(h)
+	h.core.SetOrderFailover(h)
 	h.beat()
 }
 
 func (h *Hands) beat() {
-	now := h.core.Now()
+	now := h.core.LoopTime()
 	h.table.Live(now, h.carrier.Others())
 	h.table.Beat(now)
 	h.settle()
-	h.core.At(now+beatEvery, h.beat)
+	h.core.Schedule(now+beatEvery, h.beat)
 	if now >= h.fresh {
 		h.fresh = now + figuresEvery
 		h.figures = figures(h.table.Figures())
@@ -76,14 +76,14 @@
 
 // Take takes a packet of another router.
 func (h *Hands) Take(data []byte) {
-	h.table.Take(h.core.Now(), data)
+	h.table.Take(h.core.LoopTime(), data)
 	h.settle()
 }
 
-// Flush implements core.Rights.
+// Flush implements core.OrderFailover.
 func (h *Hands) Flush() {
 	h.steps()
-	if out := h.table.Out(h.core.Now()); len(out) > 0 {
+	if out := h.table.Out(h.core.LoopTime()); len(out) > 0 {
 		h.carrier.Carry(out)
 	}
 	h.settle() // what could not be told of ends there
@@ -115,23 +115,23 @@
 func (h *Hands) act(a failover.Action) {
 	switch a.Op {
 	case failover.Go:
-		h.core.Granted(a.Txn)
+		h.core.LeaseGranted(a.Txn)
 	case failover.Stop:
-		h.core.Denied(a.Txn, a.Outcome.Kind == failover.NeverRan, a.Err)
+		h.core.LeaseDenied(a.Txn, a.Outcome.Kind == failover.NeverRan, a.Err)
 	case failover.Release:
 		if a.Err != nil {
 			slog.Warn("order not withdrawn", "txn", a.Txn, operatorhint.Attr(a.Err))
 		}
-		h.core.Released(a.Txn, a.Err == nil)
+		h.core.OrderReleased(a.Txn, a.Err == nil)
 	case failover.Run:
 		h.run(a.Order)
 	case failover.Begin:
-		h.core.Settled(balancer.RequestID(a.ID), true, core.Answer{})
+		h.core.ClaimResolved(balancer.RequestID(a.ID), true, core.Answer{})
 	case failover.Settle:
 		if a.Err != nil {
 			slog.Warn("claim without an answer", "txn", a.Txn, operatorhint.Attr(a.Err))
 		}
-		h.core.Settled(balancer.RequestID(a.ID), false, answer(a.Outcome))
+		h.core.ClaimResolved(balancer.RequestID(a.ID), false, answer(a.Outcome))
 	}
 }
 
@@ -139,19 +139,19 @@
 func (h *Hands) run(o failover.Order) {
 	object, _ := strconv.ParseUint(o.Item, 16, 64) // as the router that took it read it
 	slog.Info("order of a lost router is run here", "txn", o.Txn, "class", o.Class)
-	h.core.Submit(h.core.NewID(), core.Request{Txn: o.Txn, Item: o.Item, Nth: strconv.FormatUint(o.Part, 10), Class: o.Class,
-		Object: object, Part: o.Part, Group: o.Group, Account: o.Account, Limit: o.Left, Body: o.Body, Write: h.writes[o.Class],
+	h.core.Submit(h.core.NewID(), core.Request{Txn: o.Txn, ObjectText: o.Item, PartText: strconv.FormatUint(o.Part, 10), Class: o.Class,
+		Object: object, Part: o.Part, Group: o.Group, Account: o.Account, Timeout: o.Left, Body: o.Body, Write: h.writes[o.Class],
 		Reply: func(a core.Answer) core.Verdict {
-			h.table.Abandon(h.core.Now(), o.Txn) // where it was not taken at all
+			h.table.Abandon(h.core.LoopTime(), o.Txn) // where it was not taken at all
 			return a.Verdict
 		}})
 }
 
 // order is a request as its keeper knows it.
 func order(q *core.Request, txn string, left time.Duration) failover.Order {
-	o := failover.Order{Txn: txn, Class: q.Class, Item: q.Item, Account: q.Account, Part: q.Part, Group: q.Group, Left: left, Body: q.Body}
+	o := failover.Order{Txn: txn, Class: q.Class, Item: q.ObjectText, Account: q.Account, Part: q.Part, Group: q.Group, Left: left, Body: q.Body}
 	sum := sha256.New()
-	for _, s := range [][]byte{[]byte(q.Class), []byte(q.Item), []byte(q.Account), q.Body} {
+	for _, s := range [][]byte{[]byte(q.Class), []byte(q.ObjectText), []byte(q.Account), q.Body} {
 		sum.Write(binary.BigEndian.AppendUint64(nil, uint64(len(s))))
 		sum.Write(s)
 	}
@@ -160,56 +160,56 @@
 	return o
 }
 
-// Begin implements core.Rights.
-func (h *Hands) Begin(q *core.Request, left time.Duration) error {
-	return h.table.Begin(h.core.Now(), order(q, q.Txn, left))
+// Replicate implements core.OrderFailover.
+func (h *Hands) Replicate(q *core.Request, left time.Duration) error {
+	return h.table.Begin(h.core.LoopTime(), order(q, q.Txn, left))
 }
 
-// Claim implements core.Rights.
+// Claim implements core.OrderFailover.
 func (h *Hands) Claim(id balancer.RequestID, q *core.Request, left time.Duration) {
-	h.table.Claim(h.core.Now(), uint64(id), order(q, q.Resumes, left))
+	h.table.Claim(h.core.LoopTime(), uint64(id), order(q, q.ResumesTxn, left))
 	h.settle()
 }
 
-// Drop implements core.Rights.
-func (h *Hands) Drop(id balancer.RequestID) { h.table.Drop(uint64(id)) }
+// CancelClaim implements core.OrderFailover.
+func (h *Hands) CancelClaim(id balancer.RequestID) { h.table.Drop(uint64(id)) }
 
-// Ask implements core.Rights.
-func (h *Hands) Ask(txn string) {
-	h.table.Ask(h.core.Now(), txn)
+// RequestLease implements core.OrderFailover.
+func (h *Hands) RequestLease(txn string) {
+	h.table.Ask(h.core.LoopTime(), txn)
 	h.settle()
 }
 
-// Right implements core.Rights.
-func (h *Hands) Right(txn string) bool {
-	yes := h.table.Right(h.core.Clock(), txn)
+// UseLease implements core.OrderFailover.
+func (h *Hands) UseLease(txn string) bool {
+	yes := h.table.Right(h.core.CurrentTime(), txn)
 	h.steps()
 	return yes
 }
 
-// End implements core.Rights.
-func (h *Hands) End(txn string, a core.Answer, ran bool) (wait bool) {
-	wait = h.table.End(h.core.Now(), txn, outcome(a, ran))
+// Finish implements core.OrderFailover.
+func (h *Hands) Finish(txn string, a core.Answer, ran bool) (wait bool) {
+	wait = h.table.End(h.core.LoopTime(), txn, outcome(a, ran))
 	h.Flush() // the outcome is on its way before the client has it
 	return wait
 }
 
-// Overdue implements core.Rights.
-func (h *Hands) Overdue(txn string) { h.table.Overdue(h.core.Now(), txn) }
+// StopWaiting implements core.OrderFailover.
+func (h *Hands) StopWaiting(txn string) { h.table.Overdue(h.core.LoopTime(), txn) }
 
-// Withdraw implements core.Rights.
-func (h *Hands) Withdraw(txn string, ran bool) { h.table.Withdraw(h.core.Now(), txn, ran) }
+// Cancel implements core.OrderFailover.
+func (h *Hands) Cancel(txn string, ran bool) { h.table.Withdraw(h.core.LoopTime(), txn, ran) }
 
-// Figures implements core.Rights.
-func (h *Hands) Figures() []core.Figure { return h.figures }
+// Metrics implements core.OrderFailover.
+func (h *Hands) Metrics() []core.Metric { return h.figures }
 
 // outcome is what an answer tells of its order.
 func outcome(a core.Answer, ran bool) failover.Outcome {
 	switch {
 	case a.Verdict == core.Served:
 		return failover.Outcome{Kind: failover.Served, Body: a.Body}
-	case a.Verdict == core.Refused && !ran:
-		return failover.Outcome{Kind: failover.NeverRan, Wait: a.Wait}
+	case a.Verdict == core.Rejected && !ran:
+		return failover.Outcome{Kind: failover.NeverRan, Wait: a.RetryAfter}
 	case a.Verdict == core.Failed:
 		return failover.Outcome{Kind: failover.Failed}
 	}
@@ -222,26 +222,26 @@
 	case failover.Served:
 		return core.Answer{Verdict: core.Served, Body: o.Body}
 	case failover.NeverRan:
-		return core.Answer{Verdict: core.Refused, Wait: o.Wait}
+		return core.Answer{Verdict: core.Rejected, RetryAfter: o.Wait}
 	}
 	return core.Answer{Verdict: core.Failed, Reason: "Failed"}
 }
 
-func figures(f failover.Figures) []core.Figure {
-	return []core.Figure{
-		{Name: "hand_orders", Help: "Orders taken and kept by another router.", Value: f.Orders, Counts: true},
-		{Name: "hand_unkept", Help: "Orders refused, as no router kept them.", Value: f.Unkept, Counts: true},
-		{Name: "hand_rights_lost", Help: "Orders given up, as another router may have them.", Value: f.Lost, Counts: true},
-		{Name: "hand_records", Help: "Records taken for other routers.", Value: f.Records, Counts: true},
-		{Name: "hand_full", Help: "Records turned away for want of room.", Value: f.Full, Counts: true},
-		{Name: "hand_owners_lost", Help: "Routers whose orders this one took over.", Value: f.Fallen, Counts: true},
-		{Name: "hand_taken_over", Help: "Orders of lost routers.", Value: f.Taken, Counts: true},
-		{Name: "hand_ran", Help: "Orders of lost routers run here without their client.", Value: f.Ran, Counts: true},
-		{Name: "hand_claims", Help: "Claims of clients that lost a router.", Value: f.Claims, Counts: true},
-		{Name: "hand_claims_answered", Help: "Claims answered with what became of the order.", Value: f.Answered, Counts: true},
-		{Name: "hand_given", Help: "Orders of lost routers given to a claimant.", Value: f.Runs, Counts: true},
-		{Name: "hand_claims_unknown", Help: "Claims of orders that surely never went out.", Value: f.Unknown, Counts: true},
-		{Name: "hand_claims_may_have_run", Help: "Claims told that the order may have run.", Value: f.May, Counts: true},
+func figures(f failover.Figures) []core.Metric {
+	return []core.Metric{
+		{Name: "hand_orders", Help: "Orders taken and kept by another router.", Value: f.Orders, Counter: true},
+		{Name: "hand_unkept", Help: "Orders refused, as no router kept them.", Value: f.Unkept, Counter: true},
+		{Name: "hand_rights_lost", Help: "Orders given up, as another router may have them.", Value: f.Lost, Counter: true},
+		{Name: "hand_records", Help: "Records taken for other routers.", Value: f.Records, Counter: true},
+		{Name: "hand_full", Help: "Records turned away for want of room.", Value: f.Full, Counter: true},
+		{Name: "hand_owners_lost", Help: "Routers whose orders this one took over.", Value: f.Fallen, Counter: true},
+		{Name: "hand_taken_over", Help: "Orders of lost routers.", Value: f.Taken, Counter: true},
+		{Name: "hand_ran", Help: "Orders of lost routers run here without their client.", Value: f.Ran, Counter: true},
+		{Name: "hand_claims", Help: "Claims of clients that lost a router.", Value: f.Claims, Counter: true},
+		{Name: "hand_claims_answered", Help: "Claims answered with what became of the order.", Value: f.Answered, Counter: true},
+		{Name: "hand_given", Help: "Orders of lost routers given to a claimant.", Value: f.Runs, Counter: true},
+		{Name: "hand_claims_unknown", Help: "Claims of orders that surely never went out.", Value: f.Unknown, Counter: true},
+		{Name: "hand_claims_may_have_run", Help: "Claims told that the order may have run.", Value: f.May, Counter: true},
 		{Name: "hand_kept", Help: "Records held for other routers.", Value: uint64(f.Kept)},
 		{Name: "hand_waiting", Help: "Parcels under way to the router to which most are.", Value: uint64(f.Waiting)},
 	}
--- a/internal/extension/prepaidcredit/prepaidcredit.go
+++ b/internal/extension/prepaidcredit/prepaidcredit.go
@@ -27,7 +27,7 @@
 	Unnamed bool   // requests without an account are free
 }
 
-// Purse implements core.Funds. All its methods but Read and Run belong to the core's goroutine.
+// Purse implements core.Credit. All its methods but Read and Run belong to the core's goroutine.
 type Purse struct {
 	core    *core.Core
 	set     Settings
@@ -37,7 +37,7 @@
 	writes  chan []store.Line
 	results chan error
 	writing []credit.Entry
-	figures []core.Figure
+	figures []core.Metric
 	fresh   time.Duration
 	beat    time.Duration
 	told    string // the trouble that the log knows of
@@ -78,7 +78,7 @@
 
 // Begin begins to hold requests to their accounts.
 func (p *Purse) Begin() {
-	p.core.Charge(p)
+	p.core.SetCredit(p)
 	p.tick()
 }
 
@@ -106,9 +106,9 @@
 	}
 	lines := p.writing
 	p.writing = nil
-	p.book.Written(p.core.Now(), lines, err)
+	p.book.Written(p.core.LoopTime(), lines, err)
 	if err != nil {
-		p.core.At(p.core.Now()+retryEvery, p.write)
+		p.core.Schedule(p.core.LoopTime()+retryEvery, p.write)
 		return
 	}
 	p.write()
@@ -131,7 +131,7 @@
 }
 
 func (p *Purse) tick() {
-	now := p.core.Now()
+	now := p.core.LoopTime()
 	others, _ := p.carrier.Alive()
 	p.book.Live(others)
 	p.book.Beat(now)
@@ -140,7 +140,7 @@
 		p.fresh = now + p.beat
 		p.figures = figures(p.book.Totals, p.book.Accounts(now))
 	}
-	p.core.At(now+p.beat, p.tick)
+	p.core.Schedule(now+p.beat, p.tick)
 }
 
 // trouble tells the log, once, why the ledger is not written or not counted on.
@@ -159,14 +159,14 @@
 }
 
 // Take takes a packet of another router.
-func (p *Purse) Take(data []byte) { p.book.Take(p.core.Now(), data) }
+func (p *Purse) Take(data []byte) { p.book.Take(p.core.LoopTime(), data) }
 
-// Flush implements core.Funds.
+// Flush implements core.Credit.
 func (p *Purse) Flush() {
 	if p.book.Failed() == nil {
 		p.write()
 	}
-	if out := p.book.Out(p.core.Now()); len(out) > 0 {
+	if out := p.book.Out(p.core.LoopTime()); len(out) > 0 {
 		p.carrier.CarryCredit(out)
 	}
 }
@@ -178,24 +178,24 @@
 		return err
 	}
 	done := make(chan error, 1)
-	p.core.Post(func() { done <- p.book.Fund(p.core.Now(), list) })
+	p.core.Post(func() { done <- p.book.Fund(p.core.LoopTime(), list) })
 	return <-done
 }
 
-// Reserve implements core.Funds.
-func (p *Purse) Reserve(q *core.Request) (core.Payment, error) {
+// Reserve implements core.Credit.
+func (p *Purse) Reserve(q *core.Request) (core.Reservation, error) {
 	if q.Account == "" && p.set.Unnamed {
 		return nil, nil
 	}
-	t, err := p.book.Reserve(p.core.Now(), q.Account, q.Class)
+	t, err := p.book.Reserve(p.core.LoopTime(), q.Account, q.Class)
 	if err != nil {
 		return nil, err
 	}
 	return t, nil
 }
 
-// Settle implements core.Funds.
-func (p *Purse) Settle(pay core.Payment, ran bool, bytes int) {
+// Settle implements core.Credit.
+func (p *Purse) Settle(pay core.Reservation, ran bool, bytes int) {
 	t, ok := pay.(credit.Ticket)
 	switch {
 	case !ok: // it was free
@@ -206,8 +206,8 @@
 	}
 }
 
-// Later implements core.Funds.
-func (p *Purse) Later(err error) (wait time.Duration, reason string) {
+// RetryAfter implements core.Credit.
+func (p *Purse) RetryAfter(err error) (wait time.Duration, reason string) {
 	var (
 		out    credit.FundsOut
 		paced  credit.Paced
@@ -227,11 +227,11 @@
 	return time.Second, "credit"
 }
 
-// Close implements core.Funds: what is free goes back to the ledger. It waits for the disk, as the router ends.
+// Close implements core.Credit: what is free goes back to the ledger. It waits for the disk, as the router ends.
 func (p *Purse) Close() {
 	p.book.Close()
 	if p.writing != nil { // what is on its way comes first
-		p.book.Written(p.core.Now(), p.writing, <-p.results)
+		p.book.Written(p.core.LoopTime(), p.writing, <-p.results)
 		p.writing = nil
 	}
 	var all []store.Line
@@ -246,17 +246,17 @@
 	_ = p.ledger.Close() // all is written, or was told
 }
 
-// Figures implements core.Funds.
-func (p *Purse) Figures() []core.Figure { return p.figures }
+// Metrics implements core.Credit.
+func (p *Purse) Metrics() []core.Metric { return p.figures }
 
-func figures(t credit.Totals, accounts []credit.Standing) []core.Figure {
-	out := []core.Figure{
-		{Name: "credit_charged", Help: "Charged by this router, in millionths.", Value: uint64(t.Charged), Counts: true},
-		{Name: "credit_given", Help: "Rights given to other routers, in millionths.", Value: uint64(t.Given), Counts: true},
-		{Name: "credit_taken", Help: "Rights taken from other routers, in millionths.", Value: uint64(t.Taken), Counts: true},
-		{Name: "credit_refused_out", Help: "Requests refused as funds are out.", Value: t.Out, Counts: true},
-		{Name: "credit_refused_low", Help: "Requests refused as funds are low and paced.", Value: t.Paced, Counts: true},
-		{Name: "credit_refused_moving", Help: "Requests refused as rights were on their way.", Value: t.Moving, Counts: true},
+func figures(t credit.Totals, accounts []credit.Standing) []core.Metric {
+	out := []core.Metric{
+		{Name: "credit_charged", Help: "Charged by this router, in millionths.", Value: uint64(t.Charged), Counter: true},
+		{Name: "credit_given", Help: "Rights given to other routers, in millionths.", Value: uint64(t.Given), Counter: true},
+		{Name: "credit_taken", Help: "Rights taken from other routers, in millionths.", Value: uint64(t.Taken), Counter: true},
+		{Name: "credit_refused_out", Help: "Requests refused as funds are out.", Value: t.Out, Counter: true},
+		{Name: "credit_refused_low", Help: "Requests refused as funds are low and paced.", Value: t.Paced, Counter: true},
+		{Name: "credit_refused_moving", Help: "Requests refused as rights were on their way.", Value: t.Moving, Counter: true},
 	}
 	levels, held := [3]uint64{}, int64(0)
 	for _, a := range accounts {
@@ -264,7 +264,7 @@
 		held += max(a.Rights, 0) + a.Free + a.Held
 	}
 	for l := credit.Ample; l <= credit.Out; l++ {
-		out = append(out, core.Figure{Name: "credit_accounts_" + l.String(), Help: "Accounts that stand so with this router.", Value: levels[l]})
+		out = append(out, core.Metric{Name: "credit_accounts_" + l.String(), Help: "Accounts that stand so with this router.", Value: levels[l]})
 	}
-	return append(out, core.Figure{Name: "credit_held", Help: "Rights that this router holds, in millionths.", Value: uint64(held)})
+	return append(out, core.Metric{Name: "credit_held", Help: "Rights that this router holds, in millionths.", Value: uint64(held)})
 }
--- a/internal/frontend/admin/admin.go
+++ b/internal/frontend/admin/admin.go
@@ -19,8 +19,8 @@
 type Core interface {
 	Post(f func())
 	Snapshot() *core.Snapshot
-	Standby()
-	Active() bool
+	EnterStandby()
+	LeaveStandby() bool
 }
 
 // Front answers operators on one address.
@@ -103,9 +103,9 @@
 func (c *conn) steer(standby bool) {
 	c.f.core.Post(func() {
 		if standby {
-			c.f.core.Standby()
-		} else if !c.f.core.Active() {
-			c.answer(false, "409 Conflict", core.Ending.String()+"\n", "")
+			c.f.core.EnterStandby()
+		} else if !c.f.core.LeaveStandby() {
+			c.answer(false, "409 Conflict", core.ShuttingDown.String()+"\n", "")
 			return
 		}
 		slog.Info("operators' call", "standby", standby)
@@ -126,14 +126,14 @@
 func appendFigures(b []byte, s *core.Snapshot) []byte {
 	for _, f := range []struct {
 		name, help string
-		of         func(core.Tally) uint64
+		of         func(core.ClassCounts) uint64
 	}{
-		{"success", "Requests served.", func(t core.Tally) uint64 { return t.Success }},
-		{"overload", "Requests refused.", func(t core.Tally) uint64 { return t.Overload }},
-		{"error", "Requests failed.", func(t core.Tally) uint64 { return t.Error }},
+		{"success", "Requests served.", func(t core.ClassCounts) uint64 { return t.Success }},
+		{"overload", "Requests refused.", func(t core.ClassCounts) uint64 { return t.Overload }},
+		{"error", "Requests failed.", func(t core.ClassCounts) uint64 { return t.Error }},
 	} {
 		b = appendKind(b, f.name, f.help, "counter")
-		for _, t := range s.Tallies {
+		for _, t := range s.ByClass {
 			b = fmt.Appendf(b, "app_%s{type=%s} %d\n", f.name, strconv.Quote(t.Class), f.of(t))
 		}
 	}
@@ -141,20 +141,20 @@
 		name, help, kind string
 		value            uint64
 	}{
-		{"dispatches", "Attempts written whole to page caches.", "counter", s.Dispatches},
-		{"violations", "Rules that did not hold, as the router checks them; 0 in a router that is well.", "counter", s.Violations},
-		{"concurrent", "Requests taken and not ended.", "gauge", uint64(s.Open)},
-		{"targets", "Page caches on the list.", "gauge", uint64(s.Targets)},
-		{"targets_disabled", "Page caches on the list that the router avoids.", "gauge", uint64(s.Avoided)},
+		{"dispatches", "Attempts written whole to page caches.", "counter", s.AttemptsWritten},
+		{"violations", "Rules that did not hold, as the router checks them; 0 in a router that is well.", "counter", s.RuleViolations},
+		{"concurrent", "Requests taken and not ended.", "gauge", uint64(s.OpenRequests)},
+		{"targets", "Page caches on the list.", "gauge", uint64(s.Endpoints)},
+		{"targets_disabled", "Page caches on the list that the router avoids.", "gauge", uint64(s.AvoidedEndpoints)},
 	} {
 		b = fmt.Appendf(appendKind(b, f.name, f.help, f.kind), "app_%s %d\n", f.name, f.value)
 	}
-	if s.Fleet != nil {
-		b = appendFleet(b, s.Fleet)
+	if s.Cluster != nil {
+		b = appendFleet(b, s.Cluster)
 	}
-	for _, f := range s.Hands {
+	for _, f := range s.ExtensionMetrics {
 		kind := "gauge"
-		if f.Counts {
+		if f.Counter {
 			kind = "counter"
 		}
 		b = fmt.Appendf(appendKind(b, f.Name, f.Help, kind), "app_%s %d\n", f.Name, f.Value)
@@ -163,20 +163,20 @@
 }
 
 // appendFleet appends what the router shares with others, where it does.
-func appendFleet(b []byte, f *core.FleetFigures) []byte {
-	b = fmt.Appendf(appendKind(b, "fleet_others", "Routers alive beside this one.", "gauge"), "app_fleet_others %d\n", f.Others)
-	b = fmt.Appendf(appendKind(b, "fleet_lost", "Letters to other routers dropped, as too many waited.", "counter"), "app_fleet_lost %d\n", f.Lost)
-	b = fmt.Appendf(appendKind(b, "fleet_verdicts", "Verdicts on page caches so far.", "counter"), "app_fleet_verdicts %d\n", f.Made)
+func appendFleet(b []byte, f *core.ClusterMetrics) []byte {
+	b = fmt.Appendf(appendKind(b, "fleet_others", "Routers alive beside this one.", "gauge"), "app_fleet_others %d\n", f.Peers)
+	b = fmt.Appendf(appendKind(b, "fleet_lost", "Letters to other routers dropped, as too many waited.", "counter"), "app_fleet_lost %d\n", f.DroppedMessages)
+	b = fmt.Appendf(appendKind(b, "fleet_verdicts", "Verdicts on page caches so far.", "counter"), "app_fleet_verdicts %d\n", f.Verdicts)
 	b = appendKind(b, "fleet_sick", "Page caches that the routers agree to be sick.", "gauge")
-	for _, node := range f.Sick {
+	for _, node := range f.Ejected {
 		b = fmt.Appendf(b, "app_fleet_sick{cache=%s} 1\n", strconv.Quote(node))
 	}
 	b = appendKind(b, "fleet_spent", "Spent of shared budgets by this router.", "counter")
-	for _, h := range f.Spends {
+	for _, h := range f.Budgets {
 		b = fmt.Appendf(b, "app_fleet_spent{budget=%s} %d\n", strconv.Quote(h.Key), h.Spent)
 	}
 	b = appendKind(b, "fleet_shares", "Shares of budgets: of its own, lent, borrowed, and what a budget is cut into.", "gauge")
-	for _, h := range f.Spends {
+	for _, h := range f.Budgets {
 		for _, v := range []struct {
 			what   string
 			shares int
@@ -185,7 +185,7 @@
 		}
 	}
 	b = appendKind(b, "fleet_count", "Ends of attempts at page caches, over all routers as far as heard.", "counter")
-	for _, c := range f.Counts {
+	for _, c := range f.Counters {
 		b = fmt.Appendf(b, "app_fleet_count{of=%s} %d\n", strconv.Quote(c.Key), c.Total)
 	}
 	return b
--- a/internal/frontend/admin/admin_test.go
+++ b/internal/frontend/admin/admin_test.go
@@ -27,8 +27,8 @@
 
 func (d *desk) Post(f func())            { d.posts <- f }
 func (d *desk) Snapshot() *core.Snapshot { return d.snap.Load() }
-func (d *desk) Standby()                 { d.snap.Store(&core.Snapshot{Phase: core.Standby}) }
-func (d *desk) Active() bool {
+func (d *desk) EnterStandby()            { d.snap.Store(&core.Snapshot{Phase: core.Standby}) }
+func (d *desk) LeaveStandby() bool {
 	d.snap.Store(&core.Snapshot{Phase: core.Serving})
 	return !d.ended.Load()
 }
@@ -88,7 +88,7 @@
 
 func TestCalls(t *testing.T) {
 	d, addr := open(t, 16)
-	d.Active()
+	d.LeaveStandby()
 	for text, want := range map[string]int{
 		line("GET", "/status"): 200, line("HEAD", "/status"): 200, line("GET", "/status?verbose=1"): 200, line("GET", "/status/metrics"): 200,
 		line("POST", "/status"): 405, line("GET", "/standby"): 405, line("DELETE", "/active"): 405, line("GET", "/"): 404,
@@ -100,7 +100,7 @@
 			t.Errorf("%.40q: %d %q, want %d", text, got, body, want)
 		}
 	}
-	for p, want := range map[core.Phase]int{core.Starting: 503, core.Serving: 200, core.Standby: 503, core.Ending: 503} {
+	for p, want := range map[core.Phase]int{core.Starting: 503, core.Serving: 200, core.Standby: 503, core.ShuttingDown: 503} {
 		d.snap.Store(&core.Snapshot{Phase: p})
 		if got, body := ask(t, addr, line("GET", "/status")); got != want || body != p.String()+"\n" {
 			t.Errorf("%v: %d %q", p, got, body)
@@ -128,7 +128,7 @@
 // loop has no time for anybody.
 func TestSilentCallers(t *testing.T) {
 	d, addr := open(t, 4)
-	d.Active()
+	d.LeaveStandby()
 	for i := range 40 {
 		nc := dial(t, addr)
 		if i%2 == 0 {
@@ -142,8 +142,8 @@
 
 func TestFigures(t *testing.T) {
 	d, addr := open(t, 16)
-	d.snap.Store(&core.Snapshot{Tallies: []core.Tally{{Class: "page", Success: 812, Overload: 3, Error: 4}, {Class: `a"b`, Error: 1}},
-		Dispatches: 900, Open: 14, Targets: 12, Avoided: 2})
+	d.snap.Store(&core.Snapshot{ByClass: []core.ClassCounts{{Class: "page", Success: 812, Overload: 3, Error: 4}, {Class: `a"b`, Error: 1}},
+		AttemptsWritten: 900, OpenRequests: 14, Endpoints: 12, AvoidedEndpoints: 2})
 	_, body := ask(t, addr, line("GET", "/status/metrics"))
 	for _, want := range []string{`app_success{type="page"} 812`, `app_overload{type="page"} 3`, `app_error{type="page"} 4`, `app_error{type="a\"b"} 1`,
 		"app_dispatches 900", "app_concurrent 14", "app_targets 12", "app_targets_disabled 2", "# TYPE app_success counter"} {
--- a/internal/frontend/agentcheck/agentcheck.go
+++ b/internal/frontend/agentcheck/agentcheck.go
@@ -22,7 +22,7 @@
 
 func word(p core.Phase) string {
 	switch p {
-	case core.Standby, core.Ending:
+	case core.Standby, core.ShuttingDown:
 		return drain
 	case core.Serving:
 		return ready
--- a/internal/frontend/agentcheck/agentcheck_test.go
+++ b/internal/frontend/agentcheck/agentcheck_test.go
@@ -17,7 +17,7 @@
 // Every connection gets the one line that HAProxy reads, and ends.
 func TestWords(t *testing.T) {
 	lim := config.Limits{CheckConns: 8, Check: config.Conn{Pending: 1 << 10, Read: time.Minute, Write: time.Minute, Idle: time.Minute, Silent: time.Minute}}
-	for phase, want := range map[core.Phase]string{core.Starting: "down\n", core.Serving: "ready\n", core.Standby: "drain\n", core.Ending: "drain\n"} {
+	for phase, want := range map[core.Phase]string{core.Starting: "down\n", core.Serving: "ready\n", core.Standby: "drain\n", core.ShuttingDown: "drain\n"} {
 		f, err := Listen("127.0.0.1:0", &desk{phase}, lim)
 		if err != nil {
 			t.Fatal(err)
--- a/internal/frontend/dns/front.go
+++ b/internal/frontend/dns/front.go
@@ -29,7 +29,7 @@
 // Core is what the front asks. Resolve is called on the core's goroutine.
 type Core interface {
 	Post(f func())
-	Resolve(q core.Query)
+	Resolve(q core.EndpointQuery)
 }
 
 // Front answers resolvers on one address.
@@ -207,9 +207,9 @@
 	default:
 		q.question = append([]byte(nil), q.question...) // outlives the buffer
 		f.core.Post(func() {
-			f.core.Resolve(core.Query{Key: f.key(q, from), Want: f.cfg.Answers, Only: only, Load: f.cfg.Load,
-				Hold:  time.Duration(float64(f.cfg.TTL) * f.cfg.Overstay),
-				Limit: f.cfg.Deadline, Reply: func(r core.Resolved) { f.answer(q, name, size, r, send) }})
+			f.core.Resolve(core.EndpointQuery{Key: f.key(q, from), Count: f.cfg.Answers, OnlyNode: only, Load: f.cfg.Load,
+				TTL:     time.Duration(float64(f.cfg.TTL) * f.cfg.Overstay),
+				Timeout: f.cfg.Deadline, Reply: func(r core.QueryResult) { f.answer(q, name, size, r, send) }})
 		})
 	}
 }
@@ -239,13 +239,13 @@
 }
 
 // answer turns what the core found into the reply.
-func (f *Front) answer(q query, name string, size int, res core.Resolved, send func([]byte)) {
-	if len(res.Members) == 0 {
+func (f *Front) answer(q query, name string, size int, res core.QueryResult, send func([]byte)) {
+	if len(res.Endpoints) == 0 {
 		send(newReply(q, codeServFail).finish(q, codeServFail, size))
 		return
 	}
 	r, ttl := newReply(q, codeOK), uint32(f.cfg.TTL/time.Second)
-	for i, m := range res.Members {
+	for i, m := range res.Endpoints {
 		addr, err := netip.ParseAddrPort(m.Addr)
 		if err != nil {
 			continue // a member whose address is no address can't be named
@@ -264,7 +264,7 @@
 		f.none(q, name, codeOK, size, send)
 		return
 	}
-	for _, m := range res.Members {
+	for _, m := range res.Endpoints {
 		if addr, err := netip.ParseAddrPort(m.Addr); err == nil && q.qtype == typeSRV {
 			rtype, data := address(addr.Addr())
 			r.record(additionalPart, label(m)+"."+name, rtype, classIN, ttl, data)
@@ -281,8 +281,8 @@
 }
 
 // label is the name of a member below the configured one. Ids may hold what a label may not.
-func label(m *core.Member) string {
-	return fmt.Sprintf("%s%016x", labelStart, uint64(core.NodeOf(m.ID)))
+func label(m *core.Endpoint) string {
+	return fmt.Sprintf("%s%016x", labelStart, uint64(core.NodeIDOf(m.ID)))
 }
 
 const labelStart = "m-"
--- a/internal/frontend/dns/front_test.go
+++ b/internal/frontend/dns/front_test.go
@@ -64,9 +64,9 @@
 
 type noUpstream struct{}
 
-func (noUpstream) Send(*core.Attempt)  {}
-func (noUpstream) Quit(*core.Attempt)  {}
-func (noUpstream) Forget(*core.Member) {}
+func (noUpstream) Send(*core.Attempt)           {}
+func (noUpstream) Cancel(*core.Attempt)         {}
+func (noUpstream) CloseEndpoint(*core.Endpoint) {}
 
 func (s *site) clock() time.Duration {
 	s.mu.Lock()
@@ -93,7 +93,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.Use(noUpstream{})
+	c.SetUpstream(noUpstream{})
 	s.core = c
 	s.f, err = Listen(c, config.DNS{Listen: "127.0.0.1:0", Names: []string{name}, TTL: 5 * time.Second, Overstay: 2, Load: 0.05,
 		Answers: answers, Deadline: time.Second}, lim, netio.NewBudget(1<<20))
@@ -107,14 +107,14 @@
 	return s
 }
 
-func host(i int, state balancer.EndpointState) core.Host {
-	return core.Host{ID: fmt.Sprintf("s-%d", i), Addr: fmt.Sprintf("127.1.0.%d:7001", i), Kind: "box", Zone: "edge", Weight: 1, State: state}
+func host(i int, state balancer.EndpointState) core.EndpointUpdate {
+	return core.EndpointUpdate{ID: fmt.Sprintf("s-%d", i), Addr: fmt.Sprintf("127.1.0.%d:7001", i), Kind: "box", Zone: "edge", Weight: 1, State: state}
 }
 
 // members sets the list and waits until the core has taken it.
-func (s *site) members(full bool, hosts ...core.Host) {
+func (s *site) members(full bool, hosts ...core.EndpointUpdate) {
 	done := make(chan struct{})
-	s.core.Post(func() { s.core.Members(full, hosts) })
+	s.core.Post(func() { s.core.UpdateEndpoints(full, hosts) })
 	s.core.Post(func() { close(done) })
 	<-done
 }
@@ -209,7 +209,7 @@
 // An answer over the resolver's size is cut and marked, and whole over TCP.
 func TestTruncated(t *testing.T) {
 	s := start(t, 16)
-	var hosts []core.Host
+	var hosts []core.EndpointUpdate
 	for i := range 16 {
 		hosts = append(hosts, host(i+1, balancer.InService))
 	}
@@ -263,7 +263,7 @@
 		t.Fatalf("%d answers name a page cache that isn't listed", n)
 	}
 	late := host(3, balancer.InService)
-	late.Stamp, late.Start = 1, s.clock()
+	late.StartStamp, late.StartedAt = 1, s.clock()
 	s.members(false, late)
 	if n := named(2); n != 0 {
 		t.Errorf("%d of 100 answers name a page cache in the moment of its start", n)
@@ -280,22 +280,22 @@
 func TestLostMidAnswer(t *testing.T) {
 	s := start(t, 1)
 	s.members(true, host(1, balancer.InService), host(2, balancer.InService))
-	got := make(chan core.Resolved, 1)
+	got := make(chan core.QueryResult, 1)
 	for key := range uint64(20) {
 		s.core.Post(func() { // one turn: asked, then lost, before the module is asked
-			s.core.Members(false, []core.Host{host(1, balancer.InService)})
-			s.core.Resolve(core.Query{Key: key, Want: 1, Limit: time.Second, Reply: func(r core.Resolved) { got <- r }})
-			s.core.Members(false, []core.Host{host(1, balancer.Draining)})
+			s.core.UpdateEndpoints(false, []core.EndpointUpdate{host(1, balancer.InService)})
+			s.core.Resolve(core.EndpointQuery{Key: key, Count: 1, Timeout: time.Second, Reply: func(r core.QueryResult) { got <- r }})
+			s.core.UpdateEndpoints(false, []core.EndpointUpdate{host(1, balancer.Draining)})
 		})
-		if r := <-got; len(r.Members) != 1 || r.Members[0].ID != "s-2" {
+		if r := <-got; len(r.Endpoints) != 1 || r.Endpoints[0].ID != "s-2" {
 			t.Errorf("key %d: %+v", key, r)
 		}
 	}
 	s.core.Post(func() {
-		s.core.Resolve(core.Query{Want: 1, Limit: time.Second, Reply: func(r core.Resolved) { got <- r }})
-		s.core.Members(true, nil)
+		s.core.Resolve(core.EndpointQuery{Count: 1, Timeout: time.Second, Reply: func(r core.QueryResult) { got <- r }})
+		s.core.UpdateEndpoints(true, nil)
 	})
-	if r := <-got; len(r.Members) != 0 || r.Refused {
+	if r := <-got; len(r.Endpoints) != 0 || r.Rejected {
 		t.Errorf("all lost: %+v, want none", r)
 	}
 	if r := s.ask("udp", question(name, dns.TypeA)); r.Rcode != dns.RcodeServerFailure {
--- a/internal/frontend/msgpackrpc/front.go
+++ b/internal/frontend/msgpackrpc/front.go
@@ -22,13 +22,13 @@
 type Core interface {
 	Post(f func())
 	NewID() balancer.RequestID
-	Arrival() time.Duration
+	EarliestArrival() time.Duration
 	Submit(id balancer.RequestID, q core.Request)
-	Withdraw(id balancer.RequestID)
-	Abandon(id balancer.RequestID)
-	Count(class string, v core.Verdict)
+	CancelRequest(id balancer.RequestID)
+	AbortRequest(id balancer.RequestID)
+	CountAnswer(class string, v core.Verdict)
 	Snapshot() *core.Snapshot
-	Leaving() core.Leave
+	DrainStage() core.DrainStage
 }
 
 // Front serves clients on one address.
@@ -64,12 +64,12 @@
 // patience is how long clients may hold connections that owe nothing. One that leaves its clients waits for a
 // request that is being written, but not up to the moment at which the front takes it to be empty.
 func (f *Front) patience() (idle, half time.Duration) {
-	switch f.core.Leaving() {
-	case core.Idle:
+	switch f.core.DrainStage() {
+	case core.CloseIdle:
 		return f.lim.LeavePause, f.lim.Client.Whole
-	case core.Refuse:
+	case core.RejectNew:
 		return 0, f.lim.Client.Whole
-	case core.Cut:
+	case core.CloseAll:
 		return 0, 0
 	}
 	return f.lim.Client.Idle, f.lim.Client.Whole
@@ -104,7 +104,7 @@
 	c.f.core.Post(func() {
 		c.gone = true
 		for _, id := range c.open {
-			c.f.core.Withdraw(id)
+			c.f.core.CancelRequest(id)
 		}
 		clear(c.open)
 	})
@@ -115,7 +115,7 @@
 
 func (c *conn) abandonOpen() {
 	for _, msg := range slices.Sorted(maps.Keys(c.open)) {
-		c.f.core.Abandon(c.open[msg])
+		c.f.core.AbortRequest(c.open[msg])
 	}
 }
 
@@ -131,7 +131,7 @@
 	default:
 		c.nc.AddPendingReplies(1)
 		q, word := c.request(m)
-		q.Arrived = c.f.core.Arrival()
+		q.ArrivedAt = c.f.core.EarliestArrival()
 		c.f.core.Post(func() { c.submit(m.ID, q, word) })
 	}
 }
@@ -164,9 +164,9 @@
 	if nth == "" {
 		nth = "0"
 	}
-	return core.Request{Txn: string(f.Txn), Item: string(f.Item), Nth: nth, Class: string(m.Method), Object: object,
-		Part: part, Group: group, Limit: wait, Holds: string(f.Got), Key: string(f.Unique), Body: bytes.Clone(m.Body), Write: class.Write,
-		Again: string(f.Second) == "1", Resumes: string(f.Resumes), Account: string(f.Account)}, ""
+	return core.Request{Txn: string(f.Txn), ObjectText: string(f.Item), PartText: nth, Class: string(m.Method), Object: object,
+		Part: part, Group: group, Timeout: wait, ETag: string(f.Got), IdempotencyKey: string(f.Unique), Body: bytes.Clone(m.Body), Write: class.Write,
+		Retry: string(f.Second) == "1", ResumesTxn: string(f.Resumes), Account: string(f.Account)}, ""
 }
 
 // accountMost bounds an account's name.
@@ -212,10 +212,10 @@
 			c.abandonOpen()
 			return
 		}
-		c.f.core.Count(q.Class, core.Failed)
+		c.f.core.CountAnswer(q.Class, core.Failed)
 		_ = c.send(rpc.AppendError(nil, msg, word, "", ""))
 	case len(c.open) >= c.f.lim.OpenPerConn || c.f.budget.AboveHighWater():
-		c.f.core.Count(q.Class, core.Refused)
+		c.f.core.CountAnswer(q.Class, core.Rejected)
 		_ = c.send(rpc.AppendError(nil, msg, rpc.Throttled, "", ""))
 	default:
 		id := c.f.core.NewID()
@@ -233,7 +233,7 @@
 		if id, ok := c.open[msg]; ok {
 			delete(c.open, msg)
 			c.nc.AddPendingReplies(-1)
-			c.f.core.Withdraw(id)
+			c.f.core.CancelRequest(id)
 		}
 	}
 }
@@ -257,7 +257,7 @@
 		slog.Debug("answer not sent", "remote", c.nc.RemoteAddr(), "err", err)
 	}
 	c.nc.AddPendingReplies(-1)
-	if err == nil && c.f.core.Leaving() >= core.Behind {
+	if err == nil && c.f.core.DrainStage() >= core.CloseAfterResponse {
 		c.nc.CloseWhenIdle()
 	}
 	return err
@@ -267,10 +267,10 @@
 	switch a.Verdict {
 	case core.Served:
 		return rpc.AppendServed(make([]byte, 0, len(a.Body)+32), id, a.Body, "", "")
-	case core.Unchanged:
+	case core.NotModified:
 		return rpc.AppendServed(b, id, nil, "ok304", "1")
-	case core.Refused:
-		return rpc.AppendRefused(b, id, a.Wait.Milliseconds(), a.Reason)
+	case core.Rejected:
+		return rpc.AppendRefused(b, id, a.RetryAfter.Milliseconds(), a.Reason)
 	}
 	return rpc.AppendError(b, id, a.Reason, "", "")
 }
--- a/internal/frontend/msgpackrpc/front_test.go
+++ b/internal/frontend/msgpackrpc/front_test.go
@@ -29,13 +29,13 @@
 
 func (d *desk) Post(f func())                               { d.posts <- f }
 func (d *desk) NewID() balancer.RequestID                   { d.ids++; return d.ids }
-func (d *desk) Arrival() time.Duration                      { return 0 }
-func (d *desk) Abandon(balancer.RequestID)                  {}
+func (d *desk) EarliestArrival() time.Duration              { return 0 }
+func (d *desk) AbortRequest(balancer.RequestID)             {}
 func (d *desk) Submit(_ balancer.RequestID, q core.Request) { d.got <- q }
-func (d *desk) Withdraw(id balancer.RequestID)              { d.withdrew <- id }
-func (d *desk) Count(string, core.Verdict)                  { d.counted.Add(1) }
+func (d *desk) CancelRequest(id balancer.RequestID)         { d.withdrew <- id }
+func (d *desk) CountAnswer(string, core.Verdict)            { d.counted.Add(1) }
 func (d *desk) Snapshot() *core.Snapshot                    { return &core.Snapshot{Phase: core.Phase(d.phase.Load())} }
-func (d *desk) Leaving() core.Leave                         { return core.Leave(d.leave.Load()) }
+func (d *desk) DrainStage() core.DrainStage                 { return core.DrainStage(d.leave.Load()) }
 
 type client struct {
 	t   *testing.T
@@ -110,8 +110,8 @@
 	c := dial()
 	c.call(1, "page")
 	q := <-d.got
-	if !q.Again || q.Object != 0x7f3a9c21e0b4d655 || q.Part != 3 || q.Group != 17 || q.Limit != 1500*time.Millisecond ||
-		q.Holds != "4be0" || q.Key != "0de5" || string(q.Body) != "body" {
+	if !q.Retry || q.Object != 0x7f3a9c21e0b4d655 || q.Part != 3 || q.Group != 17 || q.Timeout != 1500*time.Millisecond ||
+		q.ETag != "4be0" || q.IdempotencyKey != "0de5" || string(q.Body) != "body" {
 		t.Errorf("request %+v", q)
 	}
 	d.Post(func() { q.Reply(core.Answer{Verdict: core.Served, Body: make([]byte, 70000)}) })
@@ -120,13 +120,13 @@
 	}
 	c.call(2, "page")
 	q = <-d.got
-	d.Post(func() { q.Reply(core.Answer{Verdict: core.Refused, Wait: 400 * time.Millisecond}) })
+	d.Post(func() { q.Reply(core.Answer{Verdict: core.Rejected, RetryAfter: 400 * time.Millisecond}) })
 	if w, f, _ := c.answer(2); w != "Throttled" || f["later"] != "400" {
 		t.Errorf("refused: %q %v", w, f)
 	}
 	c.call(3, "page")
 	q = <-d.got
-	d.Post(func() { q.Reply(core.Answer{Verdict: core.Unchanged}) })
+	d.Post(func() { q.Reply(core.Answer{Verdict: core.NotModified}) })
 	if _, _, res := c.answer(3); res.([]any)[1].(map[string]any)["ok304"] != "1" || len(res.([]any)[0].([]byte)) != 0 {
 		t.Errorf("unchanged: %v", res)
 	}
@@ -225,7 +225,7 @@
 	c.call(2, "page")
 	first, second := <-d.got, <-d.got
 	d.phase.Store(int64(core.Standby))
-	d.leave.Store(int64(core.Behind))
+	d.leave.Store(int64(core.CloseAfterResponse))
 	d.Post(func() { first.Reply(core.Answer{Verdict: core.Served}) })
 	c.answer(1)
 	c.send(0, 3, "health", []any{map[string]string{}})
@@ -237,7 +237,7 @@
 	if _, err := c.dec.DecodeSlice(); err != io.EOF {
 		t.Errorf("after the last answer: %v, want the end", err)
 	}
-	d.leave.Store(int64(core.Cut))
+	d.leave.Store(int64(core.CloseAll))
 	if _, err := idle.dec.DecodeSlice(); err != io.EOF {
 		t.Errorf("idle: %v, want the end", err)
 	}
--- a/internal/upstream/client.go
+++ b/internal/upstream/client.go
@@ -19,9 +19,9 @@
 type Core interface {
 	Post(f func())
 	Permit(a *core.Attempt) (balancer.Status, balancer.Detail)
-	Ready(a *core.Attempt) bool
-	End(a *core.Attempt, e core.End)
-	Dispatched(a *core.Attempt)
+	AcquireLease(a *core.Attempt) bool
+	CompleteAttempt(a *core.Attempt, e core.AttemptResult)
+	AttemptWritten(a *core.Attempt)
 }
 
 // Client implements core.Upstream. All its methods belong to the core's goroutine.
@@ -30,7 +30,7 @@
 	lim    config.Limits
 	budget *netio.Budget
 	clock  func() time.Duration
-	pools  map[*core.Member]*pool
+	pools  map[*core.Endpoint]*pool
 	at     map[*core.Attempt]*conn // attempts that were written
 	conns  int                     // connections that are up or being dialed
 	dialer dialFunc
@@ -41,7 +41,7 @@
 
 // New returns a client. The budget bounds the answers that are coming in.
 func New(c Core, lim config.Limits, budget *netio.Budget, clock func() time.Duration) *Client {
-	return &Client{core: c, lim: lim, budget: budget, clock: clock, pools: map[*core.Member]*pool{}, at: map[*core.Attempt]*conn{}, dialer: netio.Dial}
+	return &Client{core: c, lim: lim, budget: budget, clock: clock, pools: map[*core.Endpoint]*pool{}, at: map[*core.Attempt]*conn{}, dialer: netio.Dial}
 }
 
 // pool holds the connections to one cache. Attempts wait only while dials are under way.
@@ -101,14 +101,14 @@
 
 // Send writes the attempt, at once or when a connection is up.
 func (cl *Client) Send(a *core.Attempt) {
-	p := cl.pools[a.Node]
+	p := cl.pools[a.Endpoint]
 	if p == nil {
-		p = &pool{addr: a.Node.Addr}
-		cl.pools[a.Node] = p
+		p = &pool{addr: a.Endpoint.Addr}
+		cl.pools[a.Endpoint] = p
 	}
 	cl.closeIdle(p)
 	if p.past.has(a.Request.Txn) { // turned away unseen: it goes to another cache
-		cl.core.End(a, core.End{Status: balancer.Rejected})
+		cl.core.CompleteAttempt(a, core.AttemptResult{Status: balancer.Rejected})
 		return
 	}
 	c := p.pick(a)
@@ -126,7 +126,7 @@
 	case p.dialing > 0: // it shares what comes up
 		p.waiting = append(p.waiting, a)
 	default: // this router has no more connections, which is not the cache's fault
-		cl.core.End(a, core.End{Status: balancer.Rejected})
+		cl.core.CompleteAttempt(a, core.AttemptResult{Status: balancer.Rejected})
 	}
 }
 
@@ -159,7 +159,7 @@
 
 // barred tells whether an attempt goes out on any connection but this one: what is answered here twice could prove that it
 // never ran, and it would run again.
-func (c *conn) barred(a *core.Attempt) bool { return a.Unsafe && c.said.has(a.Request.Txn) }
+func (c *conn) barred(a *core.Attempt) bool { return a.NonIdempotent && c.said.has(a.Request.Txn) }
 
 // barred tells whether there is a connection that would do, but for that.
 func (p *pool) barred(a *core.Attempt) bool {
@@ -234,7 +234,7 @@
 			failed = balancer.Rejected
 		}
 		if a := p.next(nil); a != nil {
-			cl.core.End(a, core.End{Status: failed})
+			cl.core.CompleteAttempt(a, core.AttemptResult{Status: failed})
 		}
 		cl.share(p, failed)
 	case p.dead:
@@ -264,7 +264,7 @@
 			p.waiting = append(p.waiting, a)
 			return
 		} else {
-			cl.core.End(a, core.End{Status: failed})
+			cl.core.CompleteAttempt(a, core.AttemptResult{Status: failed})
 		}
 	}
 }
@@ -305,10 +305,10 @@
 // write sends the request, unless it may no longer be sent by now.
 func (cl *Client) write(c *conn, a *core.Attempt) {
 	if s, n := cl.core.Permit(a); s != balancer.OK {
-		cl.core.End(a, core.End{Status: s, Note: n})
+		cl.core.CompleteAttempt(a, core.AttemptResult{Status: s, Note: n})
 		return
 	}
-	if !cl.core.Ready(a) { // others must know of it first; it is sent anew then
+	if !cl.core.AcquireLease(a) { // others must know of it first; it is sent anew then
 		return
 	}
 	err := c.nc.WriteSync(appendAsk(nil, a))
@@ -326,18 +326,18 @@
 		c.lost()
 		return
 	}
-	cl.core.Dispatched(a)
+	cl.core.AttemptWritten(a)
 }
 
 // again sends an attempt whose connection broke before it was written whole. Connections that were idle, or
 // have just come up, are reset now and then; a cache that does so each time is not there.
 func (cl *Client) again(a *core.Attempt) {
 	s, n := cl.core.Permit(a)
-	if a.Broken++; a.Broken > maxBroken && s == balancer.OK {
+	if a.BrokenConns++; a.BrokenConns > maxBroken && s == balancer.OK {
 		s = balancer.ConnectFailed
 	}
 	if s != balancer.OK {
-		cl.core.End(a, core.End{Status: s, Note: n})
+		cl.core.CompleteAttempt(a, core.AttemptResult{Status: s, Note: n})
 		return
 	}
 	cl.Send(a)
@@ -346,12 +346,12 @@
 // maxBroken is how many connections may break under an attempt that was not written whole.
 const maxBroken = 3
 
-// Quit gives an attempt up. Its connection is kept: a close would give up all else on it, and many at once
+// Cancel gives an attempt up. Its connection is kept: a close would give up all else on it, and many at once
 // would have to be opened anew in the moment of a trouble.
-func (cl *Client) Quit(a *core.Attempt) {
+func (cl *Client) Cancel(a *core.Attempt) {
 	c := cl.at[a]
 	if c == nil {
-		if p := cl.pools[a.Node]; p != nil {
+		if p := cl.pools[a.Endpoint]; p != nil {
 			if i := slices.Index(p.waiting, a); i >= 0 {
 				p.waiting = slices.Delete(p.waiting, i, i+1)
 			}
@@ -371,8 +371,8 @@
 	}
 }
 
-// Forget drops the connections to a cache that has gone or is another now.
-func (cl *Client) Forget(m *core.Member) {
+// CloseEndpoint drops the connections to a cache that has gone or is another now.
+func (cl *Client) CloseEndpoint(m *core.Endpoint) {
 	p := cl.pools[m]
 	if p == nil {
 		return
@@ -385,7 +385,7 @@
 		}
 	}
 	for a := p.next(nil); a != nil; a = p.next(nil) {
-		cl.core.End(a, core.End{Status: balancer.ConnectFailed})
+		cl.core.CompleteAttempt(a, core.AttemptResult{Status: balancer.ConnectFailed})
 	}
 }
 
@@ -410,7 +410,7 @@
 	for _, a := range c.open {
 		c.done(a)
 		c.p.past.add(a.Request.Txn, c.cl.clock(), c.cl.lim.Longest)
-		c.cl.core.End(a, core.End{Status: balancer.Reset})
+		c.cl.core.CompleteAttempt(a, core.AttemptResult{Status: balancer.Reset})
 	}
 }
 
@@ -435,7 +435,7 @@
 func (c *conn) Closed() { c.cl.core.Post(c.lost) }
 
 // answered ends an attempt; an answer that crossed a QUIT is for nobody.
-func (c *conn) answered(id string, e core.End) {
+func (c *conn) answered(id string, e core.AttemptResult) {
 	c.since = c.cl.clock()
 	a := c.open[id]
 	if a == nil {
@@ -446,19 +446,19 @@
 		if c.said.has(id) { // it may be the same answer once more: the attempt is given up before another is sent
 			c.p.past.add(id, c.since, c.cl.lim.Longest)
 			if err := c.nc.WriteSync(appendQuit(nil, id)); err != nil {
-				c.cl.core.End(a, e)
+				c.cl.core.CompleteAttempt(a, e)
 				c.lost()
 				return
 			}
 		}
 		c.said.add(id, c.since, c.cl.lim.Longest)
 	}
-	if e.Unchanged && (a.Request.Holds == "" || e.Tag != a.Request.Holds) { // of a copy that this client does not have: spoilt
-		c.cl.core.End(a, core.End{Status: balancer.Reset})
+	if e.NotModified && (a.Request.ETag == "" || e.ETag != a.Request.ETag) { // of a copy that this client does not have: spoilt
+		c.cl.core.CompleteAttempt(a, core.AttemptResult{Status: balancer.Reset})
 		c.lost()
 		return
 	}
-	c.cl.core.End(a, e)
+	c.cl.core.CompleteAttempt(a, e)
 	switch {
 	case len(c.open) > 0:
 	case c.quit:
--- a/internal/upstream/client_test.go
+++ b/internal/upstream/client_test.go
@@ -20,23 +20,23 @@
 type bench struct {
 	t          *testing.T
 	posts      chan func()
-	ends       chan core.End
+	ends       chan core.AttemptResult
 	permit     balancer.Status
 	now        atomic.Int64
 	dispatched atomic.Int64
 	cl         *Client
 	ln         net.Listener
-	node       *core.Member
+	node       *core.Endpoint
 }
 
-func (b *bench) Post(f func())            { b.posts <- f }
-func (b *bench) Ready(*core.Attempt) bool { return true }
+func (b *bench) Post(f func())                   { b.posts <- f }
+func (b *bench) AcquireLease(*core.Attempt) bool { return true }
 func (b *bench) Permit(*core.Attempt) (balancer.Status, balancer.Detail) {
 	return b.permit, balancer.NoDetail
 }
-func (b *bench) End(_ *core.Attempt, e core.End) { b.ends <- e }
+func (b *bench) CompleteAttempt(_ *core.Attempt, e core.AttemptResult) { b.ends <- e }
 
-func (b *bench) Dispatched(*core.Attempt) { b.dispatched.Add(1) }
+func (b *bench) AttemptWritten(*core.Attempt) { b.dispatched.Add(1) }
 
 func newBench(t *testing.T) *bench {
 	t.Helper()
@@ -45,11 +45,11 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { ln.Close() })
-	b := &bench{t: t, posts: make(chan func(), 100), ends: make(chan core.End, 100), ln: ln}
+	b := &bench{t: t, posts: make(chan func(), 100), ends: make(chan core.AttemptResult, 100), ln: ln}
 	lim := config.Limits{ConnsPerCache: 2, CacheConns: 10, AnswerLine: 100, Object: 1 << 10, Connect: 10 * time.Second,
 		UpstreamIdle: time.Hour, UpstreamSilent: time.Second, Longest: time.Minute, Upstream: config.Conn{Pending: 1 << 16, Read: 10 * time.Second, Write: 10 * time.Second}}
 	b.cl = New(b, lim, netio.NewBudget(1<<20), func() time.Duration { return time.Duration(b.now.Load()) })
-	b.node = &core.Member{ID: "s-1", Addr: ln.Addr().String()}
+	b.node = &core.Endpoint{ID: "s-1", Addr: ln.Addr().String()}
 	stop := make(chan struct{})
 	t.Cleanup(func() { close(stop) })
 	go func() {
@@ -73,7 +73,7 @@
 }
 
 func (b *bench) send(txn string) *core.Attempt {
-	a := &core.Attempt{Node: b.node, Request: &core.Request{Txn: txn, Class: "c", Item: "0a", Nth: "0"}}
+	a := &core.Attempt{Endpoint: b.node, Request: &core.Request{Txn: txn, Class: "c", ObjectText: "0a", PartText: "0"}}
 	b.do(func() { b.cl.Send(a) })
 	return a
 }
@@ -107,7 +107,7 @@
 	}
 }
 
-func (b *bench) ended(want balancer.Status) core.End {
+func (b *bench) ended(want balancer.Status) core.AttemptResult {
 	b.t.Helper()
 	select {
 	case e := <-b.ends:
@@ -118,7 +118,7 @@
 	case <-time.After(10 * time.Second):
 		b.t.Fatal("no end")
 	}
-	return core.End{}
+	return core.AttemptResult{}
 }
 
 func TestAskAndAnswer(t *testing.T) {
@@ -145,7 +145,7 @@
 	a := b.send("t1")
 	nc, r := b.accept()
 	b.expect(r, "ASK t1 ")
-	b.do(func() { b.cl.Quit(a) })
+	b.do(func() { b.cl.Cancel(a) })
 	b.send("t2")
 	b.expect(r, "QUIT t1")
 	b.expect(r, "ASK t2 ")
@@ -216,7 +216,7 @@
 	b.send("t1")
 	nc, r := b.accept()
 	b.expect(r, "ASK t1 ")
-	b.do(func() { b.cl.Forget(b.node) })
+	b.do(func() { b.cl.CloseEndpoint(b.node) })
 	fmt.Fprint(nc, "t1 DONE - 0\r\n\r\n")
 	b.ended(balancer.OK)
 	b.send("t2")
@@ -253,7 +253,7 @@
 	send := func(txns ...string) {
 		b.do(func() { // all before any dial is through
 			for _, txn := range txns {
-				b.cl.Send(&core.Attempt{Node: b.node, Request: &core.Request{Txn: txn, Class: "c", Item: "0a", Nth: "0"}})
+				b.cl.Send(&core.Attempt{Endpoint: b.node, Request: &core.Request{Txn: txn, Class: "c", ObjectText: "0a", PartText: "0"}})
 			}
 		})
 	}
@@ -286,7 +286,7 @@
 		t.Errorf("asked for %v, %d ended", asked, len(b.ends))
 	}
 	b.ln.Close()
-	b.do(func() { b.cl.Forget(b.node) })
+	b.do(func() { b.cl.CloseEndpoint(b.node) })
 	send("t6", "t7", "t8")
 	for range 3 {
 		b.ended(balancer.ConnectFailed)
@@ -301,15 +301,15 @@
 	b.send("t1")
 	nc, r := b.accept()
 	b.expect(r, "ASK t1 ")
-	other := &core.Member{ID: "s-2", Addr: b.node.Addr}
+	other := &core.Endpoint{ID: "s-2", Addr: b.node.Addr}
 	b.do(func() {
-		b.cl.Send(&core.Attempt{Node: other, Request: &core.Request{Txn: "t2", Class: "c", Item: "0a", Nth: "0"}})
+		b.cl.Send(&core.Attempt{Endpoint: other, Request: &core.Request{Txn: "t2", Class: "c", ObjectText: "0a", PartText: "0"}})
 	})
 	b.ended(balancer.Rejected)
 	fmt.Fprint(nc, "t1 DONE - 0\r\n\r\n")
 	b.ended(balancer.OK)
 	b.do(func() {
-		b.cl.Send(&core.Attempt{Node: other, Request: &core.Request{Txn: "t3", Class: "c", Item: "0a", Nth: "0"}})
+		b.cl.Send(&core.Attempt{Endpoint: other, Request: &core.Request{Txn: "t3", Class: "c", ObjectText: "0a", PartText: "0"}})
 	})
 	_, second := b.accept()
 	b.expect(second, "ASK t3 ")
@@ -319,9 +319,9 @@
 // ended by the second copy: an order goes out on another connection, and what may be repeated is given up before its end counts.
 func TestAnswerTwice(t *testing.T) {
 	b := newBench(t)
-	order := func(a *core.Attempt) *core.Attempt { a.Unsafe = true; return a }
+	order := func(a *core.Attempt) *core.Attempt { a.NonIdempotent = true; return a }
 	ask := func(txn string) *core.Attempt {
-		return &core.Attempt{Node: b.node, Request: &core.Request{Txn: txn, Class: "c", Item: "0a", Nth: "0"}}
+		return &core.Attempt{Endpoint: b.node, Request: &core.Request{Txn: txn, Class: "c", ObjectText: "0a", PartText: "0"}}
 	}
 	b.do(func() { b.cl.Send(order(ask("t1"))) })
 	nc, r := b.accept()
@@ -364,7 +364,7 @@
 		for c := b.cl.pools[b.node].conns[0]; c.nc.WriteSync([]byte("\r\n")) == nil; {
 			time.Sleep(time.Millisecond)
 		}
-		b.cl.Send(&core.Attempt{Node: b.node, Request: &core.Request{Txn: "t2", Class: "c", Item: "0a", Nth: "0"}})
+		b.cl.Send(&core.Attempt{Endpoint: b.node, Request: &core.Request{Txn: "t2", Class: "c", ObjectText: "0a", PartText: "0"}})
 	})
 	_, r = b.accept()
 	b.expect(r, "ASK t2 ")
@@ -399,7 +399,7 @@
 	a := b.send("t1")
 	_, r := b.accept()
 	b.expect(r, "ASK t1 ")
-	b.do(func() { b.cl.Forget(b.node); b.cl.Quit(a) })
+	b.do(func() { b.cl.CloseEndpoint(b.node); b.cl.Cancel(a) })
 	b.expect(r, "QUIT t1")
 	if line, err := r.ReadString('\n'); err != io.EOF {
 		t.Errorf("read %q, %v; want the end", line, err)
@@ -441,7 +441,7 @@
 	b.expect(r, "ASK t2 ")
 	fmt.Fprint(nc, "t2 WAIT - 0\r\n\r\n")
 	b.ended(balancer.Rejected)
-	b.do(func() { b.cl.Quit(a) })
+	b.do(func() { b.cl.Cancel(a) })
 	b.expect(silent, "QUIT t1")
 	b.now.Store(int64(4 * time.Second))
 	b.send("t3")
--- a/internal/upstream/codec.go
+++ b/internal/upstream/codec.go
@@ -81,18 +81,18 @@
 )
 
 // end turns an answer into the end of an attempt. The body is copied: it outlives the read buffer.
-func (a answer) end() (core.End, error) {
+func (a answer) end() (core.AttemptResult, error) {
 	status, ok := statuses[string(a.word)]
 	if !ok {
-		return core.End{}, errGarbled
+		return core.AttemptResult{}, errGarbled
 	}
-	e := core.End{Status: status, Note: notes[string(a.field("res"))], Unchanged: string(a.word) == "KEEP"}
+	e := core.AttemptResult{Status: status, Note: notes[string(a.field("res"))], NotModified: string(a.word) == "KEEP"}
 	if ms, err := strconv.ParseFloat(string(a.field("took")), 64); err == nil && ms > 0 && ms < 1e9 {
-		e.Waited = time.Duration(ms * float64(time.Millisecond))
+		e.SourceWait = time.Duration(ms * float64(time.Millisecond))
 	}
 	switch {
-	case e.Unchanged:
-		e.Tag = string(a.field("version"))
+	case e.NotModified:
+		e.ETag = string(a.field("version"))
 	case status == balancer.OK:
 		e.Body = bytes.Clone(a.body)
 	}
@@ -101,12 +101,12 @@
 
 // appendAsk appends the request of an attempt. A time that is not whole milliseconds is cut.
 func appendAsk(b []byte, a *core.Attempt) []byte {
-	q, g := a.Request, a.Get
+	q, g := a.Request, a.Decision
 	b = append(append(b, "ASK "...), q.Txn...)
 	b = append(append(b, " kind="...), q.Class...)
-	b = append(append(b, ",obj="...), q.Item...)
-	b = append(append(b, ",seg="...), q.Nth...)
-	b = strconv.AppendInt(append(b, ",ms="...), max(a.Left.Milliseconds(), 1), 10)
+	b = append(append(b, ",obj="...), q.ObjectText...)
+	b = append(append(b, ",seg="...), q.PartText...)
+	b = strconv.AppendInt(append(b, ",ms="...), max(a.Timeout.Milliseconds(), 1), 10)
 	if a.Source != nil {
 		b = append(append(b, ",fetch="...), a.Source.ID...)
 	}
@@ -126,11 +126,11 @@
 			sep = "+"
 		}
 	}
-	if q.Holds != "" {
-		b = append(append(b, ",holds="...), q.Holds...)
+	if q.ETag != "" {
+		b = append(append(b, ",holds="...), q.ETag...)
 	}
-	if q.Key != "" {
-		b = append(append(b, ",token="...), q.Key...)
+	if q.IdempotencyKey != "" {
+		b = append(append(b, ",token="...), q.IdempotencyKey...)
 	}
 	b = strconv.AppendInt(append(b, ' '), int64(len(q.Body)), 10)
 	b = append(append(b, "\r\n"...), q.Body...)
--- a/internal/upstream/codec_test.go
+++ b/internal/upstream/codec_test.go
@@ -32,10 +32,10 @@
 
 // Each word has one meaning; one that is not known garbles the line.
 func TestEnd(t *testing.T) {
-	for text, want := range map[string]core.End{
+	for text, want := range map[string]core.AttemptResult{
 		"a DONE res=past_fresh,took=1.5,version=x 2\r\nhi\r\n": {Status: balancer.OK, Note: balancer.Stale,
-			Waited: 1500 * time.Microsecond, Body: []byte("hi")},
-		"a KEEP version=x,res=cached 0\r\n\r\n": {Status: balancer.OK, Note: balancer.Hit, Unchanged: true, Tag: "x"},
+			SourceWait: 1500 * time.Microsecond, Body: []byte("hi")},
+		"a KEEP version=x,res=cached 0\r\n\r\n": {Status: balancer.OK, Note: balancer.Hit, NotModified: true, ETag: "x"},
 		"a LACK res=up_empty 0\r\n\r\n":         {Status: balancer.Miss, Note: balancer.SourceMiss},
 		"a WAIT - 0\r\n\r\n":                    {Status: balancer.Rejected},
 		"a BROKE res=up_lost 0\r\n\r\n":         {Status: balancer.Error, Note: balancer.SourceUnreachable},
@@ -56,14 +56,14 @@
 
 // The age of 0 ms would ask for the fresh time of the class, and so let a purged copy through.
 func TestAppendAsk(t *testing.T) {
-	a := &core.Attempt{Request: &core.Request{Txn: "t", Class: "c", Item: "0a", Nth: "3", Holds: "h", Key: "k", Body: []byte("xy")},
-		Left: 900 * time.Millisecond, Source: &core.Member{ID: "s-1"},
-		Get: balancer.SendAttempt{CachePriority: 2, MaxAge: time.Microsecond, Coalesce: true, Revalidate: true}}
+	a := &core.Attempt{Request: &core.Request{Txn: "t", Class: "c", ObjectText: "0a", PartText: "3", ETag: "h", IdempotencyKey: "k", Body: []byte("xy")},
+		Timeout: 900 * time.Millisecond, Source: &core.Endpoint{ID: "s-1"},
+		Decision: balancer.SendAttempt{CachePriority: 2, MaxAge: time.Microsecond, Coalesce: true, Revalidate: true}}
 	want := "ASK t kind=c,obj=0a,seg=3,ms=900,fetch=s-1,retain=2,newer=1,handle=j+r,holds=h,token=k 2\r\nxy\r\n"
 	if got := string(appendAsk(nil, a)); got != want {
 		t.Errorf("got %q, want %q", got, want)
 	}
-	a = &core.Attempt{Request: &core.Request{Txn: "t", Class: "c", Item: "0a", Nth: "0"}}
+	a = &core.Attempt{Request: &core.Request{Txn: "t", Class: "c", ObjectText: "0a", PartText: "0"}}
 	if got, want := string(appendAsk(nil, a)), "ASK t kind=c,obj=0a,seg=0,ms=1 0\r\n\r\n"; got != want {
 		t.Errorf("got %q, want %q", got, want)
 	}
--- a/internal/upstream/faults_test.go
+++ b/internal/upstream/faults_test.go
@@ -45,7 +45,7 @@
 			t.Errorf("%v: ended with %d, want %d", errno, e.Status, want)
 		}
 		given := b.send("given up")
-		b.do(func() { b.cl.Quit(given) }) // its connection is still to fail, or has failed
+		b.do(func() { b.cl.Cancel(given) }) // its connection is still to fail, or has failed
 		b.permit = balancer.NotSent
 		b.send("too late")
 		deadline := time.After(20 * time.Second)
