--- a/client/client.go
+++ b/client/client.go
@@ -177,7 +177,7 @@
 	id    uint32 // there
 	done  chan struct{}
 
-	end  policy.End
+	end  policy.Outcome
 	word string // the router's, of a failure
 	resp Response
 
@@ -224,11 +224,11 @@
 	}
 	q.begun = c.now()
 	c.open[q] = struct{}{}
-	q.pc = c.pol.Begin(q.begun, class, c.kinds[class].Safe, q.begun+limit, q)
+	q.pc = c.pol.StartCall(q.begun, policy.CallSpec{Class: class, Idempotent: c.kinds[class].Safe, Deadline: q.begun + limit, UserData: q})
 	c.settle()
 	c.unlock()
 	if err := c.await(ctx, q); err != nil {
-		return Response{Tries: q.end.Tries, Took: q.resp.Took}, err
+		return Response{Tries: q.end.Attempts, Took: q.resp.Took}, err
 	}
 	return q.resp, nil
 }
@@ -242,7 +242,7 @@
 		case <-q.done:
 			if q.end.Verdict == policy.Served && q.req.To != nil {
 				if _, _, err := c.pass(q, handed, try); err != nil {
-					return &Error{Kind: ErrSink, Cause: err, Tries: q.end.Tries}
+					return &Error{Kind: ErrSink, Cause: err, Tries: q.end.Attempts}
 				}
 			}
 			return c.outcome(q, cause)
@@ -251,7 +251,7 @@
 			if handed, try, err = c.pass(q, handed, try); err != nil {
 				c.withdraw(q)
 				<-q.done
-				return &Error{Kind: ErrSink, Cause: err, Tries: q.end.Tries}
+				return &Error{Kind: ErrSink, Cause: err, Tries: q.end.Attempts}
 			}
 		case <-gone:
 			gone, cause = nil, context.Cause(ctx)
@@ -262,7 +262,7 @@
 
 func (c *Client) withdraw(q *call) {
 	c.mu.Lock()
-	c.pol.Withdraw(c.now(), q.pc)
+	c.pol.CancelCall(c.now(), q.pc)
 	c.settle()
 	c.unlock()
 }
@@ -275,7 +275,7 @@
 	if len(body) > 0 {
 		q.written = true
 		if !again {
-			q.pc.Fix()
+			q.pc.ForbidRetry()
 		}
 	}
 	c.mu.Unlock()
@@ -378,10 +378,10 @@
 	}
 	c.mu.Lock()
 	for q := range c.open {
-		c.pol.Withdraw(c.now(), q.pc)
+		c.pol.CancelCall(c.now(), q.pc)
 	}
 	c.settle()
-	c.pol.End(c.now())
+	c.pol.CloseAll(c.now())
 	c.settle()
 	if c.timer != nil {
 		c.timer.Stop()
@@ -401,7 +401,7 @@
 			c.act(a)
 		}
 	}
-	at, ok := c.pol.Next()
+	at, ok := c.pol.NextTick()
 	if !ok || c.armed > 0 && c.armed <= at {
 		return // a timer that goes off too early does no harm
 	}
@@ -424,41 +424,41 @@
 }
 
 func (c *Client) act(a policy.Action) {
-	switch a.Op {
-	case policy.Dial:
+	switch a.Kind {
+	case policy.ActionDial:
 		n := &conn{c: c, pn: a.Conn, addr: c.cfg.Routers[a.Router], calls: map[uint32]*call{}, wake: make(chan struct{}, 1)}
-		n.pn.Tag = n
+		n.pn.UserData = n
 		c.work.Add(1)
 		go n.run()
-	case policy.Check:
-		n := a.Conn.Tag.(*conn)
+	case policy.ActionCheckHealth:
+		n := a.Conn.UserData.(*conn)
 		n.queue(item{kind: sendCheck})
-	case policy.Send:
-		n, q := a.Conn.Tag.(*conn), a.Call.Tag.(*call)
+	case policy.ActionSend:
+		n, q := a.Conn.UserData.(*conn), a.Call.UserData.(*call)
 		n.nextID++
 		q.wire, q.id = n, n.nextID
 		n.calls[q.id] = q
-		n.queue(item{kind: sendCall, call: q, id: q.id, second: a.Second})
-		c.observe(Observation{What: Tried, Router: n.addr, Class: c.names[q.class], Retry: a.Second})
-	case policy.Cancel:
-		a.Conn.Tag.(*conn).cancel(a.Call.Tag.(*call))
-	case policy.Close:
-		a.Conn.Tag.(*conn).shut()
-	case policy.Finish:
-		c.finish(a.Call.Tag.(*call), a.End)
+		n.queue(item{kind: sendCall, call: q, id: q.id, second: a.Retry})
+		c.observe(Observation{What: Tried, Router: n.addr, Class: c.names[q.class], Retry: a.Retry})
+	case policy.ActionCancel:
+		a.Conn.UserData.(*conn).cancel(a.Call.UserData.(*call))
+	case policy.ActionClose:
+		a.Conn.UserData.(*conn).shut()
+	case policy.ActionFinish:
+		c.finish(a.Call.UserData.(*call), a.Outcome)
 	}
 }
 
 // finish ends a call for its caller.
-func (c *Client) finish(q *call, e policy.End) {
+func (c *Client) finish(q *call, e policy.Outcome) {
 	q.end = e
-	q.resp.Tries, q.resp.Took = e.Tries, c.now()-q.begun
+	q.resp.Tries, q.resp.Took = e.Attempts, c.now()-q.begun
 	if e.Verdict != policy.Served && q.req.To == nil {
 		q.resp.Body = nil
 	}
 	delete(c.open, q)
 	c.stats.ended(q, e)
-	c.observe(Observation{What: Ended, Router: q.resp.Router, Class: c.names[q.class], Tries: e.Tries, Took: q.resp.Took, Verdict: e.Verdict})
+	c.observe(Observation{What: Ended, Router: q.resp.Router, Class: c.names[q.class], Tries: e.Attempts, Took: q.resp.Took, Verdict: e.Verdict})
 	close(q.done)
 	if c.closed && len(c.open) == 0 {
 		close(c.idle)
--- a/client/conn.go
+++ b/client/conn.go
@@ -175,7 +175,7 @@
 		}
 	}
 	c.observe(Observation{What: Disconnected, Router: n.addr, Err: err})
-	c.pol.Closed(c.now(), pn, unsent, lost)
+	c.pol.ConnectionClosed(c.now(), pn, unsent, lost)
 	c.settle()
 }
 
@@ -202,7 +202,7 @@
 			took := c.now() - began
 			c.mu.Lock()
 			if n.pn != nil {
-				n.pn.Wrote(len(buf), took)
+				n.pn.WriteCompleted(len(buf), took)
 			}
 			n.taken = n.taken[:0]
 			c.unlock()
@@ -242,14 +242,14 @@
 	if n.calls[it.id] != q { // withdrawn meanwhile
 		return buf
 	}
-	limit, ok := n.c.pol.Limit(n.c.now(), q.pc, len(buf)+len(q.req.Body)+200)
+	limit, ok := n.c.pol.PrepareWrite(n.c.now(), q.pc, len(buf)+len(q.req.Body)+200)
 	if !ok {
 		return buf
 	}
 	n.taken = append(n.taken, written{id: it.id, start: len(buf)})
 	q.txn = n.c.txns.Uint64()
 	resumes := uint64(0)
-	if q.pc.Claims() {
+	if q.pc.IsClaim() {
 		resumes = q.lost
 	}
 	return rpc.AppendCall(buf, uint64(it.id), &rpc.Request{Method: n.c.names[q.class], Txn: q.txn, Resumes: resumes, Account: n.c.cfg.Account,
@@ -301,7 +301,7 @@
 func (n *conn) heard() {
 	n.c.mu.Lock()
 	if n.pn != nil {
-		n.c.pol.Heard(n.c.now(), n.pn)
+		n.c.pol.BytesReceived(n.c.now(), n.pn)
 	}
 	n.c.mu.Unlock()
 }
@@ -398,31 +398,31 @@
 		if !h.Ready {
 			c.observe(Observation{What: Drained, Router: n.addr})
 		}
-		c.pol.Checked(c.now(), n.pn, h.Ready)
+		c.pol.HealthReceived(c.now(), n.pn, h.Ready)
 		c.settle()
 		return nil
 	}
 	q := n.calls[uint32(h.ID)]
 	if q == nil { // its caller has gone, or it is a second answer
 		c.stats.strays++
-		c.pol.Heard(c.now(), n.pn)
+		c.pol.BytesReceived(c.now(), n.pn)
 		return nil
 	}
 	n.forget(q)
-	res, wait := policy.Good, time.Duration(0)
+	res, wait := policy.ResultServed, time.Duration(0)
 	if h.What == rpc.Error {
 		q.word = string(h.Word)
 		switch q.word {
 		case rpc.Throttled:
-			res, wait = policy.Turned, time.Duration(h.Fields.Wait())*time.Millisecond
+			res, wait = policy.ResultRejected, time.Duration(h.Fields.Wait())*time.Millisecond
 		case rpc.BadRequest, rpc.NoSuchMethod:
-			res = policy.Unusable
+			res = policy.ResultInvalid
 		default:
-			res = policy.Broke
+			res = policy.ResultFailed
 		}
 	}
 	q.resp.Router = n.addr
-	if res == policy.Good {
+	if res == policy.ResultServed {
 		q.resp.Unchanged, q.resp.Size = h.Fields.Unchanged(), len(body)
 		if q.req.To == nil {
 			q.resp.Body = body
@@ -431,7 +431,7 @@
 		}
 	}
 	c.observe(Observation{What: Answered, Router: n.addr, Class: c.names[q.class], Result: res, Wait: wait})
-	c.pol.Answered(c.now(), q.pc, res, wait)
+	c.pol.AnswerReceived(c.now(), q.pc, res, wait)
 	c.settle()
 	return nil
 }
--- a/client/errors.go
+++ b/client/errors.go
@@ -80,7 +80,7 @@
 		return nil
 	}
 	out := &Error{Kind: kinds[e.Verdict], MayHaveRun: e.MayHaveRun, Unsafe: !c.kinds[q.class].Safe, Local: e.Local,
-		Wait: e.Wait, Tries: e.Tries}
+		Wait: e.RetryAfter, Tries: e.Attempts}
 	switch e.Verdict {
 	case policy.Failed, policy.Refused:
 		out.Text = q.word
--- /dev/null
+++ b/client/policy/conn.go
@@ -0,0 +1,199 @@
+package policy
+
+import "time"
+
+const (
+	// maxCallsPerConn is how many calls one connection carries in its life: their ids are bounded.
+	maxCallsPerConn = 1 << 31
+
+	// writePaceWeight is the weight of the latest write in the moving average of a connection's pace.
+	writePaceWeight = 0.3
+)
+
+// Conn is one connection to a router, from its ActionDial to DialFailed or ConnectionClosed.
+type Conn struct {
+	// UserData is the caller's own: the policy does not use it.
+	UserData any
+
+	router     *router
+	state      connState
+	timer      timer
+	inFlight   int    // calls
+	sent       uint64 // calls in all
+	writePace  float64
+	lastUsed   time.Duration // when a call was last added or removed
+	lastHeard  time.Duration // when bytes last came, or the connection began to owe an answer
+	idleBefore time.Duration // how long it had been idle before the calls that are in flight now
+	health     healthCheck
+}
+
+// healthCheck is the state of a connection's health checks.
+type healthCheck struct {
+	pendingSince time.Duration // when the check that is not answered was sent; 0: there is none
+	lastSent     time.Duration
+}
+
+// connState is the state of a connection.
+type connState uint8
+
+const (
+	connDialing  connState = iota
+	connChecking           // up, and waits for the answer to its first health check
+	connReady              // takes calls
+	connDraining           // takes no new calls, and is closed once none is in flight
+	connClosed
+)
+
+// Router returns the index of the connection's router.
+func (conn *Conn) Router() int { return conn.router.index }
+
+func (conn *Conn) addCall(p *Policy) {
+	conn.inFlight++
+	if conn.inFlight == 1 { // it owed no answer: its silence begins now
+		conn.lastHeard, conn.idleBefore = p.now, p.now-conn.lastUsed
+		p.setConnTimer(conn)
+	}
+	conn.sent++
+	conn.router.inFlight++
+}
+
+func (conn *Conn) removeCall(now time.Duration) {
+	conn.inFlight--
+	conn.router.inFlight--
+	conn.lastUsed = now
+}
+
+// WriteCompleted reports how long a write of so many bytes took. The time of later writes is expected from it.
+func (conn *Conn) WriteCompleted(bytes int, took time.Duration) {
+	if bytes > 0 {
+		conn.writePace += writePaceWeight * (float64(took)/float64(bytes) - conn.writePace)
+	}
+}
+
+func (conn *Conn) expectedWriteTime(bytes int) time.Duration {
+	return time.Duration(conn.writePace * float64(bytes))
+}
+
+// openConns opens a connection to each router that may be dialed and lacks capacity.
+func (p *Policy) openConns() {
+	for _, r := range p.routers {
+		if p.now >= r.dial.notBefore && p.now >= r.outlier.ejectedUntil && p.lacksCapacity(r) {
+			p.openConn(r)
+		}
+	}
+}
+
+// lacksCapacity says whether all connections to a router are nearly full, no other is on its way, and one more is allowed.
+func (p *Policy) lacksCapacity(r *router) bool {
+	active := 0
+	for _, conn := range r.conns {
+		switch conn.state {
+		case connDialing, connChecking:
+			return false
+		case connReady:
+			if conn.inFlight < p.settings.OpenPerConn*3/4 {
+				return false
+			}
+			active++
+		}
+	}
+	return active < p.settings.ConnsPerRouter
+}
+
+func (p *Policy) openConn(r *router) {
+	conn := &Conn{router: r, state: connDialing}
+	conn.timer = newTimer(conn)
+	r.conns = append(r.conns, conn)
+	p.counts.Dials++
+	p.setTimer(&conn.timer, p.now+p.settings.DialWait)
+	p.request(Action{Kind: ActionDial, Conn: conn, Router: r.index})
+}
+
+// Connected reports that a connection is up. Its first health check must be answered before it gets calls.
+func (p *Policy) Connected(now time.Duration, conn *Conn) {
+	p.now = now
+	if conn.state != connDialing {
+		return
+	}
+	conn.state, conn.lastHeard = connChecking, now
+	p.checkHealth(conn)
+}
+
+// DialFailed reports that a connection did not come up.
+func (p *Policy) DialFailed(now time.Duration, conn *Conn) {
+	p.now = now
+	if conn.state != connDialing {
+		return
+	}
+	p.removeConn(conn)
+	p.backOffDial(conn.router)
+	p.sendQueued()
+}
+
+// reviewConn drains a connection that has carried all the calls that it may, closes one that has drained, and makes sure
+// that a ready one has its timer.
+func (p *Policy) reviewConn(conn *Conn) {
+	switch {
+	case conn.state == connDraining && conn.inFlight == 0:
+		p.closeConn(conn)
+	case conn.state == connReady && conn.sent >= maxCallsPerConn:
+		conn.state = connDraining
+	case conn.state == connReady && !conn.timer.isSet():
+		p.setConnTimer(conn)
+	}
+}
+
+// closeConn closes a connection. What is in flight on it is reported by ConnectionClosed.
+func (p *Policy) closeConn(conn *Conn) {
+	if conn.state == connClosed {
+		return
+	}
+	p.removeConn(conn)
+	p.request(Action{Kind: ActionClose, Conn: conn, Router: conn.router.index})
+}
+
+func (p *Policy) removeConn(conn *Conn) {
+	conn.state = connClosed
+	p.stopTimer(&conn.timer)
+	r := conn.router
+	for i, other := range r.conns {
+		if other == conn {
+			r.conns = append(r.conns[:i], r.conns[i+1:]...)
+			return
+		}
+	}
+}
+
+// setConnTimer sets when a connection is looked at next. A moment that has moved on since is noticed then: moving the
+// timer with each call would cost more.
+func (p *Policy) setConnTimer(conn *Conn) {
+	at := conn.lastUsed + p.settings.Idle
+	switch {
+	case conn.state == connDialing:
+		return
+	case conn.health.pendingSince > 0:
+		at = conn.health.pendingSince + p.settings.CheckWait
+	case conn.inFlight > 0:
+		at = p.nextHealthCheck(conn)
+	}
+	p.setTimer(&conn.timer, max(at, p.now+time.Millisecond))
+}
+
+func (conn *Conn) timerDue(p *Policy) {
+	checking := conn.health.pendingSince > 0
+	switch {
+	case conn.state == connDialing:
+		p.closeConn(conn)
+		p.backOffDial(conn.router)
+	case checking && p.now >= conn.health.pendingSince+p.settings.CheckWait:
+		p.closeSilent(conn)
+	case checking:
+		p.setConnTimer(conn)
+	case conn.inFlight == 0 && p.now >= conn.lastUsed+p.settings.Idle:
+		p.closeConn(conn)
+	case conn.inFlight > 0 && p.now >= p.nextHealthCheck(conn):
+		p.checkHealth(conn)
+	default:
+		p.setConnTimer(conn)
+	}
+}
--- /dev/null
+++ b/client/policy/connclose.go
@@ -0,0 +1,65 @@
+package policy
+
+import "time"
+
+// longIdle is how long a connection is without calls until its end says nothing of its router.
+const longIdle = time.Second
+
+// connEnd is what the end of a connection says of its router.
+type connEnd struct {
+	byRouter     bool // the client had not asked for it
+	crossedClose bool // the router closed an idle connection, and all calls in flight were written just before
+	spreadDial   bool // the connection was in use: other clients lost theirs too, and come back at the same time
+}
+
+// ConnectionClosed reports that a connection has ended: by the router, through a fault, or as ActionClose asked. Unsent
+// lists the calls in flight of which surely not one byte was written, lost all others. It must be reported once.
+func (p *Policy) ConnectionClosed(now time.Duration, conn *Conn, unsent, lost []*Call) {
+	p.now = now
+	end := p.classifyEnd(conn, lost)
+	p.removeConn(conn)
+	if end.byRouter && len(lost) > 0 && !end.crossedClose {
+		p.recordFailure(conn.router)
+	}
+	if end.spreadDial {
+		p.backOffDial(conn.router)
+	}
+	for _, c := range unsent {
+		if c.latest.conn == conn {
+			p.detach(c)
+			p.move(c)
+		}
+	}
+	for _, c := range lost {
+		if c.latest.conn == conn {
+			p.detach(c)
+			p.recoverLost(c, end.crossedClose)
+		}
+	}
+	p.sendQueued()
+}
+
+// classifyEnd tells the kinds of ends apart, before the connection's state is changed.
+func (p *Policy) classifyEnd(conn *Conn, lost []*Call) connEnd {
+	if conn.state == connClosed {
+		return connEnd{}
+	}
+	end := connEnd{byRouter: true, crossedClose: conn.state != connDraining && p.writtenJustNow(lost)}
+	idle := p.now - conn.lastUsed
+	if conn.inFlight > 0 {
+		idle = 0
+	}
+	closedAsIdle := idle >= longIdle || end.crossedClose && conn.idleBefore >= longIdle
+	end.spreadDial = conn.state == connChecking || !closedAsIdle
+	return end
+}
+
+// writtenJustNow says whether all of these calls were written so shortly ago that the router may not have seen them.
+func (p *Policy) writtenJustNow(calls []*Call) bool {
+	for _, c := range calls {
+		if p.now-c.latest.sentAt > p.settings.Crossing {
+			return false
+		}
+	}
+	return true
+}
--- a/client/policy/policy_test.go
+++ b/client/policy/policy_test.go
@@ -17,19 +17,19 @@
 
 // world plays routers and the network to a policy, in virtual time, and checks each action.
 type world struct {
-	t       rapid.TB
-	p       *Policy
-	set     Settings
-	now     time.Duration
-	later   []event
-	routers []*peer
-	conns   map[*Conn]*link
-	dialed  []*Conn // in order
-	sends   map[*Call]int
-	ran     map[*Call]int // tries that may have run
-	ends    map[*Call]End
-	ended   map[*Call]time.Duration
-	trace   []string
+	t        rapid.TB
+	p        *Policy
+	settings Settings
+	now      time.Duration
+	later    []event
+	routers  []*peer
+	conns    map[*Conn]*link
+	dialed   []*Conn // in order
+	sends    map[*Call]int
+	ran      map[*Call]int // tries that may have run
+	ends     map[*Call]Outcome
+	ended    map[*Call]time.Duration
+	trace    []string
 }
 
 type event struct {
@@ -52,36 +52,36 @@
 }
 
 func newWorld(t rapid.TB, routers int, change func(*Settings)) *world {
-	w := &world{t: t, set: Defaults(), now: time.Second, conns: map[*Conn]*link{}, sends: map[*Call]int{},
-		ran: map[*Call]int{}, ends: map[*Call]End{},
+	w := &world{t: t, settings: Defaults(), now: time.Second, conns: map[*Conn]*link{}, sends: map[*Call]int{},
+		ran: map[*Call]int{}, ends: map[*Call]Outcome{},
 		ended: map[*Call]time.Duration{}}
-	w.set.Seed = 7
+	w.settings.Seed = 7
 	if change != nil {
-		change(&w.set)
+		change(&w.settings)
 	}
-	if err := w.set.Check(); err != nil {
+	if err := w.settings.Check(); err != nil {
 		t.Fatal(err)
 	}
 	for range routers {
 		w.routers = append(w.routers, &peer{answer: served(10 * ms)})
 	}
-	w.p = New(w.set, routers, 2)
+	w.p = New(w.settings, routers, 2)
 	return w
 }
 
 func served(after time.Duration) func() (time.Duration, Result, time.Duration) {
-	return func() (time.Duration, Result, time.Duration) { return after, Good, 0 }
+	return func() (time.Duration, Result, time.Duration) { return after, ResultServed, 0 }
 }
 
 func refused(wait time.Duration) func() (time.Duration, Result, time.Duration) {
-	return func() (time.Duration, Result, time.Duration) { return ms, Turned, wait }
+	return func() (time.Duration, Result, time.Duration) { return ms, ResultRejected, wait }
 }
 
 func (w *world) after(d time.Duration, do func()) { w.later = append(w.later, event{w.now + d, do}) }
 
 // call begins a call and carries out what comes of it.
 func (w *world) call(safe bool, limit time.Duration) *Call {
-	c := w.p.Begin(w.now, 0, safe, w.now+limit, nil)
+	c := w.p.StartCall(w.now, CallSpec{Idempotent: safe, Deadline: w.now + limit})
 	w.act()
 	return c
 }
@@ -95,7 +95,7 @@
 				first = i
 			}
 		}
-		at, timer := w.p.Next()
+		at, timer := w.p.NextTick()
 		switch {
 		case first >= 0 && w.later[first].at <= until && (!timer || w.later[first].at <= at):
 			e := w.later[first]
@@ -116,7 +116,7 @@
 func (w *world) act() {
 	for acts := slices.Clone(w.p.Actions()); len(acts) > 0; acts = slices.Clone(w.p.Actions()) {
 		for _, a := range acts {
-			w.trace = append(w.trace, fmt.Sprint(w.now, a.Op, a.Router, a.Second, a.End))
+			w.trace = append(w.trace, fmt.Sprint(w.now, a.Kind, a.Router, a.Retry, a.Outcome))
 			w.carry(a)
 		}
 	}
@@ -124,8 +124,8 @@
 
 func (w *world) carry(a Action) {
 	l := w.conns[a.Conn]
-	switch a.Op {
-	case Dial:
+	switch a.Kind {
+	case ActionDial:
 		l = &link{peer: w.routers[a.Router]}
 		w.conns[a.Conn] = l
 		w.dialed = append(w.dialed, a.Conn)
@@ -137,46 +137,46 @@
 				w.p.DialFailed(w.now, a.Conn)
 			}
 		})
-	case Check:
+	case ActionCheckHealth:
 		w.after(ms, func() {
 			if l.up && !l.peer.silent {
-				w.p.Checked(w.now, a.Conn, !l.peer.drained)
+				w.p.HealthReceived(w.now, a.Conn, !l.peer.drained)
 			}
 		})
-	case Send:
+	case ActionSend:
 		w.send(a, l)
-	case Cancel:
+	case ActionCancel:
 		l.out = slices.DeleteFunc(l.out, func(c *Call) bool { return c == a.Call })
-	case Close:
+	case ActionClose:
 		w.cut(a.Conn, false)
-	case Finish:
+	case ActionFinish:
 		if _, twice := w.ends[a.Call]; twice {
-			w.t.Fatalf("a call ended twice, as %+v", a.End)
+			w.t.Fatalf("a call ended twice, as %+v", a.Outcome)
 		}
 		if w.now > a.Call.deadline {
 			w.t.Fatalf("a call ended %v too late", w.now-a.Call.deadline)
 		}
-		w.ends[a.Call], w.ended[a.Call] = a.End, w.now
+		w.ends[a.Call], w.ended[a.Call] = a.Outcome, w.now
 	}
 }
 
 func (w *world) send(a Action, l *link) {
-	limit, ok := w.p.Limit(w.now, a.Call, 100)
+	limit, ok := w.p.PrepareWrite(w.now, a.Call, 100)
 	if !ok {
 		return
 	}
 	_, over := w.ends[a.Call]
 	switch {
-	case !l.up || len(l.out) >= w.set.OpenPerConn:
+	case !l.up || len(l.out) >= w.settings.OpenPerConn:
 		w.t.Fatalf("a call goes out on a connection that is up: %v, and has %d open", l.up, len(l.out))
 	case over || limit > a.Call.deadline-w.now || limit <= 0:
 		w.t.Fatalf("a call goes out, over: %v, with limit %v of %v", over, limit, a.Call.deadline-w.now)
 	case l.peer.away > w.now:
 		w.t.Fatalf("a call goes out %v before it may", l.peer.away-w.now)
-	case !a.Call.safe && w.ran[a.Call] > 0:
+	case !a.Call.idempotent && w.ran[a.Call] > 0:
 		w.t.Fatalf("an unsafe call goes out again that may have run")
-	case a.Second != (w.sends[a.Call] > 0):
-		w.t.Fatalf("try %d marked as retry: %v", w.sends[a.Call]+1, a.Second)
+	case a.Retry != (w.sends[a.Call] > 0):
+		w.t.Fatalf("try %d marked as retry: %v", w.sends[a.Call]+1, a.Retry)
 	}
 	w.sends[a.Call]++
 	w.ran[a.Call]++
@@ -189,13 +189,13 @@
 	w.after(after, func() {
 		if i := slices.Index(l.out, a.Call); i >= 0 && l.up && !l.peer.silent {
 			l.out = slices.Delete(l.out, i, i+1)
-			if res == Turned || res == Unusable {
+			if res == ResultRejected || res == ResultInvalid {
 				w.ran[a.Call]--
 			}
-			if res == Turned {
+			if res == ResultRejected {
 				l.peer.away = max(l.peer.away, w.now+wait)
 			}
-			w.p.Answered(w.now, a.Call, res, wait)
+			w.p.AnswerReceived(w.now, a.Call, res, wait)
 		}
 	})
 }
@@ -208,9 +208,9 @@
 			w.sends[c]--
 			w.ran[c]--
 		}
-		w.p.Closed(w.now, n, l.out, nil)
+		w.p.ConnectionClosed(w.now, n, l.out, nil)
 	} else {
-		w.p.Closed(w.now, n, nil, l.out)
+		w.p.ConnectionClosed(w.now, n, nil, l.out)
 	}
 	l.out = nil
 }
@@ -287,7 +287,7 @@
 			r.answer = func() (time.Duration, Result, time.Duration) { return span / 8, Result(n >> 12 % 4), span }
 		case 10:
 			if len(calls) > 0 {
-				w.p.Withdraw(w.now, calls[int(n>>16)%len(calls)])
+				w.p.CancelCall(w.now, calls[int(n>>16)%len(calls)])
 				w.act()
 			}
 		case 11:
@@ -299,7 +299,7 @@
 	for _, c := range calls {
 		e, ok := w.ends[c]
 		// A crossing may add one try.
-		if !ok || e.Tries != w.sends[c] || e.Tries > w.set.Tries+1 {
+		if !ok || e.Attempts != w.sends[c] || e.Attempts > w.settings.Tries+1 {
 			w.t.Fatalf("a call was sent %d times and ended as %+v (%v)", w.sends[c], e, ok)
 		}
 		if e.MayHaveRun != (w.ran[c] > 0 && e.Verdict != Served) {
@@ -307,10 +307,10 @@
 		}
 	}
 	got := w.p.Counts()
-	if w.p.Waiting() != 0 || len(w.p.wakes) != 0 || len(w.p.queue) != 0 {
-		w.t.Fatalf("left behind: %d calls, %d times, %d in the queue", w.p.Waiting(), len(w.p.wakes), len(w.p.queue))
+	if w.p.Waiting() != 0 || len(w.p.timers) != 0 || len(w.p.queue) != 0 {
+		w.t.Fatalf("left behind: %d calls, %d times, %d in the queue", w.p.Waiting(), len(w.p.timers), len(w.p.queue))
 	}
-	if over := float64(got.Retries) - float64(got.Crossings) - w.set.RetryShare*float64(firsts) - 20*w.set.RetryFloor; over > 0 {
+	if over := float64(got.Retries) - float64(got.Crossings) - w.settings.RetryShare*float64(firsts) - 20*w.settings.RetryFloor; over > 0 {
 		w.t.Fatalf("%d retries of %d calls", got.Retries, firsts)
 	}
 }
@@ -326,8 +326,8 @@
 	}{
 		"served":  {answer: served(ms), tries: 1},
 		"refused": {answer: refused(0), tries: 3, v: Refused},
-		"failed":  {answer: func() (time.Duration, Result, time.Duration) { return ms, Broke, 0 }, tries: 1, v: Failed, ran: true},
-		"unusable": {answer: func() (time.Duration, Result, time.Duration) { return ms, Unusable, 0 },
+		"failed":  {answer: func() (time.Duration, Result, time.Duration) { return ms, ResultFailed, 0 }, tries: 1, v: Failed, ran: true},
+		"unusable": {answer: func() (time.Duration, Result, time.Duration) { return ms, ResultInvalid, 0 },
 			tries: 1, v: Failed},
 		"lost":    {answer: served(time.Hour), cut: 1, tries: 1, v: Lost, ran: true},
 		"unsent":  {answer: served(100 * ms), cut: 2, tries: 1},
@@ -340,10 +340,10 @@
 		call := w.call(false, 3*time.Second)
 		w.run(20 * ms)
 		if c.cut > 0 {
-			w.breakAll(w.routers[call.last], c.cut == 2)
+			w.breakAll(w.routers[call.latest.router], c.cut == 2)
 		}
 		w.run(10 * time.Second)
-		if e := w.ends[call]; e.Verdict != c.v || e.MayHaveRun != c.ran || e.Tries != c.tries || w.sends[call] != c.tries {
+		if e := w.ends[call]; e.Verdict != c.v || e.MayHaveRun != c.ran || e.Attempts != c.tries || w.sends[call] != c.tries {
 			t.Errorf("%s: %+v, sent %d times", name, e, w.sends[call])
 		}
 	}
@@ -375,7 +375,7 @@
 			t.Errorf("later %v: %.2f served a second after the storm", later, s)
 		}
 		for _, c := range storm { // all of it was told at once, or after the wait that routers asked for
-			if d := w.ended[c] - (c.deadline - 3*time.Second); w.ends[c].Verdict == Refused && d > 2*later+2*w.set.BackoffMost {
+			if d := w.ended[c] - (c.deadline - 3*time.Second); w.ends[c].Verdict == Refused && d > 2*later+2*w.settings.BackoffMost {
 				t.Fatalf("later %v: refused after %v", later, d)
 			}
 		}
@@ -394,7 +394,7 @@
 		calls = append(calls, w.call(true, 3*time.Second))
 	}
 	short := w.call(true, 100*ms)
-	if e := w.ends[short]; e.Verdict != Refused || !e.Local || e.Wait < 300*ms {
+	if e := w.ends[short]; e.Verdict != Refused || !e.Local || e.RetryAfter < 300*ms {
 		t.Errorf("a call with too little time: %+v", e)
 	}
 	w.run(2 * time.Second) // the world checks that none goes too early
@@ -407,7 +407,7 @@
 // so many that too few are left.
 func TestOutlier(t *testing.T) {
 	for name, bad := range map[string]func() (time.Duration, Result, time.Duration){
-		"fails":   func() (time.Duration, Result, time.Duration) { return ms, Broke, 0 },
+		"fails":   func() (time.Duration, Result, time.Duration) { return ms, ResultFailed, 0 },
 		"refuses": refused(0),
 	} {
 		w := newWorld(t, 4, nil)
@@ -419,12 +419,12 @@
 	}
 	w := newWorld(t, 4, nil)
 	for _, r := range w.routers {
-		r.answer = func() (time.Duration, Result, time.Duration) { return ms, Broke, 0 }
+		r.answer = func() (time.Duration, Result, time.Duration) { return ms, ResultFailed, 0 }
 	}
 	w.load(5*ms, 500*ms)
 	out := 0
 	for _, r := range w.p.routers {
-		if w.now < r.ejected {
+		if w.now < r.outlier.ejectedUntil {
 			out++
 		}
 	}
@@ -435,7 +435,7 @@
 	w = newWorld(t, 2, func(s *Settings) { s.EjectAfter = 100 })
 	w.routers[1].answer = served(200 * ms)
 	w.load(20*ms, time.Second)
-	w.routers[0].answer = func() (time.Duration, Result, time.Duration) { return ms, Broke, 0 }
+	w.routers[0].answer = func() (time.Duration, Result, time.Duration) { return ms, ResultFailed, 0 }
 	calls := w.load(20*ms, 100*ms)
 	w.run(time.Second)
 	if w.share(calls, Served) < 1 {
@@ -555,7 +555,7 @@
 		none = w.call(true, 200*ms)
 		w.run(20 * ms)
 	}
-	if e := w.ends[none]; e.Wait <= 0 || e.Tries != 0 || w.ended[none]+180*ms > none.deadline {
+	if e := w.ends[none]; e.RetryAfter <= 0 || e.Attempts != 0 || w.ended[none]+180*ms > none.deadline {
 		t.Errorf("no router: %+v, %v before its deadline", e, none.deadline-w.ended[none])
 	}
 	w.routers[0].down = false // it comes back, and so do we
@@ -568,10 +568,10 @@
 // Retries of all calls together stay within the budget, and the waits before them are random.
 func TestBudget(t *testing.T) {
 	w := newWorld(t, 1, func(s *Settings) { s.EjectShare = 0 })
-	w.routers[0].answer = func() (time.Duration, Result, time.Duration) { return ms, Broke, 0 }
+	w.routers[0].answer = func() (time.Duration, Result, time.Duration) { return ms, ResultFailed, 0 }
 	calls := w.load(5*ms, 20*time.Second)
 	c := w.p.Counts()
-	if most := 0.1*float64(len(calls)) + 3*w.set.RetryFloor; float64(c.Retries) > most || float64(c.Retries) < most/2 {
+	if most := 0.1*float64(len(calls)) + 3*w.settings.RetryFloor; float64(c.Retries) > most || float64(c.Retries) < most/2 {
 		t.Errorf("%d retries of %d calls", c.Retries, len(calls))
 	}
 	sum, n := 0.0, 2000
--- /dev/null
+++ b/client/policy/throttle.go
@@ -0,0 +1,101 @@
+package policy
+
+import (
+	"math/rand/v2"
+	"time"
+)
+
+const (
+	// rampShedShare is the share of calls that is shed when the ramp after a storm begins.
+	rampShedShare = 0.8
+
+	// So many accepted answers in a row end a storm: more where routers accepted some calls all along, as two
+	// accepted ones in a row say little there.
+	stormEndStreak        = 2
+	partialStormEndStreak = 8
+
+	// partialStormAccepted is how many accepted answers of a window make a storm a partial one.
+	partialStormAccepted = 2
+)
+
+// throttle sheds calls locally while routers reject nearly all of them (a storm): adaptive throttling, as in the Google
+// SRE book, with a probe and a ramp that let it recover within a second. It spares routers the work of rejecting, and
+// the callers' link what comes to nothing. One call at a time is admitted all the same, to see the end of the storm.
+type throttle struct {
+	settings  *Settings
+	random    *rand.Rand
+	ended     slidingSum    // calls answered by routers or shed
+	accepted  slidingSum    // calls that routers did not reject
+	streak    int           // answers accepted in a row
+	lastProbe time.Duration // when a call was last admitted as a probe
+	rampStart time.Duration // 0: no ramp
+}
+
+func newThrottle(settings *Settings, random *rand.Rand) throttle {
+	t := throttle{settings: settings, random: random}
+	t.forget()
+	return t
+}
+
+// forget drops the figures of the window.
+func (t *throttle) forget() {
+	t.ended = newSlidingSum(t.settings.ThrottleWindow)
+	t.accepted = newSlidingSum(t.settings.ThrottleWindow)
+}
+
+// shedShare is the share of new calls that is to be shed now.
+func (t *throttle) shedShare(now time.Duration) float64 {
+	if t.rampStart > 0 {
+		if now < t.rampStart+t.settings.Ramp {
+			return rampShedShare * (1 - float64(now-t.rampStart)/float64(t.settings.Ramp))
+		}
+		t.rampStart = 0
+	}
+	ended := t.ended.sum(now)
+	if ended < float64(t.settings.ThrottleLeast) {
+		return 0
+	}
+	return max(0, (ended-t.settings.ThrottleOver*t.accepted.sum(now))/(ended+1))
+}
+
+// admit says whether a new call may go on; if not, it is shed.
+func (t *throttle) admit(now time.Duration) bool {
+	share := t.shedShare(now)
+	if share <= 0 || t.random.Float64() >= share {
+		return true
+	}
+	if now >= t.lastProbe+t.settings.ProbeEvery {
+		t.lastProbe = now
+		return true
+	}
+	t.ended.add(now, 1)
+	return false
+}
+
+// inactive says whether no calls are shed now.
+func (t *throttle) inactive(now time.Duration) bool { return t.shedShare(now) <= 0 }
+
+// recordRejected counts a rejection by a router.
+func (t *throttle) recordRejected(now time.Duration) {
+	t.streak, t.rampStart = 0, 0
+	t.ended.add(now, 1)
+}
+
+// recordAccepted counts an answer that was no rejection, and starts the ramp where it shows that a storm is over.
+func (t *throttle) recordAccepted(now time.Duration) {
+	t.streak++
+	inStorm := t.rampStart == 0 && t.shedShare(now) > 0
+	if inStorm && t.streak >= t.streakToEnd(now) {
+		t.forget() // the figures of the storm say nothing of what comes
+		t.rampStart = now
+	}
+	t.ended.add(now, 1)
+	t.accepted.add(now, 1)
+}
+
+func (t *throttle) streakToEnd(now time.Duration) int {
+	if t.accepted.sum(now) > partialStormAccepted {
+		return partialStormEndStreak
+	}
+	return stormEndStreak
+}
--- a/client/policy/timers.go
+++ b/client/policy/timers.go
@@ -5,96 +5,69 @@
 	"time"
 )
 
-// Timers, in a heap whose entries can be moved.
-
-// wake is the next moment at which something of a call, a connection or a router is due.
-type wake struct {
-	at     time.Duration
-	index  int // in the heap; -1: not there
-	call   *Call
-	conn   *Conn
-	router *router
+// timerOwner is a call, a connection or a router: what a timer wakes.
+type timerOwner interface {
+	timerDue(p *Policy)
 }
 
-type wakes []*wake
-
-func (w wakes) Len() int { return len(w) }
-
-func (w wakes) Less(i, j int) bool { return w[i].at < w[j].at }
-
-func (w wakes) Swap(i, j int) {
-	w[i], w[j] = w[j], w[i]
-	w[i].index, w[j].index = i, j
+// timer is the next moment at which something is due for its owner.
+type timer struct {
+	at    time.Duration
+	index int // in the heap; -1: not set
+	owner timerOwner
 }
 
-func (w *wakes) Push(x any) {
-	x.(*wake).index = len(*w)
-	*w = append(*w, x.(*wake))
-}
+func newTimer(owner timerOwner) timer { return timer{index: -1, owner: owner} }
 
-func (w *wakes) Pop() any {
-	old := *w
-	last := old[len(old)-1]
-	old[len(old)-1] = nil
-	*w = old[:len(old)-1]
-	last.index = -1
-	return last
-}
+func (t *timer) isSet() bool { return t.index >= 0 }
 
-func (p *Policy) setWake(w *wake, at time.Duration) {
-	if w.index >= 0 {
-		if w.at != at {
-			w.at = at
-			heap.Fix(&p.wakes, w.index)
-		}
+// setTimer sets or moves a timer.
+func (p *Policy) setTimer(t *timer, at time.Duration) {
+	if !t.isSet() {
+		t.at = at
+		heap.Push(&p.timers, t)
 		return
 	}
-	w.at = at
-	heap.Push(&p.wakes, w)
+	if t.at != at {
+		t.at = at
+		heap.Fix(&p.timers, t.index)
+	}
 }
 
-func (p *Policy) unwake(w *wake) {
-	if w.index >= 0 {
-		heap.Remove(&p.wakes, w.index)
+func (p *Policy) stopTimer(t *timer) {
+	if t.isSet() {
+		heap.Remove(&p.timers, t.index)
 	}
 }
 
-// rewake sets a call's next moment: its end, or before that the time for which it is held.
-func (p *Policy) rewake(c *Call) {
-	at := c.deadline
-	if c.state == holding {
-		at = min(at, c.held)
-	}
-	p.setWake(&c.wake, at)
+// popTimer removes the earliest timer.
+func (p *Policy) popTimer() *timer { return heap.Pop(&p.timers).(*timer) }
+
+// timerHeap implements heap.Interface, with the earliest timer first. Each timer knows its index, so that it can be moved.
+type timerHeap []*timer
+
+func (h timerHeap) Len() int { return len(h) }
+
+func (h timerHeap) Less(i, j int) bool { return h[i].at < h[j].at }
+
+func (h timerHeap) Swap(i, j int) {
+	h[i], h[j] = h[j], h[i]
+	h[i].index, h[j].index = i, j
 }
 
-// Tick does what is due.
-func (p *Policy) Tick(now time.Duration) {
-	p.now = now
-	for len(p.wakes) > 0 && p.wakes[0].at <= now {
-		w := heap.Pop(&p.wakes).(*wake)
-		switch {
-		case w.call != nil:
-			p.callDue(w.call)
-		case w.conn != nil:
-			p.connDue(w.conn)
-		default:
-			p.routerDue(w.router)
-		}
-	}
-	p.pump()
+// Push implements heap.Interface. Use heap.Push.
+func (h *timerHeap) Push(x any) {
+	t := x.(*timer)
+	t.index = len(*h)
+	*h = append(*h, t)
 }
 
-func (p *Policy) callDue(c *Call) {
-	switch {
-	case p.now >= c.deadline:
-		if c.state == out {
-			p.overdue(c)
-		}
-		p.giveUp(c, Deadline)
-	case c.state == holding:
-		p.dispatch(c)
-	default:
-		p.rewake(c)
-	}
+// Pop implements heap.Interface. Use heap.Pop.
+func (h *timerHeap) Pop() any {
+	old := *h
+	last := old[len(old)-1]
+	old[len(old)-1] = nil
+	*h = old[:len(old)-1]
+	last.index = -1
+	return last
 }
--- a/client/stats.go
+++ b/client/stats.go
@@ -66,7 +66,7 @@
 	}
 }
 
-func (s *stats) ended(q *call, e policy.End) {
+func (s *stats) ended(q *call, e policy.Outcome) {
 	s.ends[e.Verdict]++
 	if e.Verdict == policy.Served {
 		_ = s.served[q.class].RecordValue(q.resp.Took.Microseconds()) // no call is over an hour
