--- a/client/client.go
+++ b/client/client.go
@@ -333,18 +333,18 @@
 	defer nc.Close()
 	stop := context.AfterFunc(ctx, func() { _ = nc.SetDeadline(clock.Past()) })
 	defer stop()
-	if _, err := nc.Write(rpc.AppendHealthCall(nil, 1)); err != nil {
+	if _, err := nc.Write(rpc.AppendHealthRequest(nil, 1)); err != nil {
 		return err
 	}
 	buf := make([]byte, 0, headMost)
 	for len(buf) < cap(buf) {
 		n, err := nc.Read(buf[len(buf):cap(buf)])
 		buf = buf[:len(buf)+n]
-		h, used, _, bad := rpc.ParseHead(buf, headMost, 0)
+		h, used, _, bad := rpc.ParseResponseHeader(buf, headMost, 0)
 		switch {
 		case bad != nil:
 			return bad
-		case used > 0 && (h.ID != 1 || h.What != rpc.Health):
+		case used > 0 && (h.ID != 1 || h.Kind != rpc.ResponseHealth):
 			return rpc.ErrMalformed
 		case used > 0 && !h.Ready:
 			return ErrNotReady
--- a/client/client_test.go
+++ b/client/client_test.go
@@ -52,7 +52,7 @@
 	body := bytes.Repeat([]byte("score"), 40_000)
 	r := script(t, func(p *fakes.Peer, m rpc.Message) {
 		if string(m.Fields.Got) == "tag" {
-			p.Raw(rpc.AppendServed(nil, m.ID, nil, "ok304", "1"))
+			p.Raw(rpc.AppendBodyResponse(nil, m.ID, nil, "ok304", "1"))
 			return
 		}
 		p.Serve(m.ID, body)
--- a/client/conn.go
+++ b/client/conn.go
@@ -223,7 +223,7 @@
 		switch it := n.out[i]; it.kind {
 		case sendCheck:
 			n.nextID++
-			buf = rpc.AppendHealthCall(buf, uint64(n.nextID))
+			buf = rpc.AppendHealthRequest(buf, uint64(n.nextID))
 		case sendCancel:
 			buf = rpc.AppendCancel(buf, uint64(it.id))
 		default:
@@ -252,7 +252,7 @@
 	if q.pc.IsClaim() {
 		resumes = q.lost
 	}
-	return rpc.AppendCall(buf, uint64(it.id), &rpc.Request{Method: n.c.names[q.class], Txn: q.txn, Resumes: resumes, Account: n.c.cfg.Account,
+	return rpc.AppendRequest(buf, uint64(it.id), &rpc.Request{Method: n.c.names[q.class], Txn: q.txn, Resumes: resumes, Account: n.c.cfg.Account,
 		Limit: max(limit.Milliseconds(), 1), Second: it.second, Item: q.req.Item, Nth: q.req.Part, Batch: q.req.Group,
 		Got: q.req.Have, Body: q.req.Body})
 }
@@ -267,14 +267,14 @@
 	for {
 		buf := space[:fill] // what has come and is not used up
 		for len(buf) > 0 {
-			h, used, _, err := rpc.ParseHead(buf, headMost, n.c.cfg.MaxAnswer)
+			h, used, _, err := rpc.ParseResponseHeader(buf, headMost, n.c.cfg.MaxAnswer)
 			if err != nil {
 				return err
 			}
 			if used == 0 {
 				break
 			}
-			if h.What != rpc.Bytes {
+			if h.Kind != rpc.ResponseBody {
 				if err := n.answered(h, nil); err != nil {
 					return err
 				}
@@ -307,12 +307,12 @@
 }
 
 // readBody reads the body and the tail of an answer, of which buf has come already. It returns what is behind them.
-func (n *conn) readBody(h rpc.Head, buf, space []byte) (rest []byte, err error) {
+func (n *conn) readBody(h rpc.ResponseHeader, buf, space []byte) (rest []byte, err error) {
 	q, err := n.begin(h)
 	if err != nil {
 		return nil, err
 	}
-	body := make([]byte, h.Body) // its length is bounded
+	body := make([]byte, h.BodySize) // its length is bounded
 	have := copy(body, buf)
 	buf = buf[have:]
 	n.progress(q, body, have)
@@ -327,7 +327,7 @@
 		}
 	}
 	for {
-		f, used, _, err := rpc.ParseTail(buf, headMost)
+		f, used, _, err := rpc.ParseResponseTrailer(buf, headMost)
 		if err != nil {
 			return nil, err
 		}
@@ -353,7 +353,7 @@
 }
 
 // begin finds the call that an answer is for; nil where nobody waits for it any more.
-func (n *conn) begin(h rpc.Head) (*call, error) {
+func (n *conn) begin(h rpc.ResponseHeader) (*call, error) {
 	n.c.mu.Lock()
 	defer n.c.mu.Unlock()
 	if h.ID == 0 || h.ID > uint64(n.nextID) {
@@ -384,7 +384,7 @@
 }
 
 // answered takes a whole answer.
-func (n *conn) answered(h rpc.Head, body []byte) error {
+func (n *conn) answered(h rpc.ResponseHeader, body []byte) error {
 	c := n.c
 	c.mu.Lock()
 	defer c.unlock()
@@ -394,7 +394,7 @@
 	if h.ID == 0 || h.ID > uint64(n.nextID) {
 		return errStray
 	}
-	if h.What == rpc.Health {
+	if h.Kind == rpc.ResponseHealth {
 		if !h.Ready {
 			c.observe(Observation{What: Drained, Router: n.addr})
 		}
@@ -410,12 +410,12 @@
 	}
 	n.forget(q)
 	res, wait := policy.ResultServed, time.Duration(0)
-	if h.What == rpc.Error {
-		q.word = string(h.Word)
+	if h.Kind == rpc.ResponseError {
+		q.word = string(h.Code)
 		switch q.word {
-		case rpc.Throttled:
-			res, wait = policy.ResultRejected, time.Duration(h.Fields.Wait())*time.Millisecond
-		case rpc.BadRequest, rpc.NoSuchMethod:
+		case rpc.CodeThrottled:
+			res, wait = policy.ResultRejected, time.Duration(h.Fields.RetryAfterMillis())*time.Millisecond
+		case rpc.CodeBadRequest, rpc.CodeNoSuchMethod:
 			res = policy.ResultInvalid
 		default:
 			res = policy.ResultFailed
@@ -423,7 +423,7 @@
 	}
 	q.resp.Router = n.addr
 	if res == policy.ResultServed {
-		q.resp.Unchanged, q.resp.Size = h.Fields.Unchanged(), len(body)
+		q.resp.Unchanged, q.resp.Size = h.Fields.IsNotModified(), len(body)
 		if q.req.To == nil {
 			q.resp.Body = body
 		} else {
--- a/client/faults_test.go
+++ b/client/faults_test.go
@@ -34,7 +34,7 @@
 			if _, err := far.Read(in); err != nil {
 				return
 			}
-			if _, err := far.Write(rpc.AppendHealth(nil, 1, true)); err != nil {
+			if _, err := far.Write(rpc.AppendHealthResponse(nil, 1, true)); err != nil {
 				return
 			}
 			if _, err := far.Read(in); err == nil {
@@ -76,11 +76,11 @@
 	id := rapid.Uint64Range(0, 3).Draw(t, "id")
 	switch rapid.IntRange(0, 3).Draw(t, "kind") {
 	case 0:
-		return rpc.AppendServed(nil, id, rapid.SliceOfN(rapid.Byte(), 0, 5000).Draw(t, "body"), "ok304", "1")
+		return rpc.AppendBodyResponse(nil, id, rapid.SliceOfN(rapid.Byte(), 0, 5000).Draw(t, "body"), "ok304", "1")
 	case 1:
-		return rpc.AppendError(nil, id, rapid.StringN(0, 20, 40).Draw(t, "word"), "later", rapid.StringN(0, 9, 9).Draw(t, "later"))
+		return rpc.AppendErrorResponse(nil, id, rapid.StringN(0, 20, 40).Draw(t, "word"), "later", rapid.StringN(0, 9, 9).Draw(t, "later"))
 	case 2:
-		return rpc.AppendHealth(nil, id, rapid.Bool().Draw(t, "ready"))
+		return rpc.AppendHealthResponse(nil, id, rapid.Bool().Draw(t, "ready"))
 	}
 	return rapid.SliceOfN(rapid.Byte(), 1, 100).Draw(t, "garbage")
 }
@@ -97,9 +97,9 @@
 		check(t, answer, resp, err)
 	})
 	for _, bad := range [][]byte{
-		rpc.AppendServed(nil, 2, make([]byte, 1<<12+1), "", ""), // over the limit
-		{0x94, 1, 2, 0xc0, 0x92, 0xc6, 0x7f, 0xff, 0xff, 0xff},  // two gigabytes
-		rpc.AppendServed(nil, 99, nil, "", ""),                  // an id that was never used
+		rpc.AppendBodyResponse(nil, 2, make([]byte, 1<<12+1), "", ""), // over the limit
+		{0x94, 1, 2, 0xc0, 0x92, 0xc6, 0x7f, 0xff, 0xff, 0xff},        // two gigabytes
+		rpc.AppendBodyResponse(nil, 99, nil, "", ""),                  // an id that was never used
 		bytes.Repeat([]byte{0x94}, 1<<14),
 		{0x93, 2, 0xa1, 'x', 0x90},
 	} {
@@ -111,8 +111,8 @@
 
 func FuzzAnswer(f *testing.F) {
 	for _, seed := range [][]byte{
-		rpc.AppendServed(nil, 2, []byte("body"), "ok304", "1"), rpc.AppendError(nil, 2, rpc.Throttled, "later", "9"),
-		rpc.AppendHealth(nil, 2, false), {0x94, 1, 2, 0xc0, 0x92, 0xc6, 0x7f, 0xff, 0xff, 0xff},
+		rpc.AppendBodyResponse(nil, 2, []byte("body"), "ok304", "1"), rpc.AppendErrorResponse(nil, 2, rpc.CodeThrottled, "later", "9"),
+		rpc.AppendHealthResponse(nil, 2, false), {0x94, 1, 2, 0xc0, 0x92, 0xc6, 0x7f, 0xff, 0xff, 0xff},
 	} {
 		f.Add(seed)
 	}
@@ -128,7 +128,7 @@
 	var canceled atomic.Int64
 	r := script(t, func(p *fakes.Peer, m rpc.Message) {
 		switch {
-		case m.Kind == rpc.Notice:
+		case m.Kind == rpc.KindNotification:
 			canceled.Add(1)
 			p.Serve(m.IDs[0], []byte("too late"))
 		case string(m.Fields.Nth) == "1": // never in time
@@ -224,8 +224,8 @@
 	var tries atomic.Int64
 	half := make(chan struct{}, 10)
 	r := script(t, func(p *fakes.Peer, m rpc.Message) {
-		all := rpc.AppendServed(nil, m.ID, whole, "", "")
-		if m.Kind == rpc.Call && tries.Add(1)%2 == 1 {
+		all := rpc.AppendBodyResponse(nil, m.ID, whole, "", "")
+		if m.Kind == rpc.KindRequest && tries.Add(1)%2 == 1 {
 			p.Raw(all[:100_000])
 			<-half
 			p.End(true)
--- a/cmd/hillknot/ask_test.go
+++ b/cmd/hillknot/ask_test.go
@@ -51,8 +51,8 @@
 	}{
 		{"served", serve, []string{"get", some}, 0, "served"},
 		{"sent", serve, []string{"send", some, "--body", body}, 0, "served"},
-		{"refused", word(rpc.Throttled), []string{"send", some, "--body", body}, 3, "refused"},
-		{"unusable", word(rpc.BadRequest), []string{"send", some, "--body", body}, 4, "failed"},
+		{"refused", word(rpc.CodeThrottled), []string{"send", some, "--body", body}, 3, "refused"},
+		{"unusable", word(rpc.CodeBadRequest), []string{"send", some, "--body", body}, 4, "failed"},
 		{"failed", word("Failed"), []string{"send", some, "--body", body}, 5, "may have run"},
 		{"broken", func(p *fakes.Peer, m rpc.Message) { p.End(true) }, []string{"send", some, "--body", body}, 5, "may have run"},
 		{"broken, safe", word("Failed"), []string{"get", some}, 1, "error"},
@@ -93,7 +93,7 @@
 	whole := bytes.Repeat([]byte("score "), 30_000)
 	tries, spoil := 0, true
 	addr := script(t, func(p *fakes.Peer, m rpc.Message) {
-		all := rpc.AppendServed(nil, m.ID, whole, "", "")
+		all := rpc.AppendBodyResponse(nil, m.ID, whole, "", "")
 		if tries++; tries == 1 || spoil {
 			p.Raw(bytes.ReplaceAll(all[:100_000], []byte("score"), []byte("spoil")))
 			p.End(false)
--- a/internal/frontend/msgpackrpc/front.go
+++ b/internal/frontend/msgpackrpc/front.go
@@ -87,7 +87,7 @@
 // Consume implements netio.Handler.
 func (c *conn) Consume(buf []byte) (used, want int, err error) {
 	for {
-		m, n, want, err := rpc.Parse(buf[used:], c.f.lim.Message)
+		m, n, want, err := rpc.ParseMessage(buf[used:], c.f.lim.Message)
 		if err != nil {
 			slog.Debug("client connection closed", "remote", c.nc.RemoteAddr(), "err", err)
 		}
@@ -121,13 +121,13 @@
 
 func (c *conn) message(m rpc.Message) {
 	switch {
-	case m.Kind == rpc.Notice:
+	case m.Kind == rpc.KindNotification:
 		if string(m.Method) == "cancel" {
 			c.f.core.Post(func() { c.cancel(m.IDs) })
 		}
 	case string(m.Method) == "health":
 		c.nc.AddPendingReplies(1)
-		c.f.core.Post(func() { _ = c.send(rpc.AppendHealth(nil, m.ID, c.f.core.Snapshot().Phase == core.Serving)) })
+		c.f.core.Post(func() { _ = c.send(rpc.AppendHealthResponse(nil, m.ID, c.f.core.Snapshot().Phase == core.Serving)) })
 	default:
 		c.nc.AddPendingReplies(1)
 		q, word := c.request(m)
@@ -140,7 +140,7 @@
 func (c *conn) request(m rpc.Message) (q core.Request, word string) {
 	class, ok := c.f.classes[string(m.Method)]
 	if !ok {
-		return q, rpc.NoSuchMethod
+		return q, rpc.CodeNoSuchMethod
 	}
 	q.Class = class.Name
 	f := m.Fields
@@ -154,11 +154,11 @@
 		txnOK = txnOK && lostOK
 	}
 	if !limitOK || !objectOK || !partOK || !groupOK || !txnOK || len(f.Limit) == 0 || !tag(f.Got) || !tag(f.Unique) || len(f.Account) > accountMost {
-		return q, rpc.BadRequest
+		return q, rpc.CodeBadRequest
 	}
 	wait := time.Duration(limit) * time.Millisecond
 	if class.Deadline > 0 && wait > class.Deadline || len(m.Body) > c.f.lim.WriteBody {
-		return q, rpc.BadRequest // no client of the class waits so long or brings so much
+		return q, rpc.CodeBadRequest // no client of the class waits so long or brings so much
 	}
 	nth := string(f.Nth)
 	if nth == "" {
@@ -213,10 +213,10 @@
 			return
 		}
 		c.f.core.CountAnswer(q.Class, core.Failed)
-		_ = c.send(rpc.AppendError(nil, msg, word, "", ""))
+		_ = c.send(rpc.AppendErrorResponse(nil, msg, word, "", ""))
 	case len(c.open) >= c.f.lim.OpenPerConn || c.f.budget.AboveHighWater():
 		c.f.core.CountAnswer(q.Class, core.Rejected)
-		_ = c.send(rpc.AppendError(nil, msg, rpc.Throttled, "", ""))
+		_ = c.send(rpc.AppendErrorResponse(nil, msg, rpc.CodeThrottled, "", ""))
 	default:
 		id := c.f.core.NewID()
 		c.open[msg] = id
@@ -245,7 +245,7 @@
 		return a.Verdict
 	}
 	c.nc.AddPendingReplies(1) // the answer is still owed
-	_ = c.send(rpc.AppendError(nil, msg, "Failed", "", ""))
+	_ = c.send(rpc.AppendErrorResponse(nil, msg, "Failed", "", ""))
 	return core.Failed
 }
 
@@ -266,11 +266,11 @@
 func appendAnswer(b []byte, id uint64, a core.Answer) []byte {
 	switch a.Verdict {
 	case core.Served:
-		return rpc.AppendServed(make([]byte, 0, len(a.Body)+32), id, a.Body, "", "")
+		return rpc.AppendBodyResponse(make([]byte, 0, len(a.Body)+32), id, a.Body, "", "")
 	case core.NotModified:
-		return rpc.AppendServed(b, id, nil, "ok304", "1")
+		return rpc.AppendBodyResponse(b, id, nil, "ok304", "1")
 	case core.Rejected:
-		return rpc.AppendRefused(b, id, a.RetryAfter.Milliseconds(), a.Reason)
+		return rpc.AppendThrottledResponse(b, id, a.RetryAfter.Milliseconds(), a.Reason)
 	}
-	return rpc.AppendError(b, id, a.Reason, "", "")
+	return rpc.AppendErrorResponse(b, id, a.Reason, "", "")
 }
--- a/internal/rpc/client.go
+++ b/internal/rpc/client.go
@@ -8,36 +8,36 @@
 
 // The errors that a router words.
 const (
-	Throttled    = "Throttled"    // refused: trying again is harmless
-	BadRequest   = "BadRequest"   // what was asked can't be used; it never ran
-	NoSuchMethod = "NoSuchMethod" // there is no such class; it never ran
+	CodeThrottled    = "Throttled"    // refused: trying again is harmless
+	CodeBadRequest   = "BadRequest"   // what was asked can't be used; it never ran
+	CodeNoSuchMethod = "NoSuchMethod" // there is no such class; it never ran
 )
 
-// What an answer brings.
-type What uint8
+// ResponseKind an answer brings.
+type ResponseKind uint8
 
 // The kinds of answers.
 const (
-	Bytes  What = iota // the request was served
-	Error              // it was not
-	Health             // the router tells whether it takes clients
+	ResponseBody   ResponseKind = iota // the request was served
+	ResponseError                      // it was not
+	ResponseHealth                     // the router tells whether it takes clients
 )
 
-// Head is an answer up to its body. Its slices are of the buffer that it was read from.
-type Head struct {
-	ID     uint64
-	What   What
-	Body   int    // of Bytes: how many follow the head; then comes the tail
-	Word   []byte // of Error
-	Ready  bool   // of Health
-	Fields Fields
+// ResponseHeader is an answer up to its body. Its slices are of the buffer that it was read from.
+type ResponseHeader struct {
+	ID       uint64
+	Kind     ResponseKind
+	BodySize int    // of Bytes: how many follow the head; then comes the tail
+	Code     []byte // of Error
+	Ready    bool   // of Health
+	Fields   Fields
 }
 
-// Unchanged tells whether the copy that the client holds is the one.
-func (f Fields) Unchanged() bool { return string(f.OK304) == "1" }
+// IsNotModified tells whether the copy that the client holds is the one.
+func (f Fields) IsNotModified() bool { return string(f.OK304) == "1" }
 
-// Wait is how long, in milliseconds, a refused client is told to stay away; 0 where it is not told, or nonsense.
-func (f Fields) Wait() int {
+// RetryAfterMillis is how long, in milliseconds, a refused client is told to stay away; 0 where it is not told, or nonsense.
+func (f Fields) RetryAfterMillis() int {
 	n, err := strconv.ParseUint(string(f.Later), 10, 31)
 	if err != nil {
 		return 0
@@ -45,24 +45,24 @@
 	return int(n)
 }
 
-// ParseHead reads an answer up to its body, or the whole of one without. It returns the length of that, or 0 where
+// ParseResponseHeader reads an answer up to its body, or the whole of one without. It returns the length of that, or 0 where
 // it is not there yet, with the length that is needed, as far as that is known. A head over max bytes, or a body
 // over maxBody, is malformed: the length is told before anything is allocated for it.
-func ParseHead(buf []byte, max, maxBody int) (h Head, n, want int, err error) {
+func ParseResponseHeader(buf []byte, max, maxBody int) (h ResponseHeader, n, want int, err error) {
 	d := decoder{b: buf}
 	err = d.head(&h)
-	if err == nil && h.Body > maxBody {
+	if err == nil && h.BodySize > maxBody {
 		err = ErrMalformed
 	}
 	n, want, err = d.end(max, err)
 	if n == 0 {
-		h = Head{}
+		h = ResponseHeader{}
 	}
 	return h, n, want, err
 }
 
-// ParseTail reads the fields behind a body.
-func ParseTail(buf []byte, max int) (f Fields, n, want int, err error) {
+// ParseResponseTrailer reads the fields behind a body.
+func ParseResponseTrailer(buf []byte, max int) (f Fields, n, want int, err error) {
 	d := decoder{b: buf}
 	n, want, err = d.end(max, d.fields(&f))
 	if n == 0 {
@@ -82,7 +82,7 @@
 	return d.i, 0, nil
 }
 
-func (d *decoder) head(h *Head) error {
+func (d *decoder) head(h *ResponseHeader) error {
 	n, err := d.list()
 	if err != nil {
 		return err
@@ -91,7 +91,7 @@
 	if err != nil {
 		return err
 	}
-	if kind != Answer || n != 4 {
+	if kind != KindResponse || n != 4 {
 		return ErrMalformed
 	}
 	if h.ID, err = d.uint(); err == nil && h.ID > math.MaxUint32 {
@@ -119,16 +119,16 @@
 	}
 	if c == 0xc2 || c == 0xc3 {
 		d.i++
-		h.What, h.Ready = Health, c == 0xc3
+		h.Kind, h.Ready = ResponseHealth, c == 0xc3
 		return d.fields(&h.Fields)
 	}
-	h.Body, err = d.size()
+	h.BodySize, err = d.size()
 	return err
 }
 
 // failure reads an error, [WORD, FIELDS] or the word alone, and the result beside it, which says nothing.
-func (d *decoder) failure(h *Head) error {
-	h.What = Error
+func (d *decoder) failure(h *ResponseHeader) error {
+	h.Kind = ResponseError
 	c, err := d.peek()
 	if err != nil {
 		return err
@@ -140,7 +140,7 @@
 		}
 	}
 	if err == nil {
-		h.Word, err = d.bytes()
+		h.Code, err = d.bytes()
 	}
 	if err == nil && n == 2 {
 		err = d.fields(&h.Fields)
@@ -166,8 +166,8 @@
 	Body    []byte
 }
 
-// AppendCall appends a client's request.
-func AppendCall(b []byte, id uint64, q *Request) []byte {
+// AppendRequest appends a client's request.
+func AppendRequest(b []byte, id uint64, q *Request) []byte {
 	fields := byte(5)
 	if q.Second {
 		fields++
@@ -181,7 +181,7 @@
 	if q.Got != "" {
 		fields++
 	}
-	b = appendText(appendUint(append(b, 0x94, Call), id), q.Method)
+	b = appendText(appendUint(append(b, 0x94, KindRequest), id), q.Method)
 	b = appendText(append(b, 0x92, 0x80|fields), "txn")
 	b = appendText(appendHex(b, q.Txn), "limit")
 	b = appendText(appendDecimal(b, uint64(max(q.Limit, 0))), "item")
@@ -205,12 +205,12 @@
 
 // AppendCancel appends the notice that a client no longer waits for the answer under an id.
 func AppendCancel(b []byte, id uint64) []byte {
-	return appendUint(append(appendText(append(b, 0x93, Notice), "cancel"), 0x91), id)
+	return appendUint(append(appendText(append(b, 0x93, KindNotification), "cancel"), 0x91), id)
 }
 
-// AppendHealthCall appends the question whether a router takes clients.
-func AppendHealthCall(b []byte, id uint64) []byte {
-	return append(appendText(appendUint(append(b, 0x94, Call), id), "health"), 0x91, 0x80)
+// AppendHealthRequest appends the question whether a router takes clients.
+func AppendHealthRequest(b []byte, id uint64) []byte {
+	return append(appendText(appendUint(append(b, 0x94, KindRequest), id), "health"), 0x91, 0x80)
 }
 
 // appendHex appends the text of 16 hex digits.
--- a/internal/rpc/codec.go
+++ b/internal/rpc/codec.go
@@ -18,9 +18,9 @@
 
 // The kinds of messages.
 const (
-	Call   = 0
-	Answer = 1
-	Notice = 2
+	KindRequest      = 0
+	KindResponse     = 1
+	KindNotification = 2
 )
 
 const maxDepth = 8 // of what is skipped
@@ -73,9 +73,9 @@
 	return nil
 }
 
-// Parse reads the message at the start of buf. It returns its length, or 0 where it is not whole yet, with
+// ParseMessage reads the message at the start of buf. It returns its length, or 0 where it is not whole yet, with
 // the length that is needed, as far as that is known.
-func Parse(buf []byte, max int) (m Message, n, want int, err error) {
+func ParseMessage(buf []byte, max int) (m Message, n, want int, err error) {
 	d := decoder{b: buf}
 	n, want, err = d.end(max, d.message(&m))
 	if n == 0 {
@@ -100,14 +100,14 @@
 		return err
 	}
 	switch {
-	case m.Kind == Call && n == 4:
+	case m.Kind == KindRequest && n == 4:
 		if m.ID, err = d.uint(); err == nil && m.ID > math.MaxUint32 {
 			err = ErrMalformed
 		}
 		if err != nil {
 			return err
 		}
-	case m.Kind == Notice && n == 3:
+	case m.Kind == KindNotification && n == 3:
 	default:
 		return ErrMalformed
 	}
@@ -365,24 +365,24 @@
 
 // appendHead appends the start of an answer up to its id; error and result follow.
 func appendHead(b []byte, id uint64) []byte {
-	return appendUint(append(b, 0x94, Answer), id)
+	return appendUint(append(b, 0x94, KindResponse), id)
 }
 
-// AppendServed appends the answer that brings the bytes, with one field or, without a name, none.
-func AppendServed(b []byte, id uint64, body []byte, name, value string) []byte {
+// AppendBodyResponse appends the answer that brings the bytes, with one field or, without a name, none.
+func AppendBodyResponse(b []byte, id uint64, body []byte, name, value string) []byte {
 	b = appendBinHead(append(appendHead(b, id), 0xc0, 0x92), len(body))
 	return appendPair(append(b, body...), name, value)
 }
 
-// AppendError appends the answer that the request was not served, with one field or none.
-func AppendError(b []byte, id uint64, word, name, value string) []byte {
+// AppendErrorResponse appends the answer that the request was not served, with one field or none.
+func AppendErrorResponse(b []byte, id uint64, word, name, value string) []byte {
 	b = appendPair(appendText(append(appendHead(b, id), 0x92), word), name, value)
 	return append(b, 0xc0)
 }
 
-// AppendRefused appends the answer that a request was refused, and never ran: with how many milliseconds to stay away, or
+// AppendThrottledResponse appends the answer that a request was refused, and never ran: with how many milliseconds to stay away, or
 // 0, and why, or nothing where it is load.
-func AppendRefused(b []byte, id uint64, later int64, reason string) []byte {
+func AppendThrottledResponse(b []byte, id uint64, later int64, reason string) []byte {
 	fields := byte(0x80)
 	if later > 0 {
 		fields++
@@ -390,7 +390,7 @@
 	if reason != "" {
 		fields++
 	}
-	b = append(appendText(append(appendHead(b, id), 0x92), Throttled), fields)
+	b = append(appendText(append(appendHead(b, id), 0x92), CodeThrottled), fields)
 	if later > 0 {
 		b = appendText(appendText(b, "later"), strconv.FormatInt(later, 10))
 	}
@@ -400,8 +400,8 @@
 	return append(b, 0xc0)
 }
 
-// AppendHealth appends the answer to a call for health.
-func AppendHealth(b []byte, id uint64, ok bool) []byte {
+// AppendHealthResponse appends the answer to a call for health.
+func AppendHealthResponse(b []byte, id uint64, ok bool) []byte {
 	b = append(appendHead(b, id), 0xc0, 0x92, 0xc2)
 	if ok {
 		b[len(b)-1] = 0xc3
--- a/internal/rpc/codec_test.go
+++ b/internal/rpc/codec_test.go
@@ -20,14 +20,14 @@
 func TestParse(t *testing.T) {
 	parsertest.Run(t, func(t *rapid.T) []byte {
 		if rapid.Bool().Draw(t, "cancel") {
-			return append(appendText([]byte{0x93, Notice}, "cancel"), 0x92, 7, 0xcd, 1, 0)
+			return append(appendText([]byte{0x93, KindNotification}, "cancel"), 0x92, 7, 0xcd, 1, 0)
 		}
-		return AppendCall(nil, rapid.Uint64Max(1<<32-1).Draw(t, "id"), drawRequest(t))
+		return AppendRequest(nil, rapid.Uint64Max(1<<32-1).Draw(t, "id"), drawRequest(t))
 	}, func(buf []byte) (int, int, error) {
-		_, n, want, err := Parse(buf, 1<<16)
+		_, n, want, err := ParseMessage(buf, 1<<16)
 		return n, want, err
 	})
-	m, _, _, err := Parse(AppendCall(nil, 7, &Request{Method: "part-page", Txn: 1, Limit: 1500, Item: 10, Nth: 3, Batch: 255, Got: "x",
+	m, _, _, err := ParseMessage(AppendRequest(nil, 7, &Request{Method: "part-page", Txn: 1, Limit: 1500, Item: 10, Nth: 3, Batch: 255, Got: "x",
 		Body: []byte("abc")}), 1<<16)
 	if f := m.Fields; err != nil || m.ID != 7 || string(m.Method) != "part-page" || string(f.Item) != "000000000000000a" ||
 		string(f.Got) != "x" || string(f.Limit) != "1500" || string(f.Nth) != "3" || string(f.Batch) != "255" || string(m.Body) != "abc" {
@@ -37,21 +37,21 @@
 
 // A message over the limit must end the connection, not fill the memory.
 func TestParseTooLong(t *testing.T) {
-	head := AppendCall(nil, 7, &Request{Method: "a"})
+	head := AppendRequest(nil, 7, &Request{Method: "a"})
 	for _, buf := range [][]byte{
 		append(head[:len(head)-2], 0xc6, 0x7f, 0xff, 0xff, 0xff),
 		append(head[:len(head)-2], 0xc6, 0xff, 0xff, 0xff, 0xff),
 		bytes.Repeat([]byte{0x91}, 100),
 	} {
-		if _, _, _, err := Parse(buf, 99); err == nil {
+		if _, _, _, err := ParseMessage(buf, 99); err == nil {
 			t.Errorf("%x: no error", buf)
 		}
 	}
 }
 
 func TestSkipDepth(t *testing.T) {
-	deep := append(appendText([]byte{0x93, Notice}, "x"), []byte("\x91"+strings.Repeat("\x91", 100)+"\x01")...)
-	if _, _, _, err := Parse(deep, 1<<16); err == nil {
+	deep := append(appendText([]byte{0x93, KindNotification}, "x"), []byte("\x91"+strings.Repeat("\x91", 100)+"\x01")...)
+	if _, _, _, err := ParseMessage(deep, 1<<16); err == nil {
 		t.Error("lists nested too deep were taken")
 	}
 }
@@ -62,36 +62,36 @@
 		id := rapid.Uint64Max(1<<32-1).Draw(t, "id")
 		switch rapid.IntRange(0, 2).Draw(t, "what") {
 		case 0:
-			return AppendHealth(nil, id, rapid.Bool().Draw(t, "ready"))
+			return AppendHealthResponse(nil, id, rapid.Bool().Draw(t, "ready"))
 		case 1:
-			return AppendError(nil, id, rapid.StringN(0, 40, 90).Draw(t, "word"), "later", "500")
+			return AppendErrorResponse(nil, id, rapid.StringN(0, 40, 90).Draw(t, "word"), "later", "500")
 		}
 		size := 1 << rapid.IntRange(0, 16).Draw(t, "size")
-		all := AppendServed(nil, id, make([]byte, size), "", "")
+		all := AppendBodyResponse(nil, id, make([]byte, size), "", "")
 		return all[:len(all)-size-1] // the tail is an empty map
 	}, func(buf []byte) (int, int, error) {
-		_, n, want, err := ParseHead(buf, 1<<10, 1<<16)
+		_, n, want, err := ParseResponseHeader(buf, 1<<10, 1<<16)
 		return n, want, err
 	})
 	parsertest.Run(t, func(t *rapid.T) []byte {
 		return appendPair(nil, rapid.StringN(0, 40, 90).Draw(t, "name"), rapid.StringN(0, 300, 900).Draw(t, "value"))
 	}, func(buf []byte) (int, int, error) {
-		_, n, want, err := ParseTail(buf, 1<<10)
+		_, n, want, err := ParseResponseTrailer(buf, 1<<10)
 		return n, want, err
 	})
-	all := AppendServed(nil, 9, []byte("abc"), "ok304", "1")
-	h, n, _, err := ParseHead(all, 1<<10, 3)
-	if err != nil || h.ID != 9 || h.What != Bytes || h.Body != 3 {
+	all := AppendBodyResponse(nil, 9, []byte("abc"), "ok304", "1")
+	h, n, _, err := ParseResponseHeader(all, 1<<10, 3)
+	if err != nil || h.ID != 9 || h.Kind != ResponseBody || h.BodySize != 3 {
 		t.Errorf("head %+v, error %v", h, err)
 	}
-	if f, _, _, err := ParseTail(all[n+3:], 1<<10); err != nil || !f.Unchanged() || f.Wait() != 0 {
+	if f, _, _, err := ParseResponseTrailer(all[n+3:], 1<<10); err != nil || !f.IsNotModified() || f.RetryAfterMillis() != 0 {
 		t.Errorf("tail %+v, error %v", f, err)
 	}
-	if _, _, _, err := ParseHead(all, 1<<10, 2); err == nil {
+	if _, _, _, err := ParseResponseHeader(all, 1<<10, 2); err == nil {
 		t.Error("a body over the limit was taken")
 	}
-	h, _, _, err = ParseHead(AppendError(nil, 9, Throttled, "later", "250"), 1<<10, 3)
-	if err != nil || h.What != Error || string(h.Word) != Throttled || h.Fields.Wait() != 250 {
+	h, _, _, err = ParseResponseHeader(AppendErrorResponse(nil, 9, CodeThrottled, "later", "250"), 1<<10, 3)
+	if err != nil || h.Kind != ResponseError || string(h.Code) != CodeThrottled || h.Fields.RetryAfterMillis() != 250 {
 		t.Errorf("refusal %+v, error %v", h, err)
 	}
 }
--- a/internal/testutil/fakes/router.go
+++ b/internal/testutil/fakes/router.go
@@ -49,7 +49,7 @@
 		}
 		buf = append(buf, in[:n]...)
 		for {
-			m, used, _, err := rpc.Parse(buf, 1<<20)
+			m, used, _, err := rpc.ParseMessage(buf, 1<<20)
 			if err != nil {
 				return
 			}
@@ -70,22 +70,22 @@
 }
 
 // Serve answers with bytes.
-func (p *Peer) Serve(id uint64, body []byte) { p.Raw(rpc.AppendServed(nil, id, body, "", "")) }
+func (p *Peer) Serve(id uint64, body []byte) { p.Raw(rpc.AppendBodyResponse(nil, id, body, "", "")) }
 
 // Fail answers with an error.
-func (p *Peer) Fail(id uint64, word string) { p.Raw(rpc.AppendError(nil, id, word, "", "")) }
+func (p *Peer) Fail(id uint64, word string) { p.Raw(rpc.AppendErrorResponse(nil, id, word, "", "")) }
 
 // Refuse answers with a refusal, and how many milliseconds to stay away if that is over 0.
 func (p *Peer) Refuse(id uint64, later int) {
 	if later <= 0 {
-		p.Fail(id, rpc.Throttled)
+		p.Fail(id, rpc.CodeThrottled)
 		return
 	}
-	p.Raw(rpc.AppendError(nil, id, rpc.Throttled, "later", strconv.Itoa(later)))
+	p.Raw(rpc.AppendErrorResponse(nil, id, rpc.CodeThrottled, "later", strconv.Itoa(later)))
 }
 
 // Health answers whether the router takes clients.
-func (p *Peer) Health(id uint64, ok bool) { p.Raw(rpc.AppendHealth(nil, id, ok)) }
+func (p *Peer) Health(id uint64, ok bool) { p.Raw(rpc.AppendHealthResponse(nil, id, ok)) }
 
 // End closes the connection, with a reset if that is asked for.
 func (p *Peer) End(reset bool) { end(p.Conn, reset) }
--- a/loadtest/load.go
+++ b/loadtest/load.go
@@ -79,7 +79,7 @@
 		if full {
 			continue
 		}
-		_, err := nc.Write(rpc.AppendCall(nil, id, q))
+		_, err := nc.Write(rpc.AppendRequest(nil, id, q))
 		if err != nil {
 			_ = nc.Close() // its reader has ended, or does now
 		}
@@ -129,7 +129,7 @@
 }
 
 // readAnswers hands on the head of each answer that comes on a connection, until that ends or brings nonsense.
-func readAnswers(nc net.Conn, answered func(rpc.Head)) {
+func readAnswers(nc net.Conn, answered func(rpc.ResponseHeader)) {
 	buf := make([]byte, 0, 256<<10)
 	for {
 		n, err := nc.Read(buf[len(buf):cap(buf)])
@@ -138,25 +138,25 @@
 		}
 		buf = buf[:len(buf)+n]
 		for {
-			h, used, _, err := rpc.ParseHead(buf, 4<<10, 64<<10)
+			h, used, _, err := rpc.ParseResponseHeader(buf, 4<<10, 64<<10)
 			if err != nil {
 				return
 			}
 			if used == 0 {
 				break
 			}
-			if h.What == rpc.Bytes {
-				if len(buf) < used+h.Body {
+			if h.Kind == rpc.ResponseBody {
+				if len(buf) < used+h.BodySize {
 					break
 				}
-				_, tail, _, err := rpc.ParseTail(buf[used+h.Body:], 4<<10)
+				_, tail, _, err := rpc.ParseResponseTrailer(buf[used+h.BodySize:], 4<<10)
 				if err != nil {
 					return
 				}
 				if tail == 0 {
 					break
 				}
-				used += h.Body + tail
+				used += h.BodySize + tail
 			}
 			answered(h)
 			buf = buf[:copy(buf, buf[used:])]
@@ -164,7 +164,7 @@
 	}
 }
 
-func (l *Load) answered(h rpc.Head) {
+func (l *Load) answered(h rpc.ResponseHeader) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if _, ok := l.open[h.ID]; !ok {
@@ -173,9 +173,9 @@
 	}
 	delete(l.open, h.ID)
 	switch {
-	case h.What == rpc.Bytes:
+	case h.Kind == rpc.ResponseBody:
 		l.Served++
-	case string(h.Word) == rpc.Throttled:
+	case string(h.Code) == rpc.CodeThrottled:
 		l.Refused++
 	default:
 		l.Failed++
--- a/loadtest/plain.go
+++ b/loadtest/plain.go
@@ -68,7 +68,7 @@
 		return err
 	}
 	_ = nc.SetDeadline(end) // fails on a closed connection, as the write then does
-	b := rpc.AppendCall(nil, 1, &rpc.Request{Method: req.Class, Txn: rand.Uint64(), Limit: max(time.Until(end).Milliseconds(), 1), Second: second,
+	b := rpc.AppendRequest(nil, 1, &rpc.Request{Method: req.Class, Txn: rand.Uint64(), Limit: max(time.Until(end).Milliseconds(), 1), Second: second,
 		Item: req.Item, Body: req.Body})
 	if _, err := nc.Write(b); err != nil {
 		_ = nc.Close()
@@ -82,24 +82,24 @@
 			return err
 		}
 		buf = buf[:len(buf)+n]
-		h, used, _, err := rpc.ParseHead(buf, 4<<10, 64<<10)
+		h, used, _, err := rpc.ParseResponseHeader(buf, 4<<10, 64<<10)
 		if err != nil {
 			_ = nc.Close()
 			return err
 		}
-		if used == 0 || h.What == rpc.Bytes && len(buf) < used+h.Body+1 {
+		if used == 0 || h.Kind == rpc.ResponseBody && len(buf) < used+h.BodySize+1 {
 			continue
 		}
 		p.mu.Lock()
 		p.free[addr] = append(p.free[addr], nc)
 		p.mu.Unlock()
 		switch {
-		case h.What == rpc.Bytes:
+		case h.Kind == rpc.ResponseBody:
 			return nil
-		case string(h.Word) == rpc.Throttled:
+		case string(h.Code) == rpc.CodeThrottled:
 			return errRefused
 		}
-		return fmt.Errorf("failed: %s", h.Word)
+		return fmt.Errorf("failed: %s", h.Code)
 	}
 }
 
--- a/loadtest/soak_client.go
+++ b/loadtest/soak_client.go
@@ -65,7 +65,7 @@
 		case 1:
 			open.cancel(id, r)
 		case 3: // it stops in the middle of the next request, and waits
-			next := rpc.AppendCall(nil, id+1, &rpc.Request{Method: "part-page", Limit: 1000})
+			next := rpc.AppendRequest(nil, id+1, &rpc.Request{Method: "part-page", Limit: 1000})
 			_, _ = nc.Write(next[:len(next)/2]) // its reader notes the end
 			open.settle()
 			return
@@ -102,7 +102,7 @@
 		c.history.requests[r.txn] = r
 		o.open[id] = r
 	})
-	if _, err := o.nc.Write(rpc.AppendCall(nil, id, q)); err != nil {
+	if _, err := o.nc.Write(rpc.AppendRequest(nil, id, q)); err != nil {
 		_ = o.nc.Close() // its reader ends, and notes it
 	}
 	return r
@@ -148,10 +148,10 @@
 // read takes answers until the connection ends. A cancelled request may still be answered.
 func (o *soakConn) read() {
 	defer close(o.ended)
-	readAnswers(o.nc, func(h rpc.Head) {
+	readAnswers(o.nc, func(h rpc.ResponseHeader) {
 		o.client.history.change(func() {
 			if r := o.open[h.ID]; r != nil {
-				r.answers = append(r.answers, soakAnswer{at: time.Now(), word: string(h.Word)})
+				r.answers = append(r.answers, soakAnswer{at: time.Now(), word: string(h.Code)})
 				// It stays, so that a second answer is seen, until the connection ends or it is long over.
 			}
 		})
--- a/loadtest/steps.go
+++ b/loadtest/steps.go
@@ -67,21 +67,21 @@
 	if err := nc.SetDeadline(time.Now().Add(wait)); err != nil {
 		return "", err
 	}
-	if _, err := nc.Write(rpc.AppendCall(nil, 1, q)); err != nil {
+	if _, err := nc.Write(rpc.AppendRequest(nil, 1, q)); err != nil {
 		return "", err
 	}
 	buf := make([]byte, 0, 64<<10)
 	for len(buf) < cap(buf) {
 		n, err := nc.Read(buf[len(buf):cap(buf)])
 		buf = buf[:len(buf)+n]
-		h, used, _, bad := rpc.ParseHead(buf, 4<<10, 32<<10)
+		h, used, _, bad := rpc.ParseResponseHeader(buf, 4<<10, 32<<10)
 		switch {
 		case bad != nil:
 			return "", bad
-		case used > 0 && h.What == rpc.Bytes:
+		case used > 0 && h.Kind == rpc.ResponseBody:
 			return "served", nil
 		case used > 0:
-			return map[string]string{"Failed": "failed", rpc.Throttled: "refused"}[string(h.Word)], nil
+			return map[string]string{"Failed": "failed", rpc.CodeThrottled: "refused"}[string(h.Code)], nil
 		case err != nil:
 			return "", err
 		}
