--- a/cmd/hillknot/replace.go
+++ b/cmd/hillknot/replace.go
@@ -34,10 +34,10 @@
 // follow waits until this process knows what its predecessor does, and goes on from there. Where that fails it
 // starts from what it was told at its start: cautiously, as any new router.
 func (r *replacement) follow(p *handover.Predecessor) {
-	if !r.feed.Reach(p.Pos, r.lim.HandoverReach) {
-		slog.Warn("journal is behind that of the predecessor", "pos", r.feed.Position(), "predecessor", p.Pos)
+	if !r.feed.Reach(p.DiscoveryPosition, r.lim.HandoverReach) {
+		slog.Warn("journal is behind that of the predecessor", "pos", r.feed.Position(), "predecessor", p.DiscoveryPosition)
 	}
-	s, err := p.Ready()
+	s, err := p.AnnounceReady()
 	if err != nil {
 		slog.Warn("nothing taken over", "err", err)
 		return
@@ -58,10 +58,10 @@
 	}
 }
 
-// Position implements handover.Owner.
-func (r *replacement) Position() int64 { return r.feed.Position() }
+// DiscoveryPosition implements handover.Process.
+func (r *replacement) DiscoveryPosition() int64 { return r.feed.Position() }
 
-// State implements handover.Owner. A loop that has no time hands nothing over.
+// State implements handover.Process. A loop that has no time hands nothing over.
 func (r *replacement) State() handover.State {
 	got := make(chan handover.State, 1)
 	r.core.Post(func() { got <- handover.State{Pos: r.feed.Position(), Memory: r.core.ExportMemory()} })
@@ -75,7 +75,7 @@
 	}
 }
 
-// Beside implements handover.Owner.
+// Beside implements handover.Process.
 func (r *replacement) Beside(beside, after bool) {
 	slog.Info("successor", "beside", beside, "ready", after)
 	r.share(func() { r.beside, r.after = beside, after })
@@ -93,6 +93,6 @@
 	}
 	debug.SetMemoryLimit(int64(lim.MemoryMB) << 20 * 3 / 4)
 	r.budget.SetLimit(lim.HeldBytes)
-	r.front.SetMax(lim.ClientConns)
+	r.front.SetMaxConns(lim.ClientConns)
 	r.core.Post(func() { r.up.Limit(lim.CacheConns) })
 }
--- a/cmd/hillknot/serve.go
+++ b/cmd/hillknot/serve.go
@@ -80,7 +80,7 @@
 		return err
 	}
 	defer front.Close()
-	c.SetBacklogCheck(func() bool { return feed.Behind() || front.Behind() || up.Behind() })
+	c.SetBacklogCheck(func() bool { return feed.Behind() || front.HasUnreadInput() || up.Behind() })
 	var fronts []server
 	if cfg.DNS.Listen != "" {
 		f, err := dns.Listen(c, cfg.DNS, cfg.Limits, budget)
@@ -108,7 +108,7 @@
 	r := &replacement{core: c, feed: feed, up: up, front: front, budget: budget, lim: cfg.Limits}
 	var before *handover.Predecessor
 	if cfg.Handover != "" {
-		before = handover.Find(cfg.Handover, cfg.Limits)
+		before = handover.FindPredecessor(cfg.Handover, cfg.Limits)
 	}
 	r.share(func() { r.before = before != nil })
 	stop, failed := make(chan struct{}), make(chan error, len(fronts)+1)
@@ -133,7 +133,7 @@
 	}
 	go func() { failed <- front.Serve() }()
 	if cfg.Handover != "" {
-		g, err := handover.Give(cfg.Handover, r, cfg.Limits)
+		g, err := handover.ListenForSuccessor(cfg.Handover, r, cfg.Limits)
 		if err != nil { // serving comes first
 			slog.Error("this process can't be followed", "err", err)
 		} else {
@@ -195,7 +195,7 @@
 		if followed {
 			front.StopAccepting()
 		}
-		if followed && front.Conns() > 0 || !followed && clock.Now()-start <= lim.Grace {
+		if followed && front.OpenConns() > 0 || !followed && clock.Now()-start <= lim.Grace {
 			continue
 		}
 		if c.Post(func() { empty <- c.CloseIfIdle() }); <-empty {
@@ -206,5 +206,5 @@
 	c.Post(func() { c.CloseCredit(); close(closed) })
 	<-closed
 	slog.Info("ended", "after", clock.Now()-start, "followed", c.Snapshot().HasSuccessor)
-	front.Finish(start + lim.Finish + lim.Exit)
+	front.Shutdown(start + lim.Finish + lim.Exit)
 }
--- a/internal/frontend/agentcheck/agentcheck.go
+++ b/internal/frontend/agentcheck/agentcheck.go
@@ -46,7 +46,9 @@
 	nc   *netio.Conn
 }
 
-// Opened implements netio.Opener.
+var _ netio.OpenHandler = (*agent)(nil)
+
+// Opened implements netio.OpenHandler.
 func (a *agent) Opened() {
 	a.nc.SendAndClose([]byte(word(a.core.Snapshot().Phase) + "\n"))
 }
--- a/internal/frontend/msgpackrpc/front.go
+++ b/internal/frontend/msgpackrpc/front.go
@@ -50,14 +50,14 @@
 	handler := func(nc *netio.Conn) netio.Handler { return &conn{f: f, nc: nc, open: map[uint64]balancer.RequestID{}} }
 	var err error
 	if inherited > 0 {
-		f.Server, err = netio.Inherit(inherited, lim.ClientConns, lim.Client, budget, handler)
+		f.Server, err = netio.ListenInherited(inherited, lim.ClientConns, lim.Client, budget, handler)
 	} else {
 		f.Server, err = netio.Listen(addr, lim.ClientConns, lim.Client, budget, handler)
 	}
 	if err != nil {
 		return nil, err
 	}
-	f.Server.Patience = f.patience
+	f.Server.IdleTimeouts = f.patience
 	return f, nil
 }
 
@@ -110,8 +110,10 @@
 	})
 }
 
-// Abandon implements netio.Abandoner: who sends what can't be read is told at once that nothing comes of the rest.
-func (c *conn) Abandon() { c.f.core.Post(c.abandonOpen) }
+// InputFailed implements netio.InputErrorHandler: who sends what can't be read is told at once that nothing comes of the rest.
+func (c *conn) InputFailed() { c.f.core.Post(c.abandonOpen) }
+
+var _ netio.InputErrorHandler = (*conn)(nil)
 
 func (c *conn) abandonOpen() {
 	for _, msg := range slices.Sorted(maps.Keys(c.open)) {
@@ -203,12 +205,12 @@
 	case c.gone: // it was read as the connection ended, and nobody could be told what came of it
 	case twice: // two answers under one id could not be told apart: this one gets none
 		c.nc.AddPendingReplies(-1)
-		c.nc.CloseAfterReplies(netio.CloseTwice)
+		c.nc.CloseAfterReplies(netio.CloseDuplicateID)
 		c.abandonOpen()
 	case word != "":
 		if c.faults++; c.faults > c.f.lim.Faults { // it goes on for as long as it is answered
 			c.nc.AddPendingReplies(-1)
-			c.nc.CloseAfterReplies(netio.CloseFaults)
+			c.nc.CloseAfterReplies(netio.CloseTooManyBadRequests)
 			c.abandonOpen()
 			return
 		}
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -26,21 +26,21 @@
 	wordState = "STATE"
 )
 
-// ErrGone says that the predecessor has ended, or does not answer.
-var ErrGone = errors.New("predecessor has gone")
+// ErrPredecessorUnavailable says that the predecessor has ended, or does not answer.
+var ErrPredecessorUnavailable = errors.New("predecessor has gone")
 
-// Owner is the process that may be followed. Its methods may be called anywhere.
-type Owner interface {
-	Position() int64           // in the journal
+// Process is the process that may be followed. Its methods may be called anywhere.
+type Process interface {
+	DiscoveryPosition() int64  // in the journal
 	State() State              // to go on from
 	Beside(beside, after bool) // another process is beside this one; it has taken over
 }
 
-// Giver waits for a successor.
-type Giver struct {
+// SuccessorListener waits for a successor.
+type SuccessorListener struct {
 	path  string
 	lim   config.Limits
-	owner Owner
+	owner Process
 
 	mu     sync.Mutex
 	srv    *netio.Server
@@ -48,13 +48,13 @@
 	ready  int // of these, those that have taken over
 }
 
-// Give listens for successors under a path, in place of who did so before.
-func Give(path string, owner Owner, lim config.Limits) (*Giver, error) {
-	g := &Giver{path: path, lim: lim, owner: owner}
+// ListenForSuccessor listens for successors under a path, in place of who did so before.
+func ListenForSuccessor(path string, owner Process, lim config.Limits) (*SuccessorListener, error) {
+	g := &SuccessorListener{path: path, lim: lim, owner: owner}
 	return g, g.listen()
 }
 
-func (g *Giver) listen() error {
+func (g *SuccessorListener) listen() error {
 	srv, err := netio.Listen(g.path, g.lim.HandoverConns, g.lim.Handover, netio.NewBudget(2*g.lim.HandoverState), func(nc *netio.Conn) netio.Handler {
 		return &successor{g: g, nc: nc}
 	})
@@ -77,7 +77,7 @@
 }
 
 // Close stops waiting.
-func (g *Giver) Close() {
+func (g *SuccessorListener) Close() {
 	g.mu.Lock()
 	srv := g.srv
 	g.srv = nil
@@ -88,7 +88,7 @@
 }
 
 // count notes who is beside this process, and tells the owner.
-func (g *Giver) count(beside, ready int) {
+func (g *SuccessorListener) count(beside, ready int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.beside, g.ready = g.beside+beside, g.ready+ready
@@ -97,7 +97,7 @@
 
 // successor is a connection from a process that starts. Its calls come one after the other.
 type successor struct {
-	g           *Giver
+	g           *SuccessorListener
 	nc          *netio.Conn
 	took, ready bool
 }
@@ -116,7 +116,7 @@
 		case string(m.word) == wordTake && !s.took:
 			s.took = true
 			s.g.count(1, 0)
-			err = s.nc.Send(appendMessage(nil, wordAt, strconv.AppendInt(nil, s.g.owner.Position(), 10)))
+			err = s.nc.Send(appendMessage(nil, wordAt, strconv.AppendInt(nil, s.g.owner.DiscoveryPosition(), 10)))
 		case string(m.word) == wordReady && s.took && !s.ready:
 			s.ready = true
 			state := encode(s.g.owner.State())
@@ -160,16 +160,16 @@
 
 // Predecessor is the process that this one follows.
 type Predecessor struct {
-	Pos    int64         // where it was in the journal as we called
-	Gone   chan struct{} // closed as it ends
-	nc     *netio.Conn
-	lim    config.Limits
-	states chan []byte
-	at     chan []byte
+	DiscoveryPosition int64         // where it was in the journal as we called
+	Gone              chan struct{} // closed as it ends
+	nc                *netio.Conn
+	lim               config.Limits
+	states            chan []byte
+	at                chan []byte
 }
 
-// Find calls who listens under a path. Nobody there is no error: the result is nil.
-func Find(path string, lim config.Limits) *Predecessor {
+// FindPredecessor calls who listens under a path. Nobody there is no error: the result is nil.
+func FindPredecessor(path string, lim config.Limits) *Predecessor {
 	p := &Predecessor{lim: lim, Gone: make(chan struct{}), states: make(chan []byte, 1), at: make(chan []byte, 1)}
 	nc, err := netio.Dial(path, lim.HandoverWait, lim.Handover, netio.NewBudget(2*lim.HandoverState), func(*netio.Conn) netio.Handler { return p })
 	if err != nil {
@@ -179,7 +179,7 @@
 	p.nc = nc
 	text, err := p.ask(wordTake, p.at)
 	if err == nil {
-		p.Pos, err = strconv.ParseInt(string(text), 10, 64)
+		p.DiscoveryPosition, err = strconv.ParseInt(string(text), 10, 64)
 	}
 	if err != nil {
 		slog.Warn("predecessor not understood", "err", err)
@@ -202,12 +202,12 @@
 	case <-p.Gone:
 	case <-t.C:
 	}
-	return nil, fmt.Errorf("%s: %w", word, ErrGone)
+	return nil, fmt.Errorf("%s: %w", word, ErrPredecessorUnavailable)
 }
 
-// Ready tells the predecessor that clients are taken from now on, and returns what to go on from. After an error
+// AnnounceReady tells the predecessor that clients are taken from now on, and returns what to go on from. After an error
 // the predecessor may know it all the same.
-func (p *Predecessor) Ready() (State, error) {
+func (p *Predecessor) AnnounceReady() (State, error) {
 	text, err := p.ask(wordReady, p.states)
 	if err != nil {
 		return State{}, err
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -26,7 +26,7 @@
 // owner is a process that may be followed.
 type owner struct{ beside chan [2]bool }
 
-func (o *owner) Position() int64           { return some.Pos }
+func (o *owner) DiscoveryPosition() int64  { return some.Pos }
 func (o *owner) State() State              { return some }
 func (o *owner) Beside(beside, after bool) { o.beside <- [2]bool{beside, after} }
 
@@ -45,7 +45,7 @@
 func give(t *testing.T) (*owner, string) {
 	t.Helper()
 	o, path := &owner{beside: make(chan [2]bool, 10)}, filepath.Join(t.TempDir(), "s")
-	g, err := Give(path, o, lim)
+	g, err := ListenForSuccessor(path, o, lim)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -55,7 +55,7 @@
 
 func find(t *testing.T, path string) *Predecessor {
 	t.Helper()
-	p := Find(path, lim)
+	p := FindPredecessor(path, lim)
 	if p == nil {
 		t.Fatal("no predecessor")
 	}
@@ -68,10 +68,10 @@
 	o, path := give(t)
 	p := find(t, path)
 	o.told(t, true, false)
-	if p.Pos != some.Pos {
-		t.Errorf("position %d", p.Pos)
+	if p.DiscoveryPosition != some.Pos {
+		t.Errorf("position %d", p.DiscoveryPosition)
 	}
-	s, err := p.Ready()
+	s, err := p.AnnounceReady()
 	if err != nil || !reflect.DeepEqual(s, some) {
 		t.Errorf("state %+v, %v; want %+v", s, err, some)
 	}
@@ -84,11 +84,11 @@
 	o, path := give(t)
 	p := find(t, path)
 	o.told(t, true, false)
-	if _, err := p.Ready(); err != nil {
+	if _, err := p.AnnounceReady(); err != nil {
 		t.Fatal(err)
 	}
 	o.told(t, true, true)
-	next, err := Give(path, &owner{beside: make(chan [2]bool, 10)}, lim)
+	next, err := ListenForSuccessor(path, &owner{beside: make(chan [2]bool, 10)}, lim)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -96,7 +96,7 @@
 	p.Close()
 	o.told(t, false, false)
 	for end := time.Now().Add(20 * time.Second); ; time.Sleep(time.Millisecond) {
-		if p := Find(path, lim); p != nil {
+		if p := FindPredecessor(path, lim); p != nil {
 			p.Close()
 			break
 		}
@@ -111,7 +111,7 @@
 func TestPredecessorEnds(t *testing.T) {
 	o := &owner{beside: make(chan [2]bool, 10)}
 	path := filepath.Join(t.TempDir(), "s")
-	g, err := Give(path, o, lim)
+	g, err := ListenForSuccessor(path, o, lim)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -122,7 +122,7 @@
 	case <-time.After(20 * time.Second):
 		t.Fatal("not seen")
 	}
-	if _, err := p.Ready(); err == nil {
+	if _, err := p.AnnounceReady(); err == nil {
 		t.Error("a state from one that has gone")
 	}
 }
@@ -149,11 +149,11 @@
 	short := lim
 	short.HandoverWait = 10 * time.Millisecond
 	for _, path := range []string{filepath.Join(dir, "none"), stale, file, mute.Addr().String()} {
-		if Find(path, short) != nil {
+		if FindPredecessor(path, short) != nil {
 			t.Errorf("%s: a predecessor", path)
 		}
 	}
-	if g, err := Give(stale, &owner{}, lim); err != nil {
+	if g, err := ListenForSuccessor(stale, &owner{}, lim); err != nil {
 		t.Errorf("over a stale path: %v", err)
 	} else {
 		g.Close()
--- a/internal/netio/behind.go
+++ b/internal/netio/behind.go
@@ -2,9 +2,9 @@
 
 import "golang.org/x/sys/unix"
 
-// Behind tells whether connections hold something that has not been handed on yet, bytes or the end of the peer, or wait to
+// HasUnreadInput tells whether connections hold something that has not been handed on yet, bytes or the end of the peer, or wait to
 // be accepted. It may be called anywhere. Where the system does not tell, nothing is behind.
-func (s *Server) Behind() bool {
+func (s *Server) HasUnreadInput() bool {
 	var sockets []unix.PollFd
 	if !s.ln.shut.Load() && !s.ln.paused.Load() {
 		sockets = append(sockets, unix.PollFd{Fd: int32(s.ln.fd), Events: unix.POLLIN})
--- a/internal/netio/conn.go
+++ b/internal/netio/conn.go
@@ -32,12 +32,12 @@
 	Closed()
 }
 
-// Abandoner is a Handler that wants to know that nothing more can be read on a connection, which ends once all that is owed
+// InputErrorHandler is a Handler that wants to know that nothing more can be read on a connection, which ends once all that is owed
 // on it is answered.
-type Abandoner interface{ Abandon() }
+type InputErrorHandler interface{ InputFailed() }
 
-// Opener is a Handler that wants to know when a connection that was accepted is up.
-type Opener interface{ Opened() }
+// OpenHandler is a Handler that wants to know when a connection that was accepted is up.
+type OpenHandler interface{ Opened() }
 
 // Conn is one connection.
 type Conn struct {
--- a/internal/netio/netio_test.go
+++ b/internal/netio/netio_test.go
@@ -255,11 +255,11 @@
 	}
 	for c := <-conns; c.half.Load() == 0; time.Sleep(time.Millisecond) { // until the half message has come in
 	}
-	s.SetMax(1)
-	for end := time.Now().Add(20 * time.Second); s.Conns() > 2; time.Sleep(time.Millisecond) {
-		s.SetMax(1) // a connection may not be done with its echo yet though the client has read it, and rests only then
+	s.SetMaxConns(1)
+	for end := time.Now().Add(20 * time.Second); s.OpenConns() > 2; time.Sleep(time.Millisecond) {
+		s.SetMaxConns(1) // a connection may not be done with its echo yet though the client has read it, and rests only then
 		if time.Now().After(end) {
-			t.Fatalf("%d connections", s.Conns())
+			t.Fatalf("%d connections", s.OpenConns())
 		}
 	}
 	echoed(t, owed)
@@ -279,7 +279,7 @@
 	t.Cleanup(func() { ln.Close() })
 	var servers [2]*Server
 	for i := range servers {
-		servers[i], err = Inherit(dup(t, ln), 100, lim, NewBudget(1<<20), func(c *Conn) Handler { return echo{c} })
+		servers[i], err = ListenInherited(dup(t, ln), 100, lim, NewBudget(1<<20), func(c *Conn) Handler { return echo{c} })
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -293,7 +293,7 @@
 	for range 20 {
 		exchange(t, ln.Addr().String())
 	}
-	if n := servers[0].Conns(); n != 1 {
+	if n := servers[0].OpenConns(); n != 1 {
 		t.Errorf("%d connections at the one that stopped", n)
 	}
 	echoed(t, old)
@@ -316,7 +316,7 @@
 }
 
 func TestInheritNothing(t *testing.T) {
-	if _, err := Inherit(1<<20, 1, lim, NewBudget(1), func(c *Conn) Handler { return echo{c} }); err == nil {
+	if _, err := ListenInherited(1<<20, 1, lim, NewBudget(1), func(c *Conn) Handler { return echo{c} }); err == nil {
 		t.Error("a descriptor that is not open was taken")
 	}
 }
@@ -440,7 +440,7 @@
 		end(g.c)
 		g.let <- true
 		nc.(*net.TCPConn).CloseWrite()
-		for s.Conns() > 0 && len(g.came) == 0 {
+		for s.OpenConns() > 0 && len(g.came) == 0 {
 			time.Sleep(time.Millisecond)
 		}
 		if len(g.came) > 0 {
@@ -456,7 +456,7 @@
 		"behind an answer": func(_ *Server, c *Conn) { c.CloseWhenIdle() },
 		"idle":             func(_ *Server, c *Conn) { c.retire(closeIdle, false) },
 		"half":             func(_ *Server, c *Conn) { c.retire(closeIdle, true) },
-		"for a new one":    func(s *Server, _ *Conn) { s.SetMax(0) },
+		"for a new one":    func(s *Server, _ *Conn) { s.SetMaxConns(0) },
 	} {
 		s, nc, g := gatedPair(t, lingering())
 		write(t, nc, "one\n")
@@ -492,7 +492,7 @@
 	}
 	expect(t, nc, "answer\n")
 	nc.Close()
-	for end := time.Now().Add(20 * time.Second); s.Conns() > 0; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(20 * time.Second); s.OpenConns() > 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("the connection stays")
 		}
@@ -506,7 +506,7 @@
 	for name, l := range map[string]config.Conn{"sends": long, "rests": short} {
 		s, nc, g := gatedPair(t, l)
 		g.c.CloseAfterWrites()
-		for end := time.Now().Add(20 * time.Second); s.Conns() > 0; time.Sleep(time.Millisecond) {
+		for end := time.Now().Add(20 * time.Second); s.OpenConns() > 0; time.Sleep(time.Millisecond) {
 			if name == "sends" {
 				_, _ = nc.Write(make([]byte, 4096)) // fails in the end
 			}
@@ -531,13 +531,13 @@
 	}
 	g.c.AddPendingReplies(-1)
 	done := make(chan bool)
-	go func() { s.Finish(clock.Now() + 20*time.Second); close(done) }()
+	go func() { s.Shutdown(clock.Now() + 20*time.Second); close(done) }()
 	expect(t, rests, "")
 	rests.Close()
 	expect(t, nc, answer)
 	nc.Close()
 	<-done
-	if n := s.Conns(); n > 0 {
+	if n := s.OpenConns(); n > 0 {
 		t.Errorf("%d connections are left", n)
 	}
 }
@@ -567,7 +567,7 @@
 	<-g.came
 	g.let <- true
 	done := make(chan bool)
-	go func() { s.Finish(clock.Now() + 20*time.Second); close(done) }()
+	go func() { s.Shutdown(clock.Now() + 20*time.Second); close(done) }()
 	time.Sleep(50 * time.Millisecond) // it has looked many times
 	if err := g.c.Send([]byte("answer")); err != nil {
 		t.Errorf("the answer can't be sent: %v", err)
--- a/internal/netio/read.go
+++ b/internal/netio/read.go
@@ -18,7 +18,7 @@
 	for {
 		buf, err := c.peek(r, max(want, r.Len()))
 		if err != nil { // closed, too much, or the rest did not come in time
-			c.CloseAfterReplies(CloseStopped)
+			c.CloseAfterReplies(CloseInputEnded)
 			return nil
 		}
 		if !c.begin() { // it crossed our close
@@ -39,9 +39,9 @@
 		rest := len(buf) - used
 		began := c.finish(used > 0, rest > 0 || more > 1, rest)
 		if err != nil {
-			c.CloseAfterReplies(CloseUnreadable)
-			if h, ok := c.h.(Abandoner); ok {
-				h.Abandon()
+			c.CloseAfterReplies(CloseMalformedInput)
+			if h, ok := c.h.(InputErrorHandler); ok {
+				h.InputFailed()
 			}
 			return nil
 		}
--- a/internal/netio/reason.go
+++ b/internal/netio/reason.go
@@ -10,10 +10,10 @@
 
 // The reasons.
 const (
-	CloseUnreadable CloseReason = "what came can't be read"
-	CloseStopped    CloseReason = "the peer has ended, or its message did not come whole in time, or too much is held"
-	CloseTwice      CloseReason = "an id came twice"
-	CloseFaults     CloseReason = "too many calls that can't be used"
+	CloseMalformedInput     CloseReason = "what came can't be read"
+	CloseInputEnded         CloseReason = "the peer has ended, or its message did not come whole in time, or too much is held"
+	CloseDuplicateID        CloseReason = "an id came twice"
+	CloseTooManyBadRequests CloseReason = "too many calls that can't be used"
 
 	closeLeaving CloseReason = "the router leaves its clients"
 	closeIdle    CloseReason = "nothing moved for too long"
--- a/internal/netio/server.go
+++ b/internal/netio/server.go
@@ -32,9 +32,9 @@
 	conns sync.Map
 	done  chan struct{}
 
-	// Patience, if set before Serve, is asked how long connections that owe nothing may stay now: those on which
+	// IdleTimeouts, if set before Serve, is asked how long connections that owe nothing may stay now: those on which
 	// nothing moves, and those that are in the middle of a message.
-	Patience func() (idle, half time.Duration)
+	IdleTimeouts func() (idle, half time.Duration)
 }
 
 type connKey struct{}
@@ -49,9 +49,9 @@
 	return serve(ln, max, lim, budget, h)
 }
 
-// Inherit is Listen on a socket that this process was given and that listens already. Others may have it too: it
+// ListenInherited is Listen on a socket that this process was given and that listens already. Others may have it too: it
 // is closed here, but never shut down.
-func Inherit(fd int, max int, lim config.Conn, budget *Budget, h func(*Conn) Handler) (*Server, error) {
+func ListenInherited(fd int, max int, lim config.Conn, budget *Budget, h func(*Conn) Handler) (*Server, error) {
 	ln, err := inherited(fd)
 	if err != nil {
 		return nil, fmt.Errorf("descriptor %d: %w", fd, err)
@@ -68,7 +68,7 @@
 	s := &Server{ln: g, lim: lim, bud: budget, h: h, done: make(chan struct{})}
 	g.hold = s.crowded
 	g.exhausted = func() { s.evict(restIdle) }
-	s.SetMax(max)
+	s.SetMaxConns(max)
 	s.loop, err = netpoll.NewEventLoop(s.request, netpoll.WithOnPrepare(s.prepare), netpoll.WithOnConnect(s.opened))
 	if err != nil {
 		_ = ln.Close()
@@ -77,15 +77,15 @@
 	return s, nil
 }
 
-// SetMax changes how many connections may be open. Of those that are over it, the silent and the idle close.
-func (s *Server) SetMax(max int) {
+// SetMaxConns changes how many connections may be open. Of those that are over it, the silent and the idle close.
+func (s *Server) SetMaxConns(max int) {
 	s.max.Store(int64(max))
 	for s.open.Load()-s.going.Load() > int64(max) && s.evict(restIdle) == evictDone {
 	}
 }
 
-// Conns is how many connections are open.
-func (s *Server) Conns() int { return int(s.open.Load()) }
+// OpenConns is how many connections are open.
+func (s *Server) OpenConns() int { return int(s.open.Load()) }
 
 // StopAccepting leaves new connections to others who have the same socket; what is open goes on.
 func (s *Server) StopAccepting() { s.ln.shut.Store(true) }
@@ -120,8 +120,8 @@
 		case <-t.C:
 			now := clock.Now()
 			most, half := s.lim.Idle, s.lim.Idle
-			if s.Patience != nil {
-				most, half = s.Patience()
+			if s.IdleTimeouts != nil {
+				most, half = s.IdleTimeouts()
 			}
 			s.conns.Range(func(k, _ any) bool {
 				c := k.(*Conn)
@@ -139,10 +139,10 @@
 	}
 }
 
-// Finish stops accepting and ends what is open: what was read is answered, what was sent is written, and what comes is
+// Shutdown stops accepting and ends what is open: what was read is answered, what was sent is written, and what comes is
 // thrown away. It returns once the
 // peers have ended their side too, or at a reading of package clock. Close is to follow.
-func (s *Server) Finish(until time.Duration) {
+func (s *Server) Shutdown(until time.Duration) {
 	s.ln.shut.Store(true)
 	for s.open.Load() > 0 && clock.Now() < until {
 		s.conns.Range(func(c, _ any) bool { c.(*Conn).CloseAfterReplies(closeEnding); return true })
@@ -189,7 +189,7 @@
 		_ = nc.Close() // a peer that is turned away is told so by the close
 		return ctx
 	}
-	if o, ok := c.h.(Opener); ok {
+	if o, ok := c.h.(OpenHandler); ok {
 		o.Opened()
 	}
 	return ctx
