--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -45,7 +45,7 @@
 
 // linkFits is how many transfers the location's link carries at full pace; 0 where that is not told.
 func (b *Balancer) linkFits() float64 {
-	i := slices.Index(b.s.Zones, b.s.Zone)
+	i := slices.Index(b.s.Topology.Zones, b.s.Topology.Zone)
 	if i < 0 || i >= len(b.s.LinkKBps) || b.s.LinkKBps[i] <= 0 || b.s.PaceKBps <= 0 {
 		return 0
 	}
@@ -54,8 +54,9 @@
 
 // routersHere is how many directors share the location's caches and link.
 func (b *Balancer) routersHere() float64 {
-	if i := slices.Index(b.s.Zones, b.s.Zone); i < len(b.s.RoutersPerZone) && b.s.RoutersPerZone[i] > 1 {
-		return float64(b.s.RoutersPerZone[i])
+	site := &b.s.Topology
+	if i := slices.Index(site.Zones, site.Zone); i < len(site.RoutersPerZone) && site.RoutersPerZone[i] > 1 {
+		return float64(site.RoutersPerZone[i])
 	}
 	return 1
 }
--- a/balancer/api.go
+++ b/balancer/api.go
@@ -60,29 +60,39 @@
 	OverloadWindow  time.Duration // for this long
 }
 
-// Settings are what an instance is told when it starts.
+// Topology is the site that an instance serves: its zones and the kinds of endpoints.
+type Topology struct {
+	Zone           string   // of this instance
+	Zones          []string // all of them
+	RoutersPerZone []int    // in the order of Zones
+	Kinds          []string // of endpoints; what is neither a parent nor the origin is an edge cache
+	ParentKind     int      // index into Kinds; -1: there are no parents
+	OriginKind     int      // index into Kinds
+}
+
+// Capabilities are what the site's rules and caches allow the module to do.
+type Capabilities struct {
+	Hedging        bool // two attempts of a request may be in flight at once
+	Cancellation   bool // attempts may be cancelled
+	DirectAttempts bool // parents and the origin accept attempts, too
+	CoalesceFills  bool // a request may join a fill that is in progress
+	WatchRequired  bool // the endpoint list only comes after a WatchEndpoints action
+}
+
+// Settings configure an instance for its life time.
 type Settings struct {
-	Zone                            string
-	Rank                            int // place of this instance among all
-	Zones                           []string
-	RoutersPerZone                  []int // directors in each of Zones
-	Kinds                           []string
-	ParentKind                      int // place in Kinds; -1: there are no parents
-	OriginKind                      int
-	Classes                         []Class
-	PaceKBps                        float64   // top pace of one answer; 0: not told
-	LinkKBps                        []float64 // by zone: what its link for fills carries; 0: not told
-	StaticWeights                   bool      // listed weights are sizes that do not follow load
-	MaxAttempts                     int
-	Hedging                         bool // two attempts of a request may be in flight at once
-	Cancellation                    bool
-	DirectAttempts                  bool          // parents and the origin take attempts too
-	CoalesceFills                   bool          // a request may join a fill under way
-	WatchRequired                   bool          // the list of members must be asked for
-	PurgeWindow                     time.Duration // by then all copies older than a purge are gone
-	MaxRetryAfter                   time.Duration // the longest Retry-After of a rejected request; 0: not sent
-	CacheSlowStart, ParentSlowStart SlowStartRule
-	Coordinator                     Coordinator // nil: the routers don't talk
+	Topology        Topology
+	Capabilities    Capabilities
+	Classes         []Class
+	PaceKBps        float64       // top speed of one response; 0: unknown
+	LinkKBps        []float64     // by zone: bandwidth of its link for fills; 0: unknown
+	StaticWeights   bool          // listed weights are capacities, which do not follow load
+	MaxAttempts     int           // per request
+	PurgeWindow     time.Duration // after it, all copies older than a purge are gone
+	MaxRetryAfter   time.Duration // longest Retry-After of a rejected request; 0: none is sent
+	CacheSlowStart  SlowStartRule
+	ParentSlowStart SlowStartRule
+	Coordinator     Coordinator // nil: this router shares no state with others
 }
 
 // Coordinator is what the routers of a fleet that talk to each other have agreed on. It answers at once, from what is known
--- a/balancer/attempts.go
+++ b/balancer/attempts.go
@@ -13,7 +13,7 @@
 	g.MayHaveRun = r.ran()
 	if !r.class.Write && !r.Write {
 		// An object seen again ranks above one seen once, so that a scan washes nothing out.
-		g.CachePriority, g.MaxAge, g.Coalesce = min(r.object.seen, 2), b.maxAge(r), b.s.CoalesceFills
+		g.CachePriority, g.MaxAge, g.Coalesce = min(r.object.seen, 2), b.maxAge(r), b.s.Capabilities.CoalesceFills
 		g.Revalidate = r.class.FreshnessLifetime > 0
 	}
 	a.node.out++
--- a/balancer/balancer_test.go
+++ b/balancer/balancer_test.go
@@ -17,16 +17,17 @@
 func site() Settings {
 	cold := SlowStartRule{InitialCapacity: 0.2, WarmUpTime: 15 * sec, OverloadFactor: 2, OverloadWindow: 3 * sec}
 	return Settings{
-		Zone: "edge", Zones: []string{"hub", "edge"}, RoutersPerZone: []int{0, 1},
-		Kinds: []string{"box", "mid", "store"}, ParentKind: 1, OriginKind: 2,
+		Topology: Topology{Zone: "edge", Zones: []string{"hub", "edge"}, RoutersPerZone: []int{0, 1},
+			Kinds: []string{"box", "mid", "store"}, ParentKind: 1, OriginKind: 2},
 		Classes: []Class{
 			{Name: "page", LatencyObjective: 300 * ms, ObjectiveStretch: 2, Deadline: 3 * sec, Idempotency: Idempotent, Weight: 1},
 			{Name: "news", LatencyObjective: 300 * ms, Deadline: 3 * sec, Idempotency: Idempotent, Weight: 1, FreshnessLifetime: 20 * sec},
 			{Name: "pay", LatencyObjective: 600 * ms, Deadline: 3 * sec, Idempotency: IdempotentByKey, DedupScope: DedupEverywhere, DedupWindow: 2 * sec, Write: true},
 			{Name: "once", LatencyObjective: 600 * ms, Deadline: 3 * sec, Idempotency: NotIdempotent, Write: true},
 		},
-		PaceKBps: 1000, MaxAttempts: 8, Hedging: true, Cancellation: true, DirectAttempts: true, CoalesceFills: true,
-		PurgeWindow: 6 * sec, CacheSlowStart: cold, ParentSlowStart: cold,
+		PaceKBps: 1000, MaxAttempts: 8,
+		Capabilities: Capabilities{Hedging: true, Cancellation: true, DirectAttempts: true, CoalesceFills: true},
+		PurgeWindow:  6 * sec, CacheSlowStart: cold, ParentSlowStart: cold,
 	}
 }
 
@@ -131,10 +132,10 @@
 func TestSettingsRejected(t *testing.T) {
 	for name, bend := range map[string]func(*Settings){
 		"no classes":    func(s *Settings) { s.Classes = nil },
-		"own location":  func(s *Settings) { s.Zone = "nowhere" },
+		"own location":  func(s *Settings) { s.Topology.Zone = "nowhere" },
 		"negative time": func(s *Settings) { s.PurgeWindow = -1 },
 		"negative aim":  func(s *Settings) { s.Classes[0].LatencyObjective = -1 },
-		"parent kind":   func(s *Settings) { s.ParentKind = 3 },
+		"parent kind":   func(s *Settings) { s.Topology.ParentKind = 3 },
 	} {
 		s := site()
 		bend(&s)
@@ -163,9 +164,9 @@
 
 func TestHomeIsSharedByAllLocations(t *testing.T) {
 	s := site()
-	s.Zones = append(s.Zones, "elsewhere")
+	s.Topology.Zones = append(s.Topology.Zones, "elsewhere")
 	a := newRig(t, s, fleet())
-	s.Zone = "elsewhere"
+	s.Topology.Zone = "elsewhere"
 	b := newRig(t, s, fleet())
 	for o := uint64(1); o < 50; o++ {
 		ga, gb := a.ask("page", o), b.ask("page", o)
@@ -518,7 +519,7 @@
 // Under overload what costs little for its worth goes first.
 func TestCheapGoesFirst(t *testing.T) {
 	s := site()
-	s.DirectAttempts = false
+	s.Capabilities.DirectAttempts = false
 	r := newRig(t, s, fleet())
 	for _, m := range r.b.caches {
 		m.limit = 0
--- a/balancer/cold_test.go
+++ b/balancer/cold_test.go
@@ -32,15 +32,15 @@
 // fleet is the list, and the settings of a router in the first location; parents have the ids from 10, caches those from 100.
 func (c trial) fleet() (s Settings, list []Endpoint) {
 	s = site()
-	s.DirectAttempts, s.CoalesceFills, s.Zones, s.RoutersPerZone = false, false, []string{"hub"}, []int{0}
+	s.Capabilities.DirectAttempts, s.Capabilities.CoalesceFills, s.Topology.Zones, s.Topology.RoutersPerZone = false, false, []string{"hub"}, []int{0}
 	s.CacheSlowStart = SlowStartRule{InitialCapacity: 0.2, WarmUpTime: 15 * sec, OverloadFactor: 3, OverloadWindow: 2 * sec}
 	s.ParentSlowStart = SlowStartRule{InitialCapacity: 0.08, WarmUpTime: 18 * sec, OverloadFactor: 2, OverloadWindow: 2 * sec}
 	places := (c.routers + 29) / 30
 	for p := range places {
-		s.Zones = append(s.Zones, fmt.Sprint("e", p))
-		s.RoutersPerZone = append(s.RoutersPerZone, (c.routers-p+places-1)/places)
+		s.Topology.Zones = append(s.Topology.Zones, fmt.Sprint("e", p))
+		s.Topology.RoutersPerZone = append(s.Topology.RoutersPerZone, (c.routers-p+places-1)/places)
 		for i := range 4 {
-			list = append(list, node(EndpointID(100*(p+1)+i), "box", s.Zones[p+1]))
+			list = append(list, node(EndpointID(100*(p+1)+i), "box", s.Topology.Zones[p+1]))
 		}
 	}
 	for i := range max(2, places/2) {
@@ -112,7 +112,7 @@
 	t.Helper()
 	rnd := rand.New(rand.NewPCG(c.seed, 17))
 	s, list := c.fleet()
-	places := len(s.Zones) - 1
+	places := len(s.Topology.Zones) - 1
 	members, parents := map[EndpointID]*capacity{}, max(2, places/2)
 	for _, e := range list {
 		m := &capacity{rule: s.CacheSlowStart, warm: c.capacity, cold: c.starts(e), filled: trialFrom}
@@ -130,7 +130,7 @@
 	}
 	start := func(i int, now time.Duration, list []Endpoint) {
 		own := s
-		own.Zone = s.Zones[1+i%places]
+		own.Topology.Zone = s.Topology.Zones[1+i%places]
 		rigs[i] = newRig(t, own, nil)
 		rigs[i].now = now
 		rigs[i].do(EndpointUpdate{Complete: true, Endpoints: list})
--- a/balancer/example_test.go
+++ b/balancer/example_test.go
@@ -10,8 +10,8 @@
 // A director feeds its events in and carries out what comes back.
 func Example() {
 	b, err := balancer.New(balancer.Settings{
-		Zone: "branch", Zones: []string{"hub", "branch"},
-		Kinds: []string{"cache", "parent", "origin"}, ParentKind: 1, OriginKind: 2,
+		Topology: balancer.Topology{Zone: "branch", Zones: []string{"hub", "branch"},
+			Kinds: []string{"cache", "parent", "origin"}, ParentKind: 1, OriginKind: 2},
 		Classes: []balancer.Class{{Name: "page", LatencyObjective: 300 * time.Millisecond, Deadline: 3 * time.Second,
 			Idempotency: balancer.Idempotent, Weight: 1}},
 	})
--- a/balancer/fleet_test.go
+++ b/balancer/fleet_test.go
@@ -9,7 +9,7 @@
 // try has used up the time, and the fill would make requests late that are still in time.
 func TestAskedAgainLeavesTheLinkToFirstTries(t *testing.T) {
 	s := site()
-	s.DirectAttempts, s.LinkKBps, s.StaticWeights = false, []float64{0, 4000}, true // the link fits 4 transfers
+	s.Capabilities.DirectAttempts, s.LinkKBps, s.StaticWeights = false, []float64{0, 4000}, true // the link fits 4 transfers
 	list := fleet()
 	for i := range list {
 		list[i].Weight = 20 // and the caches many
@@ -53,7 +53,7 @@
 func TestOriginIsDoubtedSoonerWhereManyShareIt(t *testing.T) {
 	trust := func(directors int) float64 {
 		s := site()
-		s.RoutersPerZone = []int{0, directors}
+		s.Topology.RoutersPerZone = []int{0, directors}
 		r := newRig(t, s, fleet())
 		g := r.ask("page", 1)
 		r.now += 400 * ms
@@ -98,7 +98,7 @@
 func TestLinkLeavesRoomForChance(t *testing.T) {
 	for beside, want := range map[int][2]float64{1: {16, 16}, 4: {4.5, 5}, 16: {1.9, 2.1}} {
 		s := site()
-		s.RoutersPerZone, s.LinkKBps = []int{0, beside}, []float64{0, 8000} // the link fits 8 transfers
+		s.Topology.RoutersPerZone, s.LinkKBps = []int{0, beside}, []float64{0, 8000} // the link fits 8 transfers
 		if room := newRig(t, s, fleet()).b.linkRoom; room < want[0] || room > want[1] {
 			t.Errorf("%d directors: room for %.2f each, not %v", beside, room, want)
 		}
@@ -110,7 +110,7 @@
 func TestLinkLearnsFromUnknownSizesWhereShared(t *testing.T) {
 	for beside, shrinks := range map[int]bool{1: false, 8: true} {
 		s := site()
-		s.RoutersPerZone, s.LinkKBps, s.DirectAttempts = []int{0, beside}, []float64{0, 8000}, false
+		s.Topology.RoutersPerZone, s.LinkKBps, s.Capabilities.DirectAttempts = []int{0, beside}, []float64{0, 8000}, false
 		r := newRig(t, s, fleet())
 		before := r.b.linkRoom
 		for range 5 {
@@ -160,7 +160,7 @@
 func TestFillsOfAllDirectors(t *testing.T) {
 	for _, directors := range []int{4, 8, 16} {
 		s := site()
-		s.DirectAttempts, s.LinkKBps, s.RoutersPerZone, s.StaticWeights = false, []float64{0, 20_000}, []int{0, directors}, true // the link fits 20 transfers
+		s.Capabilities.DirectAttempts, s.LinkKBps, s.Topology.RoutersPerZone, s.StaticWeights = false, []float64{0, 20_000}, []int{0, directors}, true // the link fits 20 transfers
 		list := fleet()
 		for i := range list {
 			list[i].Weight = 100 // and the caches' own links many
--- a/balancer/health.go
+++ b/balancer/health.go
@@ -178,7 +178,7 @@
 		}
 	}
 	elsewhere := (a.node.bad || a.source.bad) && a.source.role != origin
-	if elsewhere && !r.done && r.class.Idempotency == Idempotent && b.s.Cancellation {
+	if elsewhere && !r.done && r.class.Idempotency == Idempotent && b.s.Capabilities.Cancellation {
 		a.cancelled = true
 		b.do(CancelAttempt{ID: r.ID, Attempt: i})
 	}
--- a/balancer/membership.go
+++ b/balancer/membership.go
@@ -11,7 +11,7 @@
 
 // updateList takes the whole updateList, or changes to it.
 func (b *Balancer) updateList(ev EndpointUpdate) {
-	if b.s.WatchRequired && (ev.Failed || !b.asked) {
+	if b.s.Capabilities.WatchRequired && (ev.Failed || !b.asked) {
 		b.asked = true
 		b.do(WatchEndpoints{})
 	}
@@ -75,7 +75,7 @@
 		b.parents = insertMember(b.parents, m)
 	case m.role == origin:
 		b.origins = insertMember(b.origins, m)
-	case m.zone == b.s.Zone:
+	case m.zone == b.s.Topology.Zone:
 		b.caches = insertMember(b.caches, m)
 		m.limit = b.cacheLimit(m)
 	}
@@ -95,7 +95,7 @@
 		b.parents = removeMember(b.parents, m)
 	case m.role == origin:
 		b.origins = removeMember(b.origins, m)
-	case m.zone == b.s.Zone:
+	case m.zone == b.s.Topology.Zone:
 		b.caches = removeMember(b.caches, m)
 	}
 	b.origin = firstMember(b.origins)
@@ -125,7 +125,7 @@
 // countReady counts a member that may be named, at once among those in service, and once it is warm among those that are
 // settled: a release lists both, old and new. Caches of other locations don't count.
 func (b *Balancer) countReady(m *member) {
-	if !b.inService(m) || m.role == cache && m.zone != b.s.Zone {
+	if !b.inService(m) || m.role == cache && m.zone != b.s.Topology.Zone {
 		return
 	}
 	m.countedReady = b.sizeOf(m)
@@ -201,11 +201,13 @@
 }
 
 func (b *Balancer) roleOf(e Endpoint) role {
-	is := func(kind int) bool { return kind >= 0 && kind < len(b.s.Kinds) && b.s.Kinds[kind] == e.Kind }
+	is := func(kind int) bool {
+		return kind >= 0 && kind < len(b.s.Topology.Kinds) && b.s.Topology.Kinds[kind] == e.Kind
+	}
 	switch {
-	case is(b.s.ParentKind):
+	case is(b.s.Topology.ParentKind):
 		return parent
-	case is(b.s.OriginKind):
+	case is(b.s.Topology.OriginKind):
 		return origin
 	}
 	return cache
--- a/balancer/membership_test.go
+++ b/balancer/membership_test.go
@@ -37,7 +37,7 @@
 		e := l.members[id]
 		ro := b.roleOf(e)
 		m := &member{role: ro, start: l.starts[id], weight: e.Weight}
-		if e.State == InService && (l.fleet[ro] == 0 || !b.cold(m)) && (ro != cache || e.Zone == b.s.Zone) {
+		if e.State == InService && (l.fleet[ro] == 0 || !b.cold(m)) && (ro != cache || e.Zone == b.s.Topology.Zone) {
 			fleet[ro] += b.sizeOf(m)
 		}
 		switch {
@@ -45,7 +45,7 @@
 			parents = append(parents, id)
 		case ro == origin:
 			origins = append(origins, id)
-		case e.Zone == b.s.Zone:
+		case e.Zone == b.s.Topology.Zone:
 			caches = append(caches, id)
 		}
 		if ro == cache {
@@ -117,7 +117,7 @@
 
 func randomEntry(rnd *rand.Rand, now time.Duration) Endpoint {
 	e := Endpoint{ID: EndpointID(1 + rnd.IntN(40)), Zone: "edge", Weight: []float64{0.5, 1, 1.5, 2}[rnd.IntN(4)], State: EndpointState(rnd.IntN(3))}
-	kinds := site().Kinds
+	kinds := site().Topology.Kinds
 	e.Kind = kinds[int(e.ID)%len(kinds)]
 	if rnd.IntN(4) == 0 {
 		e.Zone = "hub"
@@ -137,7 +137,7 @@
 	}
 	all := EndpointUpdate{Complete: true}
 	for i := range size {
-		all.Endpoints = append(all.Endpoints, Endpoint{ID: EndpointID(mix(uint64(i + 1))), Kind: site().Kinds[0], Zone: "edge", Weight: 1, State: InService})
+		all.Endpoints = append(all.Endpoints, Endpoint{ID: EndpointID(mix(uint64(i + 1))), Kind: site().Topology.Kinds[0], Zone: "edge", Weight: 1, State: InService})
 	}
 	now := 1000 * time.Hour
 	b.Handle(now, all)
--- a/balancer/requests.go
+++ b/balancer/requests.go
@@ -117,7 +117,7 @@
 func (b *Balancer) mayResend(r *request) bool {
 	for i := range r.attempts {
 		a := &r.attempts[i]
-		if a.out && !(b.s.Hedging && r.class.Idempotency == Idempotent) {
+		if a.out && !(b.s.Capabilities.Hedging && r.class.Idempotency == Idempotent) {
 			return false
 		}
 		if a.neverRan || r.class.Idempotency == Idempotent {
@@ -156,7 +156,7 @@
 		r.waiting = false
 		r.done = true
 		for i := range r.attempts { // nobody waits for these any more
-			if a := &r.attempts[i]; a.out && !a.cancelled && b.s.Cancellation && !r.streamed {
+			if a := &r.attempts[i]; a.out && !a.cancelled && b.s.Capabilities.Cancellation && !r.streamed {
 				a.cancelled = true
 				b.do(CancelAttempt{ID: r.ID, Attempt: i})
 			}
--- a/balancer/routing.go
+++ b/balancer/routing.go
@@ -10,7 +10,7 @@
 // cache with a parent or the origin as the source. A repeat takes another way.
 func (b *Balancer) writePath(r *request) attempt {
 	home, second := b.homes(r)
-	if b.s.DirectAttempts && b.origin != nil && b.inService(b.origin) {
+	if b.s.Capabilities.DirectAttempts && b.origin != nil && b.inService(b.origin) {
 		way := attempt{node: b.origin, source: b.origin}
 		if home != nil && !b.allowed(r, way.node) || len(r.attempts)%2 == 1 && home != nil && b.usable(home) {
 			way = attempt{node: home, source: home}
@@ -59,7 +59,7 @@
 		a.source, a.warming = second, true
 	}
 	a.held = up && !asks && a.source != nil && a.source.role == parent
-	if a.node == nil && b.s.DirectAttempts && a.source != nil && up && b.link < b.linkRoom {
+	if a.node == nil && b.s.Capabilities.DirectAttempts && a.source != nil && up && b.link < b.linkRoom {
 		if a.node = a.source; !a.held { // no edge cache has room: pass them by
 			a.source = b.origin
 		}
--- a/balancer/rules_test.go
+++ b/balancer/rules_test.go
@@ -29,7 +29,7 @@
 // scores has the first deployment's shape: an unsafe class beside two safe ones, three zones, six attempts.
 func scores() deployment {
 	s := site()
-	s.Zone, s.Zones, s.RoutersPerZone, s.MaxAttempts = "coastal", []string{"upper", "coastal", "river"}, []int{0, 3, 0}, 6
+	s.Topology.Zone, s.Topology.Zones, s.Topology.RoutersPerZone, s.MaxAttempts = "coastal", []string{"upper", "coastal", "river"}, []int{0, 3, 0}, 6
 	s.Classes = []Class{
 		{Name: "score", LatencyObjective: 400 * ms, ObjectiveStretch: 2, Deadline: 5 * sec, Idempotency: Idempotent, Weight: 2},
 		{Name: "page", LatencyObjective: 250 * ms, ObjectiveStretch: 2, Deadline: 3 * sec, Idempotency: Idempotent, Weight: 1},
@@ -43,7 +43,7 @@
 // episodes has the second's: parts that wait 6 s, assets fresh for 8 s, a listen event that must never run twice.
 func episodes() deployment {
 	s := site()
-	s.Zone, s.Zones, s.RoutersPerZone, s.MaxAttempts = "west", []string{"north", "west", "south"}, []int{0, 4, 0}, 8
+	s.Topology.Zone, s.Topology.Zones, s.Topology.RoutersPerZone, s.MaxAttempts = "west", []string{"north", "west", "south"}, []int{0, 4, 0}, 8
 	s.Classes = []Class{
 		{Name: "part", LatencyObjective: 600 * ms, ObjectiveStretch: 2, Deadline: 6 * sec, Idempotency: Idempotent, Weight: 2},
 		{Name: "asset", LatencyObjective: 300 * ms, ObjectiveStretch: 2, Deadline: 2500 * ms, Idempotency: Idempotent, Weight: 1, FreshnessLifetime: 8 * sec},
@@ -67,7 +67,7 @@
 func rules(t *testing.T, seed uint64, d deployment) {
 	rnd := rand.New(rand.NewPCG(seed, 7))
 	s := d.s
-	s.Hedging, s.CoalesceFills = seed%2 == 0, seed%3 != 0
+	s.Capabilities.Hedging, s.Capabilities.CoalesceFills = seed%2 == 0, seed%3 != 0
 	classes := map[string]*Class{}
 	for i := range s.Classes {
 		classes[s.Classes[i].Name] = &s.Classes[i]
@@ -87,7 +87,7 @@
 				if q == nil || q.final > 0 {
 					t.Fatalf("seed %d: attempt for a request that is over: %+v", seed, a)
 				}
-				if len(q.out) > 0 && (!s.Hedging || q.class.Idempotency != Idempotent) {
+				if len(q.out) > 0 && (!s.Capabilities.Hedging || q.class.Idempotency != Idempotent) {
 					t.Fatalf("seed %d: second attempt in flight: %+v", seed, a)
 				}
 				for _, at := range q.mayRan {
--- a/balancer/state.go
+++ b/balancer/state.go
@@ -60,7 +60,7 @@
 
 // directors is how many there are in all locations.
 func (b *Balancer) directors() (n float64) {
-	for _, in := range b.s.RoutersPerZone {
+	for _, in := range b.s.Topology.RoutersPerZone {
 		n += float64(max(in, 0))
 	}
 	return n
@@ -210,10 +210,10 @@
 	if len(s.Classes) == 0 {
 		return nil, errors.New("no classes")
 	}
-	if !slices.Contains(s.Zones, s.Zone) {
-		return nil, fmt.Errorf("own location %q is not listed", s.Zone)
+	if !slices.Contains(s.Topology.Zones, s.Topology.Zone) {
+		return nil, fmt.Errorf("own location %q is not listed", s.Topology.Zone)
 	}
-	if s.ParentKind >= len(s.Kinds) || s.OriginKind >= len(s.Kinds) {
+	if s.Topology.ParentKind >= len(s.Topology.Kinds) || s.Topology.OriginKind >= len(s.Topology.Kinds) {
 		return nil, errors.New("kind of the parents or the origin is not listed")
 	}
 	for _, d := range []time.Duration{s.PurgeWindow, s.CacheSlowStart.WarmUpTime, s.CacheSlowStart.OverloadWindow,
--- a/balancer/troubles_test.go
+++ b/balancer/troubles_test.go
@@ -206,7 +206,7 @@
 // While the living caches are full, requests wait rather than run into the dead one.
 func TestDeadCacheIsNoWayOut(t *testing.T) {
 	s := site()
-	s.DirectAttempts = false
+	s.Capabilities.DirectAttempts = false
 	r := newRig(t, s, fleet())
 	r.fail(1, ConnectFailed)
 	r.b.members[2].limit, r.b.members[3].limit = 0, 0
@@ -386,7 +386,7 @@
 func TestLimitHasAFloor(t *testing.T) {
 	for beside, want := range map[int]float64{1: 12, 4: 3, 20: 2, 200: 2} {
 		s := site()
-		s.RoutersPerZone = []int{0, beside}
+		s.Topology.RoutersPerZone = []int{0, beside}
 		r := newRig(t, s, fleet())
 		if got := r.b.caches[0].limit; got != want {
 			t.Errorf("%d directors: limit %.1f, want %.1f", beside, got, want)
@@ -404,7 +404,7 @@
 	const directors = 60
 	for _, cold := range []EndpointID{1, 11} {
 		s := site()
-		s.RoutersPerZone = []int{0, directors}
+		s.Topology.RoutersPerZone = []int{0, directors}
 		var rigs []*rig
 		for range directors {
 			rigs = append(rigs, newRig(t, s, fleet()))
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -173,23 +173,23 @@
 func checkFleet(set jsonfields.Object, c *Config) {
 	spec, s, name := set.Object("specifics"), c.Settings, "instancesByZone"
 	spec.Must(name)
-	own := slices.Index(s.Zones, s.Zone)
+	own := slices.Index(s.Topology.Zones, s.Topology.Zone)
 	switch {
 	case own < 0 || !spec.Has(name): // told already
 		return
-	case len(s.RoutersPerZone) != len(s.Zones):
-		spec.Fail(name, fmt.Sprintf("holds %d figures for %d locations", len(s.RoutersPerZone), len(s.Zones)))
+	case len(s.Topology.RoutersPerZone) != len(s.Topology.Zones):
+		spec.Fail(name, fmt.Sprintf("holds %d figures for %d locations", len(s.Topology.RoutersPerZone), len(s.Topology.Zones)))
 		return
-	case s.RoutersPerZone[own] < 1:
+	case s.Topology.RoutersPerZone[own] < 1:
 		spec.Fail(name, "holds no router for the own location")
 	}
-	for _, n := range s.RoutersPerZone {
+	for _, n := range s.Topology.RoutersPerZone {
 		if n < 0 || n > mostRouters {
 			spec.Fail(name, fmt.Sprintf("holds %d, which is out of range (0 to %d)", n, mostRouters))
 		}
 	}
-	if n := len(s.LinkKBps); n > 0 && n != len(s.Zones) {
-		spec.Fail("pipeKbPerS", fmt.Sprintf("holds %d figures for %d locations", n, len(s.Zones)))
+	if n := len(s.LinkKBps); n > 0 && n != len(s.Topology.Zones) {
+		spec.Fail("pipeKbPerS", fmt.Sprintf("holds %d figures for %d locations", n, len(s.Topology.Zones)))
 	}
 	if s.PaceKBps < 0 {
 		spec.Fail("paceKbPerS", "is under 0")
@@ -199,7 +199,7 @@
 			spec.Fail("pipeKbPerS", "holds a figure under 0")
 		}
 	}
-	c.Limits.ConnsPerCache = max(1, min(connsPerCache, connsOfCache/max(1, s.RoutersPerZone[own])))
+	c.Limits.ConnsPerCache = max(1, min(connsPerCache, connsOfCache/max(1, s.Topology.RoutersPerZone[own])))
 }
 
 // isJSON tells JSON from HCL, which can't begin with a brace.
--- a/internal/config/settings/settings.go
+++ b/internal/config/settings/settings.go
@@ -29,15 +29,21 @@
 	allowed, rules, spec := o.Object("allowed"), o.Object("invariants"), o.Object("specifics")
 	weights := o.Text("weights", "")
 	s := balancer.Settings{
-		Zone: o.Text("locality", ""), Zones: o.Texts("dcs"), Kinds: o.Texts("hostTypes"),
-		ParentKind: int(spec.Int("midKind", -1)), OriginKind: int(spec.Int("storeKind", -1)),
+		Topology: balancer.Topology{
+			Zone: o.Text("locality", ""), Zones: o.Texts("dcs"), Kinds: o.Texts("hostTypes"),
+			ParentKind: int(spec.Int("midKind", -1)), OriginKind: int(spec.Int("storeKind", -1)),
+		},
+		Capabilities: balancer.Capabilities{
+			Hedging:        allowed.Flag("mayDuplicate"),
+			Cancellation:   allowed.Flag("cancel"),
+			DirectAttempts: spec.Flag("passThroughOk"),
+			CoalesceFills:  spec.Flag("collapses"),
+			WatchRequired:  o.Text("discovery", "") == "ask",
+		},
 		PaceKBps: spec.Number("paceKbPerS", 0), LinkKBps: spec.Numbers("pipeKbPerS"),
 		StaticWeights: weights == "nominal" || weights == "rough",
-		MaxAttempts:   int(allowed.Int("maxAttempts", 0)), Hedging: allowed.Flag("mayDuplicate"),
-		Cancellation:   allowed.Flag("cancel"),
-		DirectAttempts: spec.Flag("passThroughOk"),
-		CoalesceFills:  spec.Flag("collapses"), WatchRequired: o.Text("discovery", "") == "ask",
-		PurgeWindow: spec.Span("purgeTakesUs", us, 0),
+		MaxAttempts:   int(allowed.Int("maxAttempts", 0)),
+		PurgeWindow:   spec.Span("purgeTakesUs", us, 0),
 		CacheSlowStart: balancer.SlowStartRule{
 			InitialCapacity: rules.Number("coldFrom", 0), WarmUpTime: rules.Span("coldUs", us, 0),
 			OverloadFactor: rules.Number("overloadFactor", 0), OverloadWindow: rules.Span("fallUs", us, 0),
@@ -51,7 +57,7 @@
 		s.MaxRetryAfter = allowed.Span("maxRetryAfterUs", us, 0)
 	}
 	for _, n := range spec.Ints("instancesByZone") {
-		s.RoutersPerZone = append(s.RoutersPerZone, int(n))
+		s.Topology.RoutersPerZone = append(s.Topology.RoutersPerZone, int(n))
 	}
 	effects := map[string]balancer.Idempotency{"safe": balancer.Idempotent, "keyed": balancer.IdempotentByKey}
 	groups := map[string]balancer.DedupScope{"all": balancer.DedupEverywhere, "zone": balancer.DedupInZone}
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -86,11 +86,11 @@
 	}
 	c.tallies = append(c.tallies, ClassCounts{Class: UnknownClass})
 	c.warm = map[string]time.Duration{}
-	for i, kind := range s.Kinds {
+	for i, kind := range s.Topology.Kinds {
 		switch i {
-		case s.ParentKind:
+		case s.Topology.ParentKind:
 			c.warm[kind] = s.ParentSlowStart.WarmUpTime
-		case s.OriginKind:
+		case s.Topology.OriginKind:
 		default:
 			c.warm[kind] = s.CacheSlowStart.WarmUpTime
 		}
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -62,8 +62,9 @@
 	t.Helper()
 	r := &rig{t: t, now: 1e6 * second}
 	lim := config.Limits{Open: 100, Resolves: 10, Margin: 15 * time.Millisecond, Longest: 5 * second, AttemptGrace: 200 * time.Millisecond, FinishMargin: 200 * time.Millisecond}
-	c, err := New(balancer.Settings{Zone: "edge", Zones: []string{"hub", "edge"}, Kinds: []string{"box", "mid", "store"}, ParentKind: 1,
-		OriginKind: 2, MaxAttempts: 6, Cancellation: true, PurgeWindow: 6 * second, Classes: []balancer.Class{
+	c, err := New(balancer.Settings{Topology: balancer.Topology{Zone: "edge", Zones: []string{"hub", "edge"},
+		Kinds: []string{"box", "mid", "store"}, ParentKind: 1, OriginKind: 2},
+		Capabilities: balancer.Capabilities{Cancellation: true}, MaxAttempts: 6, PurgeWindow: 6 * second, Classes: []balancer.Class{
 			{Name: "page", LatencyObjective: 250 * time.Millisecond, ObjectiveStretch: 2, Deadline: 3 * second, Idempotency: balancer.Idempotent, Weight: 1},
 			{Name: "order", LatencyObjective: 700 * time.Millisecond, Deadline: 3 * second, Weight: 3, Write: true}}},
 		lim, func() time.Duration { return r.now })
--- a/internal/frontend/dns/front_test.go
+++ b/internal/frontend/dns/front_test.go
@@ -87,9 +87,9 @@
 	s := &site{t: t, now: 1e6 * time.Second}
 	conn := config.Conn{Pending: 1 << 18, Read: time.Minute, Write: time.Minute, Idle: time.Minute, Silent: time.Minute}
 	lim := config.Limits{Resolves: 100, DNSConns: 10, Open: 10, DNS: conn}
-	c, err := core.New(balancer.Settings{Zone: "edge", Zones: []string{"edge"}, Kinds: []string{"box", "mid", "store"}, ParentKind: 1,
-		OriginKind: 2, Classes: []balancer.Class{{Name: "a"}}, CacheSlowStart: balancer.SlowStartRule{InitialCapacity: 0.2, WarmUpTime: 18 * time.Second,
-			OverloadFactor: 4, OverloadWindow: 2 * time.Second}}, lim, s.clock)
+	c, err := core.New(balancer.Settings{Topology: balancer.Topology{Zone: "edge", Zones: []string{"edge"},
+		Kinds: []string{"box", "mid", "store"}, ParentKind: 1, OriginKind: 2}, Classes: []balancer.Class{{Name: "a"}}, CacheSlowStart: balancer.SlowStartRule{InitialCapacity: 0.2, WarmUpTime: 18 * time.Second,
+		OverloadFactor: 4, OverloadWindow: 2 * time.Second}}, lim, s.clock)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/simulator/simulator_test.go
+++ b/internal/simulator/simulator_test.go
@@ -47,7 +47,7 @@
 		t.Errorf("clock %v", b.Now)
 	}
 	s := b.Events[0].Create
-	if s == nil || s.ParentKind != 1 || !s.StaticWeights ||
+	if s == nil || s.Topology.ParentKind != 1 || !s.StaticWeights ||
 		s.Classes[0].Idempotency != balancer.IdempotentByKey || s.Classes[0].DedupScope != balancer.DedupEverywhere || !s.Classes[0].Write ||
 		s.Classes[0].FreshnessLifetime != 20*time.Second {
 		t.Errorf("settings %+v", s)
