--- a/cmd/hillknot/replace.go
+++ b/cmd/hillknot/replace.go
@@ -79,7 +79,7 @@
 func (r *replacement) Beside(beside, after bool) {
 	slog.Info("successor", "beside", beside, "ready", after)
 	r.share(func() { r.beside, r.after = beside, after })
-	r.core.Post(func() { r.core.Followed(after) })
+	r.core.Post(func() { r.core.SetSuccessorReady(after) })
 }
 
 // share sets the limits by who is beside this process.
--- a/cmd/hillknot/serve.go
+++ b/cmd/hillknot/serve.go
@@ -113,7 +113,7 @@
 	r.share(func() { r.before = before != nil })
 	stop, failed := make(chan struct{}), make(chan error, len(fronts)+1)
 	defer close(stop)
-	c.Hold(true)
+	c.HoldStart()
 	go c.Run(stop)
 	go feed.Run(stop)
 	for _, f := range fronts {
@@ -140,7 +140,7 @@
 			defer g.Close()
 		}
 	}
-	c.Post(func() { c.Hold(false); serving(operators) })
+	c.Post(func() { c.ReleaseStart(); serving(operators) })
 	slog.Info("serving", "name", cfg.Name, "listen", front.Addr(), "pid", os.Getpid())
 	for {
 		select {
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -73,7 +73,7 @@
 	}
 	r.c = c
 	c.SetUpstream(r)
-	c.UpdateEndpoints(true, []EndpointUpdate{{ID: "a", Addr: "127.1.0.1:1", Kind: "box", Zone: "edge"}, {ID: "b", Addr: "127.1.0.2:1", Kind: "box", Zone: "edge"},
+	c.ReplaceEndpoints([]EndpointUpdate{{ID: "a", Addr: "127.1.0.1:1", Kind: "box", Zone: "edge"}, {ID: "b", Addr: "127.1.0.2:1", Kind: "box", Zone: "edge"},
 		{ID: "m", Addr: "127.1.0.3:1", Kind: "mid", Zone: "hub"}, {ID: "o", Addr: "127.1.0.4:1", Kind: "store", Zone: "hub"}})
 	c.RunOnce()
 	return r
@@ -201,7 +201,7 @@
 		if s, _ := r.c.Permit(a); s != balancer.OK {
 			t.Fatalf("before: %d", s)
 		}
-		r.c.UpdateEndpoints(false, []EndpointUpdate{{ID: m.ID, Addr: m.Addr, Kind: "box", Zone: "edge", State: balancer.Draining}})
+		r.c.UpdateEndpoints([]EndpointUpdate{{ID: m.ID, Addr: m.Addr, Kind: "box", Zone: "edge", State: balancer.Draining}})
 		if s, _ := r.c.Permit(a); !s.NeverRan() {
 			t.Errorf("%s drained: status %d, want one that proves that it never ran", drained, s)
 		}
@@ -296,7 +296,7 @@
 // What drains, and what fails all that it is asked, is told as avoided; once it is well again it is not.
 func TestAvoided(t *testing.T) {
 	r := newRig(t)
-	r.c.UpdateEndpoints(false, []EndpointUpdate{{ID: "a", Addr: "127.1.0.1:1", Kind: "box", Zone: "edge", State: balancer.Draining}})
+	r.c.UpdateEndpoints([]EndpointUpdate{{ID: "a", Addr: "127.1.0.1:1", Kind: "box", Zone: "edge", State: balancer.Draining}})
 	r.c.RunOnce()
 	if s := r.c.Snapshot(); s.Endpoints != 2 || s.AvoidedEndpoints != 1 {
 		t.Errorf("one drains: %d of %d are avoided", s.AvoidedEndpoints, s.Endpoints)
@@ -367,7 +367,7 @@
 	if r.c.DrainStage() != NotDraining || r.c.Snapshot().Phase != ShuttingDown || len(r.out) != 1 {
 		t.Errorf("no successor: leaving %d, %d attempts", r.c.DrainStage(), len(r.out))
 	}
-	r.c.Followed(true)
+	r.c.SetSuccessorReady(true)
 	r.c.RunOnce()
 	if r.c.DrainStage() != CloseIdle {
 		t.Errorf("a successor: leaving %d", r.c.DrainStage())
@@ -410,12 +410,12 @@
 // A process that follows another is not ready before it is told so, though it knows the list.
 func TestHold(t *testing.T) {
 	r := newRig(t)
-	r.c.Hold(true)
+	r.c.HoldStart()
 	r.c.RunOnce()
 	if p := r.c.Snapshot().Phase; p != Starting {
 		t.Errorf("phase %v", p)
 	}
-	r.c.Hold(false)
+	r.c.ReleaseStart()
 	r.c.RunOnce()
 	if p := r.c.Snapshot().Phase; p != Serving {
 		t.Errorf("phase %v", p)
@@ -428,7 +428,7 @@
 	r := newRig(t)
 	r.submit("page", 3*second)
 	r.submit("page", 3*second)
-	r.c.Purge(false, 8, 0, r.now)
+	r.c.PurgeObject(8, r.now)
 	if r.out[0].Decision.MaxAge != 0 {
 		t.Errorf("the purge of another object: newer than %v", r.out[0].Decision.MaxAge)
 	}
@@ -437,9 +437,9 @@
 	})
 	at := r.now
 	r.now += 100 * time.Millisecond
-	r.c.PostWatchEvent(func() { r.c.Purge(false, 7, 0, at) })
+	r.c.PostWatchEvent(func() { r.c.PurgeObject(7, at) })
 	r.c.RunOnce()
-	r.c.Purge(false, 7, 0, at-second)
+	r.c.PurgeObject(7, at-second)
 	if len(r.out) != 3 {
 		t.Fatalf("%d attempts", len(r.out))
 	}
--- a/internal/core/funds.go
+++ b/internal/core/funds.go
@@ -13,7 +13,8 @@
 // Credit says what a request's account allows. Its methods are called on the core's goroutine; none may block but Close.
 type Credit interface {
 	Reserve(q *Request) (Reservation, error)                  // an error: it is refused, and never ran
-	Settle(p Reservation, ran bool, bytes int)                // it was served with so many bytes, or may have run; or surely not
+	Charge(r Reservation, bytes int)                          // it was served with so many bytes, or may have run
+	Release(r Reservation)                                    // it surely never ran
 	RetryAfter(err error) (wait time.Duration, reason string) // what a refused client is told
 	Flush()                                                   // what is to be written and said goes out
 	Metrics() []Metric                                        // for operators
@@ -49,8 +50,13 @@
 
 // settled settles what was set aside for a request. What may have run is paid for.
 func (c *Core) settled(r *request, ran bool, bytes int) {
-	if r.paid != nil && c.funds != nil {
-		c.funds.Settle(r.paid, ran, bytes)
-		r.paid = nil
+	if r.paid == nil || c.funds == nil {
+		return
 	}
+	if ran {
+		c.funds.Charge(r.paid, bytes)
+	} else {
+		c.funds.Release(r.paid)
+	}
+	r.paid = nil
 }
--- a/internal/core/members.go
+++ b/internal/core/members.go
@@ -30,8 +30,13 @@
 	return balancer.EndpointID(h)
 }
 
-// UpdateEndpoints takes the list, or changes to it.
-func (c *Core) UpdateEndpoints(full bool, hosts []EndpointUpdate) {
+// ReplaceEndpoints takes a whole list. What it lacks is gone.
+func (c *Core) ReplaceEndpoints(all []EndpointUpdate) { c.applyEndpoints(true, all) }
+
+// UpdateEndpoints takes changes to the list.
+func (c *Core) UpdateEndpoints(changed []EndpointUpdate) { c.applyEndpoints(false, changed) }
+
+func (c *Core) applyEndpoints(full bool, hosts []EndpointUpdate) {
 	ev := balancer.EndpointUpdate{Complete: full, Endpoints: make([]balancer.Endpoint, 0, len(hosts))}
 	for _, h := range hosts {
 		n := NodeIDOf(h.ID)
@@ -132,9 +137,16 @@
 	at            time.Duration
 }
 
-// Purge takes a purge made at the given time of the core's clock. It counts for what was decided before, too: an attempt may
+// PurgeObject takes a purge of one object, made at the given time of the core's clock. It counts for what was decided
+// before, too: an attempt may still wait for a connection, or for its turn to be sent.
+func (c *Core) PurgeObject(object uint64, at time.Duration) { c.purge(false, object, 0, at) }
+
+// PurgeGroup is PurgeObject for all objects of a group.
+func (c *Core) PurgeGroup(group uint64, at time.Duration) { c.purge(true, 0, group, at) }
+
+// purge takes a purge made at the given time of the core's clock. It counts for what was decided before, too: an attempt may
 // still wait for a connection, or for its turn to be sent.
-func (c *Core) Purge(byGroup bool, object, group uint64, at time.Duration) {
+func (c *Core) purge(byGroup bool, object, group uint64, at time.Duration) {
 	p := told{byGroup, object, group, at}
 	for _, r := range c.open {
 		if r.attempt != nil {
--- a/internal/core/requests.go
+++ b/internal/core/requests.go
@@ -153,7 +153,7 @@
 // overdue gives the answer that a silent module did not: no request may go without.
 func (c *Core) overdue(r *request) {
 	if r.ending != nil {
-		c.release(r, false)
+		c.failUnreleased(r)
 		return
 	}
 	a := Answer{Verdict: Rejected}
--- a/internal/core/rights.go
+++ b/internal/core/rights.go
@@ -70,18 +70,21 @@
 	c.rights.Claim(r.id, &r.Request, r.end-c.now)
 }
 
-// ClaimResolved takes what came of a claim: with run, the order is this router's to run, under the txn that it had; else its
-// answer is known.
-func (c *Core) ClaimResolved(id balancer.RequestID, run bool, a Answer) {
+// ClaimAnswered reports that the outcome of a claimed order is known.
+func (c *Core) ClaimAnswered(id balancer.RequestID, a Answer) {
+	if r := c.open[id]; r != nil && r.claiming {
+		r.claiming = false
+		c.answer(r, a)
+	}
+}
+
+// ClaimGranted reports that a claimed order is this router's to run, under the txn that it had.
+func (c *Core) ClaimGranted(id balancer.RequestID) {
 	r := c.open[id]
 	if r == nil || !r.claiming {
 		return
 	}
 	r.claiming = false
-	if !run {
-		c.answer(r, a)
-		return
-	}
 	if c.txns[r.ResumesTxn] != nil { // it is open here already, which the claim would have found
 		c.answer(r, failed)
 		return
@@ -138,27 +141,32 @@
 	c.open[r.id], c.txns[r.Txn] = r, r
 	c.Schedule(c.now+c.lim.LetGo, func() {
 		if c.open[r.id] == r {
-			c.release(r, false)
+			c.failUnreleased(r)
 		}
 	})
 	return false
 }
 
-// OrderReleased tells that no other router runs an order that was refused, or where it is not sure, that one may.
-func (c *Core) OrderReleased(txn string, sure bool) {
+// OrderReleased reports that no other router runs an order that is to be rejected: its client may be told so.
+func (c *Core) OrderReleased(txn string) {
 	if r := c.txns[txn]; r != nil && r.ending != nil {
-		c.release(r, sure)
+		c.forget(r)
+		c.conclude(r, *r.ending)
 	}
 }
 
-func (c *Core) release(r *request, sure bool) {
-	a := *r.ending
-	if !sure {
-		a = failed
-		c.rights.StopWaiting(r.Txn)
+// OrderNotReleased reports that another router may run an order that was to be rejected: it fails instead.
+func (c *Core) OrderNotReleased(txn string) {
+	if r := c.txns[txn]; r != nil && r.ending != nil {
+		c.failUnreleased(r)
 	}
+}
+
+// failUnreleased fails an order that was to be rejected, as nobody confirmed that no other router runs it.
+func (c *Core) failUnreleased(r *request) {
+	c.rights.StopWaiting(r.Txn)
 	c.forget(r)
-	c.conclude(r, a)
+	c.conclude(r, failed)
 }
 
 // withdrawn takes that nobody waits for a request any more.
--- a/internal/core/rights_test.go
+++ b/internal/core/rights_test.go
@@ -119,7 +119,7 @@
 			t.Fatalf("told %+v before the keeper let go", r.answers)
 		}
 		if sure {
-			r.c.OrderReleased(txn, true)
+			r.c.OrderReleased(txn)
 			r.one("let go", Rejected)
 		} else {
 			r.wait(second)
@@ -143,7 +143,7 @@
 	if len(k.claims) != 1 || len(r.out) > 0 {
 		t.Fatalf("claims %v, sent %d", k.claims, len(r.out))
 	}
-	r.c.ClaimResolved(id, true, Answer{})
+	r.c.ClaimGranted(id)
 	r.c.RunOnce()
 	if len(r.out) != 1 || r.out[0].Request.Txn != "old" {
 		t.Fatalf("sent %d", len(r.out))
@@ -152,7 +152,7 @@
 	r.end(r.out[0], AttemptResult{Status: balancer.OK, Body: []byte("x")})
 	r.one("run", Served)
 	r.answers = nil
-	r.c.ClaimResolved(r.claim("order", "older"), false, Answer{Verdict: Served, Body: []byte("y")})
+	r.c.ClaimAnswered(r.claim("order", "older"), Answer{Verdict: Served, Body: []byte("y")})
 	r.one("known", Served)
 	r.answers = nil
 	r.claim("order", "oldest")
@@ -176,14 +176,9 @@
 	charged, freed int
 }
 
-func (p *purse) Reserve(*Request) (Reservation, error) { return 1, p.err }
-func (p *purse) Settle(_ Reservation, ran bool, bytes int) {
-	if ran {
-		p.charged++
-	} else {
-		p.freed++
-	}
-}
+func (p *purse) Reserve(*Request) (Reservation, error)    { return 1, p.err }
+func (p *purse) Charge(Reservation, int)                  { p.charged++ }
+func (p *purse) Release(Reservation)                      { p.freed++ }
 func (p *purse) RetryAfter(error) (time.Duration, string) { return second, "funds-out" }
 func (p *purse) Flush()                                   {}
 func (p *purse) Metrics() []Metric                        { return nil }
--- a/internal/core/stall_test.go
+++ b/internal/core/stall_test.go
@@ -65,7 +65,7 @@
 	r := newRig(t)
 	r.submit("page", 3*second)
 	first := r.out[0]
-	r.c.Purge(false, 7, 0, r.now-100*time.Millisecond)
+	r.c.PurgeObject(7, r.now-100*time.Millisecond)
 	id := r.c.NewID()
 	r.c.open[id] = &request{Request: Request{Txn: "t", Class: "page", Object: 7, Reply: r.reply}, id: id, since: r.now, end: r.now + second, expiry: r.now + second}
 	r.c.act(balancer.SendAttempt{ID: id, Endpoint: first.Decision.Endpoint, Source: first.Decision.Source}) // decided before the purge
@@ -85,10 +85,10 @@
 		r.now += 600 * time.Millisecond // the process stands still
 		r.c.PostWatchEvent(func() {
 			if told == "purge" {
-				r.c.Purge(false, 7, 0, r.now-100*time.Millisecond)
+				r.c.PurgeObject(7, r.now-100*time.Millisecond)
 				return
 			}
-			r.c.UpdateEndpoints(false, []EndpointUpdate{{ID: a.Endpoint.ID, Addr: a.Endpoint.Addr, Kind: "box", Zone: "edge", State: balancer.Draining}})
+			r.c.UpdateEndpoints([]EndpointUpdate{{ID: a.Endpoint.ID, Addr: a.Endpoint.Addr, Kind: "box", Zone: "edge", State: balancer.Draining}})
 		})
 		status, _ := r.c.Permit(a)
 		if told == "drain" && status != balancer.ConnectFailed {
--- a/internal/core/status.go
+++ b/internal/core/status.go
@@ -117,12 +117,15 @@
 	return true
 }
 
-// Hold keeps the router starting, and says so, until it is called with false.
-func (c *Core) Hold(on bool) { c.held = on }
+// HoldStart keeps the router starting, and says so, until ReleaseStart is called.
+func (c *Core) HoldStart() { c.held = true }
 
-// Followed tells the core whether a successor has taken over: who has one leaves its clients as it ends, and spends
+// ReleaseStart ends HoldStart.
+func (c *Core) ReleaseStart() { c.held = false }
+
+// SetSuccessorReady tells the core whether a successor has taken over: who has one leaves its clients as it ends, and spends
 // nothing of what the routers share.
-func (c *Core) Followed(yes bool) {
+func (c *Core) SetSuccessorReady(yes bool) {
 	c.followed = yes
 	if c.shared != nil {
 		c.shared.state.Retire(yes)
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -21,8 +21,10 @@
 // Core is what the events are handed to. Members and Purge are called on the core's goroutine, by way of Tell.
 type Core interface {
 	PostWatchEvent(f func())
-	UpdateEndpoints(full bool, hosts []core.EndpointUpdate)
-	Purge(byGroup bool, object, group uint64, at time.Duration)
+	ReplaceEndpoints(all []core.EndpointUpdate)
+	UpdateEndpoints(changed []core.EndpointUpdate)
+	PurgeObject(object uint64, at time.Duration)
+	PurgeGroup(group uint64, at time.Duration)
 }
 
 // Client follows one journal at a time.
--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -17,14 +17,19 @@
 
 type ledger struct{ hosts chan string }
 
-func (l *ledger) PostWatchEvent(f func()) { f() }
-func (l *ledger) UpdateEndpoints(full bool, hs []core.EndpointUpdate) {
-	for _, h := range hs {
-		l.hosts <- fmt.Sprint(full, " ", h.ID)
+func (l *ledger) PostWatchEvent(f func())                       { f() }
+func (l *ledger) ReplaceEndpoints(all []core.EndpointUpdate)    { l.note(true, all) }
+func (l *ledger) UpdateEndpoints(changed []core.EndpointUpdate) { l.note(false, changed) }
+func (l *ledger) note(full bool, endpoints []core.EndpointUpdate) {
+	for _, e := range endpoints {
+		l.hosts <- fmt.Sprint(full, " ", e.ID)
 	}
 }
-func (l *ledger) Purge(byGroup bool, object, group uint64, at time.Duration) {
-	l.hosts <- fmt.Sprint(byGroup, " ", object, " ", group)
+func (l *ledger) PurgeObject(object uint64, _ time.Duration) {
+	l.hosts <- fmt.Sprint(false, " ", object, " ", 0)
+}
+func (l *ledger) PurgeGroup(group uint64, _ time.Duration) {
+	l.hosts <- fmt.Sprint(true, " ", 0, " ", group)
 }
 
 // The client calls again when the connection ends, from the latest event on, and hands none on twice.
--- a/internal/discovery/date_test.go
+++ b/internal/discovery/date_test.go
@@ -21,13 +21,15 @@
 	purges chan time.Duration
 }
 
-func (d *dates) PostWatchEvent(f func()) { f() }
-func (d *dates) UpdateEndpoints(_ bool, hosts []core.EndpointUpdate) {
-	for _, h := range hosts {
+func (d *dates) PostWatchEvent(f func())                    { f() }
+func (d *dates) ReplaceEndpoints(all []core.EndpointUpdate) { d.UpdateEndpoints(all) }
+func (d *dates) UpdateEndpoints(changed []core.EndpointUpdate) {
+	for _, h := range changed {
 		d.starts[h.ID] = h.StartedAt
 	}
 }
-func (d *dates) Purge(_ bool, _, _ uint64, at time.Duration) { d.purges <- at }
+func (d *dates) PurgeObject(_ uint64, at time.Duration) { d.purges <- at }
+func (d *dates) PurgeGroup(_ uint64, at time.Duration)  { d.purges <- at }
 
 // follower is a client of a journal that the test plays, with a host in the events of the start that started two hours
 // ago by the wall clock.
--- a/internal/discovery/event.go
+++ b/internal/discovery/event.go
@@ -27,10 +27,14 @@
 // apply hands the event to the core.
 func (e Event) apply(c Core) {
 	switch {
+	case e.List && e.Full:
+		c.ReplaceEndpoints(e.Hosts)
 	case e.List:
-		c.UpdateEndpoints(e.Full, e.Hosts)
+		c.UpdateEndpoints(e.Hosts)
+	case e.Purge && e.ByGroup:
+		c.PurgeGroup(e.Group, e.At)
 	case e.Purge:
-		c.Purge(e.ByGroup, e.Object, e.Group, e.At)
+		c.PurgeObject(e.Object, e.At)
 	}
 }
 
--- a/internal/extension/orderfailover/orderfailover.go
+++ b/internal/extension/orderfailover/orderfailover.go
@@ -121,17 +121,19 @@
 	case failover.Release:
 		if a.Err != nil {
 			slog.Warn("order not withdrawn", "txn", a.Txn, operatorhint.Attr(a.Err))
+			h.core.OrderNotReleased(a.Txn)
+			return
 		}
-		h.core.OrderReleased(a.Txn, a.Err == nil)
+		h.core.OrderReleased(a.Txn)
 	case failover.Run:
 		h.run(a.Order)
 	case failover.Begin:
-		h.core.ClaimResolved(balancer.RequestID(a.ID), true, core.Answer{})
+		h.core.ClaimGranted(balancer.RequestID(a.ID))
 	case failover.Settle:
 		if a.Err != nil {
 			slog.Warn("claim without an answer", "txn", a.Txn, operatorhint.Attr(a.Err))
 		}
-		h.core.ClaimResolved(balancer.RequestID(a.ID), false, answer(a.Outcome))
+		h.core.ClaimAnswered(balancer.RequestID(a.ID), answer(a.Outcome))
 	}
 }
 
--- a/internal/extension/prepaidcredit/prepaidcredit.go
+++ b/internal/extension/prepaidcredit/prepaidcredit.go
@@ -194,14 +194,16 @@
 	return t, nil
 }
 
-// Settle implements core.Credit.
-func (p *Purse) Settle(pay core.Reservation, ran bool, bytes int) {
-	t, ok := pay.(credit.Ticket)
-	switch {
-	case !ok: // it was free
-	case ran:
+// Charge implements core.Credit.
+func (p *Purse) Charge(reservation core.Reservation, bytes int) {
+	if t, ok := reservation.(credit.Ticket); ok { // else it was free
 		p.book.Charge(t, bytes)
-	default:
+	}
+}
+
+// Release implements core.Credit.
+func (p *Purse) Release(reservation core.Reservation) {
+	if t, ok := reservation.(credit.Ticket); ok { // else it was free
 		p.book.Return(t)
 	}
 }
--- a/internal/frontend/dns/front_test.go
+++ b/internal/frontend/dns/front_test.go
@@ -114,7 +114,13 @@
 // members sets the list and waits until the core has taken it.
 func (s *site) members(full bool, hosts ...core.EndpointUpdate) {
 	done := make(chan struct{})
-	s.core.Post(func() { s.core.UpdateEndpoints(full, hosts) })
+	s.core.Post(func() {
+		if full {
+			s.core.ReplaceEndpoints(hosts)
+		} else {
+			s.core.UpdateEndpoints(hosts)
+		}
+	})
 	s.core.Post(func() { close(done) })
 	<-done
 }
@@ -283,9 +289,9 @@
 	got := make(chan core.QueryResult, 1)
 	for key := range uint64(20) {
 		s.core.Post(func() { // one turn: asked, then lost, before the module is asked
-			s.core.UpdateEndpoints(false, []core.EndpointUpdate{host(1, balancer.InService)})
+			s.core.UpdateEndpoints([]core.EndpointUpdate{host(1, balancer.InService)})
 			s.core.Resolve(core.EndpointQuery{Key: key, Count: 1, Timeout: time.Second, Reply: func(r core.QueryResult) { got <- r }})
-			s.core.UpdateEndpoints(false, []core.EndpointUpdate{host(1, balancer.Draining)})
+			s.core.UpdateEndpoints([]core.EndpointUpdate{host(1, balancer.Draining)})
 		})
 		if r := <-got; len(r.Endpoints) != 1 || r.Endpoints[0].ID != "s-2" {
 			t.Errorf("key %d: %+v", key, r)
@@ -293,7 +299,7 @@
 	}
 	s.core.Post(func() {
 		s.core.Resolve(core.EndpointQuery{Count: 1, Timeout: time.Second, Reply: func(r core.QueryResult) { got <- r }})
-		s.core.UpdateEndpoints(true, nil)
+		s.core.ReplaceEndpoints(nil)
 	})
 	if r := <-got; len(r.Endpoints) != 0 || r.Rejected {
 		t.Errorf("all lost: %+v, want none", r)
