--- a/cmd/hillknot/replace.go
+++ b/cmd/hillknot/replace.go
@@ -19,7 +19,7 @@
 // its limits.
 type replacement struct {
 	core   *core.Core
-	feed   *discovery.Client
+	feed   *discovery.Watcher
 	up     *upstream.Client
 	front  *msgpackrpc.Front
 	budget *netio.Budget
@@ -34,7 +34,7 @@
 // follow waits until this process knows what its predecessor does, and goes on from there. Where that fails it
 // starts from what it was told at its start: cautiously, as any new router.
 func (r *replacement) follow(p *handover.Predecessor) {
-	if !r.feed.Reach(p.DiscoveryPosition, r.lim.HandoverReach) {
+	if !r.feed.WaitForPosition(p.DiscoveryPosition, r.lim.HandoverReach) {
 		slog.Warn("journal is behind that of the predecessor", "pos", r.feed.Position(), "predecessor", p.DiscoveryPosition)
 	}
 	s, err := p.AnnounceReady()
@@ -94,5 +94,5 @@
 	debug.SetMemoryLimit(int64(lim.MemoryMB) << 20 * 3 / 4)
 	r.budget.SetLimit(lim.HeldBytes)
 	r.front.SetMaxConns(lim.ClientConns)
-	r.core.Post(func() { r.up.Limit(lim.CacheConns) })
+	r.core.Post(func() { r.up.SetMaxConnections(lim.CacheConns) })
 }
--- a/cmd/hillknot/serve.go
+++ b/cmd/hillknot/serve.go
@@ -80,7 +80,7 @@
 		return err
 	}
 	defer front.Close()
-	c.SetBacklogCheck(func() bool { return feed.Behind() || front.HasUnreadInput() || up.Behind() })
+	c.SetBacklogCheck(func() bool { return feed.HasBacklog() || front.HasUnreadInput() || up.HasBacklog() })
 	var fronts []server
 	if cfg.DNS.Listen != "" {
 		f, err := dns.Listen(c, cfg.DNS, cfg.Limits, budget)
@@ -163,7 +163,7 @@
 
 // reload takes the journal's address from the configuration as it is now, and the keys of the fleet from their file; all
 // else holds from the start on. A faulty file changes nothing: the router goes on with what it has.
-func reload(path, operator string, feed *discovery.Client, peers keyed) {
+func reload(path, operator string, feed *discovery.Watcher, peers keyed) {
 	if peers != nil {
 		if err := peers.Reread(); err != nil {
 			slog.Error("files of the fleet not taken", "err", err)
@@ -175,7 +175,7 @@
 		return
 	}
 	slog.Info("configuration read again", "journal", cfg.Journal)
-	feed.Move(cfg.Journal)
+	feed.SetAddress(cfg.Journal)
 }
 
 // server is a front with its sockets open.
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -18,8 +18,8 @@
 	"hillknot/internal/netio"
 )
 
-// Core is what the events are handed to. Members and Purge are called on the core's goroutine, by way of Tell.
-type Core interface {
+// EventHandler is what the events are handed to. Members and Purge are called on the core's goroutine, by way of Tell.
+type EventHandler interface {
 	PostWatchEvent(f func())
 	ReplaceEndpoints(all []core.EndpointUpdate)
 	UpdateEndpoints(changed []core.EndpointUpdate)
@@ -27,9 +27,9 @@
 	PurgeGroup(group uint64, at time.Duration)
 }
 
-// Client follows one journal at a time.
-type Client struct {
-	core Core
+// Watcher follows one journal at a time.
+type Watcher struct {
+	core EventHandler
 	lim  config.Limits
 
 	mu    sync.Mutex
@@ -46,12 +46,12 @@
 }
 
 // New returns a client that has handed on the events of the start.
-func New(c Core, addr string, lim config.Limits, start jsonfields.Object) (*Client, error) {
+func New(c EventHandler, addr string, lim config.Limits, start jsonfields.Object) (*Watcher, error) {
 	evs, last, err := known(start)
 	if err != nil {
 		return nil, err
 	}
-	cl := &Client{core: c, addr: addr, moved: make(chan struct{}), grown: make(chan struct{}), lim: lim}
+	cl := &Watcher{core: c, addr: addr, moved: make(chan struct{}), grown: make(chan struct{}), lim: lim}
 	for _, e := range evs {
 		cl.hand(e)
 	}
@@ -61,14 +61,14 @@
 }
 
 // Position is the position of the latest event.
-func (cl *Client) Position() int64 {
+func (cl *Watcher) Position() int64 {
 	cl.mu.Lock()
 	defer cl.mu.Unlock()
 	return cl.last
 }
 
-// Reach waits until the event at a position has come, for a bounded time. It tells whether it has.
-func (cl *Client) Reach(pos int64, most time.Duration) bool {
+// WaitForPosition waits until the event at a position has come, for a bounded time. It tells whether it has.
+func (cl *Watcher) WaitForPosition(pos int64, most time.Duration) bool {
 	t := time.NewTimer(most)
 	defer t.Stop()
 	for {
@@ -92,7 +92,7 @@
 // take hands on what has come at a position. What can't be read, and what comes behind a gap, is asked for once more: it may
 // have been spoilt on its way, and a drain or a purge must not be passed over. Where it is the same then, that is what
 // the journal holds.
-func (cl *Client) take(e Event, unread error) error {
+func (cl *Watcher) take(e Event, unread error) error {
 	cl.mu.Lock()
 	whole := unread == nil && (e.Pos == cl.last+1 || cl.last == 0)
 	old, first := e.Pos > 0 && e.Pos <= cl.last, cl.again != cl.last+1
@@ -115,7 +115,7 @@
 
 // hand hands an event on, once: an old connection may still bring what a new one has brought. The first
 // event holds the whole list.
-func (cl *Client) hand(e Event) {
+func (cl *Watcher) hand(e Event) {
 	cl.mu.Lock()
 	defer cl.mu.Unlock()
 	if e.Pos <= cl.last {
@@ -129,8 +129,8 @@
 	cl.core.PostWatchEvent(func() { e.apply(cl.core) })
 }
 
-// Move goes on with the journal at another address, at once and from the latest event on.
-func (cl *Client) Move(addr string) {
+// SetAddress goes on with the journal at another address, at once and from the latest event on.
+func (cl *Watcher) SetAddress(addr string) {
 	cl.mu.Lock()
 	defer cl.mu.Unlock()
 	if addr != cl.addr {
@@ -141,7 +141,7 @@
 }
 
 // where tells the journal's address, the latest event and what is closed when the address changes.
-func (cl *Client) where() (addr string, last int64, moved <-chan struct{}) {
+func (cl *Watcher) where() (addr string, last int64, moved <-chan struct{}) {
 	cl.mu.Lock()
 	defer cl.mu.Unlock()
 	return cl.addr, cl.last, cl.moved
@@ -149,7 +149,7 @@
 
 // Run follows the journal until stop is closed. A journal that brings nothing is called less and less often,
 // up to a bound; one that fell silent, or has moved, is called at once.
-func (cl *Client) Run(stop <-chan struct{}) {
+func (cl *Watcher) Run(stop <-chan struct{}) {
 	wait := cl.lim.JournalRetry
 	for {
 		addr, pos, moved := cl.where()
@@ -171,21 +171,21 @@
 }
 
 // inContact notes that all that the journal had sent by then has been read.
-func (cl *Client) inContact(at time.Duration) {
+func (cl *Watcher) inContact(at time.Duration) {
 	cl.mu.Lock()
 	defer cl.mu.Unlock()
 	cl.contact, cl.current = max(cl.contact, at), true
 }
 
-func (cl *Client) open(nc *netio.Conn) {
+func (cl *Watcher) open(nc *netio.Conn) {
 	cl.mu.Lock()
 	defer cl.mu.Unlock()
 	cl.now, cl.current = nc, false
 }
 
-// Behind tells whether the journal has told what is not handed on yet, or may have: while there is no connection to it, and
+// HasBacklog tells whether the journal has told what is not handed on yet, or may have: while there is no connection to it, and
 // until the first word on one is read. It may be called anywhere.
-func (cl *Client) Behind() bool {
+func (cl *Watcher) HasBacklog() bool {
 	cl.mu.Lock()
 	nc, current := cl.now, cl.current
 	cl.mu.Unlock()
@@ -194,7 +194,7 @@
 
 // call reads the journal over one connection until that ends or falls silent, or the journal moves. It tells
 // whether anything came.
-func (cl *Client) call(addr string, pos int64, moved, stop <-chan struct{}) (heard bool, err error) {
+func (cl *Watcher) call(addr string, pos int64, moved, stop <-chan struct{}) (heard bool, err error) {
 	s := &session{cl: cl, closed: make(chan struct{}), heard: make(chan struct{}, 1)}
 	s.stream = stream{max: cl.lim.JournalLine, event: s.event}
 	nc, err := netio.Dial(addr, cl.lim.Connect, cl.lim.Journal, netio.NewBudget(2*cl.lim.JournalLine), func(nc *netio.Conn) netio.Handler { s.nc = nc; return s })
@@ -229,7 +229,7 @@
 
 // session is one connection to the journal.
 type session struct {
-	cl     *Client
+	cl     *Watcher
 	nc     *netio.Conn
 	taken  time.Duration // when something was taken last
 	quick  int           // reads in quick succession
--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -115,7 +115,7 @@
 	expect(calls, "old 0")
 	expect(l.hosts, "true 0 1")
 	expect(l.hosts, "true 0 2")
-	cl.Move(serve("new", 3))
+	cl.SetAddress(serve("new", 3))
 	expect(calls, "new 2")
 	expect(l.hosts, "true 0 3")
 }
--- a/internal/discovery/date_test.go
+++ b/internal/discovery/date_test.go
@@ -114,7 +114,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if !cl.Behind() {
+	if !cl.HasBacklog() {
 		t.Error("not behind before the first call")
 	}
 	stop := make(chan struct{})
@@ -126,13 +126,13 @@
 	}
 	defer nc.Close()
 	time.Sleep(20 * time.Millisecond)
-	if !cl.Behind() {
+	if !cl.HasBacklog() {
 		t.Error("not behind on a connection on which nothing has come")
 	}
 	if _, err := io.WriteString(nc, head+"\r\n: here\n\n"); err != nil {
 		t.Fatal(err)
 	}
-	for end := time.Now().Add(20 * time.Second); cl.Behind(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(20 * time.Second); cl.HasBacklog(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("still behind, and all is read")
 		}
--- a/internal/discovery/event.go
+++ b/internal/discovery/event.go
@@ -25,7 +25,7 @@
 }
 
 // apply hands the event to the core.
-func (e Event) apply(c Core) {
+func (e Event) apply(c EventHandler) {
 	switch {
 	case e.List && e.Full:
 		c.ReplaceEndpoints(e.Hosts)
--- a/internal/upstream/client.go
+++ b/internal/upstream/client.go
@@ -186,9 +186,9 @@
 	}
 }
 
-// Behind tells whether a connection on which answers are owed has brought something that is not handed on yet. It belongs to
+// HasBacklog tells whether a connection on which answers are owed has brought something that is not handed on yet. It belongs to
 // the core's goroutine.
-func (cl *Client) Behind() bool {
+func (cl *Client) HasBacklog() bool {
 	for _, c := range cl.at {
 		if c.nc.HasUnreadInput() {
 			return true
@@ -197,8 +197,8 @@
 	return false
 }
 
-// Limit changes how many connections there may be, and closes idle ones over that.
-func (cl *Client) Limit(conns int) {
+// SetMaxConnections changes how many connections there may be, and closes idle ones over that.
+func (cl *Client) SetMaxConnections(conns int) {
 	cl.lim.CacheConns = conns
 	for _, p := range cl.pools {
 		for _, c := range slices.Clone(p.conns) {
