--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -42,17 +42,11 @@
 	members map[balancer.EndpointID]*Endpoint
 	queries map[balancer.RequestID]*query
 	timers  timers
-	listed  bool
 
 	listChanges listChanges
 
-	held     bool // not to take clients yet
-	standby  bool
-	stopping bool
-	empty    bool // it ends, and takes nothing more
-	followed bool
-	left     time.Duration // when it began to leave its clients
-	maxWait  time.Duration // the longest that a refused client may be told to stay away
+	lifecycle lifecycle
+	maxWait   time.Duration // the longest that a refused client may be told to stay away
 
 	classes    map[string]int // places in tallies
 	tallies    []ClassCounts
@@ -74,7 +68,7 @@
 	}
 	c := &Core{balancer: b, clock: clock, lim: lim, wake: make(chan struct{}, 1), unsafe: map[string]bool{}, repeat: map[string]time.Duration{}, fresh: map[string]time.Duration{},
 		open: map[balancer.RequestID]*request{}, txns: map[string]*request{}, members: map[balancer.EndpointID]*Endpoint{},
-		queries: map[balancer.RequestID]*query{}, classes: map[string]int{}, maxWait: s.MaxRetryAfter}
+		queries: map[balancer.RequestID]*query{}, classes: map[string]int{}, lifecycle: newLifecycle(), maxWait: s.MaxRetryAfter}
 	for i, k := range s.Classes {
 		c.unsafe[k.Name] = k.Idempotency != balancer.Idempotent
 		if k.Idempotency == balancer.IdempotentByKey {
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -333,7 +333,7 @@
 	r.one("on standby", Served)
 	for _, want := range []DrainStage{CloseAfterResponse, CloseIdle, CloseIdle, RejectNew, RejectNew, CloseAll} {
 		if r.wait(second / 2); r.c.DrainStage() != want {
-			t.Errorf("after %v: leaving %d, want %d", r.now-r.c.left, r.c.DrainStage(), want)
+			t.Errorf("after %v: leaving %d, want %d", r.now-r.c.lifecycle.drainingSince, r.c.DrainStage(), want)
 		}
 	}
 	r.c.maxWait = second
@@ -350,8 +350,8 @@
 	}
 	r.c.BeginShutdown(r.now)
 	r.c.EnterStandby()
-	if r.c.LeaveStandby() || r.c.phase() != ShuttingDown {
-		t.Errorf("phase %v; a router that ends goes on with that", r.c.phase())
+	if r.c.LeaveStandby() || r.c.lifecycle.state.phase() != ShuttingDown {
+		t.Errorf("phase %v; a router that ends goes on with that", r.c.lifecycle.state.phase())
 	}
 }
 
--- a/internal/core/members.go
+++ b/internal/core/members.go
@@ -62,7 +62,9 @@
 	if full {
 		c.dropUnlisted(hosts)
 	}
-	c.listed = c.listed || len(c.members) > 0
+	if len(c.members) > 0 {
+		c.lifecycle.unblock(endpointsUnknown)
+	}
 	c.events = append(c.events, ev)
 	c.listChanges.note(c, full, len(hosts))
 }
--- a/internal/core/requests.go
+++ b/internal/core/requests.go
@@ -39,11 +39,11 @@
 	arrived := cmp.Or(min(q.ArrivedAt, c.now), c.now)
 	expiry := arrived + min(q.Timeout, c.lim.Longest)
 	left := expiry - c.lim.Margin - c.now
-	if c.stopping { // what is open as the router ends would be lost
-		left = min(left, c.last()-c.now)
+	if c.lifecycle.shuttingDown() { // what is open as the router ends would be lost
+		left = min(left, c.lifecycle.lastAnswer(&c.lim)-c.now)
 	}
 	switch {
-	case len(c.open) >= c.lim.Open || c.empty || c.DrainStage() >= RejectNew:
+	case len(c.open) >= c.lim.Open || c.lifecycle.state == stateClosed || c.DrainStage() >= RejectNew:
 		c.traceTurnedAway(&q, "no room, or the router ends")
 		c.reply(&q, Answer{Verdict: Rejected, RetryAfter: c.maxWait})
 		return
@@ -68,6 +68,16 @@
 	c.begin(r)
 }
 
+// advanceDeadlines has the router answer what is open no later than at a time.
+func (c *Core) advanceDeadlines(last time.Duration) {
+	for _, r := range c.open {
+		if r.end > last {
+			r.end = last
+			heap.Push(&c.timers, timer{at: r.end, request: r})
+		}
+	}
+}
+
 // begin hands a request to the module.
 func (c *Core) begin(r *request) {
 	if !c.pay(r) || !c.keep(r) {
