--- a/cmd/hillknot/cluster.go
+++ b/cmd/hillknot/cluster.go
@@ -24,13 +24,13 @@
 // talk begins to share, and to talk to the others until stop is closed. It is called once a predecessor, if there is one,
 // has been told that this process takes its place.
 func talk(cfg *config.Config, c *core.Core, shared *core.ClusterState, stop <-chan struct{}) (keyed, error) {
-	var hands *orderfailover.Hands // these are of the core's goroutine
+	var hands *orderfailover.Extension // these are of the core's goroutine
 	var money *prepaidcredit.Purse
 	m, err := membership.New(cfg.Name, cfg.Fleet, func(msgs []state.Message) { c.Post(func() { c.ReceiveGossip(msgs) }) }, membership.Lanes{
 		Orders: func(packet []byte) {
 			c.Post(func() {
 				if hands != nil {
-					hands.Take(packet)
+					hands.Receive(packet)
 				}
 			})
 		},
@@ -57,7 +57,7 @@
 		if err != nil {
 			return nil, err
 		}
-		c.Post(func() { hands = h; h.Guard() })
+		c.Post(func() { hands = h; h.Start() })
 	}
 	c.Post(func() { c.JoinCluster(shared, m) })
 	go m.Run(stop)
--- a/cmd/hillknot/outlive_test.go
+++ b/cmd/hillknot/outlive_test.go
@@ -31,7 +31,7 @@
 		return
 	}
 	ms, _ := strconv.Atoi(p[1]) // written by the test below
-	orderfailover.Step = func(what, txn string) {
+	orderfailover.StepHook = func(what, txn string) {
 		switch what {
 		case p[2]:
 			time.Sleep(standStill)
--- a/internal/cluster/failover/claim.go
+++ b/internal/cluster/failover/claim.go
@@ -28,7 +28,7 @@
 	t.claims[id] = c
 	t.log("claimed", o.Txn, "")
 	// What is known here first: nothing may be kept of it from now on but for this claim.
-	c.words[""] = t.look(now, o, waiter{Peer{t.set.Self, t.set.Process}, id})
+	c.words[""] = t.look(now, o, waiter{Incarnation{t.set.Self, t.set.Process}, id})
 	t.weigh(now, id, c)
 }
 
@@ -67,18 +67,18 @@
 		return word{Say: sayOutcome, Outcome: *o.end}
 	case o.end.Kind == MayHaveRun && o.went:
 		return word{Say: sayMay}
-	case o.end.Kind == MayHaveRun, o.ever, o.given != (Peer{}) && o.given != w.Peer: // its keeper has it to give, or it was given
+	case o.end.Kind == MayHaveRun, o.ever, o.given != (Incarnation{}) && o.given != w.Incarnation: // its keeper has it to give, or it was given
 		return word{Say: sayElsewhere}
 	}
-	o.given = w.Peer
+	o.given = w.Incarnation
 	t.Totals.Runs++
 	t.log("given", o.order.Txn, w.Name)
 	return word{Say: sayRun}
 }
 
 // claimed answers a claimant.
-func (t *Table) claimed(now time.Duration, a messaging.Arrival, m message) {
-	w := t.look(now, m.Order, waiter{Peer{a.From, a.Process}, m.Claim})
+func (t *Table) claimed(now time.Duration, a messaging.Delivery, m message) {
+	w := t.look(now, m.Order, waiter{Incarnation{a.From, a.Process}, m.Claim})
 	t.answer(a, w)
 }
 
@@ -98,7 +98,7 @@
 }
 
 // news takes what one that was asked before tells now.
-func (t *Table) news(now time.Duration, a messaging.Arrival, m message) {
+func (t *Table) news(now time.Duration, a messaging.Delivery, m message) {
 	t.answer(a, word{Say: sayHeld})
 	c := t.claims[m.Claim]
 	if c == nil || c.order.Txn != m.Txn {
@@ -123,7 +123,7 @@
 }
 
 // heard takes the answer to a question, or that there is none.
-func (t *Table) heard(now time.Duration, a ask, d messaging.Done, w word) {
+func (t *Table) heard(now time.Duration, a ask, d messaging.Completion, w word) {
 	c := t.claims[a.claim]
 	if c == nil || c.order.Txn != a.txn {
 		if w.Say == sayRun && t.mine[a.txn] == nil { // else it was begun
@@ -135,7 +135,7 @@
 	switch {
 	case d.Err == nil:
 		c.words[d.To] = w
-	case errors.As(d.Err, new(messaging.OtherProcess)): // it has been restarted since it was heard of last
+	case errors.As(d.Err, new(messaging.ProcessReplacedError)): // it has been restarted since it was heard of last
 		t.askOne(now, a.claim, c, d.To)
 	}
 	t.weigh(now, a.claim, c)
--- a/internal/cluster/failover/failover.go
+++ b/internal/cluster/failover/failover.go
@@ -136,20 +136,20 @@
 	Peer string // the other router, if there is one
 }
 
-// Peer is a process of a router.
-type Peer struct {
+// Incarnation is a process of a router.
+type Incarnation struct {
 	Name    string
 	Process uint64
 }
 
-// Other is another router that is alive.
-type Other struct{ Name, Place string }
+// Peer is another router that is alive.
+type Peer struct{ Name, Place string }
 
 // Table is one router's part. It is not safe for concurrent use.
 type Table struct {
 	set       Settings
-	post      *messaging.Post
-	live      []Other
+	post      *messaging.Messenger
+	live      []Peer
 	born      time.Duration // 0: not yet
 	keeperNow *keeper       // for new orders
 	keepers   []*keeper     // of all orders
@@ -162,7 +162,7 @@
 	mine      map[string]*own
 	asked     map[uint64]ask // parcels on the way, by their numbers
 	records   map[string]*record
-	owners    map[Peer]*owner
+	owners    map[Incarnation]*owner
 	claims    map[uint64]*claim
 	actions   []Action
 	events    []Event
@@ -184,7 +184,7 @@
 		return nil, fmt.Errorf("takeover: %w", err)
 	}
 	return &Table{set: set, post: messaging.New(messaging.Defaults(set.Self, set.Process)), mine: map[string]*own{}, asked: map[uint64]ask{},
-		records: map[string]*record{}, owners: map[Peer]*owner{}, claims: map[uint64]*claim{}}, nil
+		records: map[string]*record{}, owners: map[Incarnation]*owner{}, claims: map[uint64]*claim{}}, nil
 }
 
 // Actions returns what is to be done, and forgets it.
@@ -213,7 +213,7 @@
 const eventsMost = 4096
 
 // Live tells who else is alive, in the order of their names.
-func (t *Table) Live(now time.Duration, others []Other) {
+func (t *Table) Live(now time.Duration, others []Peer) {
 	if t.born == 0 {
 		t.born = max(now, 1)
 	}
@@ -223,12 +223,12 @@
 // Out returns the packets that are due.
 func (t *Table) Out(now time.Duration) []messaging.Packet {
 	t.tellAll(now)
-	return t.post.Out(now)
+	return t.post.DuePackets(now)
 }
 
 // Take takes a packet of another router.
 func (t *Table) Take(now time.Duration, data []byte) {
-	for _, a := range t.post.Take(now, data) {
+	for _, a := range t.post.Receive(now, data) {
 		var m message
 		if err := cbor.Unmarshal(a.Body, &m); err != nil || !m.sane() {
 			t.answer(a, word{Say: sayBad})
@@ -250,7 +250,7 @@
 
 // ends takes the ends of the parcels that this router has sent.
 func (t *Table) ends(now time.Duration) {
-	for _, d := range t.post.Done() {
+	for _, d := range t.post.Completions() {
 		a, ok := t.asked[d.ID]
 		delete(t.asked, d.ID)
 		if !ok {
@@ -273,7 +273,7 @@
 // Beat looks at what has run out. It is due every few milliseconds; one that comes late, as after a stop of the process,
 // does no harm.
 func (t *Table) Beat(now time.Duration) {
-	t.post.Beat(now)
+	t.post.Tick(now)
 	t.ends(now)
 	t.beatOwn(now)
 	t.beatRecords(now)
@@ -304,9 +304,9 @@
 	return id, err
 }
 
-func (t *Table) answer(a messaging.Arrival, w word) {
+func (t *Table) answer(a messaging.Delivery, w word) {
 	if b, err := cbor.Marshal(&w); err == nil { // it can't fail for this type
-		t.post.Answer(a, b)
+		t.post.Acknowledge(a, b)
 	}
 }
 
@@ -336,7 +336,7 @@
 
 // Figures returns what this router holds.
 func (t *Table) Figures() Figures {
-	f := Figures{Totals: t.Totals, Open: len(t.mine), Kept: len(t.records), Owners: len(t.owners), Due: len(t.claims), Waiting: t.post.Waiting()}
+	f := Figures{Totals: t.Totals, Open: len(t.mine), Kept: len(t.records), Owners: len(t.owners), Due: len(t.claims), Waiting: t.post.MaxQueued()}
 	if t.keeperNow != nil {
 		f.Keeper = t.keeperNow.name
 	}
--- a/internal/cluster/failover/keeper.go
+++ b/internal/cluster/failover/keeper.go
@@ -26,7 +26,7 @@
 type record struct {
 	order   Order
 	known   bool // the order is
-	owner   Peer
+	owner   Incarnation
 	session uint64
 	state   state
 	blank   bool
@@ -39,7 +39,7 @@
 
 // waiter is a claimant that is told what becomes of an order.
 type waiter struct {
-	Peer
+	Incarnation
 	claim uint64
 }
 
@@ -55,8 +55,8 @@
 }
 
 // told takes what an owner tells.
-func (t *Table) told(now time.Duration, a messaging.Arrival, m message) {
-	from := Peer{a.From, a.Process}
+func (t *Table) told(now time.Duration, a messaging.Delivery, m message) {
+	from := Incarnation{a.From, a.Process}
 	ow := t.owners[from]
 	if ow == nil {
 		ow = &owner{open: map[string]*record{}}
@@ -79,7 +79,7 @@
 }
 
 // toldOf takes a record of an order that is open.
-func (t *Table) toldOf(now time.Duration, from Peer, ow *owner, m message) say {
+func (t *Table) toldOf(now time.Duration, from Incarnation, ow *owner, m message) say {
 	st := map[step]state{stepTaken: taken, stepLeft: left, stepMay: may}[m.Step]
 	r := t.records[m.Txn]
 	switch {
@@ -98,7 +98,7 @@
 			t.log(m.Step.String()+" kept", m.Txn, from.Name)
 		}
 		return sayHeld
-	case r.state == given && r.to.Peer == from && m.Order.Txn == m.Txn: // its new owner
+	case r.state == given && r.to.Incarnation == from && m.Order.Txn == m.Txn: // its new owner
 	default:
 		return sayGone
 	}
@@ -111,7 +111,7 @@
 }
 
 // toldEnd takes how an order ended.
-func (t *Table) toldEnd(now time.Duration, from Peer, ow *owner, m message) say {
+func (t *Table) toldEnd(now time.Duration, from Incarnation, ow *owner, m message) say {
 	r := t.records[m.Txn]
 	switch {
 	case r == nil:
@@ -120,7 +120,7 @@
 			return sayHeld
 		}
 		r.owner = from
-	case r.state == given && r.to.Peer == from && m.Outcome.Kind == NeverRan: // it gives it back
+	case r.state == given && r.to.Incarnation == from && m.Outcome.Kind == NeverRan: // it gives it back
 		t.finish(now, r, m.Outcome)
 		return sayHeld
 	case r.state == ended && r.owner == from:
@@ -193,8 +193,8 @@
 	}
 }
 
-func (t *Table) ownerNames() []Peer {
-	return slices.SortedFunc(maps.Keys(t.owners), func(a, b Peer) int {
+func (t *Table) ownerNames() []Incarnation {
+	return slices.SortedFunc(maps.Keys(t.owners), func(a, b Incarnation) int {
 		if a.Name != b.Name {
 			return map[bool]int{true: -1, false: 1}[a.Name < b.Name]
 		}
@@ -203,7 +203,7 @@
 }
 
 // ownerLost takes over what a router leaves that has said nothing for a lease.
-func (t *Table) ownerLost(now time.Duration, who Peer, ow *owner) {
+func (t *Table) ownerLost(now time.Duration, who Incarnation, ow *owner) {
 	ow.lost = ow.session
 	t.Totals.Fallen++
 	t.log("owner lost", "", who.Name)
@@ -219,7 +219,7 @@
 		} else {
 			r.state = orphan
 		}
-		r.owner = Peer{} // whatever its owner says of it from now on is too late
+		r.owner = Incarnation{} // whatever its owner says of it from now on is too late
 		t.log("orphaned", txn, who.Name)
 		if wait := r.wait; len(wait) > 0 {
 			r.wait = wait[1:]
--- a/internal/cluster/failover/owner.go
+++ b/internal/cluster/failover/owner.go
@@ -37,7 +37,7 @@
 	letGo  bool // its refusal waits for the keeper to let go
 	forget time.Duration
 	wait   []waiter
-	given  Peer // to whom this router gave it, where no keeper ever knew of it
+	given  Incarnation // to whom this router gave it, where no keeper ever knew of it
 }
 
 // renewals is how many times a lease is prolonged in its time.
@@ -73,7 +73,7 @@
 }
 
 func (t *Table) alive(name string) bool {
-	return slices.ContainsFunc(t.live, func(o Other) bool { return o.Name == name })
+	return slices.ContainsFunc(t.live, func(o Peer) bool { return o.Name == name })
 }
 
 // change goes on with another keeper, or another session of the same.
@@ -239,7 +239,7 @@
 }
 
 // kept takes what a keeper says to what it was told, or that it says nothing.
-func (t *Table) kept(now time.Duration, a ask, d messaging.Done, w word) {
+func (t *Table) kept(now time.Duration, a ask, d messaging.Completion, w word) {
 	k := t.session(a.session)
 	if k != nil {
 		switch {
--- a/internal/cluster/failover/sim_test.go
+++ b/internal/cluster/failover/sim_test.go
@@ -165,10 +165,10 @@
 			continue
 		}
 		now := r.clock(f.now)
-		var live []Other
+		var live []Peer
 		for _, o := range f.routers {
 			if o != r && !o.down && !f.cut[[2]int{o.i, r.i}] && f.now >= o.stopped {
-				live = append(live, Other{o.name, o.place})
+				live = append(live, Peer{o.name, o.place})
 			}
 		}
 		if f.now%(20*ms) == 0 { // as the routers do
--- a/internal/cluster/membership/membership.go
+++ b/internal/cluster/membership/membership.go
@@ -215,14 +215,14 @@
 	}
 }
 
-// Carry puts packets of parcels on the way. It never blocks.
-func (m *Members) Carry(packets []messaging.Packet) {
+// SendOrderPackets puts packets of parcels on the way. It never blocks.
+func (m *Members) SendOrderPackets(packets []messaging.Packet) {
 	for _, p := range packets {
 		m.put(post{to: p.To, text: append([]byte{parcelLane}, p.Data...)})
 	}
 }
 
-// CarryCredit is Carry for what routers say to each other of credit.
+// CarryCredit is SendOrderPackets for what routers say to each other of credit.
 func (m *Members) CarryCredit(packets []messaging.Packet) {
 	for _, p := range packets {
 		m.put(post{to: p.To, text: append([]byte{creditLane}, p.Data...)})
@@ -321,18 +321,18 @@
 	return others, max(owners, told)
 }
 
-// Others are those alive that keep orders for others, in the order of their names.
-func (m *Members) Others() (out []failover.Other) {
+// OrderPeers are those alive that keep orders for others, in the order of their names.
+func (m *Members) OrderPeers() (out []failover.Peer) {
 	list := m.list.Load()
 	if list == nil {
 		return nil
 	}
 	for _, n := range list.Members() {
 		if d := parseMeta(n.Meta); n.Name != m.name && d.keeps {
-			out = append(out, failover.Other{Name: n.Name, Place: d.place})
+			out = append(out, failover.Peer{Name: n.Name, Place: d.place})
 		}
 	}
-	slices.SortFunc(out, func(a, b failover.Other) int { return strings.Compare(a.Name, b.Name) })
+	slices.SortFunc(out, func(a, b failover.Peer) int { return strings.Compare(a.Name, b.Name) })
 	return out
 }
 
--- a/internal/cluster/messaging/messaging.go
+++ b/internal/cluster/messaging/messaging.go
@@ -19,63 +19,67 @@
 
 // Settings set up one router's post.
 type Settings struct {
-	Self    string
-	Process uint64        // of the router; each process has another, above 0
-	First   time.Duration // until a parcel is sent again; doubled each time,
-	Most    time.Duration // up to this
-	Count   int           // parcels on the way to one router
-	Bytes   int           // of them
-	Parcel  int           // bytes of one parcel, or of its answer
-	Packet  int           // bytes of a packet that holds several
-	Peers   int           // routers that are remembered
-	Kept    int           // answers that are remembered of each
+	Self            string
+	Process         uint64        // of the router; each process has another, above 0
+	RetryInitial    time.Duration // until a parcel is sent again; doubled each time,
+	RetryMax        time.Duration // up to this
+	MaxMessages     int           // parcels on the way to one router
+	MaxBytes        int           // of them
+	MaxMessageBytes int           // bytes of one parcel, or of its answer
+	MaxPacketBytes  int           // bytes of a packet that holds several
+	MaxPeers        int           // routers that are remembered
+	ReplyMemory     int           // answers that are remembered of each
 }
 
 // Defaults returns settings for a process of a router.
 func Defaults(self string, process uint64) Settings {
-	return Settings{Self: self, Process: process, First: 30 * time.Millisecond, Most: 480 * time.Millisecond, Count: 512, Bytes: 1 << 20,
-		Parcel: 20 << 10, Packet: 1100, Peers: 1024, Kept: 1024}
+	return Settings{Self: self, Process: process, RetryInitial: 30 * time.Millisecond, RetryMax: 480 * time.Millisecond, MaxMessages: 512, MaxBytes: 1 << 20,
+		MaxMessageBytes: 20 << 10, MaxPacketBytes: 1100, MaxPeers: 1024, ReplyMemory: 1024}
 }
 
-// Full says that too much is on the way to a router: it is slow, or can't be reached.
-type Full struct{ To string }
+// QueueFullError says that too much is on the way to a router: it is slow, or can't be reached.
+type QueueFullError struct{ To string }
 
-func (e Full) Error() string { return fmt.Sprintf("too many parcels on the way to %q", e.To) }
+func (e QueueFullError) Error() string { return fmt.Sprintf("too many parcels on the way to %q", e.To) }
 
 // Hint implements remedy.Error.
-func (Full) Hint() string {
+func (QueueFullError) Hint() string {
 	return "Look whether that router is up and how busy its machine is; what is on the way to it is given up by itself."
 }
 
-// TooLong says that a parcel is over the bound.
-type TooLong struct{ Bytes, Most int }
+// MessageTooLongError says that a parcel is over the bound.
+type MessageTooLongError struct{ Bytes, Most int }
 
-func (e TooLong) Error() string { return fmt.Sprintf("a parcel of %d bytes, over %d", e.Bytes, e.Most) }
+func (e MessageTooLongError) Error() string {
+	return fmt.Sprintf("a parcel of %d bytes, over %d", e.Bytes, e.Most)
+}
 
 // Hint implements remedy.Error.
-func (TooLong) Hint() string {
+func (MessageTooLongError) Hint() string {
 	return "Lower body_bytes, so that longer bodies are left out of records."
 }
 
-// Unheld says that a router did not say in time that it holds a parcel. It may hold it all the same.
-type Unheld struct{ To string }
+// NotAcknowledgedError says that a router did not say in time that it holds a parcel. It may hold it all the same.
+type NotAcknowledgedError struct{ To string }
 
-func (e Unheld) Error() string {
+func (e NotAcknowledgedError) Error() string {
 	return fmt.Sprintf("%q did not say in time that it holds a parcel", e.To)
 }
 
 // Hint implements remedy.Error.
-func (Unheld) Hint() string {
+func (NotAcknowledgedError) Hint() string {
 	return "Look at app_fleet_others: the router is down or cut off, or has other keys."
 }
 
-// OtherProcess says that the process that a parcel was for has ended: another has its name.
-type OtherProcess struct{ To string }
+// ProcessReplacedError says that the process that a parcel was for has ended: another has its name.
+type ProcessReplacedError struct{ To string }
 
-func (e OtherProcess) Error() string { return fmt.Sprintf("another process of %q is there now", e.To) }
+func (e ProcessReplacedError) Error() string {
+	return fmt.Sprintf("another process of %q is there now", e.To)
+}
 
 // Hint implements remedy.Error.
-func (OtherProcess) Hint() string {
+func (ProcessReplacedError) Hint() string {
 	return "None is needed after a restart; if it goes on, two routers have one name: give each its own."
 }
 
@@ -85,16 +89,16 @@
 	Data []byte
 }
 
-// Arrival is a parcel that has come, for the first time.
-type Arrival struct {
+// Delivery is a parcel that has come, for the first time.
+type Delivery struct {
 	From    string
 	Process uint64
 	ID      uint64
 	Body    []byte
 }
 
-// Done is the end of a parcel: the other side holds it, and has answered, or Err says why it is given up.
-type Done struct {
+// Completion is the end of a parcel: the other side holds it, and has answered, or Err says why it is given up.
+type Completion struct {
 	ID    uint64
 	To    string
 	Reply []byte
@@ -153,29 +157,29 @@
 // echoesMost is how many questions are answered at a time.
 const echoesMost = 4
 
-// Post is one router's post. It is not safe for concurrent use.
-type Post struct {
+// Messenger is one router's post. It is not safe for concurrent use.
+type Messenger struct {
 	set   Settings
 	peers map[string]*peer
 	where map[uint64]*peer // by parcels on the way
 	last  uint64
 	asks  uint64 // questions so far
-	done  []Done
+	done  []Completion
 	names []string // of peers, in order; nil: to be made anew
 }
 
 // New returns the post of a process that has just started.
-func New(set Settings) *Post {
-	return &Post{set: set, peers: map[string]*peer{}, where: map[uint64]*peer{}}
+func New(set Settings) *Messenger {
+	return &Messenger{set: set, peers: map[string]*peer{}, where: map[uint64]*peer{}}
 }
 
 // peer finds a router, or begins to remember it. Where there are too many, the one that was heard of longest ago and owes
 // and is owed nothing is forgotten; nil where there is none.
-func (p *Post) peer(now time.Duration, name string) *peer {
+func (p *Messenger) peer(now time.Duration, name string) *peer {
 	if o := p.peers[name]; o != nil {
 		return o
 	}
-	if len(p.peers) >= p.set.Peers {
+	if len(p.peers) >= p.set.MaxPeers {
 		var old *peer
 		for _, key := range slices.Sorted(maps.Keys(p.peers)) {
 			if o := p.peers[key]; len(o.out) == 0 && (old == nil || o.heard < old.heard) {
@@ -194,30 +198,30 @@
 }
 
 // Send has a parcel sent to a router until it holds it, or a time. Its end is told by Done, under the number returned.
-func (p *Post) Send(now time.Duration, to string, body []byte, until time.Duration) (id uint64, err error) {
+func (p *Messenger) Send(now time.Duration, to string, body []byte, until time.Duration) (id uint64, err error) {
 	o := p.peer(now, to)
 	switch {
-	case len(body) > p.set.Parcel:
-		return 0, TooLong{len(body), p.set.Parcel}
-	case o == nil || len(o.out) >= p.set.Count || o.bytes+len(body) > p.set.Bytes:
-		return 0, Full{to}
+	case len(body) > p.set.MaxMessageBytes:
+		return 0, MessageTooLongError{len(body), p.set.MaxMessageBytes}
+	case o == nil || len(o.out) >= p.set.MaxMessages || o.bytes+len(body) > p.set.MaxBytes:
+		return 0, QueueFullError{to}
 	}
 	p.last++
-	o.out = append(o.out, &sent{id: p.last, process: o.process, body: body, next: now, pause: p.set.First, until: until})
+	o.out = append(o.out, &sent{id: p.last, process: o.process, body: body, next: now, pause: p.set.RetryInitial, until: until})
 	o.bytes += len(body)
 	p.where[p.last] = o
 	return p.last, nil
 }
 
-// Drop gives a parcel up that nobody needs any more: its end is not told.
-func (p *Post) Drop(id uint64) {
+// Cancel gives a parcel up that nobody needs any more: its end is not told.
+func (p *Messenger) Cancel(id uint64) {
 	if o := p.where[id]; o != nil {
 		p.take(o, id)
 	}
 }
 
 // take takes a parcel off its way.
-func (p *Post) take(o *peer, id uint64) *sent {
+func (p *Messenger) take(o *peer, id uint64) *sent {
 	delete(p.where, id)
 	i := slices.IndexFunc(o.out, func(s *sent) bool { return s.id == id })
 	if i < 0 {
@@ -229,8 +233,8 @@
 	return s
 }
 
-// Take reads a packet and returns what came with it for the first time. What makes no sense is passed over.
-func (p *Post) Take(now time.Duration, data []byte) (in []Arrival) {
+// Receive reads a packet and returns what came with it for the first time. What makes no sense is passed over.
+func (p *Messenger) Receive(now time.Duration, data []byte) (in []Delivery) {
 	var w wire
 	if err := cbor.Unmarshal(data, &w); err != nil || w.From == "" || len(w.From) > 128 || w.Process == 0 || w.From == p.set.Self {
 		return nil
@@ -261,7 +265,7 @@
 	for _, a := range w.Answers {
 		if p.where[a.ID] == o {
 			p.take(o, a.ID)
-			p.done = append(p.done, Done{ID: a.ID, To: o.name, Reply: a.Body})
+			p.done = append(p.done, Completion{ID: a.ID, To: o.name, Reply: a.Body})
 		}
 	}
 	for _, it := range w.Parcels {
@@ -272,12 +276,12 @@
 		default:
 			o.seen[it.ID] = nil
 			o.order = append(o.order, it.ID)
-			if len(o.order) > p.set.Kept {
+			if len(o.order) > p.set.ReplyMemory {
 				o.floor = max(o.floor, o.order[0])
 				delete(o.seen, o.order[0])
 				o.order = o.order[1:]
 			}
-			in = append(in, Arrival{From: o.name, Process: o.process, ID: it.ID, Body: it.Body})
+			in = append(in, Delivery{From: o.name, Process: o.process, ID: it.ID, Body: it.Body})
 		}
 	}
 	return in
@@ -287,7 +291,7 @@
 const questionFor = 2 * time.Second
 
 // question asks who is there now, unless that is open already.
-func (p *Post) question(o *peer, now time.Duration) {
+func (p *Messenger) question(o *peer, now time.Duration) {
 	if o.ask == 0 {
 		p.asks++
 		o.ask, o.asked, o.lapse = p.asks, now, now+questionFor
@@ -295,11 +299,11 @@
 }
 
 // renew begins to talk to another process of a router. What was for the one before has no end any more but this.
-func (p *Post) renew(o *peer, process uint64) {
+func (p *Messenger) renew(o *peer, process uint64) {
 	for _, s := range slices.Clone(o.out) {
 		if s.process != 0 {
 			p.take(o, s.id)
-			p.done = append(p.done, Done{ID: s.id, To: o.name, Err: OtherProcess{o.name}})
+			p.done = append(p.done, Completion{ID: s.id, To: o.name, Err: ProcessReplacedError{o.name}})
 			continue
 		}
 		s.process, s.next = process, 0
@@ -308,8 +312,8 @@
 	clear(o.seen)
 }
 
-// Answer says that a parcel is held, with a word of at least one byte. It is sent, and sent again when the parcel comes again.
-func (p *Post) Answer(a Arrival, word []byte) {
+// Acknowledge says that a parcel is held, with a word of at least one byte. It is sent, and sent again when the parcel comes again.
+func (p *Messenger) Acknowledge(a Delivery, word []byte) {
 	o := p.peers[a.From]
 	if o == nil || o.process != a.Process {
 		return
@@ -320,29 +324,29 @@
 	}
 }
 
-// Beat gives up what nobody has answered in time. It is due every few milliseconds; one that comes late does no harm.
-func (p *Post) Beat(now time.Duration) {
+// Tick gives up what nobody has answered in time. It is due every few milliseconds; one that comes late does no harm.
+func (p *Messenger) Tick(now time.Duration) {
 	for _, name := range p.names {
 		o := p.peers[name]
 		for i := 0; i < len(o.out); i++ {
 			if s := o.out[i]; now >= s.until {
 				p.take(o, s.id)
-				p.done = append(p.done, Done{ID: s.id, To: o.name, Err: Unheld{o.name}})
+				p.done = append(p.done, Completion{ID: s.id, To: o.name, Err: NotAcknowledgedError{o.name}})
 				i--
 			}
 		}
 	}
 }
 
-// Done returns the parcels that have ended since it was called last.
-func (p *Post) Done() []Done {
+// Completions returns the parcels that have ended since it was called last.
+func (p *Messenger) Completions() []Completion {
 	out := p.done
 	p.done = nil
 	return out
 }
 
-// Out returns the packets that are due: all that goes to one router together, as far as it fits.
-func (p *Post) Out(now time.Duration) (out []Packet) {
+// DuePackets returns the packets that are due: all that goes to one router together, as far as it fits.
+func (p *Messenger) DuePackets(now time.Duration) (out []Packet) {
 	if p.names == nil {
 		p.names = slices.Sorted(maps.Keys(p.peers))
 	}
@@ -361,7 +365,7 @@
 		}
 		any := false
 		add := func(list *[]item, it item) {
-			if size > 0 && size+len(it.Body) > p.set.Packet {
+			if size > 0 && size+len(it.Body) > p.set.MaxPacketBytes {
 				flush()
 			}
 			*list = append(*list, it)
@@ -374,7 +378,7 @@
 			o.answers = nil
 			for _, s := range o.out {
 				if now >= s.next {
-					s.next, s.pause = now+s.pause, min(2*s.pause, p.set.Most)
+					s.next, s.pause = now+s.pause, min(2*s.pause, p.set.RetryMax)
 					add(&w.Parcels, item{ID: s.id, Body: s.body})
 				}
 			}
@@ -385,7 +389,7 @@
 			o.ask = 0
 		}
 		if o.ask != 0 && now >= o.asked {
-			w.Ask, o.asked, any = o.ask, now+p.set.First, true
+			w.Ask, o.asked, any = o.ask, now+p.set.RetryInitial, true
 		}
 		if any || o.poke {
 			o.poke = false
@@ -400,12 +404,12 @@
 	return out
 }
 
-func (p *Post) wire(o *peer) *wire {
+func (p *Messenger) wire(o *peer) *wire {
 	return &wire{From: p.set.Self, Process: p.set.Process, To: o.process}
 }
 
-// Waiting is how many parcels are on the way, to the router to which most are.
-func (p *Post) Waiting() (most int) {
+// MaxQueued is how many parcels are on the way, to the router to which most are.
+func (p *Messenger) MaxQueued() (most int) {
 	for _, o := range p.peers {
 		most = max(most, len(o.out))
 	}
@@ -413,4 +417,4 @@
 }
 
 // Errors holds an example of each type of this package, as docs/errors.md shows it.
-var Errors = []operatorhint.Error{Full{"r2"}, TooLong{30000, 20480}, Unheld{"r2"}, OtherProcess{"r2"}}
+var Errors = []operatorhint.Error{QueueFullError{"r2"}, MessageTooLongError{30000, 20480}, NotAcknowledgedError{"r2"}, ProcessReplacedError{"r2"}}
--- a/internal/cluster/messaging/messaging_test.go
+++ b/internal/cluster/messaging/messaging_test.go
@@ -15,7 +15,7 @@
 type pair struct {
 	rnd   *rand.Rand
 	now   time.Duration
-	posts map[string]*Post
+	posts map[string]*Messenger
 	made  uint64
 	mail  []flying
 	loss  float64
@@ -31,7 +31,7 @@
 func (p *pair) start(name string) {
 	p.made++
 	set := Defaults(name, p.made)
-	set.Kept, set.Count = 16, 8
+	set.ReplyMemory, set.MaxMessages = 16, 8
 	p.posts[name] = New(set)
 }
 
@@ -44,18 +44,18 @@
 		}
 		p.mail = slices.Delete(p.mail, i, i+1)
 		i--
-		for _, a := range p.posts[m.to].Take(p.now, m.data) {
+		for _, a := range p.posts[m.to].Receive(p.now, m.data) {
 			key := fmt.Sprint(a.From, a.Process, a.ID)
 			if p.held[key]++; p.held[key] > 1 {
 				t.Fatalf("%s was handed over twice", key)
 			}
 			if p.rnd.IntN(10) > 0 { // else it is never held
-				p.posts[m.to].Answer(a, []byte("held "+string(a.Body)))
+				p.posts[m.to].Acknowledge(a, []byte("held "+string(a.Body)))
 			}
 		}
 	}
 	for _, name := range []string{"a", "b"} {
-		for _, out := range p.posts[name].Out(p.now) {
+		for _, out := range p.posts[name].DuePackets(p.now) {
 			for range 1 + p.rnd.IntN(3)/2 {
 				at := p.now + time.Duration(p.rnd.ExpFloat64()*float64(5*ms))
 				if p.rnd.IntN(30) == 0 {
@@ -66,7 +66,7 @@
 				}
 			}
 		}
-		p.posts[name].Beat(p.now)
+		p.posts[name].Tick(p.now)
 	}
 }
 
@@ -75,7 +75,7 @@
 func TestOnce(t *testing.T) {
 	answered := 0
 	for seed := range uint64(60) {
-		p := &pair{rnd: rand.New(rand.NewPCG(seed, 5)), posts: map[string]*Post{}, held: map[string]int{}, loss: 0.2}
+		p := &pair{rnd: rand.New(rand.NewPCG(seed, 5)), posts: map[string]*Messenger{}, held: map[string]int{}, loss: 0.2}
 		p.start("a")
 		p.start("b")
 		want := map[uint64]string{}
@@ -94,11 +94,11 @@
 				id, err := p.posts["a"].Send(p.now, "b", []byte(body), p.now+time.Second)
 				if err == nil {
 					want[id] = "held " + body
-				} else if full := (Full{}); !errors.As(err, &full) {
+				} else if full := (QueueFullError{}); !errors.As(err, &full) {
 					t.Fatal(err)
 				}
 			}
-			for _, d := range p.posts["a"].Done() {
+			for _, d := range p.posts["a"].Completions() {
 				if want[d.ID] == "" {
 					t.Fatalf("seed %d: an end of %d, which is not under way", seed, d.ID)
 				}
@@ -110,7 +110,7 @@
 				delete(want, d.ID)
 			}
 		}
-		if len(want) > 0 || p.posts["a"].Waiting() > 0 {
+		if len(want) > 0 || p.posts["a"].MaxQueued() > 0 {
 			t.Fatalf("seed %d: no end of %v", seed, want)
 		}
 		// Whatever came late of processes that have ended, those that are there now understand each other.
@@ -134,10 +134,10 @@
 
 // A router that does not answer holds up no other, and takes a bounded room.
 func TestSlowPeer(t *testing.T) {
-	p := &pair{rnd: rand.New(rand.NewPCG(1, 1)), posts: map[string]*Post{}, held: map[string]int{}}
+	p := &pair{rnd: rand.New(rand.NewPCG(1, 1)), posts: map[string]*Messenger{}, held: map[string]int{}}
 	p.start("a")
 	p.start("b")
-	var full Full
+	var full QueueFullError
 	for i := range 9 {
 		_, err := p.posts["a"].Send(0, "gone", []byte("x"), time.Second)
 		if errors.As(err, &full) != (i == 8) {
@@ -155,7 +155,7 @@
 	if len(p.held) == 0 {
 		t.Error("nothing came to the router that is well")
 	}
-	if _, err := p.posts["a"].Send(0, "b", make([]byte, 1<<20), time.Second); !errors.As(err, new(TooLong)) {
+	if _, err := p.posts["a"].Send(0, "b", make([]byte, 1<<20), time.Second); !errors.As(err, new(MessageTooLongError)) {
 		t.Errorf("a parcel of a megabyte: %v", err)
 	}
 }
@@ -164,13 +164,13 @@
 func FuzzTake(f *testing.F) {
 	a := New(Defaults("a", 1))
 	_, _ = a.Send(0, "b", []byte("x"), time.Second)
-	f.Add(a.Out(0)[0].Data)
+	f.Add(a.DuePackets(0)[0].Data)
 	f.Add([]byte{0x86, 0x61, 'a', 1, 2, 0x9a, 0xff, 0xff, 0xff, 0xff}) // a list of four milliards
 	f.Fuzz(func(t *testing.T, data []byte) {
 		b := New(Defaults("b", 2))
-		for _, in := range b.Take(0, data) {
-			b.Answer(in, []byte("held"))
+		for _, in := range b.Receive(0, data) {
+			b.Acknowledge(in, []byte("held"))
 		}
-		b.Out(0)
+		b.DuePackets(0)
 	})
 }
--- a/internal/credit/book.go
+++ b/internal/credit/book.go
@@ -22,7 +22,7 @@
 // Book is one router's part of all balances. It is not safe for concurrent use.
 type Book struct {
 	set      Settings
-	post     *messaging.Post
+	post     *messaging.Messenger
 	accounts map[string]*account
 	topups   map[string]applied
 	list     []Topup // as read last
@@ -458,7 +458,7 @@
 // Beat looks at rates and levels, draws ahead of need, and moves rights to where they are used. It is due every
 // Settings.Beat; one that comes late does no harm.
 func (b *Book) Beat(now time.Duration) {
-	b.post.Beat(now)
+	b.post.Tick(now)
 	b.ends(now)
 	keep := math.Exp(-b.set.Beat.Seconds() / 2)
 	for _, name := range slices.Sorted(maps.Keys(b.accounts)) {
--- a/internal/credit/move.go
+++ b/internal/credit/move.go
@@ -71,7 +71,7 @@
 func (b *Book) Live(others []string) { b.live = others }
 
 // Out returns the packets that are due.
-func (b *Book) Out(now time.Duration) []messaging.Packet { return b.post.Out(now) }
+func (b *Book) Out(now time.Duration) []messaging.Packet { return b.post.DuePackets(now) }
 
 // elsewhere is what others have told lately that they hold of an account.
 func (b *Book) elsewhere(now time.Duration, name string) (sum int64) {
@@ -194,25 +194,25 @@
 
 // Take takes a packet of another router.
 func (b *Book) Take(now time.Duration, data []byte) {
-	for _, p := range b.post.Take(now, data) {
+	for _, p := range b.post.Receive(now, data) {
 		var m message
 		if err := cbor.Unmarshal(p.Body, &m); err != nil || len(m.Ledger) > 64 || m.Ledger == "" || len(m.Told) > toldMost || m.Amount < 0 || m.Amount > Most {
-			b.post.Answer(p, []byte(no))
+			b.post.Acknowledge(p, []byte(no))
 			continue
 		}
 		switch m.Kind {
 		case kindTell:
 			b.heard(now, p.From, m.Told)
-			b.post.Answer(p, []byte(yes))
+			b.post.Acknowledge(p, []byte(yes))
 		case kindBeg:
 			b.begged(now, p.From, m)
-			b.post.Answer(p, []byte(yes))
+			b.post.Acknowledge(p, []byte(yes))
 		case kindGive:
 			b.taken(p, m)
 		case kindBirth:
 			b.birth(p, m)
 		default:
-			b.post.Answer(p, []byte(no))
+			b.post.Acknowledge(p, []byte(no))
 		}
 	}
 	b.ends(now)
@@ -239,25 +239,25 @@
 }
 
 // taken takes a gift, once. The giver hears that only when it is written down here.
-func (b *Book) taken(p messaging.Arrival, m message) {
+func (b *Book) taken(p messaging.Delivery, m message) {
 	last := b.got[m.Ledger]
 	switch {
 	case m.Seq <= last:
-		b.onceWritten(func(time.Duration) { b.post.Answer(p, []byte(yes)) }) // it was, before
+		b.onceWritten(func(time.Duration) { b.post.Acknowledge(p, []byte(yes)) }) // it was, before
 		return
 	case m.Seq != last+1 || m.Account == "" || len(m.Account) > nameMost || len(b.accounts) > b.set.Accounts:
-		b.post.Answer(p, []byte(no))
+		b.post.Acknowledge(p, []byte(no))
 		return
 	}
 	b.got[m.Ledger] = m.Seq
 	b.Totals.Taken += m.Amount
 	b.add(b.account(m.Account), m.Amount, "got/"+m.Ledger)
-	b.onceWritten(func(time.Duration) { b.post.Answer(p, []byte(yes)) })
+	b.onceWritten(func(time.Duration) { b.post.Acknowledge(p, []byte(yes)) })
 }
 
 // ends takes the ends of parcels.
 func (b *Book) ends(now time.Duration) {
-	for _, d := range b.post.Done() {
+	for _, d := range b.post.Completions() {
 		a, ok := b.asked[d.ID]
 		delete(b.asked, d.ID)
 		switch {
@@ -329,16 +329,16 @@
 
 // birth answers whether another ledger is known under a router's name, and whether more has come from this one than it
 // knows. The first ledger that asks is written down before it hears yes.
-func (b *Book) birth(p messaging.Arrival, m message) {
+func (b *Book) birth(p messaging.Delivery, m message) {
 	switch was := b.names[p.From]; {
 	case was != "" && was != m.Ledger:
-		b.post.Answer(p, []byte(no))
+		b.post.Acknowledge(p, []byte(no))
 	case b.got[m.Ledger] > m.Seq:
-		b.post.Answer(p, []byte(stale))
+		b.post.Acknowledge(p, []byte(stale))
 	case was == m.Ledger:
-		b.onceWritten(func(time.Duration) { b.post.Answer(p, []byte(yes)) }) // what is being written may be that very line
+		b.onceWritten(func(time.Duration) { b.post.Acknowledge(p, []byte(yes)) }) // what is being written may be that very line
 	default:
 		b.names[p.From] = m.Ledger
-		b.change(func(time.Duration) { b.post.Answer(p, []byte(yes)) }, "name/"+p.From)
+		b.change(func(time.Duration) { b.post.Acknowledge(p, []byte(yes)) }, "name/"+p.From)
 	}
 }
--- a/internal/extension/orderfailover/orderfailover.go
+++ b/internal/extension/orderfailover/orderfailover.go
@@ -16,14 +16,14 @@
 	"hillknot/internal/operatorhint"
 )
 
-// Carrier carries packets between routers. No method may block.
-type Carrier interface {
-	Carry([]messaging.Packet)
-	Others() []failover.Other // alive, and of those that keep orders, in the order of their names
+// Transport carries packets between routers. No method may block.
+type Transport interface {
+	SendOrderPackets([]messaging.Packet)
+	OrderPeers() []failover.Peer // alive, and of those that keep orders, in the order of their names
 }
 
-// Step, if it is set, is called at each step of an order: for tests that kill the process there.
-var Step func(what, txn string)
+// StepHook, if it is set, is called at each step of an order: for tests that kill the process there.
+var StepHook func(what, txn string)
 
 // beatEvery is how often what has run out is looked for.
 const beatEvery = 20 * time.Millisecond
@@ -31,11 +31,11 @@
 // figuresEvery is how often figures are made anew.
 const figuresEvery = 200 * time.Millisecond
 
-// Hands implements core.OrderFailover. All its methods belong to the core's goroutine.
-type Hands struct {
+// Extension implements core.OrderFailover. All its methods belong to the core's goroutine.
+type Extension struct {
 	core    *core.Core
 	table   *failover.Table
-	carrier Carrier
+	carrier Transport
 	writes  map[string]bool // by class
 	trace   bool
 	figures []core.Metric
@@ -44,27 +44,27 @@
 
 // New returns the hands of a process that has just started, with the classes of its requests. With trace the log has a
 // line for each step of an order.
-func New(c *core.Core, set failover.Settings, classes []balancer.Class, carrier Carrier, trace bool) (*Hands, error) {
+func New(c *core.Core, set failover.Settings, classes []balancer.Class, carrier Transport, trace bool) (*Extension, error) {
 	t, err := failover.New(set)
 	if err != nil {
 		return nil, err
 	}
-	h := &Hands{core: c, table: t, carrier: carrier, writes: map[string]bool{}, trace: trace}
+	h := &Extension{core: c, table: t, carrier: carrier, writes: map[string]bool{}, trace: trace}
 	for _, k := range classes {
 		h.writes[k.Name] = k.Write
 	}
 	return h, nil
 }
 
-// Guard begins to keep and take over orders.
-func (h *Hands) Guard() {
+// Start begins to keep and take over orders.
+func (h *Extension) Start() {
 	h.core.SetOrderFailover(h)
 	h.beat()
 }
 
-func (h *Hands) beat() {
+func (h *Extension) beat() {
 	now := h.core.LoopTime()
-	h.table.Live(now, h.carrier.Others())
+	h.table.Live(now, h.carrier.OrderPeers())
 	h.table.Beat(now)
 	h.settle()
 	h.core.Schedule(now+beatEvery, h.beat)
@@ -74,23 +74,23 @@
 	}
 }
 
-// Take takes a packet of another router.
-func (h *Hands) Take(data []byte) {
+// Receive takes a packet of another router.
+func (h *Extension) Receive(data []byte) {
 	h.table.Take(h.core.LoopTime(), data)
 	h.settle()
 }
 
 // Flush implements core.OrderFailover.
-func (h *Hands) Flush() {
+func (h *Extension) Flush() {
 	h.steps()
 	if out := h.table.Out(h.core.LoopTime()); len(out) > 0 {
-		h.carrier.Carry(out)
+		h.carrier.SendOrderPackets(out)
 	}
 	h.settle() // what could not be told of ends there
 }
 
 // settle carries out what the table decides, until it decides nothing more.
-func (h *Hands) settle() {
+func (h *Extension) settle() {
 	for acts := h.table.Actions(); len(acts) > 0; acts = h.table.Actions() {
 		h.steps() // before what follows from them
 		for _, a := range acts {
@@ -101,18 +101,18 @@
 }
 
 // steps tells the log, and a test, the steps of orders.
-func (h *Hands) steps() {
+func (h *Extension) steps() {
 	for _, e := range h.table.Events() {
 		if h.trace {
 			slog.Debug("order", "step", e.What, "txn", e.Txn, "peer", e.Peer)
 		}
-		if Step != nil {
-			Step(e.What, e.Txn)
+		if StepHook != nil {
+			StepHook(e.What, e.Txn)
 		}
 	}
 }
 
-func (h *Hands) act(a failover.Action) {
+func (h *Extension) act(a failover.Action) {
 	switch a.Op {
 	case failover.Go:
 		h.core.LeaseGranted(a.Txn)
@@ -138,7 +138,7 @@
 }
 
 // run runs an order of a router that is lost. Nobody waits for its answer but those who claim it.
-func (h *Hands) run(o failover.Order) {
+func (h *Extension) run(o failover.Order) {
 	object, _ := strconv.ParseUint(o.Item, 16, 64) // as the router that took it read it
 	slog.Info("order of a lost router is run here", "txn", o.Txn, "class", o.Class)
 	h.core.Submit(h.core.NewID(), core.Request{Txn: o.Txn, ObjectText: o.Item, PartText: strconv.FormatUint(o.Part, 10), Class: o.Class,
@@ -163,47 +163,47 @@
 }
 
 // Replicate implements core.OrderFailover.
-func (h *Hands) Replicate(q *core.Request, left time.Duration) error {
+func (h *Extension) Replicate(q *core.Request, left time.Duration) error {
 	return h.table.Begin(h.core.LoopTime(), order(q, q.Txn, left))
 }
 
 // Claim implements core.OrderFailover.
-func (h *Hands) Claim(id balancer.RequestID, q *core.Request, left time.Duration) {
+func (h *Extension) Claim(id balancer.RequestID, q *core.Request, left time.Duration) {
 	h.table.Claim(h.core.LoopTime(), uint64(id), order(q, q.ResumesTxn, left))
 	h.settle()
 }
 
 // CancelClaim implements core.OrderFailover.
-func (h *Hands) CancelClaim(id balancer.RequestID) { h.table.Drop(uint64(id)) }
+func (h *Extension) CancelClaim(id balancer.RequestID) { h.table.Drop(uint64(id)) }
 
 // RequestLease implements core.OrderFailover.
-func (h *Hands) RequestLease(txn string) {
+func (h *Extension) RequestLease(txn string) {
 	h.table.Ask(h.core.LoopTime(), txn)
 	h.settle()
 }
 
 // UseLease implements core.OrderFailover.
-func (h *Hands) UseLease(txn string) bool {
+func (h *Extension) UseLease(txn string) bool {
 	yes := h.table.Right(h.core.CurrentTime(), txn)
 	h.steps()
 	return yes
 }
 
 // Finish implements core.OrderFailover.
-func (h *Hands) Finish(txn string, a core.Answer, ran bool) (wait bool) {
+func (h *Extension) Finish(txn string, a core.Answer, ran bool) (wait bool) {
 	wait = h.table.End(h.core.LoopTime(), txn, outcome(a, ran))
 	h.Flush() // the outcome is on its way before the client has it
 	return wait
 }
 
 // StopWaiting implements core.OrderFailover.
-func (h *Hands) StopWaiting(txn string) { h.table.Overdue(h.core.LoopTime(), txn) }
+func (h *Extension) StopWaiting(txn string) { h.table.Overdue(h.core.LoopTime(), txn) }
 
 // Cancel implements core.OrderFailover.
-func (h *Hands) Cancel(txn string, ran bool) { h.table.Withdraw(h.core.LoopTime(), txn, ran) }
+func (h *Extension) Cancel(txn string, ran bool) { h.table.Withdraw(h.core.LoopTime(), txn, ran) }
 
 // Metrics implements core.OrderFailover.
-func (h *Hands) Metrics() []core.Metric { return h.figures }
+func (h *Extension) Metrics() []core.Metric { return h.figures }
 
 // outcome is what an answer tells of its order.
 func outcome(a core.Answer, ran bool) failover.Outcome {
