--- a/client/client_test.go
+++ b/client/client_test.go
@@ -51,7 +51,7 @@
 func TestServed(t *testing.T) {
 	body := bytes.Repeat([]byte("score"), 40_000)
 	r := script(t, func(p *fakes.Peer, m rpc.Message) {
-		if string(m.Fields.Got) == "tag" {
+		if string(m.Fields.CachedTag) == "tag" {
 			p.Raw(rpc.AppendBodyResponse(nil, m.ID, nil, "ok304", "1"))
 			return
 		}
--- a/client/conn.go
+++ b/client/conn.go
@@ -252,9 +252,9 @@
 	if q.pc.IsClaim() {
 		resumes = q.lost
 	}
-	return rpc.AppendRequest(buf, uint64(it.id), &rpc.Request{Method: n.c.names[q.class], Txn: q.txn, Resumes: resumes, Account: n.c.cfg.Account,
-		Limit: max(limit.Milliseconds(), 1), Second: it.second, Item: q.req.Item, Nth: q.req.Part, Batch: q.req.Group,
-		Got: q.req.Have, Body: q.req.Body})
+	return rpc.AppendRequest(buf, uint64(it.id), &rpc.Request{Method: n.c.names[q.class], Txn: q.txn, ResumedTxn: resumes, Account: n.c.cfg.Account,
+		TimeoutMillis: max(limit.Milliseconds(), 1), Retry: it.second, Item: q.req.Item, Nth: q.req.Part, Batch: q.req.Group,
+		CachedTag: q.req.Have, Body: q.req.Body})
 }
 
 // errStray says that a router answers what nobody asked.
--- a/internal/frontend/msgpackrpc/front.go
+++ b/internal/frontend/msgpackrpc/front.go
@@ -146,16 +146,16 @@
 	}
 	q.Class = class.Name
 	f := m.Fields
-	limit, limitOK := number(f.Limit, 31)
+	limit, limitOK := number(f.Timeout, 31)
 	object, objectOK := hexID(f.Item)
 	part, partOK := number(f.Nth, 63)
 	group, groupOK := number(f.Batch, 8)
 	_, txnOK := hexID(f.Txn)
-	if len(f.Resumes) > 0 {
-		_, lostOK := hexID(f.Resumes)
+	if len(f.ResumedTxn) > 0 {
+		_, lostOK := hexID(f.ResumedTxn)
 		txnOK = txnOK && lostOK
 	}
-	if !limitOK || !objectOK || !partOK || !groupOK || !txnOK || len(f.Limit) == 0 || !tag(f.Got) || !tag(f.Unique) || len(f.Account) > accountMost {
+	if !limitOK || !objectOK || !partOK || !groupOK || !txnOK || len(f.Timeout) == 0 || !tag(f.CachedTag) || !tag(f.IdempotencyKey) || len(f.Account) > accountMost {
 		return q, rpc.CodeBadRequest
 	}
 	wait := time.Duration(limit) * time.Millisecond
@@ -167,8 +167,8 @@
 		nth = "0"
 	}
 	return core.Request{Txn: string(f.Txn), ObjectText: string(f.Item), PartText: nth, Class: string(m.Method), Object: object,
-		Part: part, Group: group, Timeout: wait, ETag: string(f.Got), IdempotencyKey: string(f.Unique), Body: bytes.Clone(m.Body), Write: class.Write,
-		Retry: string(f.Second) == "1", ResumesTxn: string(f.Resumes), Account: string(f.Account)}, ""
+		Part: part, Group: group, Timeout: wait, ETag: string(f.CachedTag), IdempotencyKey: string(f.IdempotencyKey), Body: bytes.Clone(m.Body), Write: class.Write,
+		Retry: string(f.Retry) == "1", ResumesTxn: string(f.ResumedTxn), Account: string(f.Account)}, ""
 }
 
 // accountMost bounds an account's name.
--- a/internal/rpc/client.go
+++ b/internal/rpc/client.go
@@ -34,11 +34,11 @@
 }
 
 // IsNotModified tells whether the copy that the client holds is the one.
-func (f Fields) IsNotModified() bool { return string(f.OK304) == "1" }
+func (f Fields) IsNotModified() bool { return string(f.NotModified) == "1" }
 
 // RetryAfterMillis is how long, in milliseconds, a refused client is told to stay away; 0 where it is not told, or nonsense.
 func (f Fields) RetryAfterMillis() int {
-	n, err := strconv.ParseUint(string(f.Later), 10, 31)
+	n, err := strconv.ParseUint(string(f.RetryAfter), 10, 31)
 	if err != nil {
 		return 0
 	}
@@ -153,52 +153,52 @@
 
 // Request is what a client's call carries.
 type Request struct {
-	Method  string
-	Txn     uint64
-	Limit   int64 // milliseconds
-	Second  bool  // this is a client's retry
-	Item    uint64
-	Nth     uint64
-	Batch   uint8
-	Account string // that pays; empty: none is named
-	Resumes uint64 // the txn of the same request, whose router was lost; 0: none
-	Got     string // tag of the copy that the client holds; empty: none
-	Body    []byte
+	Method        string
+	Txn           uint64
+	TimeoutMillis int64 // milliseconds
+	Retry         bool  // this is a client's retry
+	Item          uint64
+	Nth           uint64
+	Batch         uint8
+	Account       string // that pays; empty: none is named
+	ResumedTxn    uint64 // the txn of the same request, whose router was lost; 0: none
+	CachedTag     string // tag of the copy that the client holds; empty: none
+	Body          []byte
 }
 
 // AppendRequest appends a client's request.
 func AppendRequest(b []byte, id uint64, q *Request) []byte {
 	fields := byte(5)
-	if q.Second {
+	if q.Retry {
 		fields++
 	}
 	if q.Account != "" {
 		fields++
 	}
-	if q.Resumes != 0 {
+	if q.ResumedTxn != 0 {
 		fields++
 	}
-	if q.Got != "" {
+	if q.CachedTag != "" {
 		fields++
 	}
 	b = appendText(appendUint(append(b, 0x94, KindRequest), id), q.Method)
 	b = appendText(append(b, 0x92, 0x80|fields), "txn")
 	b = appendText(appendHex(b, q.Txn), "limit")
-	b = appendText(appendDecimal(b, uint64(max(q.Limit, 0))), "item")
+	b = appendText(appendDecimal(b, uint64(max(q.TimeoutMillis, 0))), "item")
 	b = appendText(appendHex(b, q.Item), "nth")
 	b = appendText(appendDecimal(b, q.Nth), "batch")
 	b = appendDecimal(b, uint64(q.Batch))
-	if q.Second {
+	if q.Retry {
 		b = appendText(appendText(b, "second"), "1")
 	}
 	if q.Account != "" {
 		b = appendText(appendText(b, "account"), q.Account)
 	}
-	if q.Resumes != 0 {
-		b = appendHex(appendText(b, "resumes"), q.Resumes)
+	if q.ResumedTxn != 0 {
+		b = appendHex(appendText(b, "resumes"), q.ResumedTxn)
 	}
-	if q.Got != "" {
-		b = appendText(appendText(b, "got"), q.Got)
+	if q.CachedTag != "" {
+		b = appendText(appendText(b, "got"), q.CachedTag)
 	}
 	return append(appendBinHead(b, len(q.Body)), q.Body...)
 }
--- a/internal/rpc/codec.go
+++ b/internal/rpc/codec.go
@@ -38,7 +38,7 @@
 
 // Fields are the known fields of a call and, the last two, of an answer.
 type Fields struct {
-	Txn, Limit, Item, Nth, Batch, Got, Second, Unique, Resumes, Account, OK304, Later, Reason []byte
+	Txn, Timeout, Item, Nth, Batch, CachedTag, Retry, IdempotencyKey, ResumedTxn, Account, NotModified, RetryAfter, Reason []byte
 }
 
 func (f *Fields) slot(name []byte) *[]byte {
@@ -46,7 +46,7 @@
 	case "txn":
 		return &f.Txn
 	case "limit":
-		return &f.Limit
+		return &f.Timeout
 	case "item":
 		return &f.Item
 	case "nth":
@@ -54,21 +54,21 @@
 	case "batch":
 		return &f.Batch
 	case "got":
-		return &f.Got
+		return &f.CachedTag
 	case "second":
-		return &f.Second
+		return &f.Retry
 	case "unique":
-		return &f.Unique
+		return &f.IdempotencyKey
 	case "resumes":
-		return &f.Resumes
+		return &f.ResumedTxn
 	case "account":
 		return &f.Account
 	case "reason":
 		return &f.Reason
 	case "ok304":
-		return &f.OK304
+		return &f.NotModified
 	case "later":
-		return &f.Later
+		return &f.RetryAfter
 	}
 	return nil
 }
--- a/internal/rpc/codec_test.go
+++ b/internal/rpc/codec_test.go
@@ -12,8 +12,8 @@
 
 func drawRequest(t *rapid.T) *Request {
 	text := rapid.StringN(0, 40, 90)
-	return &Request{Method: text.Draw(t, "method"), Txn: rapid.Uint64().Draw(t, "txn"), Limit: rapid.Int64().Draw(t, "limit"),
-		Second: rapid.Bool().Draw(t, "second"), Nth: rapid.Uint64().Draw(t, "nth"), Got: text.Draw(t, "got"),
+	return &Request{Method: text.Draw(t, "method"), Txn: rapid.Uint64().Draw(t, "txn"), TimeoutMillis: rapid.Int64().Draw(t, "limit"),
+		Retry: rapid.Bool().Draw(t, "second"), Nth: rapid.Uint64().Draw(t, "nth"), CachedTag: text.Draw(t, "got"),
 		Body: rapid.SliceOfN(rapid.Byte(), 0, 400).Draw(t, "body")}
 }
 
@@ -27,10 +27,10 @@
 		_, n, want, err := ParseMessage(buf, 1<<16)
 		return n, want, err
 	})
-	m, _, _, err := ParseMessage(AppendRequest(nil, 7, &Request{Method: "part-page", Txn: 1, Limit: 1500, Item: 10, Nth: 3, Batch: 255, Got: "x",
+	m, _, _, err := ParseMessage(AppendRequest(nil, 7, &Request{Method: "part-page", Txn: 1, TimeoutMillis: 1500, Item: 10, Nth: 3, Batch: 255, CachedTag: "x",
 		Body: []byte("abc")}), 1<<16)
 	if f := m.Fields; err != nil || m.ID != 7 || string(m.Method) != "part-page" || string(f.Item) != "000000000000000a" ||
-		string(f.Got) != "x" || string(f.Limit) != "1500" || string(f.Nth) != "3" || string(f.Batch) != "255" || string(m.Body) != "abc" {
+		string(f.CachedTag) != "x" || string(f.Timeout) != "1500" || string(f.Nth) != "3" || string(f.Batch) != "255" || string(m.Body) != "abc" {
 		t.Errorf("message %+v, error %v", m, err)
 	}
 }
--- a/loadtest/load.go
+++ b/loadtest/load.go
@@ -62,7 +62,7 @@
 			}
 			l.work.Go(func() { l.read(nc) })
 		}
-		q := &rpc.Request{Method: "part-page", Limit: 1500}
+		q := &rpc.Request{Method: "part-page", TimeoutMillis: 1500}
 		l.mu.Lock()
 		q.Txn, q.Item = l.rnd.Uint64(), l.rnd.Uint64N(4000)
 		if l.rnd.IntN(20) == 0 {
--- a/loadtest/plain.go
+++ b/loadtest/plain.go
@@ -68,7 +68,7 @@
 		return err
 	}
 	_ = nc.SetDeadline(end) // fails on a closed connection, as the write then does
-	b := rpc.AppendRequest(nil, 1, &rpc.Request{Method: req.Class, Txn: rand.Uint64(), Limit: max(time.Until(end).Milliseconds(), 1), Second: second,
+	b := rpc.AppendRequest(nil, 1, &rpc.Request{Method: req.Class, Txn: rand.Uint64(), TimeoutMillis: max(time.Until(end).Milliseconds(), 1), Retry: second,
 		Item: req.Item, Body: req.Body})
 	if _, err := nc.Write(b); err != nil {
 		_ = nc.Close()
--- a/loadtest/purge.go
+++ b/loadtest/purge.go
@@ -67,7 +67,7 @@
 		}
 		send := func(from, to int) error {
 			for i, nc := range conns[from:to] {
-				q := &rpc.Request{Method: "part-page", Txn: item<<8 | uint64(from+i), Limit: 3000, Item: item}
+				q := &rpc.Request{Method: "part-page", Txn: item<<8 | uint64(from+i), TimeoutMillis: 3000, Item: item}
 				if _, err := nc.Write(rpc.AppendRequest(nil, 1, q)); err != nil {
 					return err
 				}
--- a/loadtest/soak_client.go
+++ b/loadtest/soak_client.go
@@ -65,7 +65,7 @@
 		case 1:
 			open.cancel(id, r)
 		case 3: // it stops in the middle of the next request, and waits
-			next := rpc.AppendRequest(nil, id+1, &rpc.Request{Method: "part-page", Limit: 1000})
+			next := rpc.AppendRequest(nil, id+1, &rpc.Request{Method: "part-page", TimeoutMillis: 1000})
 			_, _ = nc.Write(next[:len(next)/2]) // its reader notes the end
 			open.settle()
 			return
@@ -90,14 +90,14 @@
 func (o *soakConn) send(id uint64) *soakRequest {
 	c := o.client
 	c.base++
-	q := &rpc.Request{Method: "part-page", Txn: c.base, Item: c.rnd.Uint64N(400), Limit: 600 + c.rnd.Int64N(1800)}
+	q := &rpc.Request{Method: "part-page", Txn: c.base, Item: c.rnd.Uint64N(400), TimeoutMillis: 600 + c.rnd.Int64N(1800)}
 	switch c.rnd.IntN(8) {
 	case 0:
 		q.Method, q.Item, q.Body = "new-arrange", c.rnd.Uint64(), []byte("order")
 	case 1:
 		q.Method = "full-score"
 	}
-	r := &soakRequest{txn: q.Txn, router: c.addr, class: q.Method, limit: time.Duration(q.Limit) * time.Millisecond, sent: time.Now()}
+	r := &soakRequest{txn: q.Txn, router: c.addr, class: q.Method, limit: time.Duration(q.TimeoutMillis) * time.Millisecond, sent: time.Now()}
 	c.history.change(func() {
 		c.history.requests[r.txn] = r
 		o.open[id] = r
--- a/loadtest/steps.go
+++ b/loadtest/steps.go
@@ -38,12 +38,12 @@
 	const limit = 2500 * time.Millisecond
 	begun := time.Now()
 	k.Txn = fmt.Sprintf("%016x", item+1)
-	q := &rpc.Request{Method: "new-arrange", Txn: item + 1, Item: item, Limit: limit.Milliseconds(), Body: []byte("order")}
+	q := &rpc.Request{Method: "new-arrange", Txn: item + 1, Item: item, TimeoutMillis: limit.Milliseconds(), Body: []byte("order")}
 	if word, err := ask(r.Addr, q, limit); err == nil {
 		return k, fmt.Errorf("the router that was to be killed answers %q", word)
 	}
 	killed := time.Now()
-	q.Txn, q.Resumes, q.Second, q.Limit = item+2, item+1, true, max((limit-time.Since(begun)).Milliseconds(), 1)
+	q.Txn, q.ResumedTxn, q.Retry, q.TimeoutMillis = item+2, item+1, true, max((limit-time.Since(begun)).Milliseconds(), 1)
 	if k.Told, err = ask(o.Routers[(victim+2)%len(o.Routers)].Addr, q, limit); err != nil {
 		return k, fmt.Errorf("claim: %w", err)
 	}
