--- a/cmd/hillknot/cluster.go
+++ b/cmd/hillknot/cluster.go
@@ -25,7 +25,7 @@
 // has been told that this process takes its place.
 func talk(cfg *config.Config, c *core.Core, shared *core.ClusterState, stop <-chan struct{}) (keyed, error) {
 	var hands *orderfailover.Extension // these are of the core's goroutine
-	var money *prepaidcredit.Purse
+	var prepaid *prepaidcredit.Service
 	m, err := membership.New(cfg.Name, cfg.Fleet, func(msgs []state.Message) { c.Post(func() { c.ReceiveGossip(msgs) }) }, membership.Lanes{
 		Orders: func(packet []byte) {
 			c.Post(func() {
@@ -36,8 +36,8 @@
 		},
 		Credit: func(packet []byte) {
 			c.Post(func() {
-				if money != nil {
-					money.Take(packet)
+				if prepaid != nil {
+					prepaid.ReceivePacket(packet)
 				}
 			})
 		}})
@@ -46,11 +46,11 @@
 	}
 	t := &talking{Members: m}
 	if cfg.Fleet.Credit.On {
-		if t.purse, err = openPurse(cfg, c, m); err != nil {
+		if t.prepaid, err = openPrepaidCredit(cfg, c, m); err != nil {
 			return nil, err
 		}
-		c.Post(func() { money = t.purse; money.Begin() })
-		go t.purse.Run(stop)
+		c.Post(func() { prepaid = t.prepaid; prepaid.Start() })
+		go t.prepaid.Run(stop)
 	}
 	if cfg.Fleet.Takeover.On {
 		h, err := orderfailover.New(c, takeoverSettings(cfg), cfg.Settings.Classes, m, slog.Default().Enabled(context.Background(), slog.LevelDebug))
@@ -67,26 +67,26 @@
 // talking is what SIGHUP reads again.
 type talking struct {
 	*membership.Members
-	purse *prepaidcredit.Purse
+	prepaid *prepaidcredit.Service
 }
 
 // Reread reads the keys and the top-ups again. A faulty file changes nothing.
 func (t *talking) Reread() error {
 	err := t.ReadKeys()
-	if t.purse != nil {
-		err = errors.Join(err, t.purse.Read())
+	if t.prepaid != nil {
+		err = errors.Join(err, t.prepaid.ReloadTopUps())
 	}
 	return err
 }
 
-func openPurse(cfg *config.Config, c *core.Core, m *membership.Members) (*prepaidcredit.Purse, error) {
+func openPrepaidCredit(cfg *config.Config, c *core.Core, m *membership.Members) (*prepaidcredit.Service, error) {
 	f := cfg.Fleet
 	set := credit.Defaults(cfg.Name, f.State.Process, "")
-	set.Rest, set.Chunk, set.Answer, set.Prices = f.Credit.Rest, f.Credit.Chunk, cfg.Limits.Object, map[string]credit.Price{}
+	set.PacingHorizon, set.DrawWindow, set.MaxResponseBytes, set.Prices = f.Credit.Rest, f.Credit.Chunk, cfg.Limits.Object, map[string]credit.Price{}
 	for class, p := range f.Credit.Prices {
-		set.Prices[class] = credit.Price{Each: micro(p.Each), PerMB: micro(p.PerMB), Worth: p.Worth}
+		set.Prices[class] = credit.Price{PerRequest: micro(p.Each), PerMegabyte: micro(p.PerMB), Weight: p.Worth}
 	}
-	return prepaidcredit.Open(c, f.Ledger, set, prepaidcredit.Settings{Topups: f.Credit.Topups, Unnamed: f.Credit.Unnamed}, m)
+	return prepaidcredit.Open(c, f.Ledger, set, prepaidcredit.Settings{TopUpFile: f.Credit.Topups, AllowUnnamed: f.Credit.Unnamed}, m)
 }
 
 // micro is an amount of credits in millionths.
--- a/internal/credit/book.go
+++ b/internal/credit/book.go
@@ -13,19 +13,19 @@
 	"hillknot/internal/cluster/messaging"
 )
 
-// Entry is a line of the ledger: a key, and its value, or nil where the line is gone.
-type Entry struct {
+// Record is a line of the ledger: a key, and its value, or nil where the line is gone.
+type Record struct {
 	Key   string
 	Value []byte
 }
 
-// Book is one router's part of all balances. It is not safe for concurrent use.
-type Book struct {
+// Ledger is one router's part of all balances. It is not safe for concurrent use.
+type Ledger struct {
 	set      Settings
 	post     *messaging.Messenger
 	accounts map[string]*account
 	topups   map[string]applied
-	list     []Topup // as read last
+	list     []TopUp // as read last
 	gifts    map[string]*gift
 	got      map[string]uint64 // by ledger: the latest gift of it that was taken
 	names    map[string]string // ledgers of other routers
@@ -48,8 +48,8 @@
 
 // Totals count what has happened since the start, in millionths of a credit where they are amounts.
 type Totals struct {
-	Charged, Returned, Given, Taken int64
-	Out, Paced, Moving              uint64 // refused
+	Charged, Released, TransferredOut, TransferredIn  int64
+	RejectedExhausted, RejectedPaced, RejectedPending uint64 // refused
 }
 
 // meta is what a ledger says of itself.
@@ -105,26 +105,26 @@
 }
 
 // New returns the book of a process that has just started, with what its ledger holds.
-func New(set Settings, entries []Entry) (*Book, error) {
-	if err := set.Check(); err != nil {
+func New(set Settings, entries []Record) (*Ledger, error) {
+	if err := set.Validate(); err != nil {
 		return nil, fmt.Errorf("credit: %w", err)
 	}
-	b := &Book{set: set, post: messaging.New(messaging.Defaults(set.Self, set.Process)), accounts: map[string]*account{}, topups: map[string]applied{},
+	b := &Ledger{set: set, post: messaging.New(messaging.Defaults(set.Router, set.Incarnation)), accounts: map[string]*account{}, topups: map[string]applied{},
 		gifts: map[string]*gift{}, got: map[string]uint64{}, names: map[string]string{}, asked: map[uint64]asked{}, births: map[string]bool{},
-		known: map[string]*theirs{}, dirty: map[string]any{}, meta: meta{Ledger: set.Ledger, Self: set.Self}}
+		known: map[string]*theirs{}, dirty: map[string]any{}, meta: meta{Ledger: set.LedgerID, Self: set.Router}}
 	for _, e := range entries {
 		if err := b.load(e); err != nil {
 			return nil, fmt.Errorf("credit: ledger line %q: %w", e.Key, err)
 		}
 	}
-	if b.meta.Ledger != set.Ledger || b.meta.Self != set.Self {
-		return nil, fmt.Errorf("credit: the ledger is %q of %q, not %q of %q", b.meta.Ledger, b.meta.Self, set.Ledger, set.Self)
+	if b.meta.Ledger != set.LedgerID || b.meta.Self != set.Router {
+		return nil, fmt.Errorf("credit: the ledger is %q of %q, not %q of %q", b.meta.Ledger, b.meta.Self, set.LedgerID, set.Router)
 	}
 	b.dirty["meta"] = b.meta
 	return b, nil
 }
 
-func (b *Book) load(e Entry) error {
+func (b *Ledger) load(e Record) error {
 	kind, name, _ := strings.Cut(e.Key, "/")
 	switch kind {
 	case "meta":
@@ -155,7 +155,7 @@
 	return fmt.Errorf("no such kind of line")
 }
 
-func (b *Book) account(name string) *account {
+func (b *Ledger) account(name string) *account {
 	a := b.accounts[name]
 	if a == nil {
 		a = &account{name: name}
@@ -167,7 +167,7 @@
 // ---- The ledger ----
 
 // change has lines written, and something done once they are.
-func (b *Book) change(after func(now time.Duration), keys ...string) {
+func (b *Ledger) change(after func(now time.Duration), keys ...string) {
 	for _, key := range keys {
 		kind, name, _ := strings.Cut(key, "/")
 		switch kind {
@@ -191,7 +191,7 @@
 }
 
 // onceWritten has something done once all that was changed so far is written.
-func (b *Book) onceWritten(f func(now time.Duration)) {
+func (b *Ledger) onceWritten(f func(now time.Duration)) {
 	switch {
 	case len(b.dirty) > 0:
 		b.after = append(b.after, f)
@@ -202,9 +202,9 @@
 	}
 }
 
-// Write returns the lines that are to be written now, all of them or none; nil where there are none, or some are being
+// NextWrite returns the lines that are to be written now, all of them or none; nil where there are none, or some are being
 // written. Written is called when that is done.
-func (b *Book) Write() (lines []Entry) {
+func (b *Ledger) NextWrite() (lines []Record) {
 	if b.flying || len(b.dirty) == 0 {
 		return nil
 	}
@@ -213,19 +213,19 @@
 		if err != nil { // these types can't fail
 			continue
 		}
-		lines = append(lines, Entry{key, value})
+		lines = append(lines, Record{key, value})
 	}
 	b.flying, b.then, b.after = true, append(b.then, b.after...), nil
 	clear(b.dirty)
 	return lines
 }
 
-// Written tells that the lines of the latest Write are on the disk, or why they may not be. What was taken from them stays
+// WriteCompleted tells that the lines of the latest Write are on the disk, or why they may not be. What was taken from them stays
 // taken; what they were to bring counts once they are written after all.
-func (b *Book) Written(now time.Duration, lines []Entry, err error) {
+func (b *Ledger) WriteCompleted(now time.Duration, lines []Record, err error) {
 	b.flying, b.failed = false, err
 	if err != nil {
-		b.failed = Unwritten{err.Error()}
+		b.failed = LedgerWriteError{err.Error()}
 		for _, l := range lines { // as they are by now
 			b.change(nil, l.Key)
 		}
@@ -238,32 +238,32 @@
 	}
 }
 
-// Failed is why the ledger is not written, if it is not.
-func (b *Book) Failed() error { return b.failed }
+// WriteError is why the ledger is not written, if it is not.
+func (b *Ledger) WriteError() error { return b.failed }
 
-// Stopped is why this router counts no top-ups, or spends nothing, if that is so.
-func (b *Book) Stopped() error { return b.stopped }
+// IdentityError is why this router counts no top-ups, or spends nothing, if that is so.
+func (b *Ledger) IdentityError() error { return b.stopped }
 
 // ---- Top-ups ----
 
-// Fund takes the file of top-ups, as a whole or not at all. What was counted before is not counted again.
-func (b *Book) Fund(now time.Duration, list []Topup) error {
+// ApplyTopUps takes the file of top-ups, as a whole or not at all. What was counted before is not counted again.
+func (b *Ledger) ApplyTopUps(now time.Duration, list []TopUp) error {
 	seen, sums := map[string]bool{}, map[string]int64{}
 	for _, t := range list {
 		if err := t.check(); err != nil {
 			return err
 		}
 		if seen[t.ID] {
-			return ListRefused{t.ID, "it stands there twice"}
+			return TopUpRejectedError{t.ID, "it stands there twice"}
 		}
-		if seen[t.ID] = true; len(sums) > b.set.Accounts {
-			return ListRefused{t.ID, "there are too many accounts"}
+		if seen[t.ID] = true; len(sums) > b.set.MaxAccounts {
+			return TopUpRejectedError{t.ID, "there are too many accounts"}
 		}
-		if sums[t.Account] += t.Amount; sums[t.Account] > Most || sums[t.Account] < -Most {
-			return ListRefused{t.ID, "the account's top-ups add up to over a trillion"}
+		if sums[t.Account] += t.Amount; sums[t.Account] > MaxAmount || sums[t.Account] < -MaxAmount {
+			return TopUpRejectedError{t.ID, "the account's top-ups add up to over a trillion"}
 		}
 		if was, ok := b.topups[t.ID]; ok && was.Print != t.print() {
-			return ListRefused{t.ID, "it was counted before with another account, amount or split"}
+			return TopUpRejectedError{t.ID, "it was counted before with another account, amount or split"}
 		}
 	}
 	b.list = slices.Clone(list)
@@ -273,13 +273,13 @@
 
 // count takes this router's parts of the top-ups that it has not had yet. It does so only once it is sure that no other
 // ledger has had them under its name.
-func (b *Book) count(now time.Duration) {
+func (b *Ledger) count(now time.Duration) {
 	for _, t := range b.list {
 		a := b.account(t.Account) // known from now on, wherever its rights are
 		if _, ok := b.topups[t.ID]; ok || !b.meta.Born || b.stopped != nil {
 			continue
 		}
-		part := t.share(b.set.Self)
+		part := t.share(b.set.Router)
 		if part < 0 { // what is taken back is taken from what is free, too
 			b.bringBack(a, 0)
 		}
@@ -289,7 +289,7 @@
 }
 
 // add brings rights into the ledger; they are to be spent once that is written. Rights that are taken are gone at once.
-func (b *Book) add(a *account, n int64, with ...string) {
+func (b *Ledger) add(a *account, n int64, with ...string) {
 	a.line.Rights += n
 	if n > 0 {
 		a.wait += n
@@ -299,48 +299,48 @@
 
 // ---- Requests ----
 
-// Ticket is what is reserved for a request.
-type Ticket struct {
+// Reservation is what is reserved for a request.
+type Reservation struct {
 	Account string
 	price   Price // as it was when the request came
 	amount  int64
 }
 
 // Reserve sets aside what a request may cost at most. An error says why it can't be taken: it never ran.
-func (b *Book) Reserve(now time.Duration, name, class string) (Ticket, error) {
+func (b *Ledger) Reserve(now time.Duration, name, class string) (Reservation, error) {
 	a := b.accounts[name]
 	if a == nil {
-		return Ticket{}, NoAccount{name}
+		return Reservation{}, UnknownAccountError{name}
 	}
 	price := b.set.Prices[class]
-	n := price.Of(b.set.Answer)
+	n := price.Cost(b.set.MaxResponseBytes)
 	switch {
 	case b.stale(): // what it has drawn before it heard that may be spent already, too
-		return Ticket{}, b.stopped
+		return Reservation{}, b.stopped
 	case n == 0:
-		return Ticket{Account: name, price: price}, nil
+		return Reservation{Account: name, price: price}, nil
 	case a.free < n:
 		a.denied = true
 		b.draw(a, ahead*n)
-		return Ticket{}, b.lacking(now, a, n)
-	case a.level == Low && !b.paced(now, a, price, n):
-		b.Totals.Paced++
+		return Reservation{}, b.lacking(now, a, n)
+	case a.level == LevelLow && !b.paced(now, a, price, n):
+		b.Totals.RejectedPaced++
 		a.denied = true
-		return Ticket{}, Paced{name, b.set.Beat}
+		return Reservation{}, FundsPacedError{name, b.set.TickInterval}
 	}
 	a.free, a.held = a.free-n, a.held+n
 	a.spent += n
-	if need := int64(a.rate * b.set.Chunk.Seconds()); a.free+a.draw < max(need/2, ahead/2*n) { // the next ones come before the beat
+	if need := int64(a.rate * b.set.DrawWindow.Seconds()); a.free+a.draw < max(need/2, ahead/2*n) { // the next ones come before the beat
 		b.draw(a, max(need, ahead*n))
 	}
-	return Ticket{name, price, n}, nil
+	return Reservation{name, price, n}, nil
 }
 
 // ahead is how many requests are drawn for at least, once an account is in use.
 const ahead = 16
 
 // lacking is why nothing can be reserved now.
-func (b *Book) lacking(now time.Duration, a *account, n int64) error {
+func (b *Ledger) lacking(now time.Duration, a *account, n int64) error {
 	switch own := b.own(a); {
 	case own >= n && b.failed != nil:
 		return b.failed
@@ -348,25 +348,25 @@
 		if own < n {
 			b.beg(now, a)
 		}
-		b.Totals.Moving++
-		return Moving{a.name, 50 * time.Millisecond}
+		b.Totals.RejectedPending++
+		return TransferPendingError{a.name, 50 * time.Millisecond}
 	}
-	b.Totals.Out++
-	return FundsOut{a.name, time.Second}
+	b.Totals.RejectedExhausted++
+	return FundsExhaustedError{a.name, time.Second}
 }
 
 // Charge settles a request that was served or may have run: its answer had so many bytes. The rest of what was set aside is
 // free again.
-func (b *Book) Charge(t Ticket, bytes int) int64 {
-	n := min(t.price.Of(bytes), t.amount)
+func (b *Ledger) Charge(t Reservation, bytes int) int64 {
+	n := min(t.price.Cost(bytes), t.amount)
 	b.settle(t, n)
 	return n
 }
 
-// Return settles a request that never ran, or was refused.
-func (b *Book) Return(t Ticket) { b.settle(t, 0) }
+// Release settles a request that never ran, or was refused.
+func (b *Ledger) Release(t Reservation) { b.settle(t, 0) }
 
-func (b *Book) settle(t Ticket, n int64) {
+func (b *Ledger) settle(t Reservation, n int64) {
 	a := b.accounts[t.Account]
 	if a == nil || t.amount == 0 {
 		return
@@ -376,13 +376,13 @@
 	a.charged += n
 	a.spent -= t.amount - n
 	b.Totals.Charged += n
-	b.Totals.Returned += t.amount - n
+	b.Totals.Released += t.amount - n
 }
 
 // draw has rights moved from the ledger into memory, where requests are paid from: as much as is spent in a chunk's time,
 // and no less than is needed now.
-func (b *Book) draw(a *account, need int64) {
-	want := max(int64(math.Ceil(a.rate*b.set.Chunk.Seconds())), need, 1) - a.free - a.draw
+func (b *Ledger) draw(a *account, need int64) {
+	want := max(int64(math.Ceil(a.rate*b.set.DrawWindow.Seconds())), need, 1) - a.free - a.draw
 	n := min(want, a.line.Rights-a.wait)
 	if n <= 0 || b.stale() || b.failed != nil {
 		return
@@ -393,22 +393,22 @@
 
 // ready is what is kept in memory even where nobody asks: enough for the next two requests, so that these need not wait for
 // the disk.
-func (b *Book) ready(a *account) (n int64) {
+func (b *Ledger) ready(a *account) (n int64) {
 	for _, p := range b.set.Prices {
-		n = max(n, 2*p.Of(b.set.Answer))
+		n = max(n, 2*p.Cost(b.set.MaxResponseBytes))
 	}
 	return min(n, max(a.line.Rights-a.wait, 0)+a.free+a.draw)
 }
 
 // Close brings what is free back to the ledger. Nothing is reserved any more after it.
-func (b *Book) Close() {
+func (b *Ledger) Close() {
 	for _, name := range slices.Sorted(maps.Keys(b.accounts)) {
 		b.bringBack(b.accounts[name], 0)
 	}
 }
 
 // bringBack returns what is free to the ledger but for so much.
-func (b *Book) bringBack(a *account, but int64) {
+func (b *Ledger) bringBack(a *account, but int64) {
 	if n := a.free - but; n > 0 {
 		a.free -= n
 		a.line.Drawn -= n
@@ -416,8 +416,8 @@
 	}
 }
 
-func (b *Book) stale() bool {
-	_, is := b.stopped.(LedgerStale)
+func (b *Ledger) stale() bool {
+	_, is := b.stopped.(StaleLedgerError)
 	return is
 }
 
@@ -427,11 +427,11 @@
 const hysteresis = 1.25
 
 // paced tells whether a request may take from what is paced. Half of the bucket is for the classes of the greatest worth.
-func (b *Book) paced(now time.Duration, a *account, p Price, n int64) bool {
+func (b *Ledger) paced(now time.Duration, a *account, p Price, n int64) bool {
 	b.fill(now, a, n)
 	spare := 0.0
 	for _, other := range b.set.Prices {
-		if other.Worth > p.Worth {
+		if other.Weight > p.Weight {
 			spare = b.burst(a, n) / 2
 		}
 	}
@@ -443,33 +443,33 @@
 }
 
 // burst is what may be spent at once where it is paced: that of a second, or one request.
-func (b *Book) burst(a *account, n int64) float64 {
+func (b *Ledger) burst(a *account, n int64) float64 {
 	return max(a.pace, 2*float64(n))
 }
 
-func (b *Book) fill(now time.Duration, a *account, n int64) {
+func (b *Ledger) fill(now time.Duration, a *account, n int64) {
 	a.bucket = min(a.bucket+a.pace*max(now-a.at, 0).Seconds(), b.burst(a, n))
 	a.at = max(a.at, now)
 }
 
 // own is what this router may still spend of an account.
-func (b *Book) own(a *account) int64 { return max(a.line.Rights, 0) + a.free + a.draw }
+func (b *Ledger) own(a *account) int64 { return max(a.line.Rights, 0) + a.free + a.draw }
 
-// Beat looks at rates and levels, draws ahead of need, and moves rights to where they are used. It is due every
-// Settings.Beat; one that comes late does no harm.
-func (b *Book) Beat(now time.Duration) {
+// Tick looks at rates and levels, draws ahead of need, and moves rights to where they are used. It is due every
+// Settings.Tick; one that comes late does no harm.
+func (b *Ledger) Tick(now time.Duration) {
 	b.post.Tick(now)
 	b.ends(now)
-	keep := math.Exp(-b.set.Beat.Seconds() / 2)
+	keep := math.Exp(-b.set.TickInterval.Seconds() / 2)
 	for _, name := range slices.Sorted(maps.Keys(b.accounts)) {
 		a := b.accounts[name]
-		a.rate = a.rate*keep + float64(max(a.spent, 0))/b.set.Beat.Seconds()*(1-keep)
+		a.rate = a.rate*keep + float64(max(a.spent, 0))/b.set.TickInterval.Seconds()*(1-keep)
 		if a.rate < 1e-3 {
 			a.rate = 0
 		}
 		a.spent = 0
 		b.look(now, a)
-		need := int64(math.Ceil(a.rate * b.set.Chunk.Seconds()))
+		need := int64(math.Ceil(a.rate * b.set.DrawWindow.Seconds()))
 		ready := b.ready(a)
 		if a.free+a.draw < max(need/2, ready) || a.denied {
 			b.draw(a, max(need, ready))
@@ -487,36 +487,36 @@
 }
 
 // look sets an account's level by what is left and how fast it goes, over all routers as far as they have told.
-func (b *Book) look(now time.Duration, a *account) {
+func (b *Ledger) look(now time.Duration, a *account) {
 	left, rate := float64(b.own(a)+b.elsewhere(now, a.name)), a.rate+b.ratesElsewhere(now, a.name)
-	last := rate * b.set.Rest.Seconds()
+	last := rate * b.set.PacingHorizon.Seconds()
 	switch {
 	case left <= 0:
-		a.level = Out
-	case a.level == Low && left > hysteresis*last, a.level == Ample && left >= last, a.level == Out && left >= last:
-		a.level = Ample
+		a.level = LevelExhausted
+	case a.level == LevelLow && left > hysteresis*last, a.level == LevelAmple && left >= last, a.level == LevelExhausted && left >= last:
+		a.level = LevelAmple
 	default:
-		if a.level != Low {
+		if a.level != LevelLow {
 			a.bucket, a.at, a.pace = 0, now, 0
 		}
-		a.level = Low
+		a.level = LevelLow
 		// It stays as it was: what is left lasts for the time that is set, and is then used up.
-		a.pace = max(a.pace, float64(b.own(a))/b.set.Rest.Seconds())
+		a.pace = max(a.pace, float64(b.own(a))/b.set.PacingHorizon.Seconds())
 	}
 }
 
-// Standing is how an account stands with this router.
-type Standing struct {
+// AccountStatus is how an account stands with this router.
+type AccountStatus struct {
 	Account                         string
 	Level                           Level
 	Rights, Free, Held, Charged, Of int64 // Of: what others have told that they hold
 }
 
-// Accounts returns how all accounts stand, in the order of their names.
-func (b *Book) Accounts(now time.Duration) (out []Standing) {
+// AccountStatuses returns how all accounts stand, in the order of their names.
+func (b *Ledger) AccountStatuses(now time.Duration) (out []AccountStatus) {
 	for _, name := range slices.Sorted(maps.Keys(b.accounts)) {
 		a := b.accounts[name]
-		out = append(out, Standing{name, a.level, a.line.Rights, a.free + a.draw, a.held, a.charged, b.elsewhere(now, name)})
+		out = append(out, AccountStatus{name, a.level, a.line.Rights, a.free + a.draw, a.held, a.charged, b.elsewhere(now, name)})
 	}
 	return out
 }
--- a/internal/credit/move.go
+++ b/internal/credit/move.go
@@ -67,23 +67,23 @@
 	noneHeld   = 4096 // accounts of one router that are remembered
 )
 
-// Live tells who else is alive, in order.
-func (b *Book) Live(others []string) { b.live = others }
+// SetPeers tells who else is alive, in order.
+func (b *Ledger) SetPeers(others []string) { b.live = others }
 
-// Out returns the packets that are due.
-func (b *Book) Out(now time.Duration) []messaging.Packet { return b.post.DuePackets(now) }
+// OutgoingPackets returns the packets that are due.
+func (b *Ledger) OutgoingPackets(now time.Duration) []messaging.Packet { return b.post.DuePackets(now) }
 
 // elsewhere is what others have told lately that they hold of an account.
-func (b *Book) elsewhere(now time.Duration, name string) (sum int64) {
+func (b *Ledger) elsewhere(now time.Duration, name string) (sum int64) {
 	for _, t := range b.known {
 		if now-t.at < fresh {
 			sum += max(t.held[name].Amount, 0)
 		}
 	}
-	return min(sum, Most)
+	return min(sum, MaxAmount)
 }
 
-func (b *Book) ratesElsewhere(now time.Duration, name string) (sum float64) {
+func (b *Ledger) ratesElsewhere(now time.Duration, name string) (sum float64) {
 	for _, who := range slices.Sorted(maps.Keys(b.known)) {
 		if t := b.known[who]; now-t.at < fresh {
 			sum += t.held[name].Rate
@@ -92,8 +92,8 @@
 	return sum
 }
 
-func (b *Book) send(now time.Duration, to string, m message, wait time.Duration) uint64 {
-	m.Ledger = b.set.Ledger
+func (b *Ledger) send(now time.Duration, to string, m message, wait time.Duration) uint64 {
+	m.Ledger = b.set.LedgerID
 	body, err := cbor.Marshal(&m)
 	if err != nil { // this type can't fail
 		return 0
@@ -107,8 +107,8 @@
 }
 
 // tellAll tells some others, in turn, what is held here of the accounts that are in use.
-func (b *Book) tellAll(now time.Duration) {
-	if len(b.live) == 0 || now < b.told+b.set.Beat {
+func (b *Ledger) tellAll(now time.Duration) {
+	if len(b.live) == 0 || now < b.told+b.set.TickInterval {
 		return
 	}
 	b.told = now
@@ -122,7 +122,7 @@
 	})
 	for part := range slices.Chunk(list, toldMost) {
 		for i := range min(len(b.live), toldTo) {
-			b.send(now, b.live[(b.turn+i)%len(b.live)], message{Kind: kindTell, Told: part}, b.set.Beat)
+			b.send(now, b.live[(b.turn+i)%len(b.live)], message{Kind: kindTell, Told: part}, b.set.TickInterval)
 		}
 		if len(list) > 4*toldMost { // the others wait until these are used less
 			break
@@ -132,7 +132,7 @@
 }
 
 // beg asks for rights of an account, of who is known to hold most of it.
-func (b *Book) beg(now time.Duration, a *account) {
+func (b *Ledger) beg(now time.Duration, a *account) {
 	if now < a.begged+begEvery || len(b.live) == 0 || b.stale() {
 		return
 	}
@@ -146,13 +146,13 @@
 		return
 	}
 	a.begged = now
-	want := max(int64(math.Ceil(4*a.rate*b.set.Chunk.Seconds()))-b.own(a), 1)
-	b.send(now, best, message{Kind: kindBeg, Account: a.name, Amount: want}, b.set.Beat)
+	want := max(int64(math.Ceil(4*a.rate*b.set.DrawWindow.Seconds()))-b.own(a), 1)
+	b.send(now, best, message{Kind: kindBeg, Account: a.name, Amount: want}, b.set.TickInterval)
 }
 
 // begged gives rights that are not needed here: as many as are asked for, or half of them where that is more, so that few
 // gifts bring rights to where they are used.
-func (b *Book) begged(now time.Duration, from string, m message) {
+func (b *Ledger) begged(now time.Duration, from string, m message) {
 	a := b.accounts[m.Account]
 	if a == nil || b.stale() || b.failed != nil {
 		return
@@ -168,7 +168,7 @@
 	if a.rate == 0 {
 		b.bringBack(a, 0)
 	}
-	spare := a.line.Rights - a.wait - int64(math.Ceil(2*a.rate*b.set.Chunk.Seconds()))
+	spare := a.line.Rights - a.wait - int64(math.Ceil(2*a.rate*b.set.DrawWindow.Seconds()))
 	if a.rate == 0 {
 		spare = a.line.Rights - a.wait
 	}
@@ -178,7 +178,7 @@
 	}
 	a.line.Rights -= n
 	g.Seq, g.Account, g.Amount, g.written = g.Seq+1, a.name, n, false
-	b.Totals.Given += n
+	b.Totals.TransferredOut += n
 	b.change(func(now time.Duration) { // it is on its way only once it is written down as given
 		g.written = true
 		b.give(now, g)
@@ -186,17 +186,17 @@
 }
 
 // give sends a gift that is written down, until the other has taken it.
-func (b *Book) give(now time.Duration, g *gift) {
+func (b *Ledger) give(now time.Duration, g *gift) {
 	if g.Amount > 0 && g.written && g.parcel == 0 {
 		g.parcel = b.send(now, g.to, message{Kind: kindGive, Account: g.Account, Amount: g.Amount, Seq: g.Seq}, 10*time.Second)
 	}
 }
 
-// Take takes a packet of another router.
-func (b *Book) Take(now time.Duration, data []byte) {
+// ReceivePacket takes a packet of another router.
+func (b *Ledger) ReceivePacket(now time.Duration, data []byte) {
 	for _, p := range b.post.Receive(now, data) {
 		var m message
-		if err := cbor.Unmarshal(p.Body, &m); err != nil || len(m.Ledger) > 64 || m.Ledger == "" || len(m.Told) > toldMost || m.Amount < 0 || m.Amount > Most {
+		if err := cbor.Unmarshal(p.Body, &m); err != nil || len(m.Ledger) > 64 || m.Ledger == "" || len(m.Told) > toldMost || m.Amount < 0 || m.Amount > MaxAmount {
 			b.post.Acknowledge(p, []byte(no))
 			continue
 		}
@@ -218,7 +218,7 @@
 	b.ends(now)
 }
 
-func (b *Book) heard(now time.Duration, from string, list []holding) {
+func (b *Ledger) heard(now time.Duration, from string, list []holding) {
 	t := b.known[from]
 	if t == nil {
 		if len(b.known) >= 1024 {
@@ -229,7 +229,7 @@
 	}
 	t.at = now
 	for _, h := range list {
-		if len(t.held) >= noneHeld || len(h.Account) > nameMost || h.Amount < 0 || h.Amount > Most || !(h.Rate >= 0 && h.Rate <= float64(Most)) {
+		if len(t.held) >= noneHeld || len(h.Account) > nameMost || h.Amount < 0 || h.Amount > MaxAmount || !(h.Rate >= 0 && h.Rate <= float64(MaxAmount)) {
 			continue
 		}
 		if b.accounts[h.Account] != nil {
@@ -239,24 +239,24 @@
 }
 
 // taken takes a gift, once. The giver hears that only when it is written down here.
-func (b *Book) taken(p messaging.Delivery, m message) {
+func (b *Ledger) taken(p messaging.Delivery, m message) {
 	last := b.got[m.Ledger]
 	switch {
 	case m.Seq <= last:
 		b.onceWritten(func(time.Duration) { b.post.Acknowledge(p, []byte(yes)) }) // it was, before
 		return
-	case m.Seq != last+1 || m.Account == "" || len(m.Account) > nameMost || len(b.accounts) > b.set.Accounts:
+	case m.Seq != last+1 || m.Account == "" || len(m.Account) > nameMost || len(b.accounts) > b.set.MaxAccounts:
 		b.post.Acknowledge(p, []byte(no))
 		return
 	}
 	b.got[m.Ledger] = m.Seq
-	b.Totals.Taken += m.Amount
+	b.Totals.TransferredIn += m.Amount
 	b.add(b.account(m.Account), m.Amount, "got/"+m.Ledger)
 	b.onceWritten(func(time.Duration) { b.post.Acknowledge(p, []byte(yes)) })
 }
 
 // ends takes the ends of parcels.
-func (b *Book) ends(now time.Duration) {
+func (b *Ledger) ends(now time.Duration) {
 	for _, d := range b.post.Completions() {
 		a, ok := b.asked[d.ID]
 		delete(b.asked, d.ID)
@@ -275,10 +275,10 @@
 			case yes:
 				b.births[a.to] = true
 			case stale:
-				b.stopped = LedgerStale{a.to}
+				b.stopped = StaleLedgerError{a.to}
 			default:
 				if !b.meta.Born && b.stopped == nil {
-					b.stopped = NameTaken{a.to}
+					b.stopped = NameTakenError{a.to}
 				}
 			}
 		}
@@ -288,7 +288,7 @@
 // beBorn asks all others among whom top-ups are split whether they know another ledger under this name, until all have said
 // no: only then is it sure that nobody has had this router's parts. Ledgers that are born ask each once after each start,
 // whether they have got more from it than it knows.
-func (b *Book) beBorn(now time.Duration) {
+func (b *Ledger) beBorn(now time.Duration) {
 	for _, to := range slices.Sorted(maps.Keys(b.gifts)) { // what a process before this one has left
 		b.give(now, b.gifts[to])
 	}
@@ -313,10 +313,10 @@
 }
 
 // others are all but this one among whom top-ups are split.
-func (b *Book) others() (names []string) {
-	seen := map[string]bool{b.set.Self: true}
+func (b *Ledger) others() (names []string) {
+	seen := map[string]bool{b.set.Router: true}
 	for _, t := range b.list {
-		for _, name := range t.Among {
+		for _, name := range t.Routers {
 			if !seen[name] {
 				seen[name] = true
 				names = append(names, name)
@@ -329,7 +329,7 @@
 
 // birth answers whether another ledger is known under a router's name, and whether more has come from this one than it
 // knows. The first ledger that asks is written down before it hears yes.
-func (b *Book) birth(p messaging.Delivery, m message) {
+func (b *Ledger) birth(p messaging.Delivery, m message) {
 	switch was := b.names[p.From]; {
 	case was != "" && was != m.Ledger:
 		b.post.Acknowledge(p, []byte(no))
--- a/internal/credit/script_test.go
+++ b/internal/credit/script_test.go
@@ -11,7 +11,7 @@
 // rich is a fleet at rest whose account a has so much.
 func rich(n int, amount int64) *fleet {
 	f := newFleet(1, n)
-	f.fund(Topup{ID: "first", Account: "a", Amount: amount, Among: f.names()}, f.routers...)
+	f.fund(TopUp{ID: "first", Account: "a", Amount: amount, Routers: f.names()}, f.routers...)
 	f.pass(2 * time.Second)
 	return f
 }
@@ -42,7 +42,7 @@
 // One account's end is no other's: it is refused, that is not.
 func TestBeside(t *testing.T) {
 	f := rich(3, 40_000)
-	f.fund(Topup{ID: "b", Account: "b", Amount: 1_000_000_000, Among: f.names()}, f.routers...)
+	f.fund(TopUp{ID: "b", Account: "b", Amount: 1_000_000_000, Routers: f.names()}, f.routers...)
 	f.pass(time.Second)
 	for _, r := range f.routers {
 		r.demand["a"], r.demand["b"] = 50, 50
@@ -54,7 +54,7 @@
 		}
 	}
 	// A top-up frees it within a second.
-	f.fund(Topup{ID: "more", Account: "a", Amount: 500_000_000, Among: f.names()}, f.routers...)
+	f.fund(TopUp{ID: "more", Account: "a", Amount: 500_000_000, Routers: f.names()}, f.routers...)
 	f.pass(time.Second)
 	for _, r := range f.routers {
 		before := r.served["a"]
@@ -72,7 +72,7 @@
 		r.demand["a"], r.class = 100, []string{"order", "page", "page"}[i]
 	}
 	f.pass(3 * time.Second)
-	if s := f.routers[0].book.Accounts(f.now + f.routers[0].offset)[0]; s.Level != Low {
+	if s := f.routers[0].book.AccountStatuses(f.now + f.routers[0].offset)[0]; s.Level != LevelLow {
 		t.Fatalf("the account stands as %+v", s)
 	}
 	spent := f.charged["a"]
@@ -86,20 +86,20 @@
 // What is taken back is what is not spent; the rest is owed, and filled by the next top-up first.
 func TestTakenBack(t *testing.T) {
 	f := rich(3, 3_000_000)
-	f.fund(Topup{ID: "back", Account: "a", Amount: -2_000_000, Among: f.names()}, f.routers...)
+	f.fund(TopUp{ID: "back", Account: "a", Amount: -2_000_000, Routers: f.names()}, f.routers...)
 	f.pass(time.Second)
 	if got := f.holds("a"); got != 1_000_000 {
 		t.Errorf("%d are left of three millions of which two were taken back", got)
 	}
-	f.fund(Topup{ID: "more back", Account: "a", Amount: -4_000_000, Among: f.names()}, f.routers...)
+	f.fund(TopUp{ID: "more back", Account: "a", Amount: -4_000_000, Routers: f.names()}, f.routers...)
 	f.pass(time.Second)
 	r := f.routers[0]
-	if _, err := r.book.Reserve(f.now+r.offset, "a", "page"); !errors.As(err, new(FundsOut)) {
+	if _, err := r.book.Reserve(f.now+r.offset, "a", "page"); !errors.As(err, new(FundsExhaustedError)) {
 		t.Errorf("after more was taken back than there was: %v", err)
 	}
-	f.fund(Topup{ID: "more", Account: "a", Amount: 3_000_000, Among: f.names()}, f.routers...)
+	f.fund(TopUp{ID: "more", Account: "a", Amount: 3_000_000, Routers: f.names()}, f.routers...)
 	f.pass(time.Second)
-	if _, err := r.book.Reserve(f.now+r.offset, "a", "page"); !errors.As(err, new(FundsOut)) {
+	if _, err := r.book.Reserve(f.now+r.offset, "a", "page"); !errors.As(err, new(FundsExhaustedError)) {
 		t.Errorf("a top-up that only fills what is owed: %v", err)
 	}
 }
@@ -108,17 +108,17 @@
 func TestListRefused(t *testing.T) {
 	f := rich(2, 1_000_000)
 	b := f.routers[0].book
-	good := Topup{ID: "x", Account: "a", Amount: 1, Among: f.names()}
-	for what, list := range map[string][]Topup{
+	good := TopUp{ID: "x", Account: "a", Amount: 1, Routers: f.names()}
+	for what, list := range map[string][]TopUp{
 		"twice":         {good, good},
-		"another split": {good, {ID: "first", Account: "a", Amount: 1_000_000, Among: []string{"r0"}}},
-		"another sum":   {good, {ID: "first", Account: "a", Amount: 9, Among: f.names()}},
-		"too much":      {good, {ID: "y", Account: "a", Amount: Most, Among: f.names()}},
+		"another split": {good, {ID: "first", Account: "a", Amount: 1_000_000, Routers: []string{"r0"}}},
+		"another sum":   {good, {ID: "first", Account: "a", Amount: 9, Routers: f.names()}},
+		"too much":      {good, {ID: "y", Account: "a", Amount: MaxAmount, Routers: f.names()}},
 		"nobody":        {good, {ID: "y", Account: "a", Amount: 1}},
-		"no account":    {good, {ID: "y", Amount: 1, Among: f.names()}},
+		"no account":    {good, {ID: "y", Amount: 1, Routers: f.names()}},
 	} {
 		held := f.holds("a")
-		if err := b.Fund(f.now, list); !errors.As(err, new(ListRefused)) || f.holds("a") != held || b.topups["x"].Part != 0 {
+		if err := b.ApplyTopUps(f.now, list); !errors.As(err, new(TopUpRejectedError)) || f.holds("a") != held || b.topups["x"].Part != 0 {
 			t.Errorf("%s: %v", what, err)
 		}
 	}
@@ -129,7 +129,7 @@
 	f := rich(2, 1_000_000)
 	b := f.routers[0].book
 	for i := range 100_000 {
-		if _, err := b.Reserve(f.now, fmt.Sprint("junk", i), "page"); !errors.As(err, new(NoAccount)) {
+		if _, err := b.Reserve(f.now, fmt.Sprint("junk", i), "page"); !errors.As(err, new(UnknownAccountError)) {
 			t.Fatal(err)
 		}
 	}
@@ -142,7 +142,7 @@
 // known ledger spends nothing once it has heard of that.
 func TestOtherLedgers(t *testing.T) {
 	f := rich(3, 9_000_000)
-	f.fund(Topup{ID: "z", Account: "z", Amount: 100_000_000, Among: f.names()[1:]}, f.routers...)
+	f.fund(TopUp{ID: "z", Account: "z", Amount: 100_000_000, Routers: f.names()[1:]}, f.routers...)
 	f.pass(time.Second)
 	old := []map[string][]byte{nil, maps.Clone(f.routers[1].disk), maps.Clone(f.routers[2].disk)}
 	f.routers[0].demand["z"] = 50 // it needs what the others have
@@ -156,14 +156,14 @@
 	r.disk = old[r.i]
 	f.start(r)
 	f.pass(2 * time.Second)
-	if _, err := r.book.Reserve(f.now+r.offset, "z", "page"); !errors.As(err, new(LedgerStale)) {
+	if _, err := r.book.Reserve(f.now+r.offset, "z", "page"); !errors.As(err, new(StaleLedgerError)) {
 		t.Errorf("a ledger of before: %v", err)
 	}
 	f.kill(other)
 	f.newDisk(other)
 	f.start(other)
 	f.pass(2 * time.Second)
-	if err := other.book.Stopped(); !errors.As(err, new(NameTaken)) || other.book.topups["first"].Part != 0 {
+	if err := other.book.IdentityError(); !errors.As(err, new(NameTakenError)) || other.book.topups["first"].Part != 0 {
 		t.Errorf("a new ledger of a known name: %v", err)
 	}
 	f.check(t)
--- a/internal/credit/sim_test.go
+++ b/internal/credit/sim_test.go
@@ -28,7 +28,7 @@
 	cut     map[[2]int]bool
 	loss    float64
 	made    uint64
-	list    []Topup
+	list    []TopUp
 	prices  map[string]Price
 	funded  map[string]int64 // by account: all that any router has read
 	charged map[string]int64
@@ -40,7 +40,7 @@
 type router struct {
 	i       int
 	name    string
-	book    *Book
+	book    *Ledger
 	process uint64
 	disk    map[string][]byte
 	ledger  string
@@ -48,7 +48,7 @@
 	down    bool
 	stopped time.Duration
 	offset  time.Duration
-	writing []Entry
+	writing []Record
 	wrote   time.Duration
 	beat    time.Duration
 	demand  map[string]float64 // by account, a second
@@ -61,7 +61,7 @@
 
 type pending struct {
 	at     time.Duration
-	ticket Ticket
+	ticket Reservation
 }
 
 type mail struct {
@@ -72,7 +72,7 @@
 
 func newFleet(seed uint64, n int) *fleet {
 	f := &fleet{rnd: rand.New(rand.NewPCG(seed, 21)), cut: map[[2]int]bool{}, funded: map[string]int64{}, charged: map[string]int64{}, gone: map[string]int64{},
-		prices: map[string]Price{"page": {Each: 1000, PerMB: 500_000, Worth: 1}, "order": {Each: 9000, Worth: 3}}}
+		prices: map[string]Price{"page": {PerRequest: 1000, PerMegabyte: 500_000, Weight: 1}, "order": {PerRequest: 9000, Weight: 3}}}
 	for i := range n {
 		f.routers = append(f.routers, &router{i: i, name: fmt.Sprintf("r%d", i), demand: map[string]float64{}, owed: map[string]float64{},
 			refused: map[string]int{}, served: map[string]int{}, class: "page"})
@@ -94,27 +94,27 @@
 	r.process, r.down, r.stopped, r.writing, r.open = f.made, false, 0, nil, nil
 	r.offset = time.Duration(f.rnd.Int64N(int64(time.Hour))) // its clock may be behind that of the process before
 	set := Defaults(r.name, r.process, r.ledger)
-	set.Prices, set.Answer = f.prices, 20_000
-	var lines []Entry
+	set.Prices, set.MaxResponseBytes = f.prices, 20_000
+	var lines []Record
 	for _, key := range slices.Sorted(maps.Keys(r.disk)) {
-		lines = append(lines, Entry{key, r.disk[key]})
+		lines = append(lines, Record{key, r.disk[key]})
 	}
 	var err error
 	if r.book, err = New(set, lines); err != nil {
 		panic(err)
 	}
-	if err := r.book.Fund(r.offset, f.list); err != nil {
+	if err := r.book.ApplyTopUps(r.offset, f.list); err != nil {
 		panic(err)
 	}
 }
 
 // fund has the file of top-ups grow, and some routers read it.
-func (f *fleet) fund(t Topup, readers ...*router) {
+func (f *fleet) fund(t TopUp, readers ...*router) {
 	f.list = append(f.list, t)
 	f.funded[t.Account] += max(t.Amount, 0)
 	for _, r := range readers {
 		if !r.down {
-			if err := r.book.Fund(f.now+r.offset, f.list); err != nil {
+			if err := r.book.ApplyTopUps(f.now+r.offset, f.list); err != nil {
 				f.wrong = append(f.wrong, err.Error())
 			}
 		}
@@ -142,7 +142,7 @@
 	r.down = true
 }
 
-func (f *fleet) store(r *router, lines []Entry) {
+func (f *fleet) store(r *router, lines []Record) {
 	for _, l := range lines {
 		r.disk[l.Key] = l.Value
 	}
@@ -162,7 +162,7 @@
 			f.mail = append(f.mail, m)
 			slices.SortStableFunc(f.mail, func(a, b mail) int { return cmp.Compare(a.at, b.at) })
 		default:
-			r.book.Take(f.now+r.offset, m.data)
+			r.book.ReceivePacket(f.now+r.offset, m.data)
 		}
 	}
 	for _, r := range f.routers {
@@ -189,7 +189,7 @@
 		} else {
 			f.store(r, lines)
 		}
-		r.book.Written(now, lines, err)
+		r.book.WriteCompleted(now, lines, err)
 	}
 	if f.now >= r.beat {
 		r.beat = f.now + 200*ms
@@ -199,8 +199,8 @@
 				live = append(live, o.name)
 			}
 		}
-		r.book.Live(live)
-		r.book.Beat(now)
+		r.book.SetPeers(live)
+		r.book.Tick(now)
 	}
 	for _, name := range slices.Sorted(maps.Keys(r.demand)) {
 		for r.owed[name] = min(r.owed[name]+r.demand[name]/200, 20); r.owed[name] >= 1; r.owed[name]-- {
@@ -218,7 +218,7 @@
 			return false
 		}
 		if f.rnd.IntN(10) == 0 {
-			r.book.Return(p.ticket)
+			r.book.Release(p.ticket)
 		} else {
 			f.charged[p.ticket.Account] += r.book.Charge(p.ticket, f.rnd.IntN(20_000))
 			f.served++
@@ -226,11 +226,11 @@
 		return true
 	})
 	if r.writing == nil {
-		if r.writing = r.book.Write(); r.writing != nil {
+		if r.writing = r.book.NextWrite(); r.writing != nil {
 			r.wrote = f.now + 5*ms + time.Duration(f.rnd.Int64N(int64(15*ms)))
 		}
 	}
-	for _, p := range r.book.Out(now) {
+	for _, p := range r.book.OutgoingPackets(now) {
 		to := slices.IndexFunc(f.routers, func(o *router) bool { return o.name == p.To })
 		for range 1 + f.rnd.IntN(10)/9 {
 			if !f.cut[[2]int{r.i, to}] && f.rnd.Float64() >= f.loss {
@@ -318,7 +318,7 @@
 		n := 3 + int(seed%5)
 		f := newFleet(seed, n)
 		for i := range 3 {
-			f.fund(Topup{ID: fmt.Sprint("first", i), Account: fmt.Sprint("a", i), Amount: 2_000_000 + f.rnd.Int64N(9_000_000), Among: f.names()}, f.routers...)
+			f.fund(TopUp{ID: fmt.Sprint("first", i), Account: fmt.Sprint("a", i), Amount: 2_000_000 + f.rnd.Int64N(9_000_000), Routers: f.names()}, f.routers...)
 		}
 		for _, r := range f.routers {
 			r.demand[fmt.Sprint("a", f.rnd.IntN(3))] = f.rnd.Float64() * 120
@@ -337,12 +337,12 @@
 						some = append(some, r)
 					}
 				}
-				f.fund(Topup{ID: fmt.Sprint("more", f.now), Account: fmt.Sprint("a", f.rnd.IntN(3)), Amount: 1 + f.rnd.Int64N(3_000_000), Among: f.names()}, some...)
+				f.fund(TopUp{ID: fmt.Sprint("more", f.now), Account: fmt.Sprint("a", f.rnd.IntN(3)), Amount: 1 + f.rnd.Int64N(3_000_000), Routers: f.names()}, some...)
 			}
 		}
 		f.heal()
 		for _, r := range f.routers {
-			if err := r.book.Fund(f.now+r.offset, f.list); err != nil {
+			if err := r.book.ApplyTopUps(f.now+r.offset, f.list); err != nil {
 				f.wrong = append(f.wrong, err.Error())
 			}
 			clear(r.demand)
--- a/internal/credit/store/kill_test.go
+++ b/internal/credit/store/kill_test.go
@@ -35,7 +35,7 @@
 		if err != nil || len(all) != 0 {
 			t.Fatalf("killed after %d bytes: %d lines, %v", cut, len(all), err)
 		}
-		if err := l.Write([]Line{{"a", []byte("1")}}); err != nil {
+		if err := l.Write([]Record{{"a", []byte("1")}}); err != nil {
 			t.Fatal(err)
 		}
 		if err := l.Close(); err != nil {
@@ -60,7 +60,7 @@
 		t.Fatal(err)
 	}
 	before := read(t, path)
-	group := []Line{{"count", []byte("new")}, {"account/3", bytes.Repeat([]byte("x"), 5000)}, {"more", bytes.Repeat([]byte("y"), 300)}}
+	group := []Record{{"count", []byte("new")}, {"account/3", bytes.Repeat([]byte("x"), 5000)}, {"more", bytes.Repeat([]byte("y"), 300)}}
 	if err := l.Write(group); err != nil {
 		t.Fatal(err)
 	}
@@ -99,7 +99,7 @@
 }
 
 // version tells which of the two states of the test above the lines are.
-func version(all []Line) string {
+func version(all []Record) string {
 	values := map[string]string{}
 	for _, l := range all {
 		values[l.Key] = fmt.Sprintf("%d %.3s", len(l.Value), l.Value)
--- a/internal/credit/store/space_test.go
+++ b/internal/credit/store/space_test.go
@@ -34,7 +34,7 @@
 	if err != nil {
 		return err
 	}
-	if err := l.Write([]Line{{"before", []byte("1")}}); err != nil {
+	if err := l.Write([]Record{{"before", []byte("1")}}); err != nil {
 		return err
 	}
 	signal.Ignore(syscall.SIGXFSZ) // the write fails with EFBIG instead
@@ -49,7 +49,7 @@
 	if err := syscall.Setrlimit(syscall.RLIMIT_FSIZE, &syscall.Rlimit{Cur: uint64(info.Size()), Max: all.Max}); err != nil {
 		return err
 	}
-	large := []Line{{"large", bytes.Repeat([]byte("x"), 1<<20)}}
+	large := []Record{{"large", bytes.Repeat([]byte("x"), 1<<20)}}
 	for range 20 {
 		if err := l.Write(large); err == nil {
 			return errors.New("written without space")
--- a/internal/credit/store/store.go
+++ b/internal/credit/store/store.go
@@ -22,51 +22,51 @@
 	"hillknot/internal/operatorhint"
 )
 
-// Foreign says that a file is no ledger of this router.
-type Foreign struct{ Path, Why string }
+// ForeignFileError says that a file is no ledger of this router.
+type ForeignFileError struct{ Path, Why string }
 
-func (e Foreign) Error() string {
+func (e ForeignFileError) Error() string {
 	return fmt.Sprintf("%s is no ledger of this router: %s", e.Path, e.Why)
 }
 
-// Hint implements remedy.Error.
-func (Foreign) Hint() string {
+// Hint implements operatorhint.Error.
+func (ForeignFileError) Hint() string {
 	return "Name this router's own file; a copied ledger is refused, as what it holds may be spent already: move the first one back."
 }
 
-// Torn says that a ledger is damaged.
-type Torn struct{ Path, Why string }
+// CorruptFileError says that a ledger is damaged.
+type CorruptFileError struct{ Path, Why string }
 
-func (e Torn) Error() string { return fmt.Sprintf("%s is damaged: %s", e.Path, e.Why) }
+func (e CorruptFileError) Error() string { return fmt.Sprintf("%s is damaged: %s", e.Path, e.Why) }
 
-// Hint implements remedy.Error.
-func (Torn) Hint() string {
+// Hint implements operatorhint.Error.
+func (CorruptFileError) Hint() string {
 	return "Keep the file for who can read it, and start the router under a name that no router had; what it held rests."
 }
 
-// InUse says that another process has the ledger open.
-type InUse struct{ Path string }
+// FileInUseError says that another process has the ledger open.
+type FileInUseError struct{ Path string }
 
-func (e InUse) Error() string { return e.Path + " is open in another process" }
+func (e FileInUseError) Error() string { return e.Path + " is open in another process" }
 
-// Hint implements remedy.Error.
-func (InUse) Hint() string {
+// Hint implements operatorhint.Error.
+func (FileInUseError) Hint() string {
 	return "End the other process, or give each router a ledger of its own."
 }
 
 // Errors holds an example of each type of this package, as docs/errors.md shows it.
-var Errors = []operatorhint.Error{Foreign{"r1.ledger", "it is of \"r2\""}, Torn{"r1.ledger", "it is shorter than it says"}, InUse{"r1.ledger"}}
+var Errors = []operatorhint.Error{ForeignFileError{"r1.ledger", "it is of \"r2\""}, CorruptFileError{"r1.ledger", "it is shorter than it says"}, FileInUseError{"r1.ledger"}}
 
-// Line is a key and its value.
-type Line struct {
+// Record is a key and its value.
+type Record struct {
 	Key   string
 	Value []byte
 }
 
-// Ledger is an open file. Its methods may be called anywhere; Write blocks until the disk has it.
-type Ledger struct {
-	db *bolt.DB
-	ID string // drawn as the file was made
+// File is an open file. Its methods may be called anywhere; Write blocks until the disk has it.
+type File struct {
+	db       *bolt.DB
+	LedgerID string // drawn as the file was made
 }
 
 var (
@@ -82,7 +82,7 @@
 
 // Open opens the ledger of a router, or makes it, and returns its lines. An error is Foreign, Torn or InUse, or one of the
 // file system.
-func Open(path, self string) (l *Ledger, all []Line, err error) {
+func Open(path, self string) (l *File, all []Record, err error) {
 	switch info, err := os.Stat(path); {
 	case errors.Is(err, fs.ErrNotExist):
 		if err := create(path, self); err != nil {
@@ -127,7 +127,7 @@
 	db, err := bolt.Open(path, 0o600, &bolt.Options{Timeout: openWait})
 	switch {
 	case errors.Is(err, bolterrors.ErrTimeout):
-		return InUse{path}
+		return FileInUseError{path}
 	case err == nil:
 		_ = db.Close() // nothing was written
 	}
@@ -151,24 +151,24 @@
 }
 
 // open opens a file that is a ledger, or is to become one.
-func open(path, self string) (l *Ledger, all []Line, err error) {
+func open(path, self string) (l *File, all []Record, err error) {
 	// What is damaged in other ways may make reads fault, which would end the process.
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
 		if p := recover(); p != nil {
-			l, all, err = nil, nil, Torn{path, fmt.Sprint(p)}
+			l, all, err = nil, nil, CorruptFileError{path, fmt.Sprint(p)}
 		}
 	}()
 	db, err := bolt.Open(path, 0o600, &bolt.Options{Timeout: openWait})
 	switch {
 	case errors.Is(err, bolterrors.ErrTimeout):
-		return nil, nil, InUse{path}
+		return nil, nil, FileInUseError{path}
 	case err != nil && errors.As(err, new(*os.PathError)):
 		return nil, nil, fmt.Errorf("ledger: %w", err)
 	case err != nil:
-		return nil, nil, Torn{path, err.Error()}
+		return nil, nil, CorruptFileError{path, err.Error()}
 	}
-	l = &Ledger{db: db}
+	l = &File{db: db}
 	if all, err = l.begin(path, self); err != nil {
 		_ = db.Close() // the first error is the one to report
 		return nil, nil, err
@@ -192,27 +192,27 @@
 		_, err := f.ReadAt(meta, int64(i)*page)
 		switch {
 		case err != nil && i == 0 && size < 80:
-			return Foreign{path, "it is shorter than any ledger"}
+			return ForeignFileError{path, "it is shorter than any ledger"}
 		case err != nil:
-			return Torn{path, "it is shorter than any ledger"}
+			return CorruptFileError{path, "it is shorter than any ledger"}
 		case binary.LittleEndian.Uint32(meta[16:]) != 0xED0CDAED && i == 0:
-			return Foreign{path, "it is another kind of file"}
+			return ForeignFileError{path, "it is another kind of file"}
 		}
 		if page = int64(binary.LittleEndian.Uint32(meta[24:])); page < 512 || page > 1<<16 {
-			return Torn{path, fmt.Sprintf("its pages have %d bytes", page)}
+			return CorruptFileError{path, fmt.Sprintf("its pages have %d bytes", page)}
 		}
 		if n := binary.LittleEndian.Uint64(meta[64:]); i == 0 || n > latest {
 			pages, latest = binary.LittleEndian.Uint64(meta[56:]), n
 		}
 	}
 	if pages > 1<<32 || size < int64(pages)*page {
-		return Torn{path, fmt.Sprintf("it has %d bytes of %d pages", size, pages)}
+		return CorruptFileError{path, fmt.Sprintf("it has %d bytes of %d pages", size, pages)}
 	}
 	return nil
 }
 
 // begin checks whose ledger it is and whether it is whole, or makes a new one.
-func (l *Ledger) begin(path, self string) (all []Line, err error) {
+func (l *File) begin(path, self string) (all []Record, err error) {
 	here, err := identity(path)
 	if err != nil {
 		return nil, err
@@ -221,7 +221,7 @@
 		b := tx.Bucket(about)
 		if b == nil {
 			if tx.Bucket(lines) != nil {
-				return Foreign{path, "it lacks what a ledger says of itself"}
+				return ForeignFileError{path, "it lacks what a ledger says of itself"}
 			}
 			id := make([]byte, 16)
 			_, _ = rand.Read(id) // it never fails
@@ -229,8 +229,8 @@
 			if err != nil {
 				return err
 			}
-			l.ID = hex.EncodeToString(id)
-			for k, v := range map[string]string{"format": format, "self": self, "id": l.ID, "file": here} {
+			l.LedgerID = hex.EncodeToString(id)
+			for k, v := range map[string]string{"format": format, "self": self, "id": l.LedgerID, "file": here} {
 				if err := b.Put([]byte(k), []byte(v)); err != nil {
 					return err
 				}
@@ -238,22 +238,22 @@
 			_, err = tx.CreateBucket(lines)
 			return err
 		}
-		l.ID = string(b.Get([]byte("id")))
+		l.LedgerID = string(b.Get([]byte("id")))
 		switch {
 		case string(b.Get([]byte("format"))) != format:
-			return Foreign{path, fmt.Sprintf("its format is %q", b.Get([]byte("format")))}
+			return ForeignFileError{path, fmt.Sprintf("its format is %q", b.Get([]byte("format")))}
 		case string(b.Get([]byte("self"))) != self:
-			return Foreign{path, fmt.Sprintf("it is of %q", b.Get([]byte("self")))}
+			return ForeignFileError{path, fmt.Sprintf("it is of %q", b.Get([]byte("self")))}
 		case string(b.Get([]byte("file"))) != here:
-			return Foreign{path, "it was made as another file: it is a copy"}
-		case tx.Bucket(lines) == nil || l.ID == "":
-			return Torn{path, "its lines are missing"}
+			return ForeignFileError{path, "it was made as another file: it is a copy"}
+		case tx.Bucket(lines) == nil || l.LedgerID == "":
+			return CorruptFileError{path, "its lines are missing"}
 		}
 		return tx.Bucket(lines).ForEach(func(k, v []byte) error { // all of it is read, so that what is missing shows now
 			if len(v) < 4 || binary.BigEndian.Uint32(v) != sum(k, v[4:]) {
-				return Torn{path, fmt.Sprintf("line %q is not as it was written", k)}
+				return CorruptFileError{path, fmt.Sprintf("line %q is not as it was written", k)}
 			}
-			all = append(all, Line{string(k), bytes.Clone(v[4:])})
+			all = append(all, Record{string(k), bytes.Clone(v[4:])})
 			return nil
 		})
 	})
@@ -279,7 +279,7 @@
 }
 
 // Write writes lines, all or none, and returns once the disk has them. After an error they may be there or not.
-func (l *Ledger) Write(group []Line) error {
+func (l *File) Write(group []Record) error {
 	return l.db.Update(func(tx *bolt.Tx) error {
 		b := tx.Bucket(lines)
 		for _, line := range group {
@@ -293,4 +293,4 @@
 }
 
 // Close closes the file.
-func (l *Ledger) Close() error { return l.db.Close() }
+func (l *File) Close() error { return l.db.Close() }
--- a/internal/credit/store/store_test.go
+++ b/internal/credit/store/store_test.go
@@ -15,7 +15,7 @@
 		t.Fatal(err)
 	}
 	for i := range n {
-		if err := l.Write([]Line{{fmt.Sprint("account/", i), make([]byte, 200)}, {"count", []byte(fmt.Sprint(i))}}); err != nil {
+		if err := l.Write([]Record{{fmt.Sprint("account/", i), make([]byte, 200)}, {"count", []byte(fmt.Sprint(i))}}); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -30,16 +30,16 @@
 	path := filepath.Join(dir, "r1.ledger")
 	make1(t, path, 20)
 	l, all, err := Open(path, "r1")
-	if err != nil || len(all) != 21 || l.ID == "" {
+	if err != nil || len(all) != 21 || l.LedgerID == "" {
 		t.Fatalf("%d lines, %v", len(all), err)
 	}
-	if _, _, err := Open(path, "r1"); !errors.As(err, new(InUse)) {
+	if _, _, err := Open(path, "r1"); !errors.As(err, new(FileInUseError)) {
 		t.Errorf("in use: %v", err)
 	}
 	if err := l.Close(); err != nil {
 		t.Fatal(err)
 	}
-	if _, _, err := Open(path, "r2"); !errors.As(err, new(Foreign)) {
+	if _, _, err := Open(path, "r2"); !errors.As(err, new(ForeignFileError)) {
 		t.Errorf("of another router: %v", err)
 	}
 	text, err := os.ReadFile(path)
@@ -51,7 +51,7 @@
 		if err := os.WriteFile(other, text, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		if _, _, err := Open(other, "r1"); !errors.As(err, new(Foreign)) {
+		if _, _, err := Open(other, "r1"); !errors.As(err, new(ForeignFileError)) {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
@@ -82,7 +82,7 @@
 		}
 		l, all, err := Open(path, "r1")
 		if err != nil {
-			if torn++; !errors.As(err, new(Torn)) && !errors.As(err, new(Foreign)) {
+			if torn++; !errors.As(err, new(CorruptFileError)) && !errors.As(err, new(ForeignFileError)) {
 				t.Fatalf("cut at %d: %v", cut, err)
 			}
 			continue
--- a/internal/credit/topups/topups.go
+++ b/internal/credit/topups/topups.go
@@ -31,7 +31,7 @@
 const amountMost = 1e9
 
 // Read reads the file, which is HCL. Errors name file, line and column.
-func Read(path string) (list []credit.Topup, err error) {
+func Read(path string) (list []credit.TopUp, err error) {
 	if info, err := os.Stat(path); err == nil && info.Size() > sizeMost {
 		return nil, fmt.Errorf("top-ups %s: over %d bytes", path, sizeMost)
 	}
@@ -51,7 +51,7 @@
 		if among == nil {
 			among = all.Among
 		}
-		list = append(list, credit.Topup{ID: t.ID, Account: t.Account, Amount: int64(math.Round(t.Amount * 1e6)), Among: among})
+		list = append(list, credit.TopUp{ID: t.ID, Account: t.Account, Amount: int64(math.Round(t.Amount * 1e6)), Routers: among})
 	}
 	return list, nil
 }
--- a/internal/extension/prepaidcredit/prepaidcredit.go
+++ b/internal/extension/prepaidcredit/prepaidcredit.go
@@ -15,28 +15,28 @@
 	"hillknot/internal/operatorhint"
 )
 
-// Carrier carries packets between routers. No method may block.
-type Carrier interface {
+// Transport carries packets between routers. No method may block.
+type Transport interface {
 	CarryCredit([]messaging.Packet)
 	Alive() (others []string, owners int)
 }
 
 // Settings set up the purse beside what credit needs.
 type Settings struct {
-	Topups  string // the file
-	Unnamed bool   // requests without an account are free
+	TopUpFile    string // the file
+	AllowUnnamed bool   // requests without an account are free
 }
 
-// Purse implements core.Credit. All its methods but Read and Run belong to the core's goroutine.
-type Purse struct {
+// Service implements core.Credit. All its methods but ReloadTopUps and Run belong to the core's goroutine.
+type Service struct {
 	core    *core.Core
 	set     Settings
-	book    *credit.Book
-	ledger  *store.Ledger
-	carrier Carrier
-	writes  chan []store.Line
+	book    *credit.Ledger
+	ledger  *store.File
+	carrier Transport
+	writes  chan []store.Record
 	results chan error
-	writing []credit.Entry
+	writing []credit.Record
 	figures []core.Metric
 	fresh   time.Duration
 	beat    time.Duration
@@ -46,18 +46,18 @@
 // retryEvery is how often a ledger that could not be written is tried again.
 const retryEvery = 500 * time.Millisecond
 
-// Open opens the ledger and reads the top-ups. Set.Ledger is the ledger's to tell.
-func Open(c *core.Core, path string, set credit.Settings, more Settings, carrier Carrier) (*Purse, error) {
-	l, lines, err := store.Open(path, set.Self)
+// Open opens the ledger and reads the top-ups. Set.LedgerID is the ledger's to tell.
+func Open(c *core.Core, path string, set credit.Settings, more Settings, carrier Transport) (*Service, error) {
+	l, lines, err := store.Open(path, set.Router)
 	if err != nil {
 		return nil, err
 	}
-	entries := make([]credit.Entry, len(lines))
+	entries := make([]credit.Record, len(lines))
 	for i, line := range lines {
-		entries[i] = credit.Entry(line)
+		entries[i] = credit.Record(line)
 	}
-	set.Ledger = l.ID
-	p := &Purse{core: c, set: more, ledger: l, carrier: carrier, writes: make(chan []store.Line, 1), results: make(chan error, 1), beat: set.Beat}
+	set.LedgerID = l.LedgerID
+	p := &Service{core: c, set: more, ledger: l, carrier: carrier, writes: make(chan []store.Record, 1), results: make(chan error, 1), beat: set.TickInterval}
 	if p.book, err = credit.New(set, entries); err == nil {
 		err = p.fund(0)
 	}
@@ -68,23 +68,23 @@
 	return p, nil
 }
 
-func (p *Purse) fund(now time.Duration) error {
-	list, err := topups.Read(p.set.Topups)
+func (p *Service) fund(now time.Duration) error {
+	list, err := topups.Read(p.set.TopUpFile)
 	if err != nil {
 		return err
 	}
-	return p.book.Fund(now, list)
+	return p.book.ApplyTopUps(now, list)
 }
 
-// Begin begins to hold requests to their accounts.
-func (p *Purse) Begin() {
+// Start begins to hold requests to their accounts.
+func (p *Service) Start() {
 	p.core.SetCredit(p)
 	p.tick()
 }
 
 // Run writes the ledger until stop is closed: a group at a time, which is all that came together while the one before was
 // on its way to the disk.
-func (p *Purse) Run(stop <-chan struct{}) {
+func (p *Service) Run(stop <-chan struct{}) {
 	for {
 		select {
 		case <-stop:
@@ -97,7 +97,7 @@
 }
 
 // written takes how the group that was handed over came out, once.
-func (p *Purse) written() {
+func (p *Service) written() {
 	var err error
 	select {
 	case err = <-p.results:
@@ -106,7 +106,7 @@
 	}
 	lines := p.writing
 	p.writing = nil
-	p.book.Written(p.core.LoopTime(), lines, err)
+	p.book.WriteCompleted(p.core.LoopTime(), lines, err)
 	if err != nil {
 		p.core.Schedule(p.core.LoopTime()+retryEvery, p.write)
 		return
@@ -115,37 +115,37 @@
 }
 
 // write hands the ledger what is to be written, unless something is on its way there.
-func (p *Purse) write() {
+func (p *Service) write() {
 	if p.writing != nil {
 		return
 	}
-	p.writing = p.book.Write()
+	p.writing = p.book.NextWrite()
 	if p.writing == nil {
 		return
 	}
-	group := make([]store.Line, len(p.writing))
+	group := make([]store.Record, len(p.writing))
 	for i, e := range p.writing {
-		group[i] = store.Line(e)
+		group[i] = store.Record(e)
 	}
 	p.writes <- group // there is room: nothing else is on its way
 }
 
-func (p *Purse) tick() {
+func (p *Service) tick() {
 	now := p.core.LoopTime()
 	others, _ := p.carrier.Alive()
-	p.book.Live(others)
-	p.book.Beat(now)
+	p.book.SetPeers(others)
+	p.book.Tick(now)
 	p.trouble()
 	if now >= p.fresh {
 		p.fresh = now + p.beat
-		p.figures = figures(p.book.Totals, p.book.Accounts(now))
+		p.figures = figures(p.book.Totals, p.book.AccountStatuses(now))
 	}
 	p.core.Schedule(now+p.beat, p.tick)
 }
 
 // trouble tells the log, once, why the ledger is not written or not counted on.
-func (p *Purse) trouble() {
-	err := errors.Join(p.book.Failed(), p.book.Stopped())
+func (p *Service) trouble() {
+	err := errors.Join(p.book.WriteError(), p.book.IdentityError())
 	text := ""
 	if err != nil {
 		text = err.Error()
@@ -158,33 +158,33 @@
 	p.told = text
 }
 
-// Take takes a packet of another router.
-func (p *Purse) Take(data []byte) { p.book.Take(p.core.LoopTime(), data) }
+// ReceivePacket takes a packet of another router.
+func (p *Service) ReceivePacket(data []byte) { p.book.ReceivePacket(p.core.LoopTime(), data) }
 
 // Flush implements core.Credit.
-func (p *Purse) Flush() {
-	if p.book.Failed() == nil {
+func (p *Service) Flush() {
+	if p.book.WriteError() == nil {
 		p.write()
 	}
-	if out := p.book.Out(p.core.LoopTime()); len(out) > 0 {
+	if out := p.book.OutgoingPackets(p.core.LoopTime()); len(out) > 0 {
 		p.carrier.CarryCredit(out)
 	}
 }
 
-// Read reads the file of top-ups again. A faulty one changes nothing. It may be called anywhere.
-func (p *Purse) Read() error {
-	list, err := topups.Read(p.set.Topups)
+// ReloadTopUps reads the file of top-ups again. A faulty one changes nothing. It may be called anywhere.
+func (p *Service) ReloadTopUps() error {
+	list, err := topups.Read(p.set.TopUpFile)
 	if err != nil {
 		return err
 	}
 	done := make(chan error, 1)
-	p.core.Post(func() { done <- p.book.Fund(p.core.LoopTime(), list) })
+	p.core.Post(func() { done <- p.book.ApplyTopUps(p.core.LoopTime(), list) })
 	return <-done
 }
 
 // Reserve implements core.Credit.
-func (p *Purse) Reserve(q *core.Request) (core.Reservation, error) {
-	if q.Account == "" && p.set.Unnamed {
+func (p *Service) Reserve(q *core.Request) (core.Reservation, error) {
+	if q.Account == "" && p.set.AllowUnnamed {
 		return nil, nil
 	}
 	t, err := p.book.Reserve(p.core.LoopTime(), q.Account, q.Class)
@@ -195,34 +195,34 @@
 }
 
 // Charge implements core.Credit.
-func (p *Purse) Charge(reservation core.Reservation, bytes int) {
-	if t, ok := reservation.(credit.Ticket); ok { // else it was free
+func (p *Service) Charge(reservation core.Reservation, bytes int) {
+	if t, ok := reservation.(credit.Reservation); ok { // else it was free
 		p.book.Charge(t, bytes)
 	}
 }
 
 // Release implements core.Credit.
-func (p *Purse) Release(reservation core.Reservation) {
-	if t, ok := reservation.(credit.Ticket); ok { // else it was free
-		p.book.Return(t)
+func (p *Service) Release(reservation core.Reservation) {
+	if t, ok := reservation.(credit.Reservation); ok { // else it was free
+		p.book.Release(t)
 	}
 }
 
 // RetryAfter implements core.Credit.
-func (p *Purse) RetryAfter(err error) (wait time.Duration, reason string) {
+func (p *Service) RetryAfter(err error) (wait time.Duration, reason string) {
 	var (
-		out    credit.FundsOut
-		paced  credit.Paced
-		moving credit.Moving
-		nobody credit.NoAccount
+		out    credit.FundsExhaustedError
+		paced  credit.FundsPacedError
+		moving credit.TransferPendingError
+		nobody credit.UnknownAccountError
 	)
 	switch {
 	case errors.As(err, &out):
-		return out.Later, "funds-out"
+		return out.RetryAfter, "funds-out"
 	case errors.As(err, &paced):
-		return paced.Later, "funds-low"
+		return paced.RetryAfter, "funds-low"
 	case errors.As(err, &moving):
-		return moving.Later, "funds-moving"
+		return moving.RetryAfter, "funds-moving"
 	case errors.As(err, &nobody):
 		return 0, "no-account"
 	}
@@ -230,15 +230,15 @@
 }
 
 // Close implements core.Credit: what is free goes back to the ledger. It waits for the disk, as the router ends.
-func (p *Purse) Close() {
+func (p *Service) Close() {
 	p.book.Close()
 	if p.writing != nil { // what is on its way comes first
-		p.book.Written(p.core.LoopTime(), p.writing, <-p.results)
+		p.book.WriteCompleted(p.core.LoopTime(), p.writing, <-p.results)
 		p.writing = nil
 	}
-	var all []store.Line
-	for _, e := range p.book.Write() {
-		all = append(all, store.Line(e))
+	var all []store.Record
+	for _, e := range p.book.NextWrite() {
+		all = append(all, store.Record(e))
 	}
 	if len(all) > 0 {
 		if err := p.ledger.Write(all); err != nil {
@@ -249,23 +249,23 @@
 }
 
 // Metrics implements core.Credit.
-func (p *Purse) Metrics() []core.Metric { return p.figures }
+func (p *Service) Metrics() []core.Metric { return p.figures }
 
-func figures(t credit.Totals, accounts []credit.Standing) []core.Metric {
+func figures(t credit.Totals, accounts []credit.AccountStatus) []core.Metric {
 	out := []core.Metric{
 		{Name: "credit_charged", Help: "Charged by this router, in millionths.", Value: uint64(t.Charged), Counter: true},
-		{Name: "credit_given", Help: "Rights given to other routers, in millionths.", Value: uint64(t.Given), Counter: true},
-		{Name: "credit_taken", Help: "Rights taken from other routers, in millionths.", Value: uint64(t.Taken), Counter: true},
-		{Name: "credit_refused_out", Help: "Requests refused as funds are out.", Value: t.Out, Counter: true},
-		{Name: "credit_refused_low", Help: "Requests refused as funds are low and paced.", Value: t.Paced, Counter: true},
-		{Name: "credit_refused_moving", Help: "Requests refused as rights were on their way.", Value: t.Moving, Counter: true},
+		{Name: "credit_given", Help: "Rights given to other routers, in millionths.", Value: uint64(t.TransferredOut), Counter: true},
+		{Name: "credit_taken", Help: "Rights taken from other routers, in millionths.", Value: uint64(t.TransferredIn), Counter: true},
+		{Name: "credit_refused_out", Help: "Requests refused as funds are out.", Value: t.RejectedExhausted, Counter: true},
+		{Name: "credit_refused_low", Help: "Requests refused as funds are low and paced.", Value: t.RejectedPaced, Counter: true},
+		{Name: "credit_refused_moving", Help: "Requests refused as rights were on their way.", Value: t.RejectedPending, Counter: true},
 	}
 	levels, held := [3]uint64{}, int64(0)
 	for _, a := range accounts {
 		levels[a.Level]++
 		held += max(a.Rights, 0) + a.Free + a.Held
 	}
-	for l := credit.Ample; l <= credit.Out; l++ {
+	for l := credit.LevelAmple; l <= credit.LevelExhausted; l++ {
 		out = append(out, core.Metric{Name: "credit_accounts_" + l.String(), Help: "Accounts that stand so with this router.", Value: levels[l]})
 	}
 	return append(out, core.Metric{Name: "credit_held", Help: "Rights that this router holds, in millionths.", Value: uint64(held)})
