--- a/cmd/hillknot/cluster.go
+++ b/cmd/hillknot/cluster.go
@@ -25,7 +25,7 @@
 // has been told that this process takes its place.
 func talk(cfg *config.Config, c *core.Core, shared *core.ClusterState, stop <-chan struct{}) (keyed, error) {
 	var hands *orderfailover.Extension // these are of the core's goroutine
-	var prepaid *prepaidcredit.Service
+	var prepaid *prepaidcredit.Extension
 	m, err := membership.New(cfg.Name, cfg.Fleet, func(msgs []state.Message) { c.Post(func() { c.ReceiveGossip(msgs) }) }, membership.Lanes{
 		Orders: func(packet []byte) {
 			c.Post(func() {
@@ -67,7 +67,7 @@
 // talking is what SIGHUP reads again.
 type talking struct {
 	*membership.Members
-	prepaid *prepaidcredit.Service
+	prepaid *prepaidcredit.Extension
 }
 
 // Reread reads the keys and the top-ups again. A faulty file changes nothing.
@@ -79,7 +79,7 @@
 	return err
 }
 
-func openPrepaidCredit(cfg *config.Config, c *core.Core, m *membership.Members) (*prepaidcredit.Service, error) {
+func openPrepaidCredit(cfg *config.Config, c *core.Core, m *membership.Members) (*prepaidcredit.Extension, error) {
 	f := cfg.Fleet
 	set := credit.Defaults(cfg.Name, f.State.Process, "")
 	set.PacingHorizon, set.DrawWindow, set.MaxResponseBytes, set.Prices = f.Credit.Rest, f.Credit.Chunk, cfg.Limits.Object, map[string]credit.Price{}
--- a/internal/extension/prepaidcredit/prepaidcredit.go
+++ b/internal/extension/prepaidcredit/prepaidcredit.go
@@ -27,8 +27,8 @@
 	AllowUnnamed bool   // requests without an account are free
 }
 
-// Service implements core.Credit. All its methods but ReloadTopUps and Run belong to the core's goroutine.
-type Service struct {
+// Extension implements core.Credit. All its methods but ReloadTopUps and Run belong to the core's goroutine.
+type Extension struct {
 	core    *core.Core
 	set     Settings
 	book    *credit.Ledger
@@ -47,7 +47,7 @@
 const retryEvery = 500 * time.Millisecond
 
 // Open opens the ledger and reads the top-ups. Set.LedgerID is the ledger's to tell.
-func Open(c *core.Core, path string, set credit.Settings, more Settings, carrier Transport) (*Service, error) {
+func Open(c *core.Core, path string, set credit.Settings, more Settings, carrier Transport) (*Extension, error) {
 	l, lines, err := store.Open(path, set.Router)
 	if err != nil {
 		return nil, err
@@ -57,7 +57,7 @@
 		entries[i] = credit.Record(line)
 	}
 	set.LedgerID = l.LedgerID
-	p := &Service{core: c, set: more, ledger: l, carrier: carrier, writes: make(chan []store.Record, 1), results: make(chan error, 1), beat: set.TickInterval}
+	p := &Extension{core: c, set: more, ledger: l, carrier: carrier, writes: make(chan []store.Record, 1), results: make(chan error, 1), beat: set.TickInterval}
 	if p.book, err = credit.New(set, entries); err == nil {
 		err = p.fund(0)
 	}
@@ -68,7 +68,7 @@
 	return p, nil
 }
 
-func (p *Service) fund(now time.Duration) error {
+func (p *Extension) fund(now time.Duration) error {
 	list, err := topups.Read(p.set.TopUpFile)
 	if err != nil {
 		return err
@@ -77,14 +77,14 @@
 }
 
 // Start begins to hold requests to their accounts.
-func (p *Service) Start() {
+func (p *Extension) Start() {
 	p.core.SetCredit(p)
 	p.tick()
 }
 
 // Run writes the ledger until stop is closed: a group at a time, which is all that came together while the one before was
 // on its way to the disk.
-func (p *Service) Run(stop <-chan struct{}) {
+func (p *Extension) Run(stop <-chan struct{}) {
 	for {
 		select {
 		case <-stop:
@@ -97,7 +97,7 @@
 }
 
 // written takes how the group that was handed over came out, once.
-func (p *Service) written() {
+func (p *Extension) written() {
 	var err error
 	select {
 	case err = <-p.results:
@@ -115,7 +115,7 @@
 }
 
 // write hands the ledger what is to be written, unless something is on its way there.
-func (p *Service) write() {
+func (p *Extension) write() {
 	if p.writing != nil {
 		return
 	}
@@ -130,7 +130,7 @@
 	p.writes <- group // there is room: nothing else is on its way
 }
 
-func (p *Service) tick() {
+func (p *Extension) tick() {
 	now := p.core.LoopTime()
 	others, _ := p.carrier.Alive()
 	p.book.SetPeers(others)
@@ -144,7 +144,7 @@
 }
 
 // trouble tells the log, once, why the ledger is not written or not counted on.
-func (p *Service) trouble() {
+func (p *Extension) trouble() {
 	err := errors.Join(p.book.WriteError(), p.book.IdentityError())
 	text := ""
 	if err != nil {
@@ -159,10 +159,10 @@
 }
 
 // ReceivePacket takes a packet of another router.
-func (p *Service) ReceivePacket(data []byte) { p.book.ReceivePacket(p.core.LoopTime(), data) }
+func (p *Extension) ReceivePacket(data []byte) { p.book.ReceivePacket(p.core.LoopTime(), data) }
 
 // Flush implements core.Credit.
-func (p *Service) Flush() {
+func (p *Extension) Flush() {
 	if p.book.WriteError() == nil {
 		p.write()
 	}
@@ -172,7 +172,7 @@
 }
 
 // ReloadTopUps reads the file of top-ups again. A faulty one changes nothing. It may be called anywhere.
-func (p *Service) ReloadTopUps() error {
+func (p *Extension) ReloadTopUps() error {
 	list, err := topups.Read(p.set.TopUpFile)
 	if err != nil {
 		return err
@@ -183,7 +183,7 @@
 }
 
 // Reserve implements core.Credit.
-func (p *Service) Reserve(q *core.Request) (core.Reservation, error) {
+func (p *Extension) Reserve(q *core.Request) (core.Reservation, error) {
 	if q.Account == "" && p.set.AllowUnnamed {
 		return nil, nil
 	}
@@ -195,21 +195,21 @@
 }
 
 // Charge implements core.Credit.
-func (p *Service) Charge(reservation core.Reservation, bytes int) {
+func (p *Extension) Charge(reservation core.Reservation, bytes int) {
 	if t, ok := reservation.(credit.Reservation); ok { // else it was free
 		p.book.Charge(t, bytes)
 	}
 }
 
 // Release implements core.Credit.
-func (p *Service) Release(reservation core.Reservation) {
+func (p *Extension) Release(reservation core.Reservation) {
 	if t, ok := reservation.(credit.Reservation); ok { // else it was free
 		p.book.Release(t)
 	}
 }
 
 // RetryAfter implements core.Credit.
-func (p *Service) RetryAfter(err error) (wait time.Duration, reason string) {
+func (p *Extension) RetryAfter(err error) (wait time.Duration, reason string) {
 	var (
 		out    credit.FundsExhaustedError
 		paced  credit.FundsPacedError
@@ -230,7 +230,7 @@
 }
 
 // Close implements core.Credit: what is free goes back to the ledger. It waits for the disk, as the router ends.
-func (p *Service) Close() {
+func (p *Extension) Close() {
 	p.book.Close()
 	if p.writing != nil { // what is on its way comes first
 		p.book.WriteCompleted(p.core.LoopTime(), p.writing, <-p.results)
@@ -249,7 +249,7 @@
 }
 
 // Metrics implements core.Credit.
-func (p *Service) Metrics() []core.Metric { return p.figures }
+func (p *Extension) Metrics() []core.Metric { return p.figures }
 
 func figures(t credit.Totals, accounts []credit.AccountStatus) []core.Metric {
 	out := []core.Metric{
