--- a/internal/core/api.go
+++ b/internal/core/api.go
@@ -68,7 +68,7 @@
 // AttemptResult is how an attempt ended.
 type AttemptResult struct {
 	Status      balancer.Status
-	Note        balancer.Detail
+	Detail      balancer.Detail
 	SourceWait  time.Duration // for the source's first byte
 	Body        []byte        // belongs to the receiver
 	NotModified bool          // the client's own copy is the one
--- a/internal/core/attempts.go
+++ b/internal/core/attempts.go
@@ -36,7 +36,7 @@
 		heap.Push(&c.timers, timer{at: a.until, attempt: a})
 	}
 	if s, n := c.Permit(a); s != balancer.OK {
-		c.CompleteAttempt(a, AttemptResult{Status: s, Note: n})
+		c.CompleteAttempt(a, AttemptResult{Status: s, Detail: n})
 		return
 	}
 	c.up.Send(a)
@@ -91,7 +91,7 @@
 
 func (c *Core) outcome(a *Attempt, e AttemptResult) {
 	c.events = append(c.events, balancer.Outcome{ID: a.owner.id, Attempt: a.Index, Endpoint: a.Decision.Endpoint, Status: e.Status,
-		Elapsed: c.now - a.sent, SourceWait: e.SourceWait, Answered: c.open[a.owner.id] != a.owner, Detail: e.Note})
+		Elapsed: c.now - a.sent, SourceWait: e.SourceWait, Answered: c.open[a.owner.id] != a.owner, Detail: e.Detail})
 }
 
 func (c *Core) timeOut(a *Attempt) {
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -105,7 +105,7 @@
 	if len(r.out) != 1 || r.out[0].Source == nil {
 		t.Fatalf("attempts %+v", r.out)
 	}
-	r.end(r.out[0], AttemptResult{Status: balancer.OK, Note: balancer.Hit, Body: []byte("x")})
+	r.end(r.out[0], AttemptResult{Status: balancer.OK, Detail: balancer.Hit, Body: []byte("x")})
 	r.wait(4 * second)
 	r.one("served", Served)
 }
@@ -312,7 +312,7 @@
 	}
 	r.wait(2 * second)
 	r.submit("page", second)
-	r.end(r.out[0], AttemptResult{Status: balancer.OK, Note: balancer.Hit})
+	r.end(r.out[0], AttemptResult{Status: balancer.OK, Detail: balancer.Hit})
 	if s := r.c.Snapshot(); s.AvoidedEndpoints != 1 {
 		t.Errorf("the other is well again: %d are avoided", s.AvoidedEndpoints)
 	}
--- a/internal/core/members.go
+++ b/internal/core/members.go
@@ -21,8 +21,8 @@
 	StartedAt            time.Duration // when that was, on the core's clock
 }
 
-// NodeIDOf is the module's id of a member. All routers derive the same.
-func NodeIDOf(id string) balancer.EndpointID {
+// EndpointIDOf is the module's id of a member. All routers derive the same.
+func EndpointIDOf(id string) balancer.EndpointID {
 	h := uint64(14695981039346656037) // FNV-1a
 	for i := range len(id) {
 		h = (h ^ uint64(id[i])) * 1099511628211
@@ -39,7 +39,7 @@
 func (c *Core) applyEndpoints(full bool, hosts []EndpointUpdate) {
 	ev := balancer.EndpointUpdate{Complete: full, Endpoints: make([]balancer.Endpoint, 0, len(hosts))}
 	for _, h := range hosts {
-		n := NodeIDOf(h.ID)
+		n := EndpointIDOf(h.ID)
 		m := c.members[n]
 		if m == nil {
 			m = &Endpoint{ID: h.ID, node: n}
@@ -73,7 +73,7 @@
 func (c *Core) dropUnlisted(hosts []EndpointUpdate) {
 	listed := make(map[balancer.EndpointID]bool, len(hosts))
 	for _, h := range hosts {
-		listed[NodeIDOf(h.ID)] = true
+		listed[EndpointIDOf(h.ID)] = true
 	}
 	for n, m := range c.members {
 		if !listed[n] {
--- a/internal/core/resolve.go
+++ b/internal/core/resolve.go
@@ -9,13 +9,13 @@
 
 // EndpointQuery asks for members to name to a resolver.
 type EndpointQuery struct {
-	Key      uint64
-	Count    int
-	OnlyNode balancer.EndpointID // the only member that will do; 0: any
-	Load     float64
-	TTL      time.Duration // how long the resolver may keep the answer
-	Timeout  time.Duration
-	Reply    func(QueryResult) // called once on the core's goroutine
+	Key          uint64
+	MaxEndpoints int
+	OnlyEndpoint balancer.EndpointID // the only member that will do; 0: any
+	Load         float64
+	TTL          time.Duration // how long the resolver may keep the answer
+	Timeout      time.Duration
+	Reply        func(QueryResult) // called once on the core's goroutine
 }
 
 // QueryResult answers a query. No member and no refusal says that there is none.
@@ -44,7 +44,7 @@
 
 // decide hands the query to the module.
 func (c *Core) decide(q *query) {
-	ev := balancer.Resolve{ID: q.id, Key: q.Key, MaxEndpoints: q.Count, OnlyEndpoint: q.OnlyNode, Load: q.Load, TTL: q.TTL}
+	ev := balancer.Resolve{ID: q.id, Key: q.Key, MaxEndpoints: q.MaxEndpoints, OnlyEndpoint: q.OnlyEndpoint, Load: q.Load, TTL: q.TTL}
 	c.events = append(c.events, ev)
 }
 
--- a/internal/core/shared.go
+++ b/internal/core/shared.go
@@ -111,7 +111,7 @@
 		return
 	}
 	switch {
-	case e.Status == balancer.OK && (e.Note == balancer.Hit || e.Note == balancer.Stale):
+	case e.Status == balancer.OK && (e.Detail == balancer.Hit || e.Detail == balancer.Stale):
 		s.state.Count("hits "+a.Endpoint.ID, 1)
 	case e.Status == balancer.OK, e.Status == balancer.Miss:
 		s.state.Count("misses "+a.Endpoint.ID, 1)
--- a/internal/core/trace.go
+++ b/internal/core/trace.go
@@ -37,7 +37,7 @@
 
 func (c *Core) traceEnd(a *Attempt, e AttemptResult) {
 	if c.trace {
-		slog.Debug("end", "id", a.owner.id, "n", a.Index, "status", e.Status, "note", e.Note, "took", c.now-a.sent, "waited", e.SourceWait)
+		slog.Debug("end", "id", a.owner.id, "n", a.Index, "status", e.Status, "note", e.Detail, "took", c.now-a.sent, "waited", e.SourceWait)
 	}
 }
 
--- a/internal/frontend/dns/front.go
+++ b/internal/frontend/dns/front.go
@@ -207,7 +207,7 @@
 	default:
 		q.question = append([]byte(nil), q.question...) // outlives the buffer
 		f.core.Post(func() {
-			f.core.Resolve(core.EndpointQuery{Key: f.key(q, from), Count: f.cfg.Answers, OnlyNode: only, Load: f.cfg.Load,
+			f.core.Resolve(core.EndpointQuery{Key: f.key(q, from), MaxEndpoints: f.cfg.Answers, OnlyEndpoint: only, Load: f.cfg.Load,
 				TTL:     time.Duration(float64(f.cfg.TTL) * f.cfg.Overstay),
 				Timeout: f.cfg.Deadline, Reply: func(r core.QueryResult) { f.answer(q, name, size, r, send) }})
 		})
@@ -282,7 +282,7 @@
 
 // label is the name of a member below the configured one. Ids may hold what a label may not.
 func label(m *core.Endpoint) string {
-	return fmt.Sprintf("%s%016x", labelStart, uint64(core.NodeIDOf(m.ID)))
+	return fmt.Sprintf("%s%016x", labelStart, uint64(core.EndpointIDOf(m.ID)))
 }
 
 const labelStart = "m-"
--- a/internal/frontend/dns/front_test.go
+++ b/internal/frontend/dns/front_test.go
@@ -290,7 +290,7 @@
 	for key := range uint64(20) {
 		s.core.Post(func() { // one turn: asked, then lost, before the module is asked
 			s.core.UpdateEndpoints([]core.EndpointUpdate{host(1, balancer.InService)})
-			s.core.Resolve(core.EndpointQuery{Key: key, Count: 1, Timeout: time.Second, Reply: func(r core.QueryResult) { got <- r }})
+			s.core.Resolve(core.EndpointQuery{Key: key, MaxEndpoints: 1, Timeout: time.Second, Reply: func(r core.QueryResult) { got <- r }})
 			s.core.UpdateEndpoints([]core.EndpointUpdate{host(1, balancer.Draining)})
 		})
 		if r := <-got; len(r.Endpoints) != 1 || r.Endpoints[0].ID != "s-2" {
@@ -298,7 +298,7 @@
 		}
 	}
 	s.core.Post(func() {
-		s.core.Resolve(core.EndpointQuery{Count: 1, Timeout: time.Second, Reply: func(r core.QueryResult) { got <- r }})
+		s.core.Resolve(core.EndpointQuery{MaxEndpoints: 1, Timeout: time.Second, Reply: func(r core.QueryResult) { got <- r }})
 		s.core.ReplaceEndpoints(nil)
 	})
 	if r := <-got; len(r.Endpoints) != 0 || r.Rejected {
--- a/internal/upstream/client.go
+++ b/internal/upstream/client.go
@@ -305,7 +305,7 @@
 // write sends the request, unless it may no longer be sent by now.
 func (cl *Client) write(c *conn, a *core.Attempt) {
 	if s, n := cl.core.Permit(a); s != balancer.OK {
-		cl.core.CompleteAttempt(a, core.AttemptResult{Status: s, Note: n})
+		cl.core.CompleteAttempt(a, core.AttemptResult{Status: s, Detail: n})
 		return
 	}
 	if !cl.core.AcquireLease(a) { // others must know of it first; it is sent anew then
@@ -337,7 +337,7 @@
 		s = balancer.ConnectFailed
 	}
 	if s != balancer.OK {
-		cl.core.CompleteAttempt(a, core.AttemptResult{Status: s, Note: n})
+		cl.core.CompleteAttempt(a, core.AttemptResult{Status: s, Detail: n})
 		return
 	}
 	cl.Send(a)
--- a/internal/upstream/client_test.go
+++ b/internal/upstream/client_test.go
@@ -132,7 +132,7 @@
 	}
 	fmt.Fprint(nc, "t1 DONE res=cached 5\r\nhe")
 	fmt.Fprint(nc, "llo\r\n")
-	if e := b.ended(balancer.OK); string(e.Body) != "hello" || e.Note != balancer.Hit {
+	if e := b.ended(balancer.OK); string(e.Body) != "hello" || e.Detail != balancer.Hit {
 		t.Errorf("end %+v", e)
 	}
 }
--- a/internal/upstream/codec.go
+++ b/internal/upstream/codec.go
@@ -86,7 +86,7 @@
 	if !ok {
 		return core.AttemptResult{}, errGarbled
 	}
-	e := core.AttemptResult{Status: status, Note: notes[string(a.field("res"))], NotModified: string(a.word) == "KEEP"}
+	e := core.AttemptResult{Status: status, Detail: notes[string(a.field("res"))], NotModified: string(a.word) == "KEEP"}
 	if ms, err := strconv.ParseFloat(string(a.field("took")), 64); err == nil && ms > 0 && ms < 1e9 {
 		e.SourceWait = time.Duration(ms * float64(time.Millisecond))
 	}
--- a/internal/upstream/codec_test.go
+++ b/internal/upstream/codec_test.go
@@ -33,12 +33,12 @@
 // Each word has one meaning; one that is not known garbles the line.
 func TestEnd(t *testing.T) {
 	for text, want := range map[string]core.AttemptResult{
-		"a DONE res=past_fresh,took=1.5,version=x 2\r\nhi\r\n": {Status: balancer.OK, Note: balancer.Stale,
+		"a DONE res=past_fresh,took=1.5,version=x 2\r\nhi\r\n": {Status: balancer.OK, Detail: balancer.Stale,
 			SourceWait: 1500 * time.Microsecond, Body: []byte("hi")},
-		"a KEEP version=x,res=cached 0\r\n\r\n": {Status: balancer.OK, Note: balancer.Hit, NotModified: true, ETag: "x"},
-		"a LACK res=up_empty 0\r\n\r\n":         {Status: balancer.Miss, Note: balancer.SourceMiss},
+		"a KEEP version=x,res=cached 0\r\n\r\n": {Status: balancer.OK, Detail: balancer.Hit, NotModified: true, ETag: "x"},
+		"a LACK res=up_empty 0\r\n\r\n":         {Status: balancer.Miss, Detail: balancer.SourceMiss},
 		"a WAIT - 0\r\n\r\n":                    {Status: balancer.Rejected},
-		"a BROKE res=up_lost 0\r\n\r\n":         {Status: balancer.Error, Note: balancer.SourceUnreachable},
+		"a BROKE res=up_lost 0\r\n\r\n":         {Status: balancer.Error, Detail: balancer.SourceUnreachable},
 		"a PAST took=-3,res=what 0\r\n\r\n":     {Status: balancer.NotSent},
 	} {
 		a, _, _, err := parse([]byte(text), 100, 100)
