--- a/client/client.go
+++ b/client/client.go
@@ -340,15 +340,16 @@
 	for len(buf) < cap(buf) {
 		n, err := nc.Read(buf[len(buf):cap(buf)])
 		buf = buf[:len(buf)+n]
-		h, used, _, bad := rpc.ParseResponseHeader(buf, headMost, 0)
+		h, progress, bad := rpc.ParseResponseHeader(buf, headMost, 0)
+		complete := progress.Consumed > 0
 		switch {
 		case bad != nil:
 			return bad
-		case used > 0 && (h.ID != 1 || h.Kind != rpc.ResponseHealth):
+		case complete && (h.ID != 1 || h.Kind != rpc.ResponseHealth):
 			return rpc.ErrMalformed
-		case used > 0 && !h.Ready:
+		case complete && !h.Ready:
 			return ErrNotReady
-		case used > 0:
+		case complete:
 			return nil
 		case err != nil:
 			if ctx.Err() != nil {
--- a/client/client_test.go
+++ b/client/client_test.go
@@ -52,7 +52,7 @@
 	body := bytes.Repeat([]byte("score"), 40_000)
 	r := script(t, func(p *fakes.Peer, m rpc.Message) {
 		if string(m.Fields.CachedTag) == "tag" {
-			p.Raw(rpc.AppendBodyResponse(nil, m.ID, nil, "ok304", "1"))
+			p.Raw(rpc.AppendBodyResponse(nil, m.ID, nil, rpc.Field{Name: rpc.FieldNotModified, Value: "1"}))
 			return
 		}
 		p.Serve(m.ID, body)
--- a/client/conn.go
+++ b/client/conn.go
@@ -267,21 +267,21 @@
 	for {
 		buf := space[:fill] // what has come and is not used up
 		for len(buf) > 0 {
-			h, used, _, err := rpc.ParseResponseHeader(buf, headMost, n.c.cfg.MaxAnswer)
+			h, progress, err := rpc.ParseResponseHeader(buf, headMost, n.c.cfg.MaxAnswer)
 			if err != nil {
 				return err
 			}
-			if used == 0 {
+			if progress.Consumed == 0 {
 				break
 			}
+			buf = buf[progress.Consumed:]
 			if h.Kind != rpc.ResponseBody {
 				if err := n.answered(h, nil); err != nil {
 					return err
 				}
-				buf = buf[used:]
 				continue
 			}
-			if buf, err = n.readBody(h, buf[used:], space); err != nil {
+			if buf, err = n.readBody(h, buf, space); err != nil {
 				return err
 			}
 		}
@@ -327,14 +327,14 @@
 		}
 	}
 	for {
-		f, used, _, err := rpc.ParseResponseTrailer(buf, headMost)
+		f, progress, err := rpc.ParseResponseTrailer(buf, headMost)
 		if err != nil {
 			return nil, err
 		}
-		if used > 0 {
+		if progress.Consumed > 0 {
 			h.Fields = f
 			err = n.answered(h, body)
-			return buf[used:], err
+			return buf[progress.Consumed:], err
 		}
 		fill := copy(space, buf)
 		m, err := n.nc.Read(space[fill:])
--- a/client/faults_test.go
+++ b/client/faults_test.go
@@ -76,9 +76,11 @@
 	id := rapid.Uint64Range(0, 3).Draw(t, "id")
 	switch rapid.IntRange(0, 3).Draw(t, "kind") {
 	case 0:
-		return rpc.AppendBodyResponse(nil, id, rapid.SliceOfN(rapid.Byte(), 0, 5000).Draw(t, "body"), "ok304", "1")
+		body := rapid.SliceOfN(rapid.Byte(), 0, 5000).Draw(t, "body")
+		return rpc.AppendBodyResponse(nil, id, body, rpc.Field{Name: rpc.FieldNotModified, Value: "1"})
 	case 1:
-		return rpc.AppendErrorResponse(nil, id, rapid.StringN(0, 20, 40).Draw(t, "word"), "later", rapid.StringN(0, 9, 9).Draw(t, "later"))
+		code := rapid.StringN(0, 20, 40).Draw(t, "word")
+		return rpc.AppendErrorResponse(nil, id, code, rpc.Field{Name: rpc.FieldRetryAfter, Value: rapid.StringN(0, 9, 9).Draw(t, "later")})
 	case 2:
 		return rpc.AppendHealthResponse(nil, id, rapid.Bool().Draw(t, "ready"))
 	}
@@ -97,9 +99,9 @@
 		check(t, answer, resp, err)
 	})
 	for _, bad := range [][]byte{
-		rpc.AppendBodyResponse(nil, 2, make([]byte, 1<<12+1), "", ""), // over the limit
-		{0x94, 1, 2, 0xc0, 0x92, 0xc6, 0x7f, 0xff, 0xff, 0xff},        // two gigabytes
-		rpc.AppendBodyResponse(nil, 99, nil, "", ""),                  // an id that was never used
+		rpc.AppendBodyResponse(nil, 2, make([]byte, 1<<12+1)),  // over the limit
+		{0x94, 1, 2, 0xc0, 0x92, 0xc6, 0x7f, 0xff, 0xff, 0xff}, // two gigabytes
+		rpc.AppendBodyResponse(nil, 99, nil),                   // an id that was never used
 		bytes.Repeat([]byte{0x94}, 1<<14),
 		{0x93, 2, 0xa1, 'x', 0x90},
 	} {
@@ -111,7 +113,8 @@
 
 func FuzzAnswer(f *testing.F) {
 	for _, seed := range [][]byte{
-		rpc.AppendBodyResponse(nil, 2, []byte("body"), "ok304", "1"), rpc.AppendErrorResponse(nil, 2, rpc.CodeThrottled, "later", "9"),
+		rpc.AppendBodyResponse(nil, 2, []byte("body"), rpc.Field{Name: rpc.FieldNotModified, Value: "1"}),
+		rpc.AppendErrorResponse(nil, 2, rpc.CodeThrottled, rpc.Field{Name: rpc.FieldRetryAfter, Value: "9"}),
 		rpc.AppendHealthResponse(nil, 2, false), {0x94, 1, 2, 0xc0, 0x92, 0xc6, 0x7f, 0xff, 0xff, 0xff},
 	} {
 		f.Add(seed)
@@ -224,7 +227,7 @@
 	var tries atomic.Int64
 	half := make(chan struct{}, 10)
 	r := script(t, func(p *fakes.Peer, m rpc.Message) {
-		all := rpc.AppendBodyResponse(nil, m.ID, whole, "", "")
+		all := rpc.AppendBodyResponse(nil, m.ID, whole)
 		if m.Kind == rpc.KindRequest && tries.Add(1)%2 == 1 {
 			p.Raw(all[:100_000])
 			<-half
--- a/cmd/hillknot/ask_test.go
+++ b/cmd/hillknot/ask_test.go
@@ -93,7 +93,7 @@
 	whole := bytes.Repeat([]byte("score "), 30_000)
 	tries, spoil := 0, true
 	addr := script(t, func(p *fakes.Peer, m rpc.Message) {
-		all := rpc.AppendBodyResponse(nil, m.ID, whole, "", "")
+		all := rpc.AppendBodyResponse(nil, m.ID, whole)
 		if tries++; tries == 1 || spoil {
 			p.Raw(bytes.ReplaceAll(all[:100_000], []byte("score"), []byte("spoil")))
 			p.End(false)
--- a/internal/frontend/msgpackrpc/front.go
+++ b/internal/frontend/msgpackrpc/front.go
@@ -87,14 +87,14 @@
 // Consume implements netio.Handler.
 func (c *conn) Consume(buf []byte) (used, want int, err error) {
 	for {
-		m, n, want, err := rpc.ParseMessage(buf[used:], c.f.lim.Message)
+		m, progress, err := rpc.ParseMessage(buf[used:], c.f.lim.Message)
 		if err != nil {
 			slog.Debug("client connection closed", "remote", c.nc.RemoteAddr(), "err", err)
 		}
-		if err != nil || n == 0 {
-			return used, want, err
+		if err != nil || progress.Consumed == 0 {
+			return used, progress.Needed, err
 		}
-		used += n
+		used += progress.Consumed
 		c.message(m)
 	}
 }
@@ -215,10 +215,10 @@
 			return
 		}
 		c.f.core.CountAnswer(q.Class, core.Failed)
-		_ = c.send(rpc.AppendErrorResponse(nil, msg, word, "", ""))
+		_ = c.send(rpc.AppendErrorResponse(nil, msg, word))
 	case len(c.open) >= c.f.lim.OpenPerConn || c.f.budget.AboveHighWater():
 		c.f.core.CountAnswer(q.Class, core.Rejected)
-		_ = c.send(rpc.AppendErrorResponse(nil, msg, rpc.CodeThrottled, "", ""))
+		_ = c.send(rpc.AppendErrorResponse(nil, msg, rpc.CodeThrottled))
 	default:
 		id := c.f.core.NewID()
 		c.open[msg] = id
@@ -247,7 +247,7 @@
 		return a.Verdict
 	}
 	c.nc.AddPendingReplies(1) // the answer is still owed
-	_ = c.send(rpc.AppendErrorResponse(nil, msg, "Failed", "", ""))
+	_ = c.send(rpc.AppendErrorResponse(nil, msg, "Failed"))
 	return core.Failed
 }
 
@@ -268,11 +268,11 @@
 func appendAnswer(b []byte, id uint64, a core.Answer) []byte {
 	switch a.Verdict {
 	case core.Served:
-		return rpc.AppendBodyResponse(make([]byte, 0, len(a.Body)+32), id, a.Body, "", "")
+		return rpc.AppendBodyResponse(make([]byte, 0, len(a.Body)+32), id, a.Body)
 	case core.NotModified:
-		return rpc.AppendBodyResponse(b, id, nil, "ok304", "1")
+		return rpc.AppendBodyResponse(b, id, nil, rpc.Field{Name: rpc.FieldNotModified, Value: "1"})
 	case core.Rejected:
 		return rpc.AppendThrottledResponse(b, id, a.RetryAfter.Milliseconds(), a.Reason)
 	}
-	return rpc.AppendErrorResponse(b, id, a.Reason, "", "")
+	return rpc.AppendErrorResponse(b, id, a.Reason)
 }
--- a/internal/rpc/client.go
+++ b/internal/rpc/client.go
@@ -48,38 +48,40 @@
 // ParseResponseHeader reads an answer up to its body, or the whole of one without. It returns the length of that, or 0 where
 // it is not there yet, with the length that is needed, as far as that is known. A head over max bytes, or a body
 // over maxBody, is malformed: the length is told before anything is allocated for it.
-func ParseResponseHeader(buf []byte, max, maxBody int) (h ResponseHeader, n, want int, err error) {
+func ParseResponseHeader(buf []byte, max, maxBody int) (ResponseHeader, Progress, error) {
 	d := decoder{b: buf}
-	err = d.head(&h)
+	var h ResponseHeader
+	err := d.head(&h)
 	if err == nil && h.BodySize > maxBody {
 		err = ErrMalformed
 	}
-	n, want, err = d.end(max, err)
-	if n == 0 {
+	progress, err := d.end(max, err)
+	if progress.Consumed == 0 {
 		h = ResponseHeader{}
 	}
-	return h, n, want, err
+	return h, progress, err
 }
 
 // ParseResponseTrailer reads the fields behind a body.
-func ParseResponseTrailer(buf []byte, max int) (f Fields, n, want int, err error) {
+func ParseResponseTrailer(buf []byte, max int) (Fields, Progress, error) {
 	d := decoder{b: buf}
-	n, want, err = d.end(max, d.fields(&f))
-	if n == 0 {
+	var f Fields
+	progress, err := d.end(max, d.fields(&f))
+	if progress.Consumed == 0 {
 		f = Fields{}
 	}
-	return f, n, want, err
+	return f, progress, err
 }
 
 // end tells how the parsing of something of at most max bytes came out.
-func (d *decoder) end(max int, err error) (n, want int, _ error) {
+func (d *decoder) end(max int, err error) (Progress, error) {
 	switch {
 	case errors.Is(err, errShort) && d.want <= max && len(d.b) < max:
-		return 0, d.want, nil
+		return Progress{Needed: d.want}, nil
 	case err != nil || d.i > max:
-		return 0, 0, ErrMalformed
+		return Progress{}, ErrMalformed
 	}
-	return d.i, 0, nil
+	return Progress{Consumed: d.i}, nil
 }
 
 func (d *decoder) head(h *ResponseHeader) error {
@@ -91,7 +93,7 @@
 	if err != nil {
 		return err
 	}
-	if kind != KindResponse || n != 4 {
+	if MessageKind(kind) != KindResponse || n != 4 {
 		return ErrMalformed
 	}
 	if h.ID, err = d.uint(); err == nil && h.ID > math.MaxUint32 {
@@ -181,7 +183,7 @@
 	if q.CachedTag != "" {
 		fields++
 	}
-	b = appendText(appendUint(append(b, 0x94, KindRequest), id), q.Method)
+	b = appendText(appendUint(append(b, 0x94, byte(KindRequest)), id), q.Method)
 	b = appendText(append(b, 0x92, 0x80|fields), "txn")
 	b = appendText(appendHex(b, q.Txn), "limit")
 	b = appendText(appendDecimal(b, uint64(max(q.TimeoutMillis, 0))), "item")
@@ -205,12 +207,12 @@
 
 // AppendCancel appends the notice that a client no longer waits for the answer under an id.
 func AppendCancel(b []byte, id uint64) []byte {
-	return appendUint(append(appendText(append(b, 0x93, KindNotification), "cancel"), 0x91), id)
+	return appendUint(append(appendText(append(b, 0x93, byte(KindNotification)), "cancel"), 0x91), id)
 }
 
 // AppendHealthRequest appends the question whether a router takes clients.
 func AppendHealthRequest(b []byte, id uint64) []byte {
-	return append(appendText(appendUint(append(b, 0x94, KindRequest), id), "health"), 0x91, 0x80)
+	return append(appendText(appendUint(append(b, 0x94, byte(KindRequest)), id), "health"), 0x91, 0x80)
 }
 
 // appendHex appends the text of 16 hex digits.
--- a/internal/rpc/codec.go
+++ b/internal/rpc/codec.go
@@ -16,18 +16,21 @@
 	ErrMalformed = errors.New("malformed message")
 )
 
+// MessageKind is the first element of each message.
+type MessageKind uint64
+
 // The kinds of messages.
 const (
-	KindRequest      = 0
-	KindResponse     = 1
-	KindNotification = 2
+	KindRequest      MessageKind = 0
+	KindResponse     MessageKind = 1
+	KindNotification MessageKind = 2
 )
 
 const maxDepth = 8 // of what is skipped
 
 // Message is a call or a notification. Its slices are of the buffer that it was read from.
 type Message struct {
-	Kind   uint64
+	Kind   MessageKind
 	ID     uint64
 	Method []byte
 	Params int // how many there are
@@ -41,6 +44,13 @@
 	Txn, Timeout, Item, Nth, Batch, CachedTag, Retry, IdempotencyKey, ResumedTxn, Account, NotModified, RetryAfter, Reason []byte
 }
 
+// The names of the fields of responses.
+const (
+	FieldNotModified = "ok304"  // "1": the copy that the client holds is current
+	FieldRetryAfter  = "later"  // milliseconds for which a rejected client is to wait
+	FieldReason      = "reason" // why a request was rejected; none: load
+)
+
 func (f *Fields) slot(name []byte) *[]byte {
 	switch string(name) {
 	case "txn":
@@ -63,11 +73,11 @@
 		return &f.ResumedTxn
 	case "account":
 		return &f.Account
-	case "reason":
+	case FieldReason:
 		return &f.Reason
-	case "ok304":
+	case FieldNotModified:
 		return &f.NotModified
-	case "later":
+	case FieldRetryAfter:
 		return &f.RetryAfter
 	}
 	return nil
@@ -75,13 +85,20 @@
 
 // ParseMessage reads the message at the start of buf. It returns its length, or 0 where it is not whole yet, with
 // the length that is needed, as far as that is known.
-func ParseMessage(buf []byte, max int) (m Message, n, want int, err error) {
+func ParseMessage(buf []byte, max int) (Message, Progress, error) {
 	d := decoder{b: buf}
-	n, want, err = d.end(max, d.message(&m))
-	if n == 0 {
+	var m Message
+	progress, err := d.end(max, d.message(&m))
+	if progress.Consumed == 0 {
 		m = Message{}
 	}
-	return m, n, want, err
+	return m, progress, err
+}
+
+// Progress tells how much of a buffer a parser has used.
+type Progress struct {
+	Consumed int // bytes of the complete value; 0: the value is not complete yet
+	Needed   int // bytes that the buffer must hold before the next attempt, as far as known; 0: any more
 }
 
 // decoder reads MessagePack from a buffer that may end anywhere.
@@ -96,9 +113,11 @@
 	if err != nil {
 		return err
 	}
-	if m.Kind, err = d.uint(); err != nil {
+	kind, err := d.uint()
+	if err != nil {
 		return err
 	}
+	m.Kind = MessageKind(kind)
 	switch {
 	case m.Kind == KindRequest && n == 4:
 		if m.ID, err = d.uint(); err == nil && m.ID > math.MaxUint32 {
@@ -355,49 +374,49 @@
 	return binary.BigEndian.AppendUint32(append(b, 0xc6), uint32(n))
 }
 
-// appendPair appends a map of one field, or an empty one where it has no name.
-func appendPair(b []byte, name, value string) []byte {
-	if name == "" {
-		return append(b, 0x80)
+// Field is one named value beside the body or the error code of a response.
+type Field struct{ Name, Value string }
+
+// appendFields appends a map of at most 15 fields.
+func appendFields(b []byte, fields []Field) []byte {
+	b = append(b, 0x80|byte(len(fields)))
+	for _, field := range fields {
+		b = appendText(appendText(b, field.Name), field.Value)
 	}
-	return appendText(appendText(append(b, 0x81), name), value)
+	return b
 }
 
 // appendHead appends the start of an answer up to its id; error and result follow.
 func appendHead(b []byte, id uint64) []byte {
-	return appendUint(append(b, 0x94, KindResponse), id)
+	return appendUint(append(b, 0x94, byte(KindResponse)), id)
 }
 
-// AppendBodyResponse appends the answer that brings the bytes, with one field or, without a name, none.
-func AppendBodyResponse(b []byte, id uint64, body []byte, name, value string) []byte {
+// AppendBodyResponse appends the response to a request that was served: its body, and at most 15 fields.
+func AppendBodyResponse(b []byte, id uint64, body []byte, fields ...Field) []byte {
 	b = appendBinHead(append(appendHead(b, id), 0xc0, 0x92), len(body))
-	return appendPair(append(b, body...), name, value)
+	return appendFields(append(b, body...), fields)
 }
 
-// AppendErrorResponse appends the answer that the request was not served, with one field or none.
-func AppendErrorResponse(b []byte, id uint64, word, name, value string) []byte {
-	b = appendPair(appendText(append(appendHead(b, id), 0x92), word), name, value)
+// AppendErrorResponse appends the response to a request that was not served: an error code, and at most 15 fields.
+func AppendErrorResponse(b []byte, id uint64, code string, fields ...Field) []byte {
+	b = appendFields(appendText(append(appendHead(b, id), 0x92), code), fields)
 	return append(b, 0xc0)
 }
 
-// AppendThrottledResponse appends the answer that a request was refused, and never ran: with how many milliseconds to stay away, or
-// 0, and why, or nothing where it is load.
-func AppendThrottledResponse(b []byte, id uint64, later int64, reason string) []byte {
-	fields := byte(0x80)
-	if later > 0 {
-		fields++
-	}
-	if reason != "" {
-		fields++
-	}
-	b = append(appendText(append(appendHead(b, id), 0x92), CodeThrottled), fields)
-	if later > 0 {
-		b = appendText(appendText(b, "later"), strconv.FormatInt(later, 10))
+// AppendThrottledResponse appends the response to a request that was rejected and never ran. The client is to wait for
+// retryAfter milliseconds; 0 names no time. An empty reason stands for load.
+func AppendThrottledResponse(b []byte, id uint64, retryAfter int64, reason string) []byte {
+	var fields [2]Field
+	count := 0
+	if retryAfter > 0 {
+		fields[count] = Field{FieldRetryAfter, strconv.FormatInt(retryAfter, 10)}
+		count++
 	}
 	if reason != "" {
-		b = appendText(appendText(b, "reason"), reason)
+		fields[count] = Field{FieldReason, reason}
+		count++
 	}
-	return append(b, 0xc0)
+	return AppendErrorResponse(b, id, CodeThrottled, fields[:count]...)
 }
 
 // AppendHealthResponse appends the answer to a call for health.
--- a/internal/testutil/fakes/router.go
+++ b/internal/testutil/fakes/router.go
@@ -49,14 +49,14 @@
 		}
 		buf = append(buf, in[:n]...)
 		for {
-			m, used, _, err := rpc.ParseMessage(buf, 1<<20)
+			m, progress, err := rpc.ParseMessage(buf, 1<<20)
 			if err != nil {
 				return
 			}
-			if used == 0 {
+			if progress.Consumed == 0 {
 				break
 			}
-			buf = bytes.Clone(buf[used:]) // what was handed on stays as it is
+			buf = bytes.Clone(buf[progress.Consumed:]) // what was handed on stays as it is
 			r.handle(p, m)
 		}
 	}
@@ -70,10 +70,10 @@
 }
 
 // Serve answers with bytes.
-func (p *Peer) Serve(id uint64, body []byte) { p.Raw(rpc.AppendBodyResponse(nil, id, body, "", "")) }
+func (p *Peer) Serve(id uint64, body []byte) { p.Raw(rpc.AppendBodyResponse(nil, id, body)) }
 
 // Fail answers with an error.
-func (p *Peer) Fail(id uint64, word string) { p.Raw(rpc.AppendErrorResponse(nil, id, word, "", "")) }
+func (p *Peer) Fail(id uint64, word string) { p.Raw(rpc.AppendErrorResponse(nil, id, word)) }
 
 // Refuse answers with a refusal, and how many milliseconds to stay away if that is over 0.
 func (p *Peer) Refuse(id uint64, later int) {
@@ -81,7 +81,7 @@
 		p.Fail(id, rpc.CodeThrottled)
 		return
 	}
-	p.Raw(rpc.AppendErrorResponse(nil, id, rpc.CodeThrottled, "later", strconv.Itoa(later)))
+	p.Raw(rpc.AppendErrorResponse(nil, id, rpc.CodeThrottled, rpc.Field{Name: rpc.FieldRetryAfter, Value: strconv.Itoa(later)}))
 }
 
 // Health answers whether the router takes clients.
--- a/loadtest/load.go
+++ b/loadtest/load.go
@@ -138,10 +138,11 @@
 		}
 		buf = buf[:len(buf)+n]
 		for {
-			h, used, _, err := rpc.ParseResponseHeader(buf, 4<<10, 64<<10)
+			h, progress, err := rpc.ParseResponseHeader(buf, 4<<10, 64<<10)
 			if err != nil {
 				return
 			}
+			used := progress.Consumed
 			if used == 0 {
 				break
 			}
@@ -149,14 +150,14 @@
 				if len(buf) < used+h.BodySize {
 					break
 				}
-				_, tail, _, err := rpc.ParseResponseTrailer(buf[used+h.BodySize:], 4<<10)
+				_, trailer, err := rpc.ParseResponseTrailer(buf[used+h.BodySize:], 4<<10)
 				if err != nil {
 					return
 				}
-				if tail == 0 {
+				if trailer.Consumed == 0 {
 					break
 				}
-				used += h.BodySize + tail
+				used += h.BodySize + trailer.Consumed
 			}
 			answered(h)
 			buf = buf[:copy(buf, buf[used:])]
--- a/loadtest/plain.go
+++ b/loadtest/plain.go
@@ -82,11 +82,12 @@
 			return err
 		}
 		buf = buf[:len(buf)+n]
-		h, used, _, err := rpc.ParseResponseHeader(buf, 4<<10, 64<<10)
+		h, progress, err := rpc.ParseResponseHeader(buf, 4<<10, 64<<10)
 		if err != nil {
 			_ = nc.Close()
 			return err
 		}
+		used := progress.Consumed
 		if used == 0 || h.Kind == rpc.ResponseBody && len(buf) < used+h.BodySize+1 {
 			continue
 		}
--- a/loadtest/steps.go
+++ b/loadtest/steps.go
@@ -74,13 +74,14 @@
 	for len(buf) < cap(buf) {
 		n, err := nc.Read(buf[len(buf):cap(buf)])
 		buf = buf[:len(buf)+n]
-		h, used, _, bad := rpc.ParseResponseHeader(buf, 4<<10, 32<<10)
+		h, progress, bad := rpc.ParseResponseHeader(buf, 4<<10, 32<<10)
+		complete := progress.Consumed > 0
 		switch {
 		case bad != nil:
 			return "", bad
-		case used > 0 && h.Kind == rpc.ResponseBody:
+		case complete && h.Kind == rpc.ResponseBody:
 			return "served", nil
-		case used > 0:
+		case complete:
 			return map[string]string{"Failed": "failed", rpc.CodeThrottled: "refused"}[string(h.Code)], nil
 		case err != nil:
 			return "", err
