--- a/balancer/balancer_test.go
+++ b/balancer/balancer_test.go
@@ -87,7 +87,7 @@
 // wait lets time pass with the timer running.
 func (r *rig) wait(d time.Duration) (as []Action) {
 	for until := r.now + d; r.now < until; {
-		r.now += scanEvery
+		r.now += scanInterval
 		as = append(as, r.do(Timer{Token: scanToken})...)
 	}
 	return as
@@ -101,7 +101,8 @@
 		t.Fatal(err)
 	}
 	// The interface, the state, and what is copied out for others decide nothing.
-	plain := map[string]bool{"api.go": true, "state.go": true, "figures.go": true, "handover.go": true}
+	plain := map[string]bool{"doc.go": true, "settings.go": true, "events.go": true, "actions.go": true, "balancer.go": true,
+		"state.go": true, "classes.go": true, "status.go": true, "handover.go": true}
 	files, err := filepath.Glob("*.go")
 	if err != nil {
 		t.Fatal(err)
@@ -152,7 +153,7 @@
 	for o := uint64(1); o <= 12; o++ {
 		g := r.ask("page", o)
 		q := &request{Request: Request{Object: o}}
-		_, second := r.b.homes(q)
+		_, second := r.b.homeParents(q)
 		got += fmt.Sprintf("%d<%d,%d ", g.Endpoint, g.Source, second.id)
 		r.end(g, 0, OK, Hit)
 	}
@@ -182,13 +183,13 @@
 	r := newRig(t, site(), fleet())
 	g := r.ask("page", 5)
 	r.end(g, 0, OK, Filled)
-	r.now += copyInterval / 2
+	r.now += replicationInterval / 2
 	if early := r.ask("page", 5); early.Source != g.Source {
 		t.Errorf("warmed before the interval was over")
 	} else {
 		r.end(early, 0, OK, Hit)
 	}
-	r.now += copyInterval
+	r.now += replicationInterval
 	warm := r.ask("page", 5)
 	if warm.Source == g.Source || warm.Source < 11 || warm.Source > 13 {
 		t.Errorf("source %d after the interval, home is %d", warm.Source, g.Source)
@@ -204,7 +205,7 @@
 	r := newRig(t, site(), fleet())
 	g := r.ask("page", 5)
 	r.end(g, 0, OK, FilledByOrigin)
-	r.now += 2 * copyInterval
+	r.now += 2 * replicationInterval
 	if g2 := r.ask("page", 5); g2.Source != g.Source {
 		t.Errorf("source %d, want the home %d", g2.Source, g.Source)
 	}
@@ -219,16 +220,16 @@
 
 func TestShareRises(t *testing.T) {
 	list := fleet()
-	list[0].StartedAt = 100*sec - warmTime/2
+	list[0].StartedAt = 100*sec - rangeRampTime/2
 	r := newRig(t, site(), list)
 	all, mine := 0, 0
 	for o := uint64(0); o < 400; o++ {
 		key := mix(o)
-		m := r.b.members[1]
-		if b := r.b.pick(&request{Request: Request{Object: o}, class: newClass(Class{})}, key, r.b.caches, saltCache, m); b != nil &&
+		m := r.b.endpoints.byID[1]
+		if b := r.b.pick(&request{Request: Request{Object: o}, class: newClass(Class{})}, key, r.b.endpoints.caches, saltCache, m); b != nil &&
 			r.b.score(key, m, saltCache) > r.b.score(key, b, saltCache) {
 			all++
-			if r.b.owns(key, m) {
+			if r.b.inOwnRange(key, m) {
 				mine++
 			}
 		}
@@ -249,10 +250,10 @@
 	for i := range uint64(600) { // 300 a second of 0.2 s: far more than three cold caches carry
 		r.now += 3 * ms
 		for _, g := range gets(r.do(Request{ID: RequestID(i), Class: "page", Object: i, Remaining: 3 * sec})) {
-			spent[g.Endpoint] += seedWork.Seconds()
+			spent[g.Endpoint] += initialServiceTime.Seconds()
 		}
 	}
-	usual := r.b.work(r.b.load[other].peak) / 2 / 3 // nothing served was seen yet
+	usual := r.b.classes.serviceTime(r.b.load[roleClient].peak) / 2 / 3 // nothing served was seen yet
 	share := 0.2 + 0.8*2.8/15
 	for id := EndpointID(1); id <= 3; id++ {
 		if most := 2 * share * 3 * usual; spent[id] > most {
@@ -268,12 +269,12 @@
 		r.now += 200 * ms
 		r.end(r.ask("page", o), 0, OK, Hit)
 	}
-	before := r.b.work(r.b.load[cache].peak)
+	before := r.b.classes.serviceTime(r.b.load[roleCache].peak)
 	for o := range uint64(3000) {
 		r.now += ms
 		r.ask("page", o)
 	}
-	if after := r.b.work(r.b.load[cache].peak); after > before {
+	if after := r.b.classes.serviceTime(r.b.load[roleCache].peak); after > before {
 		t.Errorf("usual load %.2f after a storm of tries, %.2f before", after, before)
 	}
 }
@@ -281,10 +282,10 @@
 // With part of the fleet lost, the usual load of one member must not seem larger.
 func TestColdBudgetCountsTheLost(t *testing.T) {
 	r := newRig(t, site(), fleet())
-	before := r.b.fleet[cache]
+	before := r.b.endpoints.peakCapacity[roleCache]
 	r.do(EndpointUpdate{Endpoints: []Endpoint{{ID: 1, Kind: "box", Zone: "edge", State: Removed}, {ID: 2, Kind: "box", Zone: "edge", State: Removed}}})
-	if after := r.b.fleet[cache]; after != before || len(r.b.caches) != 1 {
-		t.Errorf("fleet %v after the loss, %v before, %d listed", after, before, len(r.b.caches))
+	if after := r.b.endpoints.peakCapacity[roleCache]; after != before || len(r.b.endpoints.caches) != 1 {
+		t.Errorf("fleet %v after the loss, %v before, %d listed", after, before, len(r.b.endpoints.caches))
 	}
 }
 
@@ -331,10 +332,10 @@
 		t.Errorf("age %v", g.MaxAge)
 	}
 	r = newRig(t, site(), fleet()) // more purges than the table holds
-	for o := range uint64(purgeTable + 10) {
+	for o := range uint64(maxPurges + 10) {
 		r.do(Purge{Object: o})
 	}
-	if g := r.ask("page", purgeTable+5); g.MaxAge <= 0 {
+	if g := r.ask("page", maxPurges+5); g.MaxAge <= 0 {
 		t.Errorf("a purge was forgotten")
 	}
 }
@@ -375,8 +376,8 @@
 		r := newRig(t, set, list)
 		g := r.ask("read", object)
 		for _, again := range gets(r.end(g, 0, Reset, NoDetail)) {
-			if r.b.members[again.Endpoint].cell != r.b.members[g.Endpoint].cell {
-				t.Errorf("object %d: first at cell %d, then at another", object, r.b.members[g.Endpoint].cell)
+			if r.b.endpoints.byID[again.Endpoint].cell != r.b.endpoints.byID[g.Endpoint].cell {
+				t.Errorf("object %d: first at cell %d, then at another", object, r.b.endpoints.byID[g.Endpoint].cell)
 			}
 		}
 	}
@@ -400,8 +401,8 @@
 			cancelled++
 		}
 	}
-	if !r.b.members[1].bad || cancelled == 0 {
-		t.Fatalf("bad %v, %d attempts called off", r.b.members[1].bad, cancelled)
+	if !r.b.endpoints.byID[1].health.ejected || cancelled == 0 {
+		t.Fatalf("bad %v, %d attempts called off", r.b.endpoints.byID[1].health.ejected, cancelled)
 	}
 	if g := gets(r.end(stuck[0], 0, Cancelled, NoDetail)); len(g) != 1 || g[0].Endpoint == 1 {
 		t.Errorf("the stuck request went to %v", g)
@@ -415,8 +416,8 @@
 		r.ask("page", o)
 	}
 	r.wait(300 * ms)
-	for _, m := range r.b.caches {
-		if m.bad {
+	for _, m := range r.b.endpoints.caches {
+		if m.health.ejected {
 			t.Errorf("cache %d was shunned after 300 ms", m.id)
 		}
 	}
@@ -427,7 +428,7 @@
 	r := newRig(t, site(), fleet())
 	home := r.ask("page", 5)
 	r.end(home, 0, Rejected, SourceUnreachable)
-	for o := uint64(100); !r.b.members[home.Source].bad; o++ {
+	for o := uint64(100); !r.b.endpoints.byID[home.Source].health.ejected; o++ {
 		if o > 400 {
 			t.Fatal("a source that fails every fill was never shunned")
 		}
@@ -437,13 +438,13 @@
 			r.end(g, 0, OK, Filled)
 		}
 	}
-	for _, m := range r.b.caches {
-		if m.bad || r.b.trust(m) < 1 {
+	for _, m := range r.b.endpoints.caches {
+		if m.health.ejected || r.b.healthScore(m) < 1 {
 			t.Errorf("cache %d took the blame", m.id)
 		}
 	}
 	r.wait(5 * sec)
-	r.b.members[home.Source].trial = r.now + sec
+	r.b.endpoints.byID[home.Source].health.nextProbe = r.now + sec
 	if g := r.ask("page", 5); g.Source == home.Source || g.Source < 11 || g.Source > 13 {
 		t.Errorf("source %d, the home %d is bad", g.Source, home.Source)
 	}
@@ -462,11 +463,11 @@
 			r.end(g, 0, Miss, NoDetail)
 		case g.Source > 10:
 			fills++
-			r.b.link += 1 - r.b.open[g.ID].attempts[0].fills
-			r.b.open[g.ID].attempts[0].fills = 1
+			r.b.link.inFlight += 1 - r.b.requests.byID[g.ID].attempts[0].fillProbability
+			r.b.requests.byID[g.ID].attempts[0].fillProbability = 1
 		}
 	}
-	if looks == 0 || float64(fills) > startLimit+1 {
+	if looks == 0 || float64(fills) > defaultLimit+1 {
 		t.Errorf("%d fills under way, %d looks", fills, looks)
 	}
 	refused := 0
@@ -495,8 +496,8 @@
 // A try shorter than the scan is answered in its time.
 func TestShortTryIsAnswered(t *testing.T) {
 	r := newRig(t, site(), fleet())
-	for _, m := range r.b.caches {
-		m.limit = 0
+	for _, m := range r.b.endpoints.caches {
+		m.concurrencyLimit = 0
 	}
 	as := r.do(Request{ID: 7, Class: "page", Object: 1, Remaining: 10 * ms})
 	if _, ok := as[0].(Reject); !ok && len(gets(as)) == 0 {
@@ -521,17 +522,17 @@
 	s := site()
 	s.Capabilities.DirectAttempts = false
 	r := newRig(t, s, fleet())
-	for _, m := range r.b.caches {
-		m.limit = 0
+	for _, m := range r.b.endpoints.caches {
+		m.concurrencyLimit = 0
 	}
 	for i, kb := range []float64{300, 100, 200} {
 		r.do(Request{ID: RequestID(i + 1), Class: "page", Object: uint64(i), Remaining: 3 * sec, SizeKB: kb})
 	}
-	for _, m := range r.b.caches {
-		m.limit = 9
+	for _, m := range r.b.endpoints.caches {
+		m.concurrencyLimit = 9
 	}
 	got := ""
-	for _, g := range gets(r.wait(scanEvery)) {
+	for _, g := range gets(r.wait(scanInterval)) {
 		got += fmt.Sprint(g.ID)
 	}
 	if got != "231" {
@@ -547,23 +548,23 @@
 	if g := gets(as); len(g) != 1 || g[0].Endpoint != first.Endpoint || g[0].Source == first.Source {
 		t.Fatalf("after the first refusal: %v, it was %v", g, first)
 	}
-	for o := uint64(100); o < 400 && !r.b.members[first.Source].bad; o++ {
+	for o := uint64(100); o < 400 && !r.b.endpoints.byID[first.Source].health.ejected; o++ {
 		if g := r.ask("page", o); g.Source == first.Source {
 			r.do(Outcome{ID: g.ID, Endpoint: g.Endpoint, Status: Rejected, Elapsed: 200 * ms})
 		} else {
 			r.end(g, 0, OK, Filled)
 		}
 	}
-	if !r.b.members[first.Source].bad || r.b.members[first.Endpoint].bad {
-		t.Errorf("source bad %v, cache bad %v", r.b.members[first.Source].bad, r.b.members[first.Endpoint].bad)
+	if !r.b.endpoints.byID[first.Source].health.ejected || r.b.endpoints.byID[first.Endpoint].health.ejected {
+		t.Errorf("source bad %v, cache bad %v", r.b.endpoints.byID[first.Source].health.ejected, r.b.endpoints.byID[first.Endpoint].health.ejected)
 	}
 	q := newRig(t, site(), fleet())
-	for range failsInRow {
+	for range ejectAfterFailures {
 		g := q.ask("page", 5)
 		q.do(Outcome{ID: g.ID, Endpoint: g.Endpoint, Status: Rejected, Elapsed: ms})
 	}
-	for _, m := range q.b.members {
-		if m.bad {
+	for _, m := range q.b.endpoints.byID {
+		if m.health.ejected {
 			t.Errorf("member %d was shunned for being full", m.id)
 		}
 	}
--- a/balancer/membership_test.go
+++ b/balancer/endpoints_test.go
@@ -36,19 +36,19 @@
 	for _, id := range slices.Sorted(keys(l.members)) {
 		e := l.members[id]
 		ro := b.roleOf(e)
-		m := &member{role: ro, start: l.starts[id], weight: e.Weight}
-		if e.State == InService && (l.fleet[ro] == 0 || !b.cold(m)) && (ro != cache || e.Zone == b.s.Topology.Zone) {
-			fleet[ro] += b.sizeOf(m)
+		m := &endpoint{role: ro, startedAt: l.starts[id], weight: e.Weight}
+		if e.State == InService && (l.fleet[ro] == 0 || !b.isWarmingUp(m)) && (ro != roleCache || e.Zone == b.settings.Topology.Zone) {
+			fleet[ro] += b.capacityOf(m)
 		}
 		switch {
-		case ro == parent:
+		case ro == roleParent:
 			parents = append(parents, id)
-		case ro == origin:
+		case ro == roleOrigin:
 			origins = append(origins, id)
-		case e.Zone == b.s.Topology.Zone:
+		case e.Zone == b.settings.Topology.Zone:
 			caches = append(caches, id)
 		}
-		if ro == cache {
+		if ro == roleCache {
 			targets++
 		}
 	}
@@ -68,7 +68,7 @@
 	}
 }
 
-func ids(list []*member) (out []EndpointID) {
+func ids(list []*endpoint) (out []EndpointID) {
 	for _, m := range list {
 		out = append(out, m.id)
 	}
@@ -95,21 +95,21 @@
 			}
 			b.Handle(now, ev)
 			caches, parents, origins, targets := ref.take(b, ev)
-			got := fmt.Sprint(ids(b.caches), ids(b.parents), ids(b.origins), b.fleet, b.targets)
+			got := fmt.Sprint(ids(b.endpoints.caches), ids(b.endpoints.parents), ids(b.endpoints.origins), b.endpoints.peakCapacity, b.endpoints.cachesListed)
 			want := fmt.Sprint(caches, parents, origins, ref.fleet, targets)
 			if got != want {
 				t.Fatalf("seed %d, step %d:\n%s, want\n%s", seed, step, got, want)
 			}
-			if b.origin != firstMember(b.origins) {
+			if b.endpoints.origin != firstEndpoint(b.endpoints.origins) {
 				t.Fatalf("seed %d, step %d: the origin is not the first of them", seed, step)
 			}
-			for _, m := range b.caches {
-				if m.limit != b.cacheLimit(m) {
+			for _, m := range b.endpoints.caches {
+				if m.concurrencyLimit != b.cacheLimit(m) {
 					t.Fatalf("seed %d, step %d: the limit of %d is out of date", seed, step, m.id)
 				}
 			}
-			if len(b.members) != len(ref.members) {
-				t.Fatalf("seed %d, step %d: %d members are held, and %d are listed", seed, step, len(b.members), len(ref.members))
+			if len(b.endpoints.byID) != len(ref.members) {
+				t.Fatalf("seed %d, step %d: %d members are held, and %d are listed", seed, step, len(b.endpoints.byID), len(ref.members))
 			}
 		}
 	}
--- a/balancer/fleet_test.go
+++ b/balancer/fleet_test.go
@@ -43,7 +43,7 @@
 		for until := r.now + age; r.now < until; r.now += 50 * ms {
 			r.end(r.ask("page", uint64(r.id)), 0, OK, Hit)
 		}
-		if peak := r.b.work(r.b.load[cache].peak); peak < 1.8 || peak > 2.4 { // 20 a second, 0.1 s each
+		if peak := r.b.classes.serviceTime(r.b.load[roleCache].peak); peak < 1.8 || peak > 2.4 { // 20 a second, 0.1 s each
 			t.Errorf("after %v: %.2f s of sending a second, not 2", age, peak)
 		}
 	}
@@ -58,13 +58,13 @@
 		g := r.ask("page", 1)
 		r.now += 400 * ms
 		r.do(Outcome{ID: g.ID, Endpoint: g.Endpoint, Answered: true, Detail: FilledByOrigin, Elapsed: 400 * ms, SourceWait: 300 * ms})
-		if parent := r.b.trust(r.b.members[g.Source]); parent != 1 {
+		if parent := r.b.healthScore(r.b.endpoints.byID[g.Source]); parent != 1 {
 			t.Errorf("%d directors: the parent has the trust %.2f", directors, parent)
 		}
-		return r.b.trust(r.b.origin)
+		return r.b.healthScore(r.b.endpoints.origin)
 	}
 	few, many := trust(4), trust(80)
-	if few != trustCut || many < 0.2 || many > 0.3 {
+	if few != slowScoreFactor || many < 0.2 || many > 0.3 {
 		t.Errorf("one slow answer leaves %.2f with 4 directors, %.2f with 80", few, many)
 	}
 }
@@ -83,11 +83,11 @@
 		r := newRig(t, site(), fleet())
 		r.do(EndpointUpdate{Endpoints: order[0]})
 		r.do(EndpointUpdate{Endpoints: order[1]})
-		if n := r.b.fleet[cache]; n != 3 {
+		if n := r.b.endpoints.peakCapacity[roleCache]; n != 3 {
 			t.Errorf("%v page caches at once, not 3", n)
 		}
 		r = newRig(t, site(), append(fresh, node(1, "box", "edge")))
-		if n := r.b.fleet[cache]; n != 4 { // who starts then knows of no more
+		if n := r.b.endpoints.peakCapacity[roleCache]; n != 4 { // who starts then knows of no more
 			t.Errorf("%v page caches at the start, not 4", n)
 		}
 	}
@@ -99,7 +99,7 @@
 	for beside, want := range map[int][2]float64{1: {16, 16}, 4: {4.5, 5}, 16: {1.9, 2.1}} {
 		s := site()
 		s.Topology.RoutersPerZone, s.LinkKBps = []int{0, beside}, []float64{0, 8000} // the link fits 8 transfers
-		if room := newRig(t, s, fleet()).b.linkRoom; room < want[0] || room > want[1] {
+		if room := newRig(t, s, fleet()).b.link.limit; room < want[0] || room > want[1] {
 			t.Errorf("%d directors: room for %.2f each, not %v", beside, room, want)
 		}
 	}
@@ -112,7 +112,7 @@
 		s := site()
 		s.Topology.RoutersPerZone, s.LinkKBps, s.Capabilities.DirectAttempts = []int{0, beside}, []float64{0, 8000}, false
 		r := newRig(t, s, fleet())
-		before := r.b.linkRoom
+		before := r.b.link.limit
 		for range 5 {
 			r.id++
 			for _, g := range gets(r.do(Request{ID: r.id, Class: "page", Object: uint64(r.id), Remaining: 3 * sec})) {
@@ -120,7 +120,7 @@
 				r.do(Outcome{ID: g.ID, Endpoint: g.Endpoint, Answered: true, Detail: Filled, Elapsed: 2 * sec, SourceWait: 50 * ms})
 			}
 		}
-		if after := r.b.linkRoom; (after < before) != shrinks {
+		if after := r.b.link.limit; (after < before) != shrinks {
 			t.Errorf("%d directors: room for %.2f, then %.2f", beside, before, after)
 		}
 	}
@@ -148,9 +148,9 @@
 			}
 		}
 	}
-	m := r.b.members[1]
+	m := r.b.endpoints.byID[1]
 	share := s.CacheSlowStart.InitialCapacity + (1-s.CacheSlowStart.InitialCapacity)*4/15
-	if most := s.CacheSlowStart.OverloadFactor * share * m.limit / cacheShare * 2; sent[1] == 0 || sent[1] > most {
+	if most := s.CacheSlowStart.OverloadFactor * share * m.concurrencyLimit / cacheLimitFactor * 2; sent[1] == 0 || sent[1] > most {
 		t.Errorf("a cold cache was sent %.1f s of work in 2 s, of %.1f that its link may bear", sent[1], most)
 	}
 }
@@ -168,13 +168,13 @@
 		all := 0.0
 		for range directors {
 			r := newRig(t, s, list)
-			for _, m := range r.b.caches {
-				m.misses = 1 // they have just started
+			for _, m := range r.b.endpoints.caches {
+				m.missRate = 1 // they have just started
 			}
 			for range 60 {
 				r.ask("page", uint64(r.id)*7919)
 			}
-			all += r.b.link
+			all += r.b.link.inFlight
 		}
 		if all > 2.5*20 {
 			t.Errorf("%d directors: %.1f transfers on a link that fits 20", directors, all)
--- a/balancer/handover_test.go
+++ b/balancer/handover_test.go
@@ -27,30 +27,30 @@
 // objects. What is left of a cold cache's budget is handed over once.
 func TestHandOver(t *testing.T) {
 	old, later := learned(t), learned(t)
-	if old.b.members[4].saved <= 0 {
+	if old.b.endpoints.byID[4].warmUp.budget <= 0 {
 		t.Fatal("nothing of the cold budget to hand over")
 	}
-	spare := old.b.members[4].saved
+	spare := old.b.endpoints.byID[4].warmUp.budget
 	m := old.b.HandOver()
 	if other := later.b.HandOver(); !reflect.DeepEqual(m, other) {
 		t.Error("alike modules hand over different things")
 	}
-	if len(m.Objects) == 0 || old.b.members[4].saved != 0 {
-		t.Errorf("%d objects; %v of the cold budget kept", len(m.Objects), old.b.members[4].saved)
+	if len(m.Objects) == 0 || old.b.endpoints.byID[4].warmUp.budget != 0 {
+		t.Errorf("%d objects; %v of the cold budget kept", len(m.Objects), old.b.endpoints.byID[4].warmUp.budget)
 	}
 	r := newRig(t, site(), fleet())
 	r.now = old.now
 	fresh := node(4, "box", "edge")
-	fresh.StartedAt = old.b.members[4].start
+	fresh.StartedAt = old.b.endpoints.byID[4].startedAt
 	r.do(EndpointUpdate{Endpoints: []Endpoint{fresh}})
 	r.b.TakeOver(r.now, m)
-	if s := r.b.members[4].saved; s != spare {
+	if s := r.b.endpoints.byID[4].warmUp.budget; s != spare {
 		t.Errorf("saved for the cold cache: %v, want %v", s, spare)
 	}
-	if _, avoided := r.b.CacheCounts(); avoided != 1 || !r.b.members[1].bad {
+	if _, avoided := r.b.CacheCounts(); avoided != 1 || !r.b.endpoints.byID[1].health.ejected {
 		t.Errorf("%d avoided; want the one that the predecessor held to be bad", avoided)
 	}
-	if p := (part{3, 0}); r.b.objects[0][p] == nil || r.b.objects[0][p].okAt == 0 {
+	if p := (objectKey{3, 0}); r.b.objects.young[p] == nil || r.b.objects.young[p].servedAt == 0 {
 		t.Error("an object served lately is not known")
 	}
 	r.now += 10 * ms
@@ -70,8 +70,8 @@
 		Classes: []ClassMemory{{Name: "page", Work: -1}, {Name: "what", Work: 1}}, Objects: make([]ObjectMemory, 2*handedObjects),
 		Members: []MemberMemory{{Node: 1, Saved: -1, Misses: inf, Doubt: 7, Doubted: math.MaxInt64, Trial: math.MaxInt64, Bad: true},
 			{Node: 4, Saved: 1e9}, {Node: 99}}})
-	if m := r.b.members[4]; m.saved != 0 {
-		t.Errorf("%v saved from before the start", m.saved)
+	if m := r.b.endpoints.byID[4]; m.warmUp.budget != 0 {
+		t.Errorf("%v saved from before the start", m.warmUp.budget)
 	}
 	for o := range uint64(50) {
 		r.now += 50 * ms
@@ -79,7 +79,7 @@
 			r.end(g, 0, OK, Hit)
 		}
 	}
-	if m := r.b.members[1]; m.bad {
+	if m := r.b.endpoints.byID[1]; m.health.ejected {
 		t.Error("a trial time out of reach keeps the cache out for good")
 	}
 }
--- a/balancer/hashing.go
+++ b/balancer/hashing.go
@@ -5,148 +5,152 @@
 	"math"
 )
 
-// Rendezvous hashing: each member has a score for a key, and the highest that suits wins. All routers compute the same.
+// Rendezvous hashing: each endpoint has a score for a key, and the highest that suits wins. All routers compute the
+// same.
 
-// preference is how well a member suits a request; less is better.
+// preference is how well an endpoint suits a request; less is better.
 type preference uint8
 
 const (
-	preferred  preference = iota // usable, and the key is in its share of its range
-	spillOver                    // usable
-	failedOnce                   // usable, but it failed this request before
-	unusable                     // held to be bad
-	barred                       // it may not be named
+	preferred   preference   = iota // usable, and the key is in the part of its range that it serves now
+	spillOver                       // usable
+	failedOnce                      // usable, but it has failed this request already
+	ejected                         // an outlier
+	ineligible                      // it must not be chosen
+	preferences = ineligible        // number of preferences by which an endpoint may be chosen
 )
 
-// pick returns the member with the highest score that is preferred; failing that, the highest that is usable, then one that
-// failed the request before. One that is bad is named only where nobody is usable: while the others are full, requests
-// would else run into a dead member. Not is left out.
-func (b *Balancer) pick(r *request, key uint64, from []*member, salt uint64, not *member) *member {
-	c := choice{b: b, r: r, key: key, from: from, not: not}
-	above := math.Inf(1)
-	for range firstTries {
-		m, score := b.highestBelow(above, key, from, salt)
-		if m == nil {
+// topCandidates is how many endpoints are looked at in the order of their scores before all are: mostly the first
+// one suits.
+const topCandidates = 4
+
+// pick returns the endpoint with the highest score that is preferred; failing that, the highest that is usable,
+// then one that has failed the request before. An ejected one is chosen only where all are ejected: while the
+// others are full, requests would else run into a dead endpoint. Excluded, which may be nil, is left out.
+func (b *Balancer) pick(r *request, key uint64, candidates []*endpoint, salt uint64, excluded *endpoint) *endpoint {
+	c := choice{balancer: b, request: r, key: key, salt: salt, candidates: candidates, excluded: excluded}
+	bound := math.Inf(1)
+	for range topCandidates {
+		e, score := c.highestBelow(bound)
+		if e == nil {
 			break
 		}
-		if c.preference(m) == preferred {
-			return m
+		if c.preference(e) == preferred {
+			return e
 		}
-		above = score
+		bound = score
 	}
-	return c.among(salt)
+	return c.bestOfAll()
 }
 
-// firstTries is how many members are looked at in the order of their scores, before all are: mostly the first one suits.
-const firstTries = 4
+// choice is the choice of one endpoint for a request.
+type choice struct {
+	balancer   *Balancer
+	request    *request
+	key, salt  uint64
+	candidates []*endpoint
+	excluded   *endpoint
+
+	overloadedFrom float64 // own attempts in flight that make an endpoint overloaded; 0: not computed yet
+}
 
-// highestBelow returns the member with the highest score under a bound.
-func (b *Balancer) highestBelow(bound float64, key uint64, from []*member, salt uint64) (best *member, top float64) {
-	keyed := mix(key ^ salt)
-	for _, m := range from {
-		u := unitOf(keyed, uint64(m.id))
-		size := b.sizeOf(m)
-		if best != nil && size <= top*(1-u) { // as -ln u >= 1-u, its score is no higher than size/(1-u)
+// highestBelow returns the endpoint with the highest score under a bound.
+func (c *choice) highestBelow(bound float64) (best *endpoint, top float64) {
+	mixed := mix(c.key ^ c.salt)
+	for _, e := range c.candidates {
+		u := mixedFraction(mixed, uint64(e.id))
+		capacity := c.balancer.capacityOf(e)
+		if best != nil && capacity <= top*(1-u) { // as -ln u >= 1-u, its score is at most capacity/(1-u)
 			continue
 		}
-		if score := -size / math.Log(u); score < bound && (best == nil || score > top) {
-			best, top = m, score
+		if score := -capacity / math.Log(u); score < bound && (best == nil || score > top) {
+			best, top = e, score
 		}
 	}
 	return best, top
 }
 
-// choice is the choice of one member for a request.
-type choice struct {
-	b    *Balancer
-	r    *request
-	key  uint64
-	from []*member
-	not  *member
-
-	crowd float64 // own attempts that make a member crowded; 0: not computed yet
-}
-
-// preference tells how well a member suits.
-func (c *choice) preference(m *member) preference {
-	b, r := c.b, c.r
-	full := m.role == cache && (float64(m.out) >= m.limit*b.sizeAllowance(r) || !b.allowed(r, m))
+// preference tells how well an endpoint suits. For one in slow start it brings the budget up to date.
+func (c *choice) preference(e *endpoint) preference {
+	b, r := c.balancer, c.request
+	full := e.role == roleCache &&
+		(float64(e.inFlight) >= e.concurrencyLimit*b.costAllowance(r) || !r.dedupAllows(e))
 	switch {
-	case m == c.not || full || !b.inService(m) || !b.withinBudget(m, r):
-		return barred
-	case !b.usable(m):
-		return unusable
-	case b.failed(r, m):
+	case e == c.excluded || full || !e.inService() || !b.withinWarmUpBudget(e, r):
+		return ineligible
+	case !b.usable(e):
+		return ejected
+	case r.failedAt(e):
 		return failedOnce
-	case b.owns(c.key, m) && (m.role != cache || !c.crowded(m)):
+	case b.inOwnRange(c.key, e) && (e.role != roleCache || !c.overloaded(e)):
 		return preferred
 	}
 	return spillOver
 }
 
-// among looks at all members.
-func (c *choice) among(salt uint64) *member {
-	var best [barred]*member
-	var top [barred]float64
-	dead := true
-	for _, m := range c.from {
-		dead = dead && (m == c.not || !c.b.usable(m))
-		p := c.preference(m)
-		if p == barred {
+// bestOfAll looks at all candidates.
+func (c *choice) bestOfAll() *endpoint {
+	var best [preferences]*endpoint
+	var top [preferences]float64
+	allEjected := true
+	for _, e := range c.candidates {
+		allEjected = allEjected && (e == c.excluded || !c.balancer.usable(e))
+		p := c.preference(e)
+		if p == ineligible {
 			continue
 		}
-		score := c.b.score(c.key, m, salt)
-		for ; p < barred; p++ { // a member does for what is wanted less, too
+		score := c.balancer.score(c.key, e, c.salt)
+		for ; p < preferences; p++ { // an endpoint also does where one that suits less well would
 			if best[p] == nil || score > top[p] {
-				best[p], top[p] = m, score
+				best[p], top[p] = e, score
 			}
 		}
 	}
-	if dead {
-		return best[unusable]
+	if allEjected {
+		return best[ejected]
 	}
 	return cmp.Or(best[preferred], best[spillOver], best[failedOnce])
 }
 
-// crowded tells whether a member has many more own attempts than the others: its range then spills to the next score. It
-// guards against a hot object that outgrows one cache's link.
-func (c *choice) crowded(m *member) bool {
-	out := float64(m.out)
-	if out < crowdLeast { // whatever the others have
+// overloaded tells whether an endpoint has many more own attempts in flight than its peers: its range then spills
+// over to the next score. It guards against a hot object that outgrows one cache's link.
+func (c *choice) overloaded(e *endpoint) bool {
+	inFlight := float64(e.inFlight)
+	if inFlight < overloadMargin { // whatever its peers have
 		return false
 	}
-	if c.crowd == 0 {
-		c.crowd = c.b.crowd(c.from)
+	if c.overloadedFrom == 0 {
+		c.overloadedFrom = c.balancer.overloadThreshold(c.candidates)
 	}
-	return out >= c.crowd
+	return inFlight >= c.overloadedFrom
 }
 
-// crowd is how many own attempts make one of these crowded beside the others.
-func (b *Balancer) crowd(from []*member) float64 {
-	n, out := 0.0, 0.0
-	for _, m := range from {
-		if b.usable(m) {
-			n, out = n+1, out+float64(m.out)
+// overloadThreshold is how many own attempts in flight make one of some endpoints overloaded.
+func (b *Balancer) overloadThreshold(peers []*endpoint) float64 {
+	n, inFlight := 0.0, 0.0
+	for _, e := range peers {
+		if b.usable(e) {
+			n, inFlight = n+1, inFlight+float64(e.inFlight)
 		}
 	}
-	return crowdOver*out/max(n, 1) + crowdLeast
+	return overloadRatio*inFlight/max(n, 1) + overloadMargin
 }
 
-// score is the rendezvous hash of a member, weighed by its size where the listed sizes are steady.
-func (b *Balancer) score(key uint64, m *member, salt uint64) float64 {
-	return -b.sizeOf(m) / math.Log(unit(key, uint64(m.id), salt))
+// score is the rendezvous hash of an endpoint, weighted by its capacity.
+func (b *Balancer) score(key uint64, e *endpoint, salt uint64) float64 {
+	return -b.capacityOf(e) / math.Log(hashFraction(key, uint64(e.id), salt))
 }
 
-// unit hashes to a number above 0 and below 1.
-func unit(key, id, salt uint64) float64 { return unitOf(mix(key^salt), id) }
+// hashFraction hashes to a number above 0 and below 1.
+func hashFraction(key, id, salt uint64) float64 { return mixedFraction(mix(key^salt), id) }
 
-// unitOf is unit for a key that is mixed with the salt already.
-func unitOf(keyed, id uint64) float64 {
-	h := mix(keyed + id*0x9e3779b97f4a7c15)
+// mixedFraction is hashFraction for a key that is mixed with the salt already.
+func mixedFraction(mixed, id uint64) float64 {
+	h := mix(mixed + id*0x9e3779b97f4a7c15)
 	return (float64(h>>11) + 0.5) / (1 << 53)
 }
 
-// mix spreads a number over all bits, each of which follows from all of its bits.
+// mix is a bijective hash: each bit of the result depends on all bits of x.
 func mix(x uint64) uint64 {
 	x ^= x >> 30
 	x *= 0xbf58476d1ce4e5b9
--- a/balancer/health.go
+++ b/balancer/health.go
@@ -1,185 +1,100 @@
 package balancer
 
-import (
-	"math"
-)
+import "math"
 
-// Health of members, learned from the outcomes of attempts alone.
+// Health of endpoints: outlier detection from the outcomes of attempts alone. A health score lowers the part of its
+// range that a slow endpoint serves; failures in a row eject it.
 
-// inService tells whether rules let us name a member at all.
-func (b *Balancer) inService(m *member) bool { return m.state == InService }
+// inService tells whether the list allows attempts at an endpoint.
+func (e *endpoint) inService() bool { return e.state == InService }
 
-// usable tells whether a member may get ordinary work: it is not bad, or a trial is due, and routers that
-// talk have not agreed to leave its trials to another.
-func (b *Balancer) usable(m *member) bool {
-	return b.inService(m) && (!m.bad || b.now >= m.trial) && !b.s.Coordinator.ProbedByPeer(b.now, m.id)
+// usable tells whether an endpoint may get ordinary attempts: it is not ejected, or a probe is due, and the fleet
+// has not left its probes to another router.
+func (b *Balancer) usable(e *endpoint) bool {
+	return e.inService() && (!e.health.ejected || b.now >= e.health.nextProbe) &&
+		!b.settings.Coordinator.ProbedByPeer(b.now, e.id)
 }
 
-// learnOutcome learns from an outcome who is well and who is not.
-func (b *Balancer) learnOutcome(r *request, a *attempt, ev Outcome) {
-	src := a.source
-	if src == a.node {
-		src = nil
-	}
-	switch ev.Status {
-	case OK:
-		b.recordSuccess(a.node)
-		hit := ev.Detail == Hit || ev.Detail == Stale
-		if a.node.role == cache {
-			b.recordLoad(cache, r.class, 1)
-			if a.node.misses -= a.node.misses / recent; !hit {
-				a.node.misses += 1 / recent
-			}
-		}
-		if hit {
-			b.adjustTrust(a.node, !b.slow(r, a))
-		} else if src != nil && ev.Detail == FilledByOrigin && b.origin != nil {
-			b.adjustTrust(b.origin, ev.SourceWait.Seconds() <= slowFrom*r.slack())
-			b.adjustTrust(src, (ev.Elapsed-ev.SourceWait).Seconds()-r.work <= slowFrom*r.slack())
-		} else if src != nil && !a.late {
-			b.adjustTrust(src, !b.slow(r, a))
-		}
-		if hit && r.SizeKB == 0 {
-			w := ev.Elapsed.Seconds()
-			if r.object.work == 0 || w < r.object.work {
-				r.object.work = w
-			}
-			r.class.learn(w)
-		}
-		if src != nil && (ev.Detail == Filled || ev.Detail == FilledByOrigin) {
-			b.recordSuccess(src)
-			r.object.held = ev.Detail == Filled
-			if a.warming || r.object.copied == 0 {
-				r.object.copied = b.now
-			}
-			b.recordLoad(src.role, r.class, 1)
-		}
-	case ConnectFailed, Reset:
-		if a.node.broke != b.now { // one connection that fails ends all attempts on it, and counts once
-			b.recordFailure(a.node)
-		}
-		a.node.broke = b.now
-	case Error:
-		if ev.Detail == SourceUnreachable && src != nil {
-			b.recordFailure(src)
-			a.blame = src
-		} else if b.recordFailure(a.node); src != nil { // an error that names no cause may be the source's
-			b.adjustTrust(src, false)
-		}
-	case TimedOut:
-		if src != nil && !b.known(r) {
-			b.adjustTrust(src, false)
-		}
-	case Rejected, Miss:
-		a.node.sign = b.now
-		switch {
-		case ev.Detail == OriginFailed && b.origin != nil:
-			b.recordFailure(b.origin)
-			a.blame = src
-		case src != nil && src.role != cache && (ev.Detail == SourceRejected || ev.Detail == SourceUnreachable ||
-			ev.Detail == NoDetail && ev.Status == Rejected && ev.Elapsed > turnedAway):
-			b.recordFailure(src) // where nothing is told: a cache's own refusal comes at once, a source's from afar
-			a.blame = src
-		}
-	}
+func (b *Balancer) recordSuccess(e *endpoint) {
+	e.health.consecutiveFailures, e.health.lastResponse = 0, b.now
+	b.setEjected(e, false)
 }
 
-func (b *Balancer) recordSuccess(m *member) {
-	m.fails, m.sign = 0, b.now
-	b.setBad(m, false)
+func (b *Balancer) recordFailure(e *endpoint) {
+	b.updateHealthScore(e, false)
+	e.health.consecutiveFailures++
+	if e.health.consecutiveFailures >= ejectAfterFailures && !e.health.ejected {
+		b.setEjected(e, true)
+		e.health.nextProbe = b.now + probeInterval
+	}
 }
 
-// setBad holds a member to be bad, or no longer.
-func (b *Balancer) setBad(m *member, bad bool) {
-	if m.bad == bad {
+func (b *Balancer) setEjected(e *endpoint, ejected bool) {
+	if e.health.ejected == ejected {
 		return
 	}
-	listed := m.state != Removed
+	listed := e.state != Removed
 	if listed {
-		b.tally(m, -1)
+		b.endpoints.countCache(e, -1)
 	}
-	m.bad = bad
+	e.health.ejected = ejected
 	if listed {
-		b.tally(m, 1)
+		b.endpoints.countCache(e, 1)
 	}
 }
 
-func (b *Balancer) recordFailure(m *member) {
-	b.adjustTrust(m, false)
-	if m.fails++; m.fails >= failsInRow && !m.bad {
-		b.setBad(m, true)
-		m.trial = b.now + trialEvery
-	}
+// healthScore is how well an endpoint has answered lately, up to 1. It recovers with time.
+func (b *Balancer) healthScore(e *endpoint) float64 {
+	return min(1, 1-e.health.penalty+float64(b.now-e.health.penalizedAt)/float64(scoreRecoveryTime))
 }
 
-// adjustTrust moves the trust in a member by an answer that was quick or slow. It guards against members that grow
-// slow while they still answer, and against sources that more rely on than they can serve: their range goes
-// to the next score, where all directors find the same way by themselves.
-func (b *Balancer) adjustTrust(m *member, quick bool) {
-	t := min(1, b.trust(m)+trustBack)
-	if !quick {
-		t = max(leastTrust, b.trust(m)*b.trustPenalty(m))
+// updateHealthScore moves an endpoint's score by a response that was quick or slow. It guards against endpoints
+// that grow slow while they still answer, and against sources that are asked for more than they can serve: what
+// they lose of their range goes to the next in the hash's order, which all routers find by themselves.
+func (b *Balancer) updateHealthScore(e *endpoint, quick bool) {
+	score := b.healthScore(e)
+	if quick {
+		score = min(1, score+quickScoreGain)
+	} else {
+		score = max(minHealthScore, score*b.slowResponseFactor(e))
 	}
-	m.doubt, m.doubted, b.best[m.role] = 1-t, b.now, leastTrust
-	peers := b.parents
-	if m.role == cache {
-		peers = b.caches
+	e.health.penalty, e.health.penalizedAt = 1-score, b.now
+	b.updateBestScore(e.role)
+}
+
+// updateBestScore finds the highest score of a role. The origin is measured against nothing but the parents.
+func (b *Balancer) updateBestScore(of role) {
+	peers := b.endpoints.parents
+	if of == roleCache {
+		peers = b.endpoints.caches
 	}
+	best := minHealthScore
 	for _, p := range peers {
-		if t := b.trust(p); t > b.best[m.role] && b.usable(p) {
-			if b.best[m.role] = t; t >= 1 { // nobody is trusted more
+		if score := b.healthScore(p); score > best && b.usable(p) {
+			best = score
+			if score >= 1 { // the highest that there is
 				break
 			}
 		}
 	}
+	b.bestScore[of] = best
 }
 
-// trustPenalty is what a slow answer leaves of the trust in a member. The more directors share the origin, the fewer
-// of its answers each sees, and the longer all ask too much of it; the root leaves room for chance.
-func (b *Balancer) trustPenalty(m *member) float64 {
-	if m.role != origin {
-		return trustCut
+// slowResponseFactor is what a slow response leaves of a score. The more routers share the origin, the fewer of its
+// responses each of them sees, and the longer all ask too much of it. The root leaves room for chance.
+func (b *Balancer) slowResponseFactor(e *endpoint) float64 {
+	if e.role != roleOrigin {
+		return slowScoreFactor
 	}
-	return trustCut / math.Sqrt(max(1, b.directors()/thinOver))
+	return slowScoreFactor / math.Sqrt(max(1, b.routerCount()/fullViewRouters))
 }
 
-// trust is how well a member has answered lately, up to 1.
-func (b *Balancer) trust(m *member) float64 {
-	return min(1, 1-m.doubt+float64(b.now-m.doubted)/float64(forgiveTime))
-}
-
-// slack is the time that the aim of a request leaves beside its sending time, in seconds.
+// slack is what the latency objective of a request leaves beside its service time, in seconds.
 func (r *request) slack() float64 {
-	return max(r.class.LatencyObjective.Seconds()+(r.class.ObjectiveStretch-1)*r.work, leastSlack.Seconds())
+	return max(r.class.LatencyObjective.Seconds()+(r.class.ObjectiveStretch-1)*r.serviceTime, minSlack.Seconds())
 }
 
-// slow tells whether an answer that comes now, or has yet to come, takes up most of the time to spare.
-func (b *Balancer) slow(r *request, a *attempt) bool {
-	return (b.now-a.sent).Seconds()-r.work > slowFrom*r.slack()
-}
-
-// handleOverdue meets an answer that does not come, long before any time-out: from a slow, hung, vanished or cut
-// off member. A cache that has answered since is not silent; then its source is in question. What a bad
-// member owes is called off, so that it can be sent elsewhere; not what the origin owes, which has no peer.
-func (b *Balancer) handleOverdue(r *request, i int) {
-	a := &r.attempts[i]
-	if !a.late {
-		a.late = true
-		if m := a.source; m != a.node && (a.node.sign > a.sent || !b.known(r)) {
-			b.adjustTrust(m, false)
-		} else {
-			b.adjustTrust(a.node, false)
-		}
-	}
-	for _, m := range []*member{a.node, a.source} {
-		if !a.silent && m.sign <= a.sent && b.now-a.sent >= silentAfter {
-			a.silent = true
-			b.recordFailure(m)
-		}
-	}
-	elsewhere := (a.node.bad || a.source.bad) && a.source.role != origin
-	if elsewhere && !r.done && r.class.Idempotency == Idempotent && b.s.Capabilities.Cancellation {
-		a.cancelled = true
-		b.do(CancelAttempt{ID: r.ID, Attempt: i})
-	}
+// isSlow tells whether a response that comes now, or has yet to come, uses up most of the slack.
+func (b *Balancer) isSlow(r *request, a *attempt) bool {
+	return (b.now-a.sentAt).Seconds()-r.serviceTime > slowThreshold*r.slack()
 }
--- a/balancer/purges.go
+++ b/balancer/purges.go
@@ -5,31 +5,55 @@
 	"time"
 )
 
-// Purges, and the age of copies that they bar.
+// Cache invalidation: purges, and the age of copies that they rule out.
 
-func (b *Balancer) purge(ev Purge) {
-	maps.DeleteFunc(b.purges, func(_ purgeKey, at time.Duration) bool {
-		return b.now-at > b.s.PurgeWindow+purgeMargin
-	})
-	k, at := purgeKey{ev.ByGroup, ev.Object}, max(b.now-ev.Age, 1) // 0 would say that there was none
-	if ev.ByGroup {
-		k.name = ev.Group
-	}
-	if len(b.purges) >= purgeTable {
-		b.floor = max(b.floor, at)
+// purgeKey identifies a purged object or group.
+type purgeKey struct {
+	byGroup bool
+	id      uint64
+}
+
+// purgeTable remembers purges until no older copy can be left anywhere.
+type purgeTable struct {
+	purgedAt map[purgeKey]time.Duration
+	floor    time.Duration // all copies older than this count as purged: set when the table is full
+}
+
+// record takes in a purge.
+func (t *purgeTable) record(k purgeKey, at time.Duration) {
+	if len(t.purgedAt) >= maxPurges {
+		t.floor = max(t.floor, at)
 	} else {
-		b.purges[k] = max(b.purges[k], at)
+		t.purgedAt[k] = max(t.purgedAt[k], at)
 	}
 }
 
-func (b *Balancer) purgedAt(r *request) time.Duration {
-	return max(b.purges[purgeKey{false, r.Object}], b.purges[purgeKey{true, r.Group}], b.floor)
+// latest is the time of the latest purge of an object, by itself or with its group; 0: there was none.
+func (t *purgeTable) latest(object, group uint64) time.Duration {
+	return max(t.purgedAt[purgeKey{false, object}], t.purgedAt[purgeKey{true, group}], t.floor)
 }
 
-// maxAge is the age that bars copies from before any purge told of the object; 0 is the class default.
+func (b *Balancer) handlePurge(ev Purge) {
+	maps.DeleteFunc(b.purges.purgedAt, func(_ purgeKey, at time.Duration) bool { return b.purgeIsOver(at) })
+	k := purgeKey{ev.ByGroup, ev.Object}
+	if ev.ByGroup {
+		k.id = ev.Group
+	}
+	b.purges.record(k, max(b.now-ev.Age, 1)) // 0 would mean that there was none
+}
+
+// purgeIsOver tells whether all copies older than a purge are gone.
+func (b *Balancer) purgeIsOver(at time.Duration) bool {
+	return b.now-at > b.settings.PurgeWindow+purgeMargin
+}
+
+func (b *Balancer) purgedAt(r *request) time.Duration { return b.purges.latest(r.Object, r.Group) }
+
+// maxAge is the age of the oldest copy that may be served, which rules out copies from before a purge. 0 means that
+// the cache's own default for the class will do.
 func (b *Balancer) maxAge(r *request) time.Duration {
 	at := b.purgedAt(r)
-	if at == 0 || b.now-at > b.s.PurgeWindow+purgeMargin {
+	if at == 0 || b.purgeIsOver(at) {
 		return 0
 	}
 	age := max(b.now-at-time.Microsecond, time.Microsecond)
--- a/balancer/requests.go
+++ b/balancer/requests.go
@@ -6,160 +6,156 @@
 	"time"
 )
 
-// The path of a request, from its arrival to its final answer.
+// The life of a request, from its arrival to its final answer.
 
-func (b *Balancer) request(ev Request) {
-	c := b.classes[ev.Class]
-	if c == nil { // unknown: served as carefully as possible
+func (b *Balancer) handleRequest(ev Request) {
+	c := b.classes.byName[ev.Class]
+	if c == nil { // unknown: the zero Class is the most careful one
 		c = newClass(Class{Name: ev.Class})
 	}
-	r := &request{Request: ev, class: c, end: b.now + ev.Remaining, object: b.remember(part{ev.Object, ev.Part})}
-	r.object.seen++
-	r.work = b.workOf(r)
-	r.aim = b.now + c.LatencyObjective + seconds(c.ObjectiveStretch*r.work)
-	if r.cost = r.work; c.Weight > 0 {
+	r := &request{
+		Request: ev, class: c, deadline: b.now + ev.Remaining,
+		object: b.objects.get(b.now, objectKey{ev.Object, ev.Part}),
+	}
+	r.object.requestCount++
+	r.serviceTime = b.serviceTimeOf(r)
+	r.objective = b.now + c.LatencyObjective + seconds(c.ObjectiveStretch*r.serviceTime)
+	r.cost = r.serviceTime
+	if c.Weight > 0 {
 		r.cost /= c.Weight
 	}
-	b.cost += (r.cost - b.cost) / recent
-	b.open[ev.ID] = r
-	b.order = append(b.order, r)
-	b.recordLoad(other, c, 1)
-	if b.born == 0 {
-		b.born = b.now
+	b.addRequest(r)
+	b.recordLoad(roleClient, c, 1)
+	if b.requests.firstAt == 0 { // after recordLoad, for which a router without requests is no young one
+		b.requests.firstAt = b.now
 	}
 	b.route(r)
-	b.tick()
+	b.scheduleScan()
 }
 
-func newClass(c Class) *class { return &class{Class: c, work: seedWork.Seconds()} }
+func (b *Balancer) addRequest(r *request) {
+	t := &b.requests
+	t.meanCost += (r.cost - t.meanCost) / averagingWindow
+	t.byID[r.ID] = r
+	t.inOrder = append(t.inOrder, r)
+}
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// workOf is the sending time of a request in seconds, as far as it is known.
-func (b *Balancer) workOf(r *request) float64 {
-	if r.SizeKB > 0 && b.s.PaceKBps > 0 {
-		w := r.SizeKB / b.s.PaceKBps
-		r.class.learn(w)
-		return w
+// serviceTimeOf is the service time of a request in seconds, as far as it is known.
+func (b *Balancer) serviceTimeOf(r *request) float64 {
+	if r.SizeKB > 0 && b.settings.PaceKBps > 0 {
+		s := r.SizeKB / b.settings.PaceKBps
+		r.class.observe(s)
+		return s
 	}
-	return cmp.Or(r.object.work, r.class.work)
+	return cmp.Or(r.object.serviceTime, r.class.serviceTime)
 }
 
-// remember finds or makes the table's entry of a part. Two generations bound it and let it age.
-func (b *Balancer) remember(k part) *object {
-	if len(b.objects[0]) >= tableSize || b.now-b.turned > 4*copyInterval {
-		b.objects[0], b.objects[1], b.turned = map[part]*object{}, b.objects[0], b.now
-	}
-	o := cmp.Or(b.objects[0][k], b.objects[1][k], &object{})
-	b.objects[0][k] = o
-	return o
-}
-
-// route sends the next attempt of a request, or ends it.
+// route sends the next attempt of a request, queues the request, or ends it.
 func (b *Balancer) route(r *request) {
-	if len(r.attempts) >= max(b.s.MaxAttempts, 1) || b.now >= r.end || !b.mayResend(r) {
-		b.answer(r)
+	if len(r.attempts) >= b.maxAttempts() || b.now >= r.deadline || !b.mayRetry(r) {
+		b.finish(r)
 		return
 	}
 	var a attempt
-	if r.class.Write || r.Write {
-		a = b.writePath(r)
+	if b.isWrite(r) {
+		a = b.routeWrite(r)
 	} else {
-		a = b.readPath(r)
+		a = b.routeRead(r)
 	}
 	switch {
-	case a.node != nil:
-		r.waiting = false
-		b.send(r, a)
-	case len(b.caches) > 0 && b.mayQueue(r):
-		r.waiting = true
+	case a.endpoint != nil:
+		r.phase = requestActive
+		b.sendAttempt(r, a)
+	case len(b.endpoints.caches) > 0 && b.worthQueueing(r):
+		r.phase = requestQueued
 	default:
-		b.answer(r)
+		b.finish(r)
 	}
 }
 
-// mayQueue tells whether a request can still be answered in time. If not, it is ended: failing late is
-// worse than refusing early, and its work would make others late. It also ends in time for its client.
-func (b *Balancer) mayQueue(r *request) bool {
-	return b.now+seconds(giveUpFactor*r.work) < r.aim && b.now+2*scanEvery < r.end
+func (b *Balancer) maxAttempts() int { return max(b.settings.MaxAttempts, 1) }
+
+// isWrite tells whether a request runs at the origin and leaves no copy.
+func (b *Balancer) isWrite(r *request) bool { return r.class.Write || r.Write }
+
+// worthQueueing tells whether a request can still be answered in time after a wait. If not, it is ended: failing
+// late is worse than rejecting early, and its work would make others late. It must also end in time for its client.
+func (b *Balancer) worthQueueing(r *request) bool {
+	return b.now+seconds(giveUpFactor*r.serviceTime) < r.objective && b.now+2*scanInterval < r.deadline
 }
 
-// retryQueued tries the waiting requests again, those with the least work for their worth first.
+// retryQueued routes the queued requests again, the cheapest for their weight first.
 func (b *Balancer) retryQueued() {
-	var rs []*request
-	for _, r := range b.order {
-		if r.waiting && !r.done {
-			rs = append(rs, r)
+	var queued []*request
+	for _, r := range b.requests.inOrder {
+		if r.phase == requestQueued {
+			queued = append(queued, r)
 		}
 	}
-	slices.SortStableFunc(rs, func(x, y *request) int { return cmp.Compare(x.cost, y.cost) })
-	for _, r := range rs {
+	slices.SortStableFunc(queued, func(x, y *request) int { return cmp.Compare(x.cost, y.cost) })
+	for _, r := range queued {
 		b.route(r)
 	}
 }
 
-// sizeAllowance widens the bounds for requests that cost little for their worth: under overload, serving many
-// small ones is worth more than few large ones, and they delay those little.
-func (b *Balancer) sizeAllowance(r *request) float64 {
-	if r.cost < b.cost {
-		return smallAllowance
-	}
-	return 1
-}
-
-// known tells whether the edge cache likely holds the part: it was served lately and not purged since.
-func (b *Balancer) known(r *request) bool {
-	return r.object.okAt > 0 && b.now-r.object.okAt < knownFor && r.object.okAt > b.purgedAt(r)
+// likelyCached tells whether the edge cache likely has the part: it was served lately and not purged since.
+func (b *Balancer) likelyCached(r *request) bool {
+	served := r.object.servedAt
+	return served > 0 && b.now-served < likelyCachedFor && served > b.purgedAt(r)
 }
 
-// mayResend keeps the rule on effects: a further attempt is sent only where no earlier one can have
-// run, or where the class drops the repeat. Routers that talk also bound such repeats, all together.
-func (b *Balancer) mayResend(r *request) bool {
+// mayRetry keeps the rule on idempotency: an attempt may follow others only where none of them can have run, or
+// where the class lets a repeat do no harm. Routers of a fleet also bound such retries together.
+func (b *Balancer) mayRetry(r *request) bool {
+	idempotency := r.class.Idempotency
 	for i := range r.attempts {
 		a := &r.attempts[i]
-		if a.out && !(b.s.Capabilities.Hedging && r.class.Idempotency == Idempotent) {
+		if a.open() && !(b.settings.Capabilities.Hedging && idempotency == Idempotent) {
 			return false
 		}
-		if a.neverRan || r.class.Idempotency == Idempotent {
+		if a.state == attemptNeverRan || idempotency == Idempotent {
 			continue
 		}
-		if r.class.Idempotency == NotIdempotent || b.now-a.sent >= r.class.DedupWindow {
+		if idempotency == NotIdempotent || b.now-a.sentAt >= r.class.DedupWindow {
 			return false
 		}
 	}
-	return !r.ran() || b.s.Coordinator.AdmitRetry(b.now)
+	return !r.mayHaveRun() || b.settings.Coordinator.AdmitRetry(b.now)
 }
 
-// answer gives the final answer that the router itself owes: a refusal where trying again is harmless. It
-// waits for the outcome of an attempt that is still out.
-func (b *Balancer) answer(r *request) {
-	harmless := true
+// finish gives the final answer that the router itself owes: a rejection where the client may safely ask again,
+// else a failure. While an attempt is in flight, its outcome decides instead.
+func (b *Balancer) finish(r *request) {
+	repeatable := r.class.Idempotency == Idempotent ||
+		r.class.Idempotency == IdempotentByKey && r.class.DedupScope == DedupEverywhere
+	safe := true
 	for i := range r.attempts {
-		if r.attempts[i].out {
+		if r.attempts[i].open() {
 			return
 		}
-		if !r.attempts[i].neverRan {
-			harmless = r.class.Idempotency == Idempotent ||
-				r.class.Idempotency == IdempotentByKey && r.class.DedupScope == DedupEverywhere
+		if r.attempts[i].state == attemptMayHaveRun {
+			safe = repeatable
 		}
 	}
-	if harmless {
-		b.do(Reject{ID: r.ID, RetryAfter: b.s.MaxRetryAfter})
+	if safe {
+		b.emit(Reject{ID: r.ID, RetryAfter: b.settings.MaxRetryAfter})
 	} else {
-		b.do(Fail{ID: r.ID})
+		b.emit(Fail{ID: r.ID})
 	}
-	b.close(r)
+	b.closeRequest(r)
 }
 
-func (b *Balancer) close(r *request) {
-	if r != nil {
-		r.waiting = false
-		r.done = true
-		for i := range r.attempts { // nobody waits for these any more
-			if a := &r.attempts[i]; a.out && !a.cancelled && b.s.Capabilities.Cancellation && !r.streamed {
-				a.cancelled = true
-				b.do(CancelAttempt{ID: r.ID, Attempt: i})
-			}
+// closeRequest ends a request and cancels what nobody waits for any more.
+func (b *Balancer) closeRequest(r *request) {
+	r.phase = requestClosed
+	if r.streaming || !b.settings.Capabilities.Cancellation {
+		return
+	}
+	for i := range r.attempts {
+		if r.attempts[i].state == attemptInFlight {
+			b.cancelAttempt(r, i)
 		}
 	}
 }
--- a/balancer/slowstart.go
+++ b/balancer/slowstart.go
@@ -7,71 +7,88 @@
 	"time"
 )
 
-// Slow start: what a member that has started lately may be sent.
+// Slow start: what an endpoint that has started lately may be sent, measured by the usual load.
 
-// recordLoad keeps the mean of the calls that a role served for us, and its highest of late, by class: their work
-// is learned by and by. Calls asked for would not do: clients ask again for what was never carried.
-func (b *Balancer) recordLoad(ro role, c *class, calls float64) {
-	l := &b.load[ro]
-	dt, part := (b.now - l.at).Seconds(), 1.0
-	l.rate.set(l.rate, math.Exp(-dt/usualOver.Seconds()))
-	l.peak.set(l.peak, math.Exp(-dt/peakOver.Seconds()))
-	l.rate[c.place] += calls / usualOver.Seconds()
-	if age := b.now - b.born; age >= usualOver/4 { // over less, chance says more than the load
-		part -= math.Exp(-age.Seconds() / usualOver.Seconds())
+// recordLoad takes calls that a role has served for us into its usual load, by class: their service times are
+// learned by and by. Calls that clients ask for would not do, as they ask again for what was never served.
+func (b *Balancer) recordLoad(of role, c *class, calls float64) {
+	l := &b.load[of]
+	dt := (b.now - l.updatedAt).Seconds()
+	l.rate.setScaled(l.rate, math.Exp(-dt/usualLoadWindow.Seconds()))
+	l.peak.setScaled(l.peak, math.Exp(-dt/peakLoadWindow.Seconds()))
+	l.rate[c.index] += calls / usualLoadWindow.Seconds()
+	if filled := b.windowFilled(); b.classes.serviceTime(l.rate) > filled*b.classes.serviceTime(l.peak) {
+		l.peak.setScaled(l.rate, 1/filled)
 	}
-	if b.work(l.rate) > part*b.work(l.peak) {
-		l.peak.set(l.rate, 1/part)
+	l.updatedAt = b.now
+}
+
+// windowFilled is the part of usualLoadWindow that this router has seen. A very young router counts as an old one:
+// what it has seen says more of chance than of the load.
+func (b *Balancer) windowFilled() float64 {
+	age := b.now - b.requests.firstAt
+	if age < usualLoadWindow/4 {
+		return 1
 	}
-	l.at = b.now
+	return 1 - math.Exp(-age.Seconds()/usualLoadWindow.Seconds())
 }
 
-// cold tells whether the fail-back rule bounds what a member is sent.
-func (b *Balancer) cold(m *member) bool {
-	c := b.rules[m.role]
-	return m.start > 0 && b.now-m.start < c.WarmUpTime && c.OverloadWindow > 0
+// isWarmingUp tells whether the slow-start rule bounds what an endpoint is sent.
+func (b *Balancer) isWarmingUp(e *endpoint) bool {
+	rule := &b.slowStart[e.role]
+	return e.startedAt > 0 && b.now-e.startedAt < rule.WarmUpTime && rule.OverloadWindow > 0
 }
 
-// withinBudget keeps the fail-back rule alone. Each router takes the usual load that it sends to a warm
-// member for its part of what that one can do, and may send a cold one the rule's multiple of that part, as
-// far as it has warmed. What is not used is saved up from the moment of being told of the start, for part of
-// a window, or for one request: where many routers see little each, all their firsts must not come at once.
-func (b *Balancer) withinBudget(m *member, r *request) bool {
-	if !b.cold(m) {
+// withinWarmUpBudget keeps the slow-start rule. Each router takes the usual load that it sends to a warmed-up
+// endpoint for its part of what that one can serve, and may send one in slow start the rule's multiple of that
+// part, as far as it has warmed up. What is not used is saved from when its start was learned, for part of the
+// overload window, or for one request: where many routers see few requests each, all their first ones must not come
+// at once.
+func (b *Balancer) withinWarmUpBudget(e *endpoint, r *request) bool {
+	if !b.isWarmingUp(e) {
 		return true
 	}
-	c, usual := b.rules[m.role], b.work(b.load[m.role].peak)
-	if b.now-b.born < usualOver { // nothing seen yet: part of what is asked for, and of what links carry
-		most := cmp.Or(m.limit/cacheShare*b.fleet[m.role]/b.sizeOf(m), math.Inf(1))
-		usual = max(usual, coldGuess*min(b.work(b.load[other].peak), most))
+	usual := b.usualLoad(e)
+	if r.leaseLoad > 0 {
+		return r.leaseLoad <= b.warmUpRate(e, usual, b.now)
 	}
-	if r.lease > 0 {
-		return r.lease <= b.coldRate(m, usual, b.now)
+	window := b.slowStart[e.role].OverloadWindow.Seconds()
+	most := max(b.warmUpRate(e, usual, b.now)*window*warmUpBurstFactor, b.classes.largestServiceTime())
+	mean := b.warmUpRate(e, usual, (e.warmUp.budgetAt+b.now)/2) // since budgetAt: the rate rises in a line
+	e.warmUp.budget = min(e.warmUp.budget+mean*(b.now-e.warmUp.budgetAt).Seconds(), most)
+	e.warmUp.budgetAt = b.now
+	return e.warmUp.budget >= min(r.class.serviceTime, most) && b.settings.Coordinator.AdmitWarmingUp(b.now, e.id)
+}
+
+// usualLoad is the usual load of an endpoint's role, in seconds of service time per second. A young router takes
+// part of what clients ask it for instead, at most what the endpoints' links carry.
+func (b *Balancer) usualLoad(e *endpoint) float64 {
+	usual := b.classes.serviceTime(b.load[e.role].peak)
+	if b.now-b.requests.firstAt < usualLoadWindow {
+		most := cmp.Or(e.concurrencyLimit/cacheLimitFactor*b.endpoints.peakCapacity[e.role]/b.capacityOf(e), math.Inf(1))
+		usual = max(usual, initialLoadFactor*min(b.classes.serviceTime(b.load[roleClient].peak), most))
 	}
-	most := max(b.coldRate(m, usual, b.now)*c.OverloadWindow.Seconds()*savedMost, b.largest())
-	mean := b.coldRate(m, usual, (m.savedAt+b.now)/2) // the rate rises in a line
-	m.saved = min(m.saved+mean*(b.now-m.savedAt).Seconds(), most)
-	m.savedAt = b.now
-	return m.saved >= min(r.class.work, most) && b.s.Coordinator.AdmitWarmingUp(b.now, m.id)
+	return usual
 }
 
-// coldRate is the work that a cold member may be sent each second, as far as it has warmed at a time, less what resolvers hold
-// of it.
-func (b *Balancer) coldRate(m *member, usual float64, at time.Duration) float64 {
-	c, w := b.rules[m.role], b.sizeOf(m)
-	share := c.InitialCapacity + (1-c.InitialCapacity)*float64(max(at-m.start, 0))/float64(c.WarmUpTime)
-	rate := budgetSlack * c.OverloadFactor * share * usual * w / max(b.fleet[m.role], w)
-	m.leases = slices.DeleteFunc(m.leases, func(l lease) bool { return b.now >= l.until })
-	for _, l := range m.leases {
+// warmUpRate is the load that an endpoint in slow start may be sent, as far as it has warmed up at a time, less what
+// resolvers' clients send it.
+func (b *Balancer) warmUpRate(e *endpoint, usual float64, at time.Duration) float64 {
+	rule, capacity := &b.slowStart[e.role], b.capacityOf(e)
+	warm := rule.InitialCapacity + (1-rule.InitialCapacity)*float64(max(at-e.startedAt, 0))/float64(rule.WarmUpTime)
+	rate := warmUpBudgetFactor * rule.OverloadFactor * warm * usual * capacity /
+		max(b.endpoints.peakCapacity[e.role], capacity)
+	e.warmUp.leases = slices.DeleteFunc(e.warmUp.leases, func(l resolverLease) bool { return b.now >= l.until })
+	for _, l := range e.warmUp.leases {
 		rate -= l.load
 	}
 	return max(rate, 0)
 }
 
-// sizeOf is what counts of a member in its fleet.
-func (b *Balancer) sizeOf(m *member) float64 {
-	if b.s.StaticWeights && m.weight > 0 {
-		return m.weight
+// capacityOf is what an endpoint counts for among its peers: its listed weight where weights are capacities, else 1.
+func (b *Balancer) capacityOf(e *endpoint) float64 {
+	if b.settings.StaticWeights && e.weight > 0 {
+		return e.weight
 	}
 	return 1
 }
--- a/balancer/troubles_test.go
+++ b/balancer/troubles_test.go
@@ -8,7 +8,7 @@
 // fail ends what is sent to a node in the given way until the balancer avoids it.
 func (r *rig) fail(id EndpointID, st Status) {
 	r.t.Helper()
-	for o := uint64(1000); !r.b.members[id].bad; o++ {
+	for o := uint64(1000); !r.b.endpoints.byID[id].health.ejected; o++ {
 		if o > 1200 {
 			r.t.Fatalf("node %d was never shunned", id)
 		}
@@ -30,14 +30,14 @@
 			out = append(out, g)
 		}
 	}
-	if len(out) <= failsInRow {
+	if len(out) <= ejectAfterFailures {
 		t.Fatalf("only %d attempts at the cache", len(out))
 	}
 	for _, g := range out {
 		r.end(g, 0, Reset, NoDetail)
 	}
-	if m := r.b.members[1]; m.bad || m.fails != 1 {
-		t.Errorf("%d failures, bad: %v; want one", m.fails, m.bad)
+	if m := r.b.endpoints.byID[1]; m.health.ejected || m.health.consecutiveFailures != 1 {
+		t.Errorf("%d failures, bad: %v; want one", m.health.consecutiveFailures, m.health.ejected)
 	}
 }
 
@@ -65,8 +65,8 @@
 		}
 		r.end(g, 0, OK, Hit)
 	}
-	m := r.b.members[1]
-	if trials != 1 || m.bad {
+	m := r.b.endpoints.byID[1]
+	if trials != 1 || m.health.ejected {
 		t.Errorf("%d trials, back as %+v", trials, m)
 	}
 }
@@ -88,7 +88,7 @@
 			t.Fatalf("%+v", g)
 		}
 	}
-	if passed == 0 || float64(passed) > startLimit*smallAllowance+1 {
+	if passed == 0 || float64(passed) > defaultLimit*cheapAllowance+1 {
 		t.Errorf("%d passed the caches by", passed)
 	}
 	r.now += 60 * sec
@@ -97,7 +97,7 @@
 		back[i].StartedAt = r.now - 30*sec
 	}
 	r.do(EndpointUpdate{Endpoints: back})
-	r.b.link = 0
+	r.b.link.inFlight = 0
 	if g := r.ask("page", 500); g.Endpoint < 1 || g.Endpoint > 3 {
 		t.Errorf("after the return: %+v", g)
 	}
@@ -178,14 +178,14 @@
 // Slow fills, from an origin or a link, take room from fills; quick hits leave the caches theirs.
 func TestSlowFillsShrinkTheLink(t *testing.T) {
 	r := newRig(t, site(), fleet())
-	room, limit := r.b.linkRoom, r.b.members[1].limit
+	room, limit := r.b.link.limit, r.b.endpoints.byID[1].concurrencyLimit
 	for o := range uint64(30) {
 		g := r.ask("page", o)
 		r.now += sec
 		r.do(Outcome{ID: g.ID, Endpoint: g.Endpoint, Status: OK, Answered: true, Detail: Filled, Elapsed: sec})
 	}
-	if r.b.linkRoom >= room || r.b.members[1].limit != limit {
-		t.Errorf("link %.1f of %.1f, cache %.1f of %.1f", r.b.linkRoom, room, r.b.members[1].limit, limit)
+	if r.b.link.limit >= room || r.b.endpoints.byID[1].concurrencyLimit != limit {
+		t.Errorf("link %.1f of %.1f, cache %.1f of %.1f", r.b.link.limit, room, r.b.endpoints.byID[1].concurrencyLimit, limit)
 	}
 }
 
@@ -195,8 +195,8 @@
 	home := r.ask("page", 5)
 	r.end(home, 0, OK, Filled)
 	r.fail(home.Endpoint, Reset)
-	h := r.b.members[home.Source]
-	h.bad, h.trial = true, r.now+time.Minute
+	h := r.b.endpoints.byID[home.Source]
+	h.health.ejected, h.health.nextProbe = true, r.now+time.Minute
 	g := r.ask("page", 5)
 	if g.Endpoint == home.Endpoint || g.Source == home.Source || g.Endpoint == 0 {
 		t.Errorf("%+v, the lost are %d and %d", g, home.Endpoint, home.Source)
@@ -209,7 +209,7 @@
 	s.Capabilities.DirectAttempts = false
 	r := newRig(t, s, fleet())
 	r.fail(1, ConnectFailed)
-	r.b.members[2].limit, r.b.members[3].limit = 0, 0
+	r.b.endpoints.byID[2].concurrencyLimit, r.b.endpoints.byID[3].concurrencyLimit = 0, 0
 	for o := range uint64(30) {
 		if g := r.ask("page", o); g.Endpoint != 0 {
 			t.Fatalf("%+v", g)
@@ -267,7 +267,7 @@
 // share counts how many of 300 objects a member owns.
 func (r *rig) share(id EndpointID) (n int) {
 	for o := range uint64(300) {
-		if r.b.owns(o, r.b.members[id]) {
+		if r.b.inOwnRange(o, r.b.endpoints.byID[id]) {
 			n++
 		}
 	}
@@ -278,14 +278,14 @@
 // all of it back when it answers quickly.
 func TestAgeingCacheLosesRange(t *testing.T) {
 	r := newRig(t, site(), fleet())
-	for o := uint64(0); o < 500 && r.b.trust(r.b.members[1]) > 0.1; o++ {
+	for o := uint64(0); o < 500 && r.b.healthScore(r.b.endpoints.byID[1]) > 0.1; o++ {
 		if g := r.ask("page", o); g.Endpoint == 1 {
 			r.late(g, 900*ms, Hit)
 		} else {
 			r.late(g, 100*ms, Hit)
 		}
 	}
-	if r.b.members[1].bad {
+	if r.b.endpoints.byID[1].health.ejected {
 		t.Error("slow is not dead")
 	}
 	if n := r.share(1); n > 90 || n == 0 {
@@ -302,7 +302,7 @@
 // A parent whose fills are slow while its peers' are quick loses range to the second homes, and no cache does.
 func TestSlowParentLosesRange(t *testing.T) {
 	r := newRig(t, site(), fleet())
-	for o := uint64(0); o < 500 && r.b.trust(r.b.members[11]) > 0.1; o++ {
+	for o := uint64(0); o < 500 && r.b.healthScore(r.b.endpoints.byID[11]) > 0.1; o++ {
 		if g := r.ask("page", o); g.Source == 11 {
 			r.late(g, 900*ms, Filled)
 		} else {
@@ -312,8 +312,8 @@
 	if n := r.share(11); n > 90 || n == 0 {
 		t.Errorf("slow, and owns %d of 300 objects", n)
 	}
-	for _, m := range r.b.caches {
-		if r.b.trust(m) < 1 {
+	for _, m := range r.b.endpoints.caches {
+		if r.b.healthScore(m) < 1 {
 			t.Errorf("cache %d took the blame", m.id)
 		}
 	}
@@ -323,7 +323,7 @@
 // homes: the second deployment's fast errors came so, from one upper cache through every edge box.
 func TestFailingParentLosesRange(t *testing.T) {
 	r := newRig(t, site(), fleet())
-	for o := uint64(0); o < 500 && r.b.trust(r.b.members[11]) > 0.1; o++ {
+	for o := uint64(0); o < 500 && r.b.healthScore(r.b.endpoints.byID[11]) > 0.1; o++ {
 		g := r.ask("page", o)
 		if r.now += 10 * ms; g.Source == 11 && o%2 == 0 {
 			r.end(g, 0, Error, NoDetail)
@@ -345,9 +345,9 @@
 			r.late(g, 900*ms, Hit)
 		}
 	}
-	for _, m := range r.b.caches {
-		if !r.b.owns(7, m) && !r.b.owns(8, m) && !r.b.owns(9, m) {
-			t.Errorf("cache %d lost its range with trust %.2f", m.id, r.b.trust(m))
+	for _, m := range r.b.endpoints.caches {
+		if !r.b.inOwnRange(7, m) && !r.b.inOwnRange(8, m) && !r.b.inOwnRange(9, m) {
+			t.Errorf("cache %d lost its range with trust %.2f", m.id, r.b.healthScore(m))
 		}
 	}
 }
@@ -356,7 +356,7 @@
 // lacks is not asked of the origin, but for a few objects that show when it is well again.
 func TestSlowOriginIsSpared(t *testing.T) {
 	r := newRig(t, site(), fleet())
-	for o := uint64(0); o < 500 && r.b.trust(r.b.origin) > 0.1; o++ {
+	for o := uint64(0); o < 500 && r.b.healthScore(r.b.endpoints.origin) > 0.1; o++ {
 		if g := r.ask("page", o); g.Endpoint != 0 {
 			r.late(g, 900*ms, FilledByOrigin)
 		}
@@ -375,7 +375,7 @@
 		} else if g.Endpoint != 0 {
 			r.end(g, 0, OK, Hit)
 		}
-		r.wait(scanEvery)
+		r.wait(scanInterval)
 	}
 	if held < 40 || held > 99 {
 		t.Errorf("%d of 100 objects only as held", held)
@@ -388,11 +388,11 @@
 		s := site()
 		s.Topology.RoutersPerZone = []int{0, beside}
 		r := newRig(t, s, fleet())
-		if got := r.b.caches[0].limit; got != want {
+		if got := r.b.endpoints.caches[0].concurrencyLimit; got != want {
 			t.Errorf("%d directors: limit %.1f, want %.1f", beside, got, want)
 		}
-		if r.b.linkRoom < leastLimit {
-			t.Errorf("%d directors: %.1f on the link", beside, r.b.linkRoom)
+		if r.b.link.limit < minLimit {
+			t.Errorf("%d directors: %.1f on the link", beside, r.b.link.limit)
 		}
 	}
 }
@@ -418,7 +418,7 @@
 			now += 500 * ms / directors
 			r := rigs[step%directors]
 			r.now = now
-			if step%directors == 0 && now >= told && r.b.members[cold].start == 0 {
+			if step%directors == 0 && now >= told && r.b.endpoints.byID[cold].startedAt == 0 {
 				for _, x := range rigs {
 					x.now = now
 					e := fleet()[0]
@@ -433,7 +433,7 @@
 			if g.Endpoint == 0 {
 				continue
 			}
-			work, kind := r.b.classes["page"].work, Hit
+			work, kind := r.b.classes.byName["page"].serviceTime, Hit
 			fill := step%3 == 0
 			if fill && g.Source != g.Endpoint {
 				kind = Filled
@@ -484,9 +484,9 @@
 		}
 	}
 	for range 80 {
-		r.now += scanEvery
-		for _, m := range r.b.caches {
-			m.sign = r.now // the caches answer others
+		r.now += scanInterval
+		for _, m := range r.b.endpoints.caches {
+			m.health.lastResponse = r.now // the caches answer others
 		}
 		for _, a := range r.do(Timer{Token: scanToken}) {
 			if c, ok := a.(CancelAttempt); ok {
@@ -494,7 +494,7 @@
 			}
 		}
 	}
-	if !r.b.origin.bad {
+	if !r.b.endpoints.origin.health.ejected {
 		t.Error("the test did not make the origin silent")
 	}
 }
--- a/balancer/tuning.go
+++ b/balancer/tuning.go
@@ -1,67 +1,86 @@
 package balancer
 
-import (
-	"time"
+import "time"
+
+// The tuned values of all decisions, each with its reason. Times are in simulated and real time alike.
+
+// Placement: which endpoint serves an object.
+const (
+	replicationInterval  = 40 * time.Second // fills of an object go to its second home once in this time
+	rangeRampTime        = 10 * time.Second // the part of its range that a started endpoint serves rises to all over this
+	likelyCachedFor      = 10 * time.Second // what was served this lately is likely still cached
+	objectGenerationSize = 1 << 15          // objects remembered in each of two generations
+)
+
+// Purges.
+const (
+	maxPurges   = 1 << 12     // purges remembered; when there are more, all older copies count as purged
+	purgeMargin = time.Second // a purge rules out copies for this longer than the settings say
+)
+
+// Health scores and ejection.
+const (
+	slowThreshold      = 0.6                    // slow is over this part of the slack; less: chance moves ranges
+	minSlack           = 50 * time.Millisecond  // of a class without a latency objective
+	slowScoreFactor    = 0.5                    // a slow response cuts the score to this; more: aging shows late
+	quickScoreGain     = 0.1                    // a quick one adds this; more: a fifth may be slow
+	fullViewRouters    = 20.0                   // with more routers, each sees few responses of the origin
+	minHealthScore     = 0.05                   // some requests must always show that an endpoint has recovered
+	scoreRecoveryTime  = 30 * time.Second       // the score recovers over this; less: bad endpoints are retried
+	peerScoreRatio     = 0.35                   // under this part of the best peer's score, range is lost; more: homes move more
+	originScoreRatio   = 0.3                    // a lower score costs the origin fills; more: rejections on calm days
+	silenceTimeout     = 500 * time.Millisecond // an endpoint that owes responses and sends none this long has failed
+	ejectAfterFailures = 3                      // failures in a row that eject an endpoint
+	probeInterval      = time.Second            // an ejected endpoint gets one attempt in this time
+	ownRejectionTime   = 3 * time.Millisecond   // a rejection later than this came from a source, not from the cache
+	scanInterval       = 25 * time.Millisecond  // open attempts are checked this often; finer costs CPU
 )
 
-// The tuned values of all decisions, each with its reason.
+// Slow start.
+const (
+	usualLoadWindow    = 10 * time.Second // the usual load is an average over about this time
+	peakLoadWindow     = 60 * time.Second // and its peak decays over this
+	warmUpBudgetFactor = 0.85             // part of the rule's budget that we use; over 1 breaks the rule
+	warmUpBurstFactor  = 0.2              // part of the overload window for which budget may be saved up
+	initialLoadFactor  = 0.5              // part of what clients ask a new instance for, taken as its usual load
+	minLeaseLoad       = 1e-3             // of a resolver's clients
+)
+
+// Admission and load shedding.
+const (
+	defaultLimit           = 12.0 // attempts at one cache by all routers, where its link is unknown
+	minLimit               = 2.0  // own attempts in flight at a cache or on the link; more: jams in overload
+	overloadRatio          = 1.25 // a cache with this times the mean of own attempts in flight
+	overloadMargin         = 2.0  // and this many more is overloaded
+	cheapAllowance         = 1.3  // bounds are wider by this for requests cheaper than the mean
+	clientRetryFactor      = 0.5  // and narrower by this for clients that retry: they are late already
+	varianceFactor         = 0.5  // a shared bound is wider by this times the root of our part
+	maxLearnedFactor       = 2.5  // a link of unknown capacity may be learned to carry this times defaultLimit
+	knownLinkUtilization   = 0.7  // part of the link's capacity that we use where that is known
+	learnedLinkUtilization = 0.5  // and where it is only learned, which needs a wider margin
+	congestionThreshold    = 1.3  // a response over this times its service time has shared a full link
+	linkLearningRate       = 0.4  // how far one response moves the bound of the link
+	giveUpFactor           = 2.0  // a queued request is ended with less than this times its service time left
+	cacheLimitFactor       = 2.5  // attempts at a cache over the transfers that its link carries
+	cacheLimitByLinkPart   = 6.0  // the same over its part of the zone's link, where its own is unknown
+	fewCaches              = 6.0  // with fewer caches, a link is wider by the root of this over their number
+	linkLimitFactor        = 2.0  // transfers in flight on the zone's link over those that it carries at full speed
+)
 
-// All tuned values. Times are in simulated or real time alike.
+// Averages.
 const (
-	copyInterval   = 40 * time.Second       // an object's fills go to its second home once in this time
-	warmTime       = 10 * time.Second       // a started member's share of its range rises to all over this
-	scanEvery      = 25 * time.Millisecond  // open attempts are looked over this often; finer costs CPU
-	knownFor       = 10 * time.Second       // what was served this lately is likely still held
-	tableSize      = 1 << 15                // objects remembered in each of two generations
-	purgeTable     = 1 << 12                // purges remembered; all is barred when full
-	slowFrom       = 0.6                    // slow past this part of the spare time; less: chance moves ranges
-	leastSlack     = 50 * time.Millisecond  // spared by a class without an aim
-	trustCut       = 0.5                    // trust is cut to this by a slow answer; more: ageing shows late
-	trustBack      = 0.1                    // and grows by this with a quick one; more: a fifth may be slow
-	thinOver       = 20.0                   // with more directors, each sees little of the origin
-	leastTrust     = 0.05                   // never less: a few requests must show that it is well again
-	forgiveTime    = 30 * time.Second       // trust comes back over this by itself; less: bad ones are retried
-	peerPart       = 0.35                   // of the best peer's trust, less costs range; more: homes move more
-	originPart     = 0.3                    // less trust costs the origin calls; more: refusals on calm days
-	silentAfter    = 500 * time.Millisecond // a member that owes answers and gives none this long is silent
-	failsInRow     = 3                      // failures without a success between that make a member bad
-	trialEvery     = time.Second            // a bad member is tried once in this time
-	usualOver      = 10 * time.Second       // usual load is a mean over about this time
-	peakOver       = 60 * time.Second       // and its peak fades over this
-	budgetSlack    = 0.85                   // part of the fail-back budget that we use; over 1 breaks the rule
-	savedMost      = 0.2                    // and part of a window for which it may be saved up
-	startLimit     = 12.0                   // attempts at one cache by all directors, its link untold
-	leastLimit     = 2.0                    // own attempts at a cache or link, at least; more: jams in overload
-	crowdOver      = 1.25                   // a cache with this x the mean of own attempts
-	crowdLeast     = 2.0                    // and this many more is crowded
-	linkMost       = 2.5                    // a link not told may be learned to carry this x startLimit
-	smallAllowance = 1.3                    // bounds are wider by this for requests cheaper than the mean
-	retryPart      = 0.5                    // and narrower by this for clients that ask again: late already
-	chance         = 0.5                    // a bound is wider by this x the root of our part, if shared
-	toldRoom       = 0.7                    // part of the link's room that we use where its size is told
-	guessedRoom    = 0.5                    // and where it is only learned, which needs a wider margin
-	congested      = 1.3                    // an answer over this x its sending time shared a full link
-	learnGain      = 0.4                    // how far one answer moves the bound of the link
-	giveUpFactor   = 2.0                    // a waiting request is given up with less than this x its time left
-	cacheShare     = 2.5                    // attempts at a cache over the transfers that its link fits
-	cacheOver      = 6.0                    // the same over its part of the location's link, its own untold
-	wideUnder      = 6.0                    // with fewer caches a link is wider by the root of this over them
-	linkShare      = 2.0                    // transfers on the location's link over those that fit it
-	turnedAway     = 3 * time.Millisecond   // a refusal later than this came from a source, not from the cache
-	firstMisses    = 0.3                    // share of misses supposed of a cache before any answer
-	recent         = 48.0                   // means of sizes and misses reach back about this many requests
-	coldGuess      = 0.5                    // of what is asked for, taken for usual load by a new instance
-	purgeMargin    = time.Second            // a purge bars copies for this longer than the settings say
-	leastLease     = 1e-3                   // load of a resolver, at least
-	seedWork       = 200 * time.Millisecond // sending time of a class before any was seen
+	initialMissRate    = 0.3                    // of a cache before its first response
+	averagingWindow    = 48.0                   // averages reach back about this many requests
+	initialServiceTime = 200 * time.Millisecond // of a class before its first response
 )
 
-// Salts of the hashes. Routers agree only as long as nobody changes them.
+// Salts of the hashes. They must never change: all routers of a site have to agree.
 const (
 	saltCache  = 0x9e3779b97f4a7c15
 	saltHome   = 0xc2b2ae3d27d4eb4f
 	saltSecond = 0x165667b19e3779f9
-	saltShare  = 0x27d4eb2f165667c5
+	saltRange  = 0x27d4eb2f165667c5
 )
 
+// scanToken is the token of the one timer that the module sets.
 const scanToken = 1
