--- a/cmd/hillknot/cluster.go
+++ b/cmd/hillknot/cluster.go
@@ -102,7 +102,7 @@
 	}
 	set := failover.Defaults(cfg.Name, f.State.Process, f.State.Size, cmp.Or(longest, time.Second))
 	t := f.Takeover
-	set.Place, set.Strict, set.Lease, set.Wait, set.Claim, set.Keep = f.Place, t.Strict, t.Lease, t.Wait, t.Claim, t.Keep
-	set.Records, set.Body = t.Records, t.Body
+	set.Place, set.Strict, set.LeaseDuration, set.ReplicaTimeout, set.ClaimTimeout, set.Retention = f.Place, t.Strict, t.Lease, t.Wait, t.Claim, t.Keep
+	set.MaxRecords, set.MaxBodyBytes = t.Records, t.Body
 	return set
 }
--- a/internal/cluster/failover/claim.go
+++ b/internal/cluster/failover/claim.go
@@ -22,7 +22,7 @@
 
 // Claim asks what became of an order that a client has lost: its txn, and all else as the client asks for it now. Begin or
 // Settle follows, unless it is dropped before.
-func (t *Table) Claim(now time.Duration, id uint64, o Order) {
+func (t *Coordinator) Claim(now time.Duration, id uint64, o Order) {
 	t.Totals.Claims++
 	c := &claim{order: o, until: now + o.Left, began: now, words: map[string]word{}, out: map[string]bool{}}
 	t.claims[id] = c
@@ -32,11 +32,11 @@
 	t.weigh(now, id, c)
 }
 
-// Drop ends a claim whose client no longer waits.
-func (t *Table) Drop(id uint64) { delete(t.claims, id) }
+// CancelClaim ends a claim whose client no longer waits.
+func (t *Coordinator) CancelClaim(id uint64) { delete(t.claims, id) }
 
 // look is what this router itself knows of an order.
-func (t *Table) look(now time.Duration, o Order, w waiter) word {
+func (t *Coordinator) look(now time.Duration, o Order, w waiter) word {
 	own := t.mine[o.Txn]
 	if own != nil && (own.end == nil || own.end.Kind != NeverRan || t.records[o.Txn] == nil) {
 		if own.order.Digest != o.Digest {
@@ -59,7 +59,7 @@
 }
 
 // ownWord is what a claimant is told of an order of this router's own.
-func (t *Table) ownWord(o *own, w waiter) word {
+func (t *Coordinator) ownWord(o *own, w waiter) word {
 	switch {
 	case o.end == nil:
 		return t.later(&o.wait, w)
@@ -71,19 +71,19 @@
 		return word{Say: sayElsewhere}
 	}
 	o.given = w.Incarnation
-	t.Totals.Runs++
+	t.Totals.OrdersGiven++
 	t.log("given", o.order.Txn, w.Name)
 	return word{Say: sayRun}
 }
 
 // claimed answers a claimant.
-func (t *Table) claimed(now time.Duration, a messaging.Delivery, m message) {
+func (t *Coordinator) claimed(now time.Duration, a messaging.Delivery, m message) {
 	w := t.look(now, m.Order, waiter{Incarnation{a.From, a.Process}, m.Claim})
 	t.answer(a, w)
 }
 
 // tell tells a claimant more.
-func (t *Table) tell(now time.Duration, txn string, w waiter, what word) {
+func (t *Coordinator) tell(now time.Duration, txn string, w waiter, what word) {
 	if w.Name == t.set.Self {
 		if c := t.claims[w.claim]; c != nil {
 			c.words[""] = what
@@ -94,11 +94,11 @@
 		return
 	}
 	// A claimant that can't be told asks again by itself.
-	_, _ = t.send(now, w.Name, message{Kind: kindNews, Txn: txn, Claim: w.claim, Word: what}, now+t.set.Longest, ask{})
+	_, _ = t.send(now, w.Name, message{Kind: kindNews, Txn: txn, Claim: w.claim, Word: what}, now+t.set.MaxClientWait, ask{})
 }
 
 // news takes what one that was asked before tells now.
-func (t *Table) news(now time.Duration, a messaging.Delivery, m message) {
+func (t *Coordinator) news(now time.Duration, a messaging.Delivery, m message) {
 	t.answer(a, word{Say: sayHeld})
 	c := t.claims[m.Claim]
 	if c == nil || c.order.Txn != m.Txn {
@@ -112,9 +112,9 @@
 }
 
 // giveBack returns an order to who gave it: nobody here waits for it any more.
-func (t *Table) giveBack(now time.Duration, txn, from string) {
+func (t *Coordinator) giveBack(now time.Duration, txn, from string) {
 	if from != "" {
-		_, _ = t.send(now, from, message{Kind: kindTell, Txn: txn, Step: stepEnded, Outcome: Outcome{Kind: NeverRan}}, now+t.set.Keep, ask{step: stepEnded})
+		_, _ = t.send(now, from, message{Kind: kindTell, Txn: txn, Step: stepEnded, Outcome: Outcome{Kind: NeverRan}}, now+t.set.Retention, ask{step: stepEnded})
 		return // one that can't be told holds it as given, which is safe
 	}
 	if r := t.records[txn]; r != nil && r.state == given && !r.blank {
@@ -123,7 +123,7 @@
 }
 
 // heard takes the answer to a question, or that there is none.
-func (t *Table) heard(now time.Duration, a ask, d messaging.Completion, w word) {
+func (t *Coordinator) heard(now time.Duration, a ask, d messaging.Completion, w word) {
 	c := t.claims[a.claim]
 	if c == nil || c.order.Txn != a.txn {
 		if w.Say == sayRun && t.mine[a.txn] == nil { // else it was begun
@@ -142,7 +142,7 @@
 }
 
 // weigh acts on the strongest word, once it is strong enough or all have been heard or waited for.
-func (t *Table) weigh(now time.Duration, id uint64, c *claim) {
+func (t *Coordinator) weigh(now time.Duration, id uint64, c *claim) {
 	best, sure := word{}, 0
 	for _, from := range slices.Sorted(maps.Keys(c.words)) {
 		if w := c.words[from]; w.Say > best.Say {
@@ -157,11 +157,11 @@
 		t.begin(now, id, c)
 		return
 	case best.Say == sayOutcome:
-		t.Totals.Answered++
+		t.Totals.ClaimsAnswered++
 		t.settle(id, Action{Outcome: best.Outcome})
 		return
-	case best.Say == sayUnknown && t.set.Strict && sure >= t.set.Size-1: // all but its lost owner: none held it, so it never went out
-		t.Totals.Unknown++
+	case best.Say == sayUnknown && t.set.Strict && sure >= t.set.ClusterSize-1: // all but its lost owner: none held it, so it never went out
+		t.Totals.ClaimsOfUnsent++
 		t.begin(now, id, c)
 		return
 	}
@@ -169,7 +169,7 @@
 	if !c.asked || later && now >= c.again {
 		t.askAll(now, id, c)
 	}
-	if len(c.out) > 0 && now < c.began+t.set.Claim || later {
+	if len(c.out) > 0 && now < c.began+t.set.ClaimTimeout || later {
 		return // more is to be heard
 	}
 	why := "its router can't be reached, and no other knows what became of it"
@@ -180,8 +180,8 @@
 }
 
 // askAll asks all others that have not said anything for good.
-func (t *Table) askAll(now time.Duration, id uint64, c *claim) {
-	c.asked, c.again = true, now+t.set.Claim
+func (t *Coordinator) askAll(now time.Duration, id uint64, c *claim) {
+	c.asked, c.again = true, now+t.set.ClaimTimeout
 	for _, o := range t.live {
 		if s := c.words[o.Name].Say; s == sayMay || s == sayUnknown || c.out[o.Name] {
 			continue
@@ -190,41 +190,41 @@
 	}
 }
 
-func (t *Table) askOne(now time.Duration, id uint64, c *claim, to string) {
+func (t *Coordinator) askOne(now time.Duration, id uint64, c *claim, to string) {
 	m := message{Kind: kindClaim, Txn: c.order.Txn, Claim: id, Order: Order{Txn: c.order.Txn, Digest: c.order.Digest}}
-	if _, err := t.send(now, to, m, min(c.until, now+4*t.set.Claim), ask{claim: id, txn: c.order.Txn}); err == nil {
+	if _, err := t.send(now, to, m, min(c.until, now+4*t.set.ClaimTimeout), ask{claim: id, txn: c.order.Txn}); err == nil {
 		c.out[to] = true
 	}
 }
 
 // begin gives the claim to its client's router to run.
-func (t *Table) begin(now time.Duration, id uint64, c *claim) {
+func (t *Coordinator) begin(now time.Duration, id uint64, c *claim) {
 	delete(t.claims, id)
 	if now >= c.until {
 		t.giveBack(now, c.order.Txn, "")
-		t.do(Action{Op: Settle, ID: id, Txn: c.order.Txn, Outcome: Outcome{Kind: MayHaveRun}, Err: MayRun{"there was no time left for it"}})
+		t.do(Action{Kind: ActionSettleClaim, ClaimID: id, Txn: c.order.Txn, Outcome: Outcome{Kind: MayHaveRun}, Err: MayHaveRunError{"there was no time left for it"}})
 		return
 	}
 	t.log("begun", c.order.Txn, "")
 	o := c.order
 	o.Left = c.until - now
-	t.do(Action{Op: Begin, ID: id, Txn: o.Txn, Order: o})
+	t.do(Action{Kind: ActionBeginClaim, ClaimID: id, Txn: o.Txn, Order: o})
 }
 
-func (t *Table) settle(id uint64, a Action) {
-	a.Op, a.ID, a.Txn = Settle, id, t.claims[id].order.Txn
+func (t *Coordinator) settle(id uint64, a Action) {
+	a.Kind, a.ClaimID, a.Txn = ActionSettleClaim, id, t.claims[id].order.Txn
 	delete(t.claims, id)
 	t.log("settled "+a.Outcome.Kind.String(), a.Txn, "")
 	t.do(a)
 }
 
-func (t *Table) may(id uint64, why string) {
-	t.Totals.May++
-	t.settle(id, Action{Outcome: Outcome{Kind: MayHaveRun}, Err: MayRun{why}})
+func (t *Coordinator) may(id uint64, why string) {
+	t.Totals.ClaimsMayHaveRun++
+	t.settle(id, Action{Outcome: Outcome{Kind: MayHaveRun}, Err: MayHaveRunError{why}})
 }
 
 // beatClaims asks again, and ends claims whose time is over.
-func (t *Table) beatClaims(now time.Duration) {
+func (t *Coordinator) beatClaims(now time.Duration) {
 	for _, id := range slices.Sorted(maps.Keys(t.claims)) {
 		if c := t.claims[id]; now >= c.until {
 			t.may(id, "nobody knew in its time")
--- a/internal/cluster/failover/keeper.go
+++ b/internal/cluster/failover/keeper.go
@@ -55,7 +55,7 @@
 }
 
 // told takes what an owner tells.
-func (t *Table) told(now time.Duration, a messaging.Delivery, m message) {
+func (t *Coordinator) told(now time.Duration, a messaging.Delivery, m message) {
 	from := Incarnation{a.From, a.Process}
 	ow := t.owners[from]
 	if ow == nil {
@@ -70,7 +70,7 @@
 		t.answer(a, word{Say: sayLost})
 		return
 	}
-	ow.session, ow.until = max(ow.session, m.Session), now+t.set.outlasts(t.set.Lease)
+	ow.session, ow.until = max(ow.session, m.Session), now+t.set.outlasts(t.set.LeaseDuration)
 	say := sayHeld
 	if m.Step != stepNone {
 		say = t.toldOf(now, from, ow, m)
@@ -79,7 +79,7 @@
 }
 
 // toldOf takes a record of an order that is open.
-func (t *Table) toldOf(now time.Duration, from Incarnation, ow *owner, m message) say {
+func (t *Coordinator) toldOf(now time.Duration, from Incarnation, ow *owner, m message) say {
 	st := map[step]state{stepTaken: taken, stepLeft: left, stepMay: may}[m.Step]
 	r := t.records[m.Txn]
 	switch {
@@ -88,10 +88,10 @@
 			return sayGone
 		}
 		if r = t.room(now, m.Txn); r == nil {
-			t.Totals.Full++
+			t.Totals.RecordsRejected++
 			return sayFull
 		}
-		t.Totals.Records++
+		t.Totals.RecordsStored++
 	case r.owner == from && r.state <= may:
 		if st > r.state {
 			r.state, r.session = st, m.Session
@@ -104,19 +104,19 @@
 	}
 	r.order, r.known, r.blank, r.owner, r.session, r.state = m.Order, true, false, from, m.Session, st
 	r.due = now + m.Order.Left
-	r.forget = r.due + t.set.Keep
+	r.forget = r.due + t.set.Retention
 	ow.open[m.Txn] = r
 	t.log(m.Step.String()+" kept", m.Txn, from.Name)
 	return sayHeld
 }
 
 // toldEnd takes how an order ended.
-func (t *Table) toldEnd(now time.Duration, from Incarnation, ow *owner, m message) say {
+func (t *Coordinator) toldEnd(now time.Duration, from Incarnation, ow *owner, m message) say {
 	r := t.records[m.Txn]
 	switch {
 	case r == nil:
 		if r = t.room(now, m.Txn); r == nil {
-			t.blurred = now + t.set.Keep
+			t.blurred = now + t.set.Retention
 			return sayHeld
 		}
 		r.owner = from
@@ -140,28 +140,28 @@
 }
 
 // room makes a record, in place of the oldest of those that have ended where there are too many; nil where none has.
-func (t *Table) room(now time.Duration, txn string) *record {
-	for len(t.records) >= t.set.Records {
+func (t *Coordinator) room(now time.Duration, txn string) *record {
+	for len(t.records) >= t.set.MaxRecords {
 		if len(t.past) == 0 {
 			return nil
 		}
 		old := t.records[t.past[0]]
 		if old != nil && old.state == ended {
 			if now < old.forget {
-				t.blurred = now + t.set.Keep // nobody can say for sure any more that it knows nothing of an order
+				t.blurred = now + t.set.Retention // nobody can say for sure any more that it knows nothing of an order
 			}
 			delete(t.records, t.past[0])
 		}
 		t.past = t.past[1:]
 	}
-	r := &record{order: Order{Txn: txn}, forget: now + t.set.Keep}
+	r := &record{order: Order{Txn: txn}, forget: now + t.set.Retention}
 	t.records[txn] = r
 	return r
 }
 
 // finish ends a record, and tells who waits for that. One that never ran is given to the first.
-func (t *Table) finish(now time.Duration, r *record, out Outcome) {
-	r.state, r.end, r.forget = ended, out, now+t.set.Keep
+func (t *Coordinator) finish(now time.Duration, r *record, out Outcome) {
+	r.state, r.end, r.forget = ended, out, now+t.set.Retention
 	t.past = append(t.past, r.order.Txn)
 	t.log("kept as "+out.Kind.String(), r.order.Txn, "")
 	wait := r.wait
@@ -172,7 +172,7 @@
 }
 
 // beatRecords finds owners that are lost, and takes over what they leave.
-func (t *Table) beatRecords(now time.Duration) {
+func (t *Coordinator) beatRecords(now time.Duration) {
 	if t.swept == now { // beatOwn has just looked through its own
 		maps.DeleteFunc(t.records, func(_ string, r *record) bool {
 			if ow := t.owners[r.owner]; ow != nil && now >= r.forget {
@@ -187,13 +187,13 @@
 		case now < ow.until:
 		case len(ow.open) > 0:
 			t.ownerLost(now, who, ow)
-		case now >= ow.until+t.set.Keep:
+		case now >= ow.until+t.set.Retention:
 			delete(t.owners, who)
 		}
 	}
 }
 
-func (t *Table) ownerNames() []Incarnation {
+func (t *Coordinator) ownerNames() []Incarnation {
 	return slices.SortedFunc(maps.Keys(t.owners), func(a, b Incarnation) int {
 		if a.Name != b.Name {
 			return map[bool]int{true: -1, false: 1}[a.Name < b.Name]
@@ -203,13 +203,13 @@
 }
 
 // ownerLost takes over what a router leaves that has said nothing for a lease.
-func (t *Table) ownerLost(now time.Duration, who Incarnation, ow *owner) {
+func (t *Coordinator) ownerLost(now time.Duration, who Incarnation, ow *owner) {
 	ow.lost = ow.session
-	t.Totals.Fallen++
+	t.Totals.OwnersLost++
 	t.log("owner lost", "", who.Name)
 	for _, txn := range slices.Sorted(maps.Keys(ow.open)) {
 		r := ow.open[txn]
-		t.Totals.Taken++
+		t.Totals.OrdersTakenOver++
 		if r.state == may {
 			t.finish(now, r, Outcome{Kind: MayHaveRun})
 			continue
@@ -232,21 +232,21 @@
 }
 
 // runHere runs an order without its client, where all of it is here and there is time for it.
-func (t *Table) runHere(now time.Duration, r *record) {
+func (t *Coordinator) runHere(now time.Duration, r *record) {
 	if r.state != orphan || !r.order.Whole || now >= r.due {
 		return // a claim may bring what is lacking, or it never runs
 	}
 	r.state = running
 	o := r.order
 	o.Left = r.due - now
-	t.Totals.Ran++
+	t.Totals.OrdersRun++
 	t.log("run here", o.Txn, "")
-	t.do(Action{Op: Run, Txn: o.Txn, Order: o})
+	t.do(Action{Kind: ActionRun, Txn: o.Txn, Order: o})
 }
 
 // recordWord is what a claimant is told of a record, whose order it has shown to know. What may be given away is given by
 // the very word.
-func (t *Table) recordWord(now time.Duration, r *record, w waiter) word {
+func (t *Coordinator) recordWord(now time.Duration, r *record, w waiter) word {
 	switch r.state {
 	case taken, left, may, running:
 		return t.later(&r.wait, w)
@@ -270,13 +270,13 @@
 		}
 	}
 	r.state, r.to = given, w
-	t.Totals.Runs++
+	t.Totals.OrdersGiven++
 	t.log("given", r.order.Txn, w.Name)
 	return word{Say: sayRun}
 }
 
 // later has a claimant wait.
-func (t *Table) later(list *[]waiter, w waiter) word {
+func (t *Coordinator) later(list *[]waiter, w waiter) word {
 	if !slices.Contains(*list, w) {
 		if len(*list) >= waitersMost {
 			return word{Say: sayElsewhere}
@@ -288,6 +288,6 @@
 
 // sure tells whether this router would know of an order, had any process of it kept one: all clients of before its start
 // have given up, and nothing was forgotten too soon.
-func (t *Table) sure(now time.Duration) bool {
-	return t.born > 0 && now >= t.born+t.set.outlasts(t.set.Longest) && now >= t.blurred
+func (t *Coordinator) sure(now time.Duration) bool {
+	return t.born > 0 && now >= t.born+t.set.outlasts(t.set.MaxClientWait) && now >= t.blurred
 }
--- a/internal/cluster/failover/message.go
+++ b/internal/cluster/failover/message.go
@@ -70,11 +70,11 @@
 }
 
 func (o *Order) sane() bool {
-	return len(o.Txn) <= txnMost && len(o.Class) <= 64 && len(o.Item) <= 64 && len(o.Account) <= 128 && len(o.Body) <= BodyMost && o.Left >= 0 && o.Left <= time.Hour
+	return len(o.Txn) <= txnMost && len(o.Class) <= 64 && len(o.Item) <= 64 && len(o.Account) <= 128 && len(o.Body) <= MaxBodyLimit && o.Left >= 0 && o.Left <= time.Hour
 }
 
 func (o *Outcome) sane() bool {
-	return o.Kind <= NeverRan && len(o.Body) <= BodyMost && o.Wait >= 0 && o.Wait <= time.Hour
+	return o.Kind <= NeverRan && len(o.Body) <= MaxBodyLimit && o.Wait >= 0 && o.Wait <= time.Hour
 }
 
 func (w *word) sane() bool { return w.Say <= sayRun && w.Outcome.sane() }
--- a/internal/cluster/failover/owner.go
+++ b/internal/cluster/failover/owner.go
@@ -43,16 +43,16 @@
 // renewals is how many times a lease is prolonged in its time.
 const renewals = 4
 
-// Begin takes an order that a client waits for. An error says why it can't be taken; it never ran then.
-func (t *Table) Begin(now time.Duration, o Order) error {
+// Replicate takes an order that a client waits for. An error says why it can't be taken; it never ran then.
+func (t *Coordinator) Replicate(now time.Duration, o Order) error {
 	if t.set.Strict && t.current(now) == nil {
-		t.Totals.Unkept++
-		return KeeperUnreachable{}
+		t.Totals.OrdersWithoutReplica++
+		return ReplicaUnreachableError{}
 	}
-	if o.Whole = len(o.Body) <= t.set.Body; !o.Whole {
+	if o.Whole = len(o.Body) <= t.set.MaxBodyBytes; !o.Whole {
 		o.Body = nil
 	}
-	t.Totals.Orders++
+	t.Totals.OrdersReplicated++
 	t.mine[o.Txn] = &own{order: o, until: now + o.Left, want: stepTaken}
 	t.dirty = append(t.dirty, o.Txn)
 	t.log("taken", o.Txn, "")
@@ -60,7 +60,7 @@
 }
 
 // current is the keeper for new orders; nil where there is none.
-func (t *Table) current(now time.Duration) *keeper {
+func (t *Coordinator) current(now time.Duration) *keeper {
 	k := t.keeperNow
 	if k != nil && !k.lost && t.alive(k.name) {
 		return k
@@ -72,12 +72,12 @@
 	return nil
 }
 
-func (t *Table) alive(name string) bool {
+func (t *Coordinator) alive(name string) bool {
 	return slices.ContainsFunc(t.live, func(o Peer) bool { return o.Name == name })
 }
 
 // change goes on with another keeper, or another session of the same.
-func (t *Table) change(now time.Duration, name string) *keeper {
+func (t *Coordinator) change(now time.Duration, name string) *keeper {
 	t.number++
 	t.keeperNow = &keeper{name: name, session: t.number, renew: now}
 	t.keepers = append(t.keepers, t.keeperNow)
@@ -85,14 +85,14 @@
 	return t.keeperNow
 }
 
-// Ask tells that an order is to be sent. Go follows at once or later, or Stop, or nothing where it ends before.
-func (t *Table) Ask(now time.Duration, txn string) {
+// RequestLease tells that an order is to be sent. Go follows at once or later, or Stop, or nothing where it ends before.
+func (t *Coordinator) RequestLease(now time.Duration, txn string) {
 	o := t.mine[txn]
 	switch {
 	case o == nil || o.end != nil:
-		t.do(Action{Op: Stop, Txn: txn, Outcome: Outcome{Kind: MayHaveRun}, Err: RightLost{}})
+		t.do(Action{Kind: ActionStop, Txn: txn, Outcome: Outcome{Kind: MayHaveRun}, Err: LeaseLostError{}})
 	case o.bare || o.held == stepMay && now < o.k.until:
-		t.do(Action{Op: Go, Txn: txn})
+		t.do(Action{Kind: ActionSend, Txn: txn})
 	default: // where it had the word before, the lease has run out since: the keeper is asked anew
 		if o.gone {
 			o.gone, o.said, o.held = false, stepNone, stepNone
@@ -102,8 +102,8 @@
 	}
 }
 
-// Right tells whether an order may be written now. Who gets a yes writes it at once.
-func (t *Table) Right(now time.Duration, txn string) bool {
+// UseLease tells whether an order may be written now. Who gets a yes writes it at once.
+func (t *Coordinator) UseLease(now time.Duration, txn string) bool {
 	o := t.mine[txn]
 	if o == nil || o.end != nil || !o.bare && (o.held != stepMay || o.k == nil || now >= o.k.until) {
 		return false
@@ -115,19 +115,19 @@
 	return true
 }
 
-// End takes what an order's client is about to be told. Where it returns true the client is not told yet, but at Release:
+// Finish takes what an order's client is about to be told. Where it returns true the client is not told yet, but at Release:
 // a keeper may still give the order away.
-func (t *Table) End(now time.Duration, txn string, out Outcome) (wait bool) {
+func (t *Coordinator) Finish(now time.Duration, txn string, out Outcome) (wait bool) {
 	o := t.mine[txn]
 	if o == nil || o.end != nil {
 		return false
 	}
-	if out.Kind == Served && len(out.Body) > t.set.Body {
+	if out.Kind == Served && len(out.Body) > t.set.MaxBodyBytes {
 		out = Outcome{Kind: MayHaveRun}
 	}
-	o.end, o.forget = &out, now+t.set.Keep
+	o.end, o.forget = &out, now+t.set.Retention
 	t.over = append(t.over, txn)
-	for len(t.over) > t.set.Records {
+	for len(t.over) > t.set.MaxRecords {
 		t.forgetOwn(now)
 	}
 	t.log("ended "+out.Kind.String(), txn, "")
@@ -146,7 +146,7 @@
 }
 
 // spread tells who waits for an own order how it ended.
-func (t *Table) spread(now time.Duration, txn string, o *own) {
+func (t *Coordinator) spread(now time.Duration, txn string, o *own) {
 	wait := o.wait
 	o.wait = nil
 	for _, w := range wait {
@@ -158,39 +158,39 @@
 }
 
 // Abandon tells that another's order was not run here after all, and never will be.
-func (t *Table) Abandon(now time.Duration, txn string) {
+func (t *Coordinator) Abandon(now time.Duration, txn string) {
 	if r := t.records[txn]; r != nil && r.state == running {
 		t.finish(now, r, Outcome{Kind: NeverRan})
 	}
 }
 
 // forgetOwn forgets the own order that ended first; where that is too soon, this router says so for a while.
-func (t *Table) forgetOwn(now time.Duration) {
+func (t *Coordinator) forgetOwn(now time.Duration) {
 	txn := t.over[0]
 	t.over = t.over[1:]
 	if o := t.mine[txn]; o != nil && o.end != nil {
 		if now < o.forget {
-			t.blurred = now + t.set.Keep
+			t.blurred = now + t.set.Retention
 		}
 		delete(t.mine, txn)
 	}
 }
 
-// Withdraw ends an order whose client no longer waits. Ran tells whether it may have run.
-func (t *Table) Withdraw(now time.Duration, txn string, ran bool) {
+// Cancel ends an order whose client no longer waits. Ran tells whether it may have run.
+func (t *Coordinator) Cancel(now time.Duration, txn string, ran bool) {
 	if o := t.mine[txn]; o != nil && o.end == nil {
 		kind := NeverRan
 		if ran {
 			kind = MayHaveRun
 		}
-		if t.End(now, txn, Outcome{Kind: kind}) {
-			t.Overdue(now, txn) // nobody waits for the keeper's word
+		if t.Finish(now, txn, Outcome{Kind: kind}) {
+			t.StopWaiting(now, txn) // nobody waits for the keeper's word
 		}
 	}
 }
 
 // tellAll has the keepers told what they are to know.
-func (t *Table) tellAll(now time.Duration) {
+func (t *Coordinator) tellAll(now time.Duration) {
 	list := t.dirty
 	t.dirty = nil
 	for _, txn := range list {
@@ -200,7 +200,7 @@
 	}
 }
 
-func (t *Table) tellOne(now time.Duration, txn string, o *own) {
+func (t *Coordinator) tellOne(now time.Duration, txn string, o *own) {
 	if o.k == nil {
 		k := t.current(now)
 		if k != nil && slices.Contains(o.tried, k.name) {
@@ -218,10 +218,10 @@
 		k.open++
 	}
 	m := message{Kind: kindTell, Txn: txn, Step: o.want, Session: o.k.session}
-	until := now + t.set.Wait
+	until := now + t.set.ReplicaTimeout
 	switch {
 	case o.want == stepEnded:
-		m.Outcome, until = *o.end, now+t.set.Keep
+		m.Outcome, until = *o.end, now+t.set.Retention
 	case o.held == stepNone:
 		m.Order = o.order
 		m.Order.Left = max(o.until-now, 0)
@@ -235,16 +235,16 @@
 	}
 	o.ever, o.said, o.left = true, o.want, o.left || o.want == stepLeft
 	t.log(o.want.String()+" said", txn, o.k.name)
-	o.k.renew = now + t.set.Lease/renewals
+	o.k.renew = now + t.set.LeaseDuration/renewals
 }
 
 // kept takes what a keeper says to what it was told, or that it says nothing.
-func (t *Table) kept(now time.Duration, a ask, d messaging.Completion, w word) {
+func (t *Coordinator) kept(now time.Duration, a ask, d messaging.Completion, w word) {
 	k := t.session(a.session)
 	if k != nil {
 		switch {
 		case d.Err == nil && w.Say == sayHeld: // it came after it was sent: the lease runs from there
-			k.until = max(k.until, a.sent+t.set.Lease)
+			k.until = max(k.until, a.sent+t.set.LeaseDuration)
 		case d.Err == nil && w.Say == sayLost && a.step != stepEnded:
 			t.sessionLost(now, k)
 		case d.Err != nil && !k.lost:
@@ -265,38 +265,38 @@
 		case o.end != nil:
 		case o.held == stepMay && !o.gone:
 			o.gone = true
-			t.do(Action{Op: Go, Txn: a.txn})
+			t.do(Action{Kind: ActionSend, Txn: a.txn})
 		case o.held == stepTaken && o.want == stepTaken: // it waits for longer than that took
 			o.want = stepLeft
 			t.dirty = append(t.dirty, a.txn)
 		}
 	case d.Err == nil && (w.Say == sayLost || w.Say == sayGone):
 		if !o.went && o.end == nil {
-			t.stop(now, a.txn, o, Outcome{Kind: MayHaveRun}, RightLost{d.To})
+			t.stop(now, a.txn, o, Outcome{Kind: MayHaveRun}, LeaseLostError{d.To})
 		}
 	default:
 		err := d.Err
 		if err == nil {
-			err = TableFull{d.To}
+			err = ReplicaFullError{d.To}
 		}
 		t.failed(now, a.txn, o, err)
 	}
 }
 
 // letGo takes whether a keeper lets go of an order that was refused.
-func (t *Table) letGo(now time.Duration, a ask, o *own, err error, w word) {
+func (t *Coordinator) letGo(now time.Duration, a ask, o *own, err error, w word) {
 	if !o.letGo {
 		return
 	}
-	act := Action{Op: Release, Txn: a.txn}
+	act := Action{Kind: ActionRelease, Txn: a.txn}
 	switch {
 	case err != nil:
-		act.Err = NotWithdrawn{a.to}
+		act.Err = NotReleasedError{a.to}
 	case w.Say != sayHeld:
-		act.Err = RightLost{a.to}
+		act.Err = LeaseLostError{a.to}
 	}
 	if act.Err != nil {
-		t.Overdue(now, a.txn)
+		t.StopWaiting(now, a.txn)
 	} else {
 		o.letGo = false
 		t.spread(now, a.txn, o)
@@ -304,8 +304,8 @@
 	t.do(act)
 }
 
-// Overdue ends the wait for a keeper to let go of an order: it may still run it.
-func (t *Table) Overdue(now time.Duration, txn string) {
+// StopWaiting ends the wait for a keeper to let go of an order: it may still run it.
+func (t *Coordinator) StopWaiting(now time.Duration, txn string) {
 	if o := t.mine[txn]; o != nil && o.letGo {
 		o.letGo = false
 		o.end.Kind = MayHaveRun
@@ -313,7 +313,7 @@
 	}
 }
 
-func (t *Table) session(number uint64) *keeper {
+func (t *Coordinator) session(number uint64) *keeper {
 	if i := slices.IndexFunc(t.keepers, func(k *keeper) bool { return k.session == number }); i >= 0 {
 		return t.keepers[i]
 	}
@@ -321,7 +321,7 @@
 }
 
 // keeperLost leaves a keeper that does not answer. Orders that it can't give away go to the next.
-func (t *Table) keeperLost(now time.Duration, k *keeper) {
+func (t *Coordinator) keeperLost(now time.Duration, k *keeper) {
 	k.lost = true
 	t.log("keeper lost", "", k.name)
 	if t.keeperNow == k {
@@ -338,14 +338,14 @@
 }
 
 // move has an order told to another keeper. The one before never had the right to give it away.
-func (t *Table) move(o *own) {
+func (t *Coordinator) move(o *own) {
 	o.k.open--
 	o.tried = append(o.tried, o.k.name)
 	o.k, o.said, o.held = nil, stepNone, stepNone
 }
 
 // sessionLost takes that the keeper holds this router to have been lost: what was not sent may be another's by now.
-func (t *Table) sessionLost(now time.Duration, k *keeper) {
+func (t *Coordinator) sessionLost(now time.Duration, k *keeper) {
 	if k.lost {
 		return
 	}
@@ -354,17 +354,17 @@
 	t.log("session lost", "", k.name)
 	for _, txn := range slices.Sorted(maps.Keys(t.mine)) {
 		if o := t.mine[txn]; o.k == k && o.end == nil && !o.went {
-			t.stop(now, txn, o, Outcome{Kind: MayHaveRun}, RightLost{k.name})
+			t.stop(now, txn, o, Outcome{Kind: MayHaveRun}, LeaseLostError{k.name})
 		}
 	}
 }
 
 // failed takes that a keeper could not be told of an order in time.
-func (t *Table) failed(now time.Duration, txn string, o *own, err error) {
+func (t *Coordinator) failed(now time.Duration, txn string, o *own, err error) {
 	switch {
 	case o.end != nil || o.went:
 	case o.left: // it may have it all the same, and nobody else can tell
-		t.stop(now, txn, o, Outcome{Kind: MayHaveRun}, NotWithdrawn{o.k.name})
+		t.stop(now, txn, o, Outcome{Kind: MayHaveRun}, NotReleasedError{o.k.name})
 	case now >= o.until:
 		t.stop(now, txn, o, Outcome{Kind: NeverRan}, err)
 	default:
@@ -377,48 +377,48 @@
 }
 
 // unkept takes that nobody can keep an order.
-func (t *Table) unkept(now time.Duration, txn string, o *own, err error) {
-	switch full := (TableFull{}); {
+func (t *Coordinator) unkept(now time.Duration, txn string, o *own, err error) {
+	switch full := (ReplicaFullError{}); {
 	case o.end != nil:
 		o.said = o.want
 	case !t.set.Strict:
 		o.bare, o.said = true, o.want
 		if o.want == stepMay && !o.gone {
 			o.gone = true
-			t.do(Action{Op: Go, Txn: txn})
+			t.do(Action{Kind: ActionSend, Txn: txn})
 		}
 	case o.went: // nobody is left to be told
 		o.said = o.want
 	default:
-		t.Totals.Unkept++
+		t.Totals.OrdersWithoutReplica++
 		if !errors.As(err, &full) {
-			err = KeeperUnreachable{o.tried}
+			err = ReplicaUnreachableError{o.tried}
 		}
 		t.stop(now, txn, o, Outcome{Kind: NeverRan}, err)
 	}
 }
 
 // stop ends an order that may not be sent.
-func (t *Table) stop(now time.Duration, txn string, o *own, out Outcome, err error) {
+func (t *Coordinator) stop(now time.Duration, txn string, o *own, out Outcome, err error) {
 	if out.Kind == MayHaveRun {
-		t.Totals.Lost++
+		t.Totals.LeasesLost++
 	}
-	if t.End(now, txn, out) {
-		t.Overdue(now, txn)
+	if t.Finish(now, txn, out) {
+		t.StopWaiting(now, txn)
 	}
-	t.do(Action{Op: Stop, Txn: txn, Outcome: *o.end, Err: err})
+	t.do(Action{Kind: ActionStop, Txn: txn, Outcome: *o.end, Err: err})
 }
 
 // beatOwn prolongs leases and forgets what has ended long ago.
-func (t *Table) beatOwn(now time.Duration) {
+func (t *Coordinator) beatOwn(now time.Duration) {
 	t.keepers = slices.DeleteFunc(t.keepers, func(k *keeper) bool { return k.open <= 0 && k != t.keeperNow })
 	t.current(now)
 	for _, k := range t.keepers {
 		first := k.until == 0 && k == t.keeperNow // so that the first order finds the way made
 		if (k.open > 0 || first) && !k.lost && now >= k.renew {
-			k.renew = now + t.set.Lease/renewals
+			k.renew = now + t.set.LeaseDuration/renewals
 			// A failure is found by what is told of orders, or by the next of these.
-			_, _ = t.send(now, k.name, message{Kind: kindTell, Session: k.session}, now+t.set.Lease, ask{session: k.session})
+			_, _ = t.send(now, k.name, message{Kind: kindTell, Session: k.session}, now+t.set.LeaseDuration, ask{session: k.session})
 		}
 	}
 	if now < t.swept+sweepEvery {
--- a/internal/cluster/failover/script_test.go
+++ b/internal/cluster/failover/script_test.go
@@ -45,7 +45,7 @@
 
 // ask has the router that has the order write it, as soon as it may.
 func (s *scene) ask(r *router, o *order) {
-	r.table.Ask(r.clock(s.now), o.txn)
+	r.table.RequestLease(r.clock(s.now), o.txn)
 	s.settle(r)
 	s.pass(60 * ms)
 }
@@ -86,7 +86,7 @@
 // keeper is the router that keeps the first one's orders, and other one that is neither.
 func (s *scene) keeper() (k, other *router) {
 	for _, r := range s.routers[1:] {
-		if r.name == s.routers[0].table.Figures().Keeper {
+		if r.name == s.routers[0].table.Stats().Replica {
 			k = r
 		} else {
 			other = r
@@ -146,7 +146,7 @@
 		o := s.order(2500 * ms)
 		s.pass(50 * ms)
 		r := s.routers[0]
-		r.table.Ask(r.clock(s.now), o.txn)
+		r.table.RequestLease(r.clock(s.now), o.txn)
 		for s.now < 6*time.Second && !slices.ContainsFunc(s.line, func(e timeline.Event) bool { return e.What == "may kept" }) {
 			s.step() // the word is on its way then
 		}
@@ -229,7 +229,7 @@
 		o := s.order(2500 * ms)
 		s.pass(50 * ms)
 		r := s.routers[0]
-		r.table.Ask(r.clock(s.now), o.txn)
+		r.table.RequestLease(r.clock(s.now), o.txn)
 		for s.now < 6*time.Second && !slices.ContainsFunc(s.line, func(e timeline.Event) bool { return e.What == "may kept" }) {
 			s.step()
 		}
--- a/internal/cluster/failover/sim_test.go
+++ b/internal/cluster/failover/sim_test.go
@@ -45,7 +45,7 @@
 	i       int
 	name    string
 	place   string
-	table   *Table
+	table   *Coordinator
 	process uint64
 	pace    float64
 	offset  time.Duration
@@ -113,7 +113,7 @@
 	r.process, r.stopped, r.down = f.made, 0, false
 	r.pace, r.offset = 1+drift*(2*f.rnd.Float64()-1), time.Duration(f.rnd.Int64N(int64(time.Hour)))
 	set := Defaults(r.name, r.process, len(f.routers), longest)
-	set.Place, set.Drift, set.Records = r.place, drift, 300
+	set.Place, set.ClockDrift, set.MaxRecords = r.place, drift, 300
 	var err error
 	if r.table, err = New(set); err != nil {
 		panic(err)
@@ -156,7 +156,7 @@
 			f.mail = append(f.mail, m)
 			slices.SortStableFunc(f.mail, func(a, b mail) int { return cmp.Compare(a.at, b.at) })
 		default:
-			r.table.Take(r.clock(f.now), m.data)
+			r.table.Receive(r.clock(f.now), m.data)
 			f.settle(r)
 		}
 	}
@@ -172,11 +172,11 @@
 			}
 		}
 		if f.now%(20*ms) == 0 { // as the routers do
-			r.table.Live(now, live)
-			r.table.Beat(now)
+			r.table.SetPeers(now, live)
+			r.table.Tick(now)
 			f.settle(r)
 		}
-		for _, p := range r.table.Out(now) {
+		for _, p := range r.table.DuePackets(now) {
 			f.post(r.i, p.To, p.Data)
 		}
 	}
@@ -210,24 +210,24 @@
 		}
 	}
 	for _, e := range r.table.Events() {
-		f.note(timeline.Event{Node: r.name, At: f.now, What: e.What, Of: e.Txn, Peer: e.Peer})
+		f.note(timeline.Event{Node: r.name, At: f.now, What: e.Step, Of: e.Txn, Peer: e.Peer})
 	}
 }
 
 func (f *fleet) act(r *router, a Action) {
 	now := r.clock(f.now)
 	j := r.jobs[a.Txn]
-	switch a.Op {
-	case Go:
+	switch a.Kind {
+	case ActionSend:
 		if j != nil && j.hidden == nil {
 			f.send(r, j)
 		}
-	case Stop:
+	case ActionStop:
 		if j != nil {
 			delete(r.jobs, a.Txn)
 			f.told(j, a.Outcome.Kind)
 		}
-	case Release:
+	case ActionRelease:
 		if j != nil && j.hidden != nil {
 			delete(r.jobs, a.Txn)
 			kind := j.hidden.Kind
@@ -236,18 +236,18 @@
 			}
 			f.told(j, kind)
 		}
-	case Run:
+	case ActionRun:
 		f.take(r, &job{txn: a.Txn, until: now + a.Order.Left}, a.Order)
-	case Begin, Settle:
-		if j = r.claims[a.ID]; j == nil {
+	case ActionBeginClaim, ActionSettleClaim:
+		if j = r.claims[a.ClaimID]; j == nil {
 			return
 		}
-		delete(r.claims, a.ID)
-		if a.Op == Begin {
+		delete(r.claims, a.ClaimID)
+		if a.Kind == ActionBeginClaim {
 			f.take(r, j, a.Order)
 			return
 		}
-		if may := (MayRun{}); errors.As(a.Err, &may) && may.Why == "it was being sent when its router was lost" {
+		if may := (MayHaveRunError{}); errors.As(a.Err, &may) && may.Reason == "it was being sent when its router was lost" {
 			j.o.mayAt = f.now
 		}
 		f.told(j, a.Outcome.Kind)
@@ -256,7 +256,7 @@
 
 // take takes an order, for a client or for nobody.
 func (f *fleet) take(r *router, j *job, o Order) {
-	if err := r.table.Begin(r.clock(f.now), o); err != nil {
+	if err := r.table.Replicate(r.clock(f.now), o); err != nil {
 		r.table.Abandon(r.clock(f.now), j.txn)
 		f.told(j, NeverRan)
 		return
@@ -278,7 +278,7 @@
 			return
 		}
 		j.asked = true
-		r.table.Ask(r.clock(f.now), j.txn)
+		r.table.RequestLease(r.clock(f.now), j.txn)
 		f.settle(r)
 	})
 }
@@ -299,8 +299,8 @@
 		})
 		return
 	}
-	if !r.table.Right(now, j.txn) {
-		r.table.Ask(now, j.txn)
+	if !r.table.UseLease(now, j.txn) {
+		r.table.RequestLease(now, j.txn)
 		return
 	}
 	for _, o := range f.open {
@@ -323,7 +323,7 @@
 }
 
 func (f *fleet) end(r *router, j *job, out Outcome) {
-	if !r.table.End(r.clock(f.now), j.txn, out) {
+	if !r.table.Finish(r.clock(f.now), j.txn, out) {
 		delete(r.jobs, j.txn)
 		f.told(j, out.Kind)
 		return
@@ -332,7 +332,7 @@
 	f.after(r, 250*ms, func() {
 		if r.jobs[j.txn] == j {
 			delete(r.jobs, j.txn)
-			r.table.Overdue(r.clock(f.now), j.txn)
+			r.table.StopWaiting(r.clock(f.now), j.txn)
 			f.told(j, MayHaveRun)
 			f.settle(r)
 		}
@@ -371,7 +371,7 @@
 		f.after(at, 0, func() {
 			if at.jobs[o.txn] == j && j.hidden == nil {
 				delete(at.jobs, o.txn)
-				at.table.Withdraw(at.clock(f.now), o.txn, j.ran)
+				at.table.Cancel(at.clock(f.now), o.txn, j.ran)
 			}
 		})
 	}
@@ -530,7 +530,7 @@
 			}
 		}
 		for _, r := range f.routers {
-			if g := r.table.Figures(); !r.down && (g.Open > 300 || g.Kept > 300 || g.Due > 0 || g.Waiting > 512) {
+			if g := r.table.Stats(); !r.down && (g.OpenOrders > 300 || g.Records > 300 || g.OpenClaims > 0 || g.MaxQueued > 512) {
 				t.Errorf("seed %d: %s holds %+v at the end", seed, r.name, g)
 			}
 		}
--- a/internal/extension/orderfailover/orderfailover.go
+++ b/internal/extension/orderfailover/orderfailover.go
@@ -34,7 +34,7 @@
 // Extension implements core.OrderFailover. All its methods belong to the core's goroutine.
 type Extension struct {
 	core    *core.Core
-	table   *failover.Table
+	table   *failover.Coordinator
 	carrier Transport
 	writes  map[string]bool // by class
 	trace   bool
@@ -64,26 +64,26 @@
 
 func (h *Extension) beat() {
 	now := h.core.LoopTime()
-	h.table.Live(now, h.carrier.OrderPeers())
-	h.table.Beat(now)
+	h.table.SetPeers(now, h.carrier.OrderPeers())
+	h.table.Tick(now)
 	h.settle()
 	h.core.Schedule(now+beatEvery, h.beat)
 	if now >= h.fresh {
 		h.fresh = now + figuresEvery
-		h.figures = figures(h.table.Figures())
+		h.figures = figures(h.table.Stats())
 	}
 }
 
 // Receive takes a packet of another router.
 func (h *Extension) Receive(data []byte) {
-	h.table.Take(h.core.LoopTime(), data)
+	h.table.Receive(h.core.LoopTime(), data)
 	h.settle()
 }
 
 // Flush implements core.OrderFailover.
 func (h *Extension) Flush() {
 	h.steps()
-	if out := h.table.Out(h.core.LoopTime()); len(out) > 0 {
+	if out := h.table.DuePackets(h.core.LoopTime()); len(out) > 0 {
 		h.carrier.SendOrderPackets(out)
 	}
 	h.settle() // what could not be told of ends there
@@ -104,36 +104,36 @@
 func (h *Extension) steps() {
 	for _, e := range h.table.Events() {
 		if h.trace {
-			slog.Debug("order", "step", e.What, "txn", e.Txn, "peer", e.Peer)
+			slog.Debug("order", "step", e.Step, "txn", e.Txn, "peer", e.Peer)
 		}
 		if StepHook != nil {
-			StepHook(e.What, e.Txn)
+			StepHook(e.Step, e.Txn)
 		}
 	}
 }
 
 func (h *Extension) act(a failover.Action) {
-	switch a.Op {
-	case failover.Go:
+	switch a.Kind {
+	case failover.ActionSend:
 		h.core.LeaseGranted(a.Txn)
-	case failover.Stop:
+	case failover.ActionStop:
 		h.core.LeaseDenied(a.Txn, a.Outcome.Kind == failover.NeverRan, a.Err)
-	case failover.Release:
+	case failover.ActionRelease:
 		if a.Err != nil {
 			slog.Warn("order not withdrawn", "txn", a.Txn, operatorhint.Attr(a.Err))
 			h.core.OrderNotReleased(a.Txn)
 			return
 		}
 		h.core.OrderReleased(a.Txn)
-	case failover.Run:
+	case failover.ActionRun:
 		h.run(a.Order)
-	case failover.Begin:
-		h.core.ClaimGranted(balancer.RequestID(a.ID))
-	case failover.Settle:
+	case failover.ActionBeginClaim:
+		h.core.ClaimGranted(balancer.RequestID(a.ClaimID))
+	case failover.ActionSettleClaim:
 		if a.Err != nil {
 			slog.Warn("claim without an answer", "txn", a.Txn, operatorhint.Attr(a.Err))
 		}
-		h.core.ClaimAnswered(balancer.RequestID(a.ID), answer(a.Outcome))
+		h.core.ClaimAnswered(balancer.RequestID(a.ClaimID), answer(a.Outcome))
 	}
 }
 
@@ -164,7 +164,7 @@
 
 // Replicate implements core.OrderFailover.
 func (h *Extension) Replicate(q *core.Request, left time.Duration) error {
-	return h.table.Begin(h.core.LoopTime(), order(q, q.Txn, left))
+	return h.table.Replicate(h.core.LoopTime(), order(q, q.Txn, left))
 }
 
 // Claim implements core.OrderFailover.
@@ -174,33 +174,33 @@
 }
 
 // CancelClaim implements core.OrderFailover.
-func (h *Extension) CancelClaim(id balancer.RequestID) { h.table.Drop(uint64(id)) }
+func (h *Extension) CancelClaim(id balancer.RequestID) { h.table.CancelClaim(uint64(id)) }
 
 // RequestLease implements core.OrderFailover.
 func (h *Extension) RequestLease(txn string) {
-	h.table.Ask(h.core.LoopTime(), txn)
+	h.table.RequestLease(h.core.LoopTime(), txn)
 	h.settle()
 }
 
 // UseLease implements core.OrderFailover.
 func (h *Extension) UseLease(txn string) bool {
-	yes := h.table.Right(h.core.CurrentTime(), txn)
+	yes := h.table.UseLease(h.core.CurrentTime(), txn)
 	h.steps()
 	return yes
 }
 
 // Finish implements core.OrderFailover.
 func (h *Extension) Finish(txn string, a core.Answer, ran bool) (wait bool) {
-	wait = h.table.End(h.core.LoopTime(), txn, outcome(a, ran))
+	wait = h.table.Finish(h.core.LoopTime(), txn, outcome(a, ran))
 	h.Flush() // the outcome is on its way before the client has it
 	return wait
 }
 
 // StopWaiting implements core.OrderFailover.
-func (h *Extension) StopWaiting(txn string) { h.table.Overdue(h.core.LoopTime(), txn) }
+func (h *Extension) StopWaiting(txn string) { h.table.StopWaiting(h.core.LoopTime(), txn) }
 
 // Cancel implements core.OrderFailover.
-func (h *Extension) Cancel(txn string, ran bool) { h.table.Withdraw(h.core.LoopTime(), txn, ran) }
+func (h *Extension) Cancel(txn string, ran bool) { h.table.Cancel(h.core.LoopTime(), txn, ran) }
 
 // Metrics implements core.OrderFailover.
 func (h *Extension) Metrics() []core.Metric { return h.figures }
@@ -229,22 +229,22 @@
 	return core.Answer{Verdict: core.Failed, Reason: "Failed"}
 }
 
-func figures(f failover.Figures) []core.Metric {
+func figures(f failover.Stats) []core.Metric {
 	return []core.Metric{
-		{Name: "hand_orders", Help: "Orders taken and kept by another router.", Value: f.Orders, Counter: true},
-		{Name: "hand_unkept", Help: "Orders refused, as no router kept them.", Value: f.Unkept, Counter: true},
-		{Name: "hand_rights_lost", Help: "Orders given up, as another router may have them.", Value: f.Lost, Counter: true},
-		{Name: "hand_records", Help: "Records taken for other routers.", Value: f.Records, Counter: true},
-		{Name: "hand_full", Help: "Records turned away for want of room.", Value: f.Full, Counter: true},
-		{Name: "hand_owners_lost", Help: "Routers whose orders this one took over.", Value: f.Fallen, Counter: true},
-		{Name: "hand_taken_over", Help: "Orders of lost routers.", Value: f.Taken, Counter: true},
-		{Name: "hand_ran", Help: "Orders of lost routers run here without their client.", Value: f.Ran, Counter: true},
+		{Name: "hand_orders", Help: "Orders taken and kept by another router.", Value: f.OrdersReplicated, Counter: true},
+		{Name: "hand_unkept", Help: "Orders refused, as no router kept them.", Value: f.OrdersWithoutReplica, Counter: true},
+		{Name: "hand_rights_lost", Help: "Orders given up, as another router may have them.", Value: f.LeasesLost, Counter: true},
+		{Name: "hand_records", Help: "Records taken for other routers.", Value: f.RecordsStored, Counter: true},
+		{Name: "hand_full", Help: "Records turned away for want of room.", Value: f.RecordsRejected, Counter: true},
+		{Name: "hand_owners_lost", Help: "Routers whose orders this one took over.", Value: f.OwnersLost, Counter: true},
+		{Name: "hand_taken_over", Help: "Orders of lost routers.", Value: f.OrdersTakenOver, Counter: true},
+		{Name: "hand_ran", Help: "Orders of lost routers run here without their client.", Value: f.OrdersRun, Counter: true},
 		{Name: "hand_claims", Help: "Claims of clients that lost a router.", Value: f.Claims, Counter: true},
-		{Name: "hand_claims_answered", Help: "Claims answered with what became of the order.", Value: f.Answered, Counter: true},
-		{Name: "hand_given", Help: "Orders of lost routers given to a claimant.", Value: f.Runs, Counter: true},
-		{Name: "hand_claims_unknown", Help: "Claims of orders that surely never went out.", Value: f.Unknown, Counter: true},
-		{Name: "hand_claims_may_have_run", Help: "Claims told that the order may have run.", Value: f.May, Counter: true},
-		{Name: "hand_kept", Help: "Records held for other routers.", Value: uint64(f.Kept)},
-		{Name: "hand_waiting", Help: "Parcels under way to the router to which most are.", Value: uint64(f.Waiting)},
+		{Name: "hand_claims_answered", Help: "Claims answered with what became of the order.", Value: f.ClaimsAnswered, Counter: true},
+		{Name: "hand_given", Help: "Orders of lost routers given to a claimant.", Value: f.OrdersGiven, Counter: true},
+		{Name: "hand_claims_unknown", Help: "Claims of orders that surely never went out.", Value: f.ClaimsOfUnsent, Counter: true},
+		{Name: "hand_claims_may_have_run", Help: "Claims told that the order may have run.", Value: f.ClaimsMayHaveRun, Counter: true},
+		{Name: "hand_kept", Help: "Records held for other routers.", Value: uint64(f.Records)},
+		{Name: "hand_waiting", Help: "Parcels under way to the router to which most are.", Value: uint64(f.MaxQueued)},
 	}
 }
