--- a/balancer/actions.go
+++ b/balancer/actions.go
@@ -11,7 +11,7 @@
 	Attempt       int // its number, counted from 0
 	Endpoint      EndpointID
 	Timeout       time.Duration // 0: until the client gives up
-	Source        EndpointID    // where a miss is filled from: a parent or the origin; Endpoint itself: there is no fill
+	Source        EndpointID    // fills a miss: a parent or the origin; Endpoint itself: there is no fill
 	CachePriority int           // 0: keep no copy; 1 to 3: the rank at which it is kept
 	MaxAge        time.Duration // the oldest copy that may be served; 0: the cache's default
 	Coalesce      bool          // join a fill of the same object that is in progress
--- a/balancer/attempts.go
+++ b/balancer/attempts.go
@@ -162,7 +162,8 @@
 	if !a.late {
 		a.late = true
 		suspect := a.endpoint
-		if source := a.fillSource(); source != nil && (a.endpoint.health.lastResponse > a.sentAt || !b.likelyCached(r)) {
+		respondsSince := a.endpoint.health.lastResponse > a.sentAt
+		if source := a.fillSource(); source != nil && (respondsSince || !b.likelyCached(r)) {
 			suspect = source
 		}
 		b.updateHealthScore(suspect, false)
@@ -174,7 +175,8 @@
 		}
 	}
 	elsewhere := (a.endpoint.health.ejected || a.source.health.ejected) && a.source.role != roleOrigin
-	if elsewhere && r.phase != requestClosed && r.class.Idempotency == Idempotent && b.settings.Capabilities.Cancellation {
+	cancellable := r.class.Idempotency == Idempotent && b.settings.Capabilities.Cancellation
+	if elsewhere && cancellable && r.phase != requestClosed {
 		b.cancelAttempt(r, i)
 	}
 }
--- a/balancer/handover.go
+++ b/balancer/handover.go
@@ -152,8 +152,10 @@
 		}
 	}
 	for _, from := range m.Objects[:min(len(m.Objects), handedObjects)] {
-		b.objects.young[objectKey{from.Object, from.Part}] = &object{requestCount: from.Seen, servedAt: min(from.OkAt, now),
-			replicatedAt: min(from.Copied, now), cachedAtHome: from.Held, serviceTime: max(from.Work, 0)}
+		b.objects.young[objectKey{from.Object, from.Part}] = &object{
+			requestCount: from.Seen, servedAt: min(from.OkAt, now), replicatedAt: min(from.Copied, now),
+			cachedAtHome: from.Held, serviceTime: max(from.Work, 0),
+		}
 	}
 	b.objects.rotatedAt = now
 	b.updateCacheLimits()
--- a/balancer/routing.go
+++ b/balancer/routing.go
@@ -81,13 +81,16 @@
 // home fails; the origin where there are no parents or its score is good and the home's is not. Nil means that
 // there is none.
 func (b *Balancer) sourceOf(r *request, c sourceCandidates) (source *endpoint, toSecondHome bool) {
-	switch {
-	case r.sourceMisses > 0:
+	if r.sourceMisses > 0 {
 		return b.sourceAfterMiss(r, c), false
-	case !b.canFill(r, c.home) && b.canFill(r, c.second):
-		return c.second, false
-	case !b.canFill(r, c.home):
+	}
+	if !b.canFill(r, c.home) {
+		if b.canFill(r, c.second) {
+			return c.second, false
+		}
 		return c.origin, false
+	}
+	switch {
 	case c.originHealthy && !b.inRange(r.Object, c.home, b.healthScore(c.home)/originScoreRatio):
 		return c.origin, false
 	case b.replicationDue(r.object) && c.second != nil && b.usable(c.second):
--- a/balancer/slowstart.go
+++ b/balancer/slowstart.go
@@ -65,7 +65,8 @@
 func (b *Balancer) usualLoad(e *endpoint) float64 {
 	usual := b.classes.serviceTime(b.load[e.role].peak)
 	if b.now-b.requests.firstAt < usualLoadWindow {
-		most := cmp.Or(e.concurrencyLimit/cacheLimitFactor*b.endpoints.peakCapacity[e.role]/b.capacityOf(e), math.Inf(1))
+		peak := b.endpoints.peakCapacity[e.role]
+		most := cmp.Or(e.concurrencyLimit/cacheLimitFactor*peak/b.capacityOf(e), math.Inf(1))
 		usual = max(usual, initialLoadFactor*min(b.classes.serviceTime(b.load[roleClient].peak), most))
 	}
 	return usual
--- a/balancer/tuning.go
+++ b/balancer/tuning.go
@@ -7,7 +7,7 @@
 // Placement: which endpoint serves an object.
 const (
 	replicationInterval  = 40 * time.Second // fills of an object go to its second home once in this time
-	rangeRampTime        = 10 * time.Second // the part of its range that a started endpoint serves rises to all over this
+	rangeRampTime        = 10 * time.Second // a started endpoint's part of its range rises to all over this
 	likelyCachedFor      = 10 * time.Second // what was served this lately is likely still cached
 	objectGenerationSize = 1 << 15          // objects remembered in each of two generations
 )
@@ -27,7 +27,7 @@
 	fullViewRouters    = 20.0                   // with more routers, each sees few responses of the origin
 	minHealthScore     = 0.05                   // some requests must always show that an endpoint has recovered
 	scoreRecoveryTime  = 30 * time.Second       // the score recovers over this; less: bad endpoints are retried
-	peerScoreRatio     = 0.35                   // under this part of the best peer's score, range is lost; more: homes move more
+	peerScoreRatio     = 0.35                   // under this part of the best peer's score costs range; more: homes move
 	originScoreRatio   = 0.3                    // a lower score costs the origin fills; more: rejections on calm days
 	silenceTimeout     = 500 * time.Millisecond // an endpoint that owes responses and sends none this long has failed
 	ejectAfterFailures = 3                      // failures in a row that eject an endpoint
