--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -25,6 +25,7 @@
 	KeyListen    = "listen"     // an address that the router listens on
 	KeyClient    = "client"     // the network address of a client
 	KeyPeer      = "peer"       // another router
+	KeyRemote    = "remote"     // the network address of the other end of a connection, whoever opened it
 	KeyPosition  = "position"   // a position in the event log of discovery
 	KeyDuration  = "duration"   // how long something took
 	KeyRule      = "rule"       // a rule that is checked at run time
--- a/internal/netio/accept_test.go
+++ b/internal/netio/accept_test.go
@@ -16,7 +16,7 @@
 func failFor(s *Server, errno syscall.Errno, span time.Duration) (calls *atomic.Int64) {
 	calls = &atomic.Int64{}
 	end := time.Now().Add(span)
-	s.ln.accept = func(fd int) (int, syscall.Sockaddr, error) {
+	s.listener.accept = func(fd int) (int, syscall.Sockaddr, error) {
 		calls.Add(1)
 		if time.Now().Before(end) {
 			return -1, nil, errno
--- a/internal/netio/conn.go
+++ b/internal/netio/conn.go
@@ -1,6 +1,9 @@
-// Package netio puts netpoll's connections behind the two things that every wire here needs: a parser
-// that is handed what has come in as slices of the read buffer, and writes that are bounded in bytes and
-// in time.
+// Package netio puts connections of netpoll behind the two things that every protocol of the router needs: a
+// handler that consumes input straight from the read buffer, and writes that are bounded in bytes and in time.
+//
+// Server accepts connections and Dial opens them; both make a Conn. A Conn ends in stages (see connState): it stops
+// handing input to its handler, lets the pending replies be sent, flushes what is queued, and then closes in a way
+// that does not reset the connection under the last reply.
 package netio
 
 import (
@@ -15,203 +18,117 @@
 
 	"hillknot/internal/clock"
 	"hillknot/internal/config"
+	"hillknot/internal/logging"
 )
 
-// One connection: what it owes, and how it ends.
+var log = logging.For("netio")
 
-// ErrClosed says that the connection is closed.
+// ErrClosed says that the connection is closed, or that nothing more may be sent on it.
 var ErrClosed = errors.New("connection closed")
 
-// Handler is what a wire makes of a connection.
+// Handler is a protocol's side of one connection.
 type Handler interface {
-	// Consume is handed all that has come in and not been used up. It returns how much it used and how many
-	// bytes it wants to see before it is called again (0: any more). The slice is valid for the call only.
-	// An error closes the connection.
+	// Consume is handed all input that has not been consumed yet. It returns how many bytes it consumed, and how
+	// many bytes it wants to see before the next call (0: any more). buf is valid during the call only. An error
+	// closes the connection once its pending replies are sent. Calls come one after the other.
 	Consume(buf []byte) (used, want int, err error)
-	// Closed is called once, after the connection has closed for whatever reason, or as soon as nothing more is handed on.
+	// Closed is called once, as soon as no more input will be handed on, and at the latest after the connection has
+	// closed.
 	Closed()
 }
 
-// InputErrorHandler is a Handler that wants to know that nothing more can be read on a connection, which ends once all that is owed
-// on it is answered.
+// InputErrorHandler is a Handler that is notified when Consume's error ends the input. The connection stays open
+// until its pending replies are sent.
 type InputErrorHandler interface{ InputFailed() }
 
-// OpenHandler is a Handler that wants to know when a connection that was accepted is up.
+// OpenHandler is a Handler that is notified once a connection that was accepted can be written to.
 type OpenHandler interface{ Opened() }
 
-// Conn is one connection.
+// Conn is one connection. Its methods may be called from any goroutine, but for WriteSync, which may not be mixed
+// with Send.
 type Conn struct {
-	nc      netpoll.Connection
-	h       Handler
-	lim     config.Conn
-	budget  *Budget
-	mu      sync.Mutex
-	queue   [][]byte
-	pending int
-	writing bool
-	shut    bool // nothing that comes in is handed on any more
-	owing   bool // it is shut, and ends once nothing is owed on it; what is owed can still be sent
-	taking  bool // the handler has what came in
-	leave   bool // it is retired once all is written, if it rests by then
-	last    bool // it ends once all is written
-	closed  bool
-	close   sync.Once
-	told    sync.Once // the handler that it has closed
-	linger  sync.Once
-	kept    int          // bytes of a message that is not whole yet, which the handler has seen
-	thrown  int          // bytes that came in once it was shut
-	active  atomic.Int64 // reading of package clock when bytes last came or went
-	spoke   atomic.Bool  // a whole message has come
-	half    atomic.Int64 // reading of package clock when a message began that is not whole yet; 0: there is none
-	owed    atomic.Int32 // answers that the handler has yet to give
-	evicted atomic.Bool  // it closes to make room, or has closed
-
-	writeMu sync.Mutex // held while netpoll's output buffer is used
-	down    bool       // netpoll is about to free that buffer
-}
-
-func newConn(nc netpoll.Connection, lim config.Conn, budget *Budget) *Conn {
-	_ = nc.SetReadTimeout(lim.Read)   // netpoll's setters only store the value
-	_ = nc.SetWriteTimeout(lim.Write) // and return nil
-	c := &Conn{nc: nc, lim: lim, budget: budget}
-	c.active.Store(int64(clock.Now()))
+	transport netpoll.Connection
+	handler   Handler
+	limits    config.Conn
+	budget    *Budget
+
+	mu             sync.Mutex
+	state          connState
+	delivering     bool // the handler is consuming input
+	retireWhenIdle bool // CloseWhenIdle was called, and the connection has not been looked at since
+	queue          sendQueue
+
+	input          inputProgress
+	lastActive     atomic.Int64 // reading of package clock when bytes last came or went
+	pendingReplies atomic.Int32 // replies that the handler has yet to give
+	evicted        atomic.Bool  // it closes to make room, or has closed
+
+	closeOnce  sync.Once // runs what follows from the end of the transport
+	notifyOnce sync.Once // calls Handler.Closed
+	lingerOnce sync.Once // starts the lingering close
+
+	flushMu      sync.Mutex // held while netpoll's output buffer is used
+	buffersFreed bool       // netpoll is about to free that buffer
+}
+
+// sendQueue holds what waits to be written. Conn.mu guards it.
+type sendQueue struct {
+	messages [][]byte
+	bytes    int  // of messages, and of those that are being written
+	writing  bool // a goroutine is writing, see Conn.writeQueued
+	closed   bool // the transport has closed: nothing of it will be written
+}
+
+func newConn(transport netpoll.Connection, limits config.Conn, budget *Budget) *Conn {
+	_ = transport.SetReadTimeout(limits.Read)   // netpoll's setters only store the value
+	_ = transport.SetWriteTimeout(limits.Write) // and return nil
+	c := &Conn{transport: transport, limits: limits, budget: budget}
+	c.lastActive.Store(int64(clock.Now()))
 	return c
 }
 
-// AddPendingReplies counts answers that the handler owes, or has given. A connection on which none is owed may be closed
-// for being idle, or to make room; one that ends does so once none is.
-func (c *Conn) AddPendingReplies(n int) {
-	if c.owed.Add(int32(n)) <= 0 {
-		c.closeSettled()
-	}
-}
+// RemoteAddr is the peer's address.
+func (c *Conn) RemoteAddr() net.Addr { return c.transport.RemoteAddr() }
 
-// closeSettled ends a connection that CloseOwed has left open, once nothing is owed on it and nothing is being handed on.
-func (c *Conn) closeSettled() {
-	c.mu.Lock()
-	now := c.owing && !c.taking && c.owed.Load() <= 0
-	c.mu.Unlock()
-	if now {
-		c.CloseAfterWrites()
+// AddPendingReplies counts replies that the handler has yet to give (n over 0), or has given (n below 0). A
+// connection without any may be closed for being idle, or to make room; one that is in CloseAfterReplies flushes
+// after the last.
+func (c *Conn) AddPendingReplies(n int) {
+	if c.pendingReplies.Add(int32(n)) <= 0 {
+		c.flushIfAnswered()
 	}
 }
 
-// CloseAfterReplies ends the connection behind the answers that are owed on it: nothing more is handed on, and what was handed on is
-// answered. Where none is owed, it is CloseBehind.
-func (c *Conn) CloseAfterReplies(why CloseReason) {
-	c.traceClose(why)
-	c.mu.Lock()
-	c.shut = true
-	wait := c.taking || c.owed.Load() > 0
-	c.owing = c.owing || wait
-	c.mu.Unlock()
-	if !wait {
-		c.CloseAfterWrites()
-	}
-}
+// hasPendingReplies says whether the handler has yet to give a reply.
+func (c *Conn) hasPendingReplies() bool { return c.pendingReplies.Load() > 0 }
 
-// idleFor tells for how long nothing has moved on a connection on which nothing is owed.
+// idleFor returns for how long nothing has moved, and whether the connection could be closed for that: nothing
+// waits to be written, and no reply is pending.
 func (c *Conn) idleFor(now time.Duration) (idle time.Duration, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return now - time.Duration(c.active.Load()), c.pending == 0 && c.owed.Load() == 0
-}
-
-// CloseWhenIdle retires the connection behind what was sent, unless by then more is owed on it or something is coming in.
-func (c *Conn) CloseWhenIdle() {
-	c.mu.Lock()
-	c.leave = true
-	c.mu.Unlock()
-	c.closeIfLeaving()
-}
-
-// closeIfLeaving does what Leave asked for, once nothing is being written or handed on.
-func (c *Conn) closeIfLeaving() {
-	c.mu.Lock()
-	now := c.leave && !c.writing && !c.taking
-	c.leave = c.leave && !now
-	c.mu.Unlock()
-	if now {
-		c.retire(closeLeaving, false)
-	}
-}
-
-// ending tells whether the connection is shut.
-func (c *Conn) ending() bool {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.shut
-}
-
-// shutIfIdle shuts a connection on which nothing is owed, waits or comes in, and tells whether it did. All in one step: a request
-// that was handed on is answered, and one that comes after it crosses the close and is handed to nobody. With half, one
-// that is in the middle of a message rests too.
-func (c *Conn) shutIfIdle(half bool) bool {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if c.shut || c.taking || c.pending > 0 || c.owed.Load() > 0 || !half && (c.half.Load() > 0 || c.HasUnreadInput()) {
-		return false
-	}
-	c.shut = true
-	return true
-}
-
-// retire ends a connection that rests.
-func (c *Conn) retire(why CloseReason, half bool) {
-	if c.shutIfIdle(half) {
-		c.traceClose(why)
-		c.lingerClose()
-	}
+	return now - time.Duration(c.lastActive.Load()), c.queue.bytes == 0 && c.pendingReplies.Load() == 0
 }
 
-// notifyClosed tells the handler that nothing more is handed on.
-func (c *Conn) notifyClosed() { c.told.Do(c.h.Closed) }
-
-// HasUnreadInput tells whether bytes have come that the handler has not taken yet, in the socket or behind it. Where the system
-// does not say, there are none. A close in this moment may make it wrong, once.
+// HasUnreadInput says whether bytes have come that the handler has not consumed, in the socket or in the read
+// buffer. Where the system does not say, there are none. A close at the same moment may make it wrong, once.
 func (c *Conn) HasUnreadInput() bool { return c.HasUnreadInputBeyond(0) }
 
-// HasUnreadInputBeyond is Unread for a handler that is being handed so many bytes: it tells whether more than these have come.
-func (c *Conn) HasUnreadInputBeyond(handed int) bool {
-	if fd, ok := c.nc.(interface{ Fd() int }); ok && c.nc.IsActive() {
-		if n, err := unix.IoctlGetInt(fd.Fd(), unix.TIOCINQ); err == nil && n > 0 {
+// HasUnreadInputBeyond is HasUnreadInput for a handler within Consume that is being handed n bytes: it says whether
+// more than these have come.
+func (c *Conn) HasUnreadInputBeyond(n int) bool {
+	if fd, ok := c.socket(); ok {
+		if unread, err := unix.IoctlGetInt(fd, unix.TIOCINQ); err == nil && unread > 0 {
 			return true
 		}
 	}
-	return c.nc.Reader().Len() > handed
-}
-
-// RemoteAddr is the peer's address.
-func (c *Conn) RemoteAddr() net.Addr { return c.nc.RemoteAddr() }
-
-// Close closes the connection at once. What has not been read resets it.
-func (c *Conn) Close() {
-	c.mu.Lock()
-	c.shut = true
-	c.mu.Unlock()
-	_ = c.nc.Close() // what can fail here is a connection that is closed already
+	return c.transport.Reader().Len() > n
 }
 
-// closing is netpoll's call before it frees its buffers. It guards against a write to a buffer that is gone,
-// which panics in netpoll: a peer may end the connection at any moment of a write.
-func (c *Conn) closing(netpoll.Connection) error {
-	c.close.Do(func() {
-		c.writeMu.Lock() // a write that waits has been woken by now
-		c.down = true
-		c.writeMu.Unlock()
-		c.mu.Lock()
-		c.closed = true
-		if !c.writing {
-			c.drop()
-		}
-		c.mu.Unlock()
-		c.notifyClosed()
-	})
-	return nil
-}
-
-// drop forgets what waits to be written.
-func (c *Conn) drop() {
-	c.budget.add(-c.pending)
-	c.queue, c.pending = nil, 0
+// socket returns the descriptor of a connection that has not closed.
+func (c *Conn) socket() (fd int, ok bool) {
+	if s, has := c.transport.(interface{ Fd() int }); has && c.transport.IsActive() {
+		return s.Fd(), true
+	}
+	return -1, false
 }
--- a/internal/netio/dial.go
+++ b/internal/netio/dial.go
@@ -9,25 +9,26 @@
 	"hillknot/internal/config"
 )
 
-// Connections that this process opens.
-
-// Dial connects and hands what comes in to the handler.
-func Dial(addr string, timeout time.Duration, lim config.Conn, budget *Budget, h func(*Conn) Handler) (*Conn, error) {
-	nc, err := netpoll.NewDialer().DialConnection(network(addr), addr, timeout)
+// Dial connects to an address with a port, or to the path of a Unix socket, and hands what comes in to the handler
+// that newHandler returns. The caller closes the connection.
+func Dial(
+	addr string, timeout time.Duration, limits config.Conn, budget *Budget, newHandler func(*Conn) Handler,
+) (*Conn, error) {
+	transport, err := netpoll.NewDialer().DialConnection(network(addr), addr, timeout)
 	if err != nil {
 		return nil, fmt.Errorf("dial: %w", err)
 	}
-	c := newConn(nc, lim, budget)
-	c.h = h(c)
-	if err := nc.AddCloseCallback(c.closing); err != nil {
+	c := newConn(transport, limits, budget)
+	c.handler = newHandler(c)
+	if err := transport.AddCloseCallback(c.transportClosed); err != nil {
 		c.Close()
 		return nil, fmt.Errorf("dial: %w", err)
 	}
-	if err := nc.SetOnRequest(c.read); err != nil {
+	if err := transport.SetOnRequest(c.read); err != nil {
 		c.Close()
 		return nil, fmt.Errorf("dial: %w", err)
 	}
-	if !nc.IsActive() { // it closed before the call-backs were there, and netpoll leaves the rest to us
+	if !transport.IsActive() { // it closed before the callbacks were there, and netpoll leaves the rest to us
 		c.Close()
 	}
 	return c, nil
--- a/internal/netio/netio_test.go
+++ b/internal/netio/netio_test.go
@@ -253,7 +253,7 @@
 	for range 6 {
 		echoed(t, dial(t, s.Addr().String()))
 	}
-	for c := <-conns; c.half.Load() == 0; time.Sleep(time.Millisecond) { // until the half message has come in
+	for c := <-conns; c.input.partialSince.Load() == 0; time.Sleep(time.Millisecond) { // until the half message has come in
 	}
 	s.SetMaxConns(1)
 	for end := time.Now().Add(20 * time.Second); s.OpenConns() > 2; time.Sleep(time.Millisecond) {
@@ -454,8 +454,8 @@
 func TestNoCloseUnderAMessage(t *testing.T) {
 	for name, retire := range map[string]func(*Server, *Conn){
 		"behind an answer": func(_ *Server, c *Conn) { c.CloseWhenIdle() },
-		"idle":             func(_ *Server, c *Conn) { c.retire(closeIdle, false) },
-		"half":             func(_ *Server, c *Conn) { c.retire(closeIdle, true) },
+		"idle":             func(_ *Server, c *Conn) { c.retire(closeIdleTimeout, keepPartial) },
+		"half":             func(_ *Server, c *Conn) { c.retire(closeIdleTimeout, dropPartial) },
 		"for a new one":    func(s *Server, _ *Conn) { s.SetMaxConns(0) },
 	} {
 		s, nc, g := gatedPair(t, lingering())
@@ -551,7 +551,7 @@
 	}
 	defer dialed.Close()
 	for name, c := range map[string]*Conn{"accepted": g.c, "dialed": dialed} {
-		on, err := unix.GetsockoptInt(c.nc.(interface{ Fd() int }).Fd(), unix.IPPROTO_TCP, unix.TCP_NODELAY)
+		on, err := unix.GetsockoptInt(c.transport.(interface{ Fd() int }).Fd(), unix.IPPROTO_TCP, unix.TCP_NODELAY)
 		if err != nil || on != 1 {
 			t.Errorf("%s: TCP_NODELAY %d, %v", name, on, err)
 		}
--- a/internal/netio/read.go
+++ b/internal/netio/read.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"sync/atomic"
 	"time"
 
 	"github.com/cloudwego/netpoll"
@@ -9,94 +10,125 @@
 	"hillknot/internal/clock"
 )
 
-// Reading: what has come in is handed on until the parser has used all of it.
+// inputProgress is how far the input of a connection has come.
+type inputProgress struct {
+	consumedOnce atomic.Bool  // the handler has consumed something
+	partialSince atomic.Int64 // reading of package clock when the message began that is not complete yet; 0: there is none
+	unconsumed   int          // bytes that the handler has seen and left for its next call; Conn.mu guards it
+	discarded    int          // bytes that came once input was no longer handed on; only read uses it
+}
+
+// isPartial says whether a message has begun that is not complete yet.
+func (p *inputProgress) isPartial() bool { return p.partialSince.Load() > 0 }
 
-// read runs while bytes are there, in a goroutine of netpoll's. It hands them on until the parser has used
-// them all, and waits, for a bounded time, for the rest of a message that is cut.
-func (c *Conn) read(_ context.Context, nc netpoll.Connection) error {
-	r, want := nc.Reader(), 1
-	for {
-		buf, err := c.peek(r, max(want, r.Len()))
-		if err != nil { // closed, too much, or the rest did not come in time
+// read hands input to the handler until that has consumed all of it, and waits, for a bounded time, for the rest of
+// a message that is not complete. Netpoll calls it in a goroutine of its own while there is input; calls come one
+// after the other.
+func (c *Conn) read(_ context.Context, transport netpoll.Connection) error {
+	reader, want := transport.Reader(), 1
+	for want > 0 {
+		buf, err := c.peek(reader, max(want, reader.Len()))
+		if err != nil { // closed, over the budget, or the rest did not come in time
 			c.CloseAfterReplies(CloseInputEnded)
 			return nil
 		}
-		if !c.begin() { // it crossed our close
-			most := lingerMost
-			if c.owed.Load() > 0 { // nobody is to lose an answer as long as that can be helped
-				most = owingMost
-			}
-			if c.thrown += len(buf); r.Skip(len(buf)) != nil || r.Release() != nil || c.thrown > most {
-				c.Close()
-			}
-			return nil
-		}
-		c.active.Store(int64(clock.Now()))
-		used, more, err := c.h.Consume(buf)
-		if err == nil {
-			err = r.Skip(used)
-		}
-		rest := len(buf) - used
-		began := c.finish(used > 0, rest > 0 || more > 1, rest)
-		if err != nil {
-			c.CloseAfterReplies(CloseMalformedInput)
-			if h, ok := c.h.(InputErrorHandler); ok {
-				h.InputFailed()
-			}
-			return nil
-		}
-		c.closeSettled()
-		if used > 0 {
-			c.spoke.Store(true)
-			_ = r.Release() // fails only after a close, which the next Peek tells
-		}
-		c.closeIfLeaving()
-		if rest == 0 && more <= 1 && r.Len() == 0 {
-			_ = nc.SetReadTimeout(c.lim.Read)
+		if !c.beginDelivery() { // it crossed our close
+			c.discard(reader, len(buf))
 			return nil
 		}
-		want = max(more, rest+1)
-		if c.lim.Whole > 0 { // a peer that sends byte by byte must not hold a message open for good
-			_ = nc.SetReadTimeout(max(min(c.lim.Read, began+c.lim.Whole-clock.Now()), time.Millisecond))
-		}
+		want = c.deliver(reader, buf)
+	}
+	return nil
+}
+
+// deliver has the handler consume input, and acts on what was asked for meanwhile. It returns how many bytes are to
+// be there for the next call, or 0 where there is nothing to wait for.
+func (c *Conn) deliver(reader netpoll.Reader, buf []byte) (next int) {
+	c.lastActive.Store(int64(clock.Now()))
+	used, want, err := c.handler.Consume(buf)
+	if err == nil {
+		err = reader.Skip(used)
+	}
+	left := len(buf) - used
+	messageBegan := c.endDelivery(used, left, want)
+	if err != nil {
+		c.failInput()
+		return 0
+	}
+	c.flushIfAnswered()
+	if used > 0 {
+		c.input.consumedOnce.Store(true)
+		_ = reader.Release() // fails only after a close, which the next Peek reports
+	}
+	c.retireIfAsked()
+	if left == 0 && want <= 1 && reader.Len() == 0 {
+		_ = c.transport.SetReadTimeout(c.limits.Read)
+		return 0
+	}
+	if c.limits.Whole > 0 { // a peer that sends byte by byte must not hold a message open for good
+		rest := messageBegan + c.limits.Whole - clock.Now()
+		_ = c.transport.SetReadTimeout(max(min(c.limits.Read, rest), time.Millisecond))
+	}
+	return max(want, left+1)
+}
+
+// failInput closes a connection whose input can't be used. What is pending is answered first.
+func (c *Conn) failInput() {
+	c.CloseAfterReplies(CloseMalformedInput)
+	if h, ok := c.handler.(InputErrorHandler); ok {
+		h.InputFailed()
+	}
+}
+
+// discard throws away input that is handed to nobody. A peer that sends on and on is cut off, but not soon while
+// replies to it are pending: it is not to lose them as long as that can be helped.
+func (c *Conn) discard(reader netpoll.Reader, n int) {
+	most := lingerMost
+	if c.hasPendingReplies() {
+		most = pendingMost
+	}
+	c.input.discarded += n
+	if reader.Skip(n) != nil || reader.Release() != nil || c.input.discarded > most {
+		c.Close()
 	}
 }
 
-// begin tells whether what has come in may be handed on, and has the connection not rest until finish.
-func (c *Conn) begin() bool {
+// beginDelivery says whether input may be handed on. The connection is not idle then until endDelivery.
+func (c *Conn) beginDelivery() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.taking = !c.shut
-	return c.taking
+	c.delivering = c.state.acceptsInput()
+	return c.delivering
 }
 
-// finish notes what the handler made of it, and returns when the message began that is not whole yet, if there is one.
-func (c *Conn) finish(used, half bool, rest int) (began time.Duration) {
+// endDelivery notes what the handler made of its input: how many bytes it used and left, and how many it wants to
+// see next. It returns when the message began that is not complete yet, or 0.
+func (c *Conn) endDelivery(used, left, want int) (messageBegan time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.taking, c.kept = false, rest
-	switch {
-	case !half:
-		c.half.Store(0)
-	case used || c.half.Load() == 0:
-		c.half.Store(int64(clock.Now()))
+	c.delivering, c.input.unconsumed = false, left
+	switch partial := left > 0 || want > 1; {
+	case !partial:
+		c.input.partialSince.Store(0)
+	case used > 0 || !c.input.isPartial():
+		c.input.partialSince.Store(int64(clock.Now()))
 	}
-	return time.Duration(c.half.Load())
+	return time.Duration(c.input.partialSince.Load())
 }
 
-// peek waits for n bytes, which count as held meanwhile. The read time-out runs from the latest that came, so
-// that a long message may take its time, but not one that has stopped short.
-func (c *Conn) peek(r netpoll.Reader, n int) ([]byte, error) {
-	if n > r.Len() {
+// peek waits for n bytes, which count against the budget meanwhile. The read time-out starts anew with each
+// arrival, so that a long message may take its time, but not one whose sender has stopped.
+func (c *Conn) peek(reader netpoll.Reader, n int) ([]byte, error) {
+	if n > reader.Len() {
 		if !c.budget.take(n) {
 			return nil, ErrBudgetExceeded
 		}
 		defer c.budget.add(-n)
 	}
-	for have := r.Len(); have < n; have = r.Len() {
-		if _, err := r.Peek(have + 1); err != nil {
+	for have := reader.Len(); have < n; have = reader.Len() {
+		if _, err := reader.Peek(have + 1); err != nil {
 			return nil, err
 		}
 	}
-	return r.Peek(n)
+	return reader.Peek(n)
 }
--- a/internal/netio/server.go
+++ b/internal/netio/server.go
@@ -5,7 +5,6 @@
 	"fmt"
 	"net"
 	"sync"
-	"sync/atomic"
 	"time"
 
 	"github.com/cloudwego/netpoll"
@@ -14,62 +13,80 @@
 	"hillknot/internal/config"
 )
 
-// Connections that this process accepts.
-
-// Server accepts connections on one listener.
+// Server accepts connections on one listener. Its life: Listen or ListenInherited, Serve, then, where replies are
+// to be sent first, Shutdown, and at last Close.
 type Server struct {
-	ln    *pausableListener
-	loop  netpoll.EventLoop
-	lim   config.Conn
-	max   atomic.Int64
-	open  atomic.Int64
-	going atomic.Int64 // of these, those that have given way
-
-	crowdedSince atomic.Int64 // reading of package clock since when who is new waits for a place; 0: nobody does
-
-	bud   *Budget
-	h     func(*Conn) Handler
-	conns sync.Map
-	done  chan struct{}
-
-	// IdleTimeouts, if set before Serve, is asked how long connections that owe nothing may stay now: those on which
-	// nothing moves, and those that are in the middle of a message.
-	IdleTimeouts func() (idle, half time.Duration)
+	listener   *pausableListener
+	loop       netpoll.EventLoop
+	limits     config.Conn
+	budget     *Budget
+	newHandler func(*Conn) Handler
+
+	conns  sync.Map // the connections that are open, by *Conn
+	places places
+
+	mu      sync.Mutex // guards state
+	state   serverState
+	closing chan struct{} // closed by Close: the sweeper is to end
+	served  chan struct{} // closed as Serve returns
+	sweeper sync.WaitGroup
+
+	// IdleTimeouts, if set before Serve, returns how long connections without pending replies may stay at present:
+	// those on which nothing moves, and those that are in the middle of a message. Server calls it several times a
+	// second.
+	IdleTimeouts func() (idle, partialMessage time.Duration)
 }
 
+// serverState is the life of a server.
+type serverState uint8
+
+const (
+	serverListening serverState = iota // connections wait in the queue of the socket
+	serverServing                      // Serve was called
+	serverClosed                       // Close was called
+)
+
+// connKey is the key of a connection in its netpoll context. It is absent from the context of one that is rejected.
 type connKey struct{}
 
-// Listen opens the listener. At most max connections are open at a time: a new one takes the place of one that
-// owes nothing, and is closed at once where there is none.
-func Listen(addr string, max int, lim config.Conn, budget *Budget, h func(*Conn) Handler) (*Server, error) {
+// Listen opens a listener on an address with a port, or on a path. At most maxConns connections are open at a time:
+// a new one takes the place of one that has no pending replies, and is closed at once where there is none.
+func Listen(
+	addr string, maxConns int, limits config.Conn, budget *Budget, newHandler func(*Conn) Handler,
+) (*Server, error) {
 	ln, err := listen(addr)
 	if err != nil {
 		return nil, fmt.Errorf("listen: %w", err)
 	}
-	return serve(ln, max, lim, budget, h)
+	return newServer(ln, maxConns, limits, budget, newHandler)
 }
 
-// ListenInherited is Listen on a socket that this process was given and that listens already. Others may have it too: it
-// is closed here, but never shut down.
-func ListenInherited(fd int, max int, lim config.Conn, budget *Budget, h func(*Conn) Handler) (*Server, error) {
+// ListenInherited is Listen on a socket that this process was started with and that listens already. Other
+// processes may have it too: it is closed here, but never shut down.
+func ListenInherited(
+	fd, maxConns int, limits config.Conn, budget *Budget, newHandler func(*Conn) Handler,
+) (*Server, error) {
 	ln, err := inherited(fd)
 	if err != nil {
 		return nil, fmt.Errorf("descriptor %d: %w", fd, err)
 	}
-	return serve(ln, max, lim, budget, h)
+	return newServer(ln, maxConns, limits, budget, newHandler)
 }
 
-func serve(ln net.Listener, max int, lim config.Conn, budget *Budget, h func(*Conn) Handler) (*Server, error) {
-	g, err := newGate(ln)
+func newServer(
+	ln net.Listener, maxConns int, limits config.Conn, budget *Budget, newHandler func(*Conn) Handler,
+) (*Server, error) {
+	listener, err := newPausableListener(ln)
 	if err != nil {
 		_ = ln.Close() // the first error is the one to report
 		return nil, fmt.Errorf("listen: %w", err)
 	}
-	s := &Server{ln: g, lim: lim, bud: budget, h: h, done: make(chan struct{})}
-	g.hold = s.crowded
-	g.exhausted = func() { s.evict(restIdle) }
-	s.SetMaxConns(max)
-	s.loop, err = netpoll.NewEventLoop(s.request, netpoll.WithOnPrepare(s.prepare), netpoll.WithOnConnect(s.opened))
+	s := &Server{listener: listener, limits: limits, budget: budget, newHandler: newHandler,
+		closing: make(chan struct{}), served: make(chan struct{})}
+	listener.holdOff = s.holdOffNew
+	listener.exhausted = func() { s.evict(rankIdle) }
+	s.SetMaxConns(maxConns)
+	s.loop, err = netpoll.NewEventLoop(s.onRequest, netpoll.WithOnPrepare(s.onPrepare), netpoll.WithOnConnect(s.onConnect))
 	if err != nil {
 		_ = ln.Close()
 		return nil, fmt.Errorf("listen: %w", err)
@@ -77,128 +94,134 @@
 	return s, nil
 }
 
-// SetMaxConns changes how many connections may be open. Of those that are over it, the silent and the idle close.
-func (s *Server) SetMaxConns(max int) {
-	s.max.Store(int64(max))
-	for s.open.Load()-s.going.Load() > int64(max) && s.evict(restIdle) == evictDone {
-	}
-}
+// Addr is the address that the server listens on.
+func (s *Server) Addr() net.Addr { return s.listener.Addr() }
 
 // OpenConns is how many connections are open.
-func (s *Server) OpenConns() int { return int(s.open.Load()) }
+func (s *Server) OpenConns() int { return int(s.places.open.Load()) }
 
-// StopAccepting leaves new connections to others who have the same socket; what is open goes on.
-func (s *Server) StopAccepting() { s.ln.shut.Store(true) }
+// StopAccepting leaves new connections to others who have the same socket. Those that are open stay, though Serve
+// may return.
+func (s *Server) StopAccepting() { s.listener.state.stop() }
 
-// Addr is the address that the server listens on.
-func (s *Server) Addr() net.Addr { return s.ln.Addr() }
-
-// Serve accepts until Close.
+// Serve accepts connections until Close or StopAccepting. It is called once.
 func (s *Server) Serve() error {
-	select {
-	case <-s.done: // closed before it began
-		return s.ln.Close()
-	default:
+	if !s.startServing() {
+		return s.listener.Close() // Close leaves this to Serve, which owns the listener once it is called
 	}
-	go s.sweep()
-	if err := s.loop.Serve(s.ln); err != nil && !s.ln.shut.Load() {
+	defer close(s.served)
+	if err := s.loop.Serve(s.listener); err != nil && !s.listener.state.isStopped() {
 		return err
 	}
 	return nil
 }
 
-// sweep closes connections that owe nothing and on which nothing has moved for the idle time, or for the
-// shorter one in which a new peer must have said something: a peer that vanished says nothing, and others
-// connect and stay for good.
-func (s *Server) sweep() {
-	t := time.NewTicker(min(s.lim.Idle, s.lim.Silent) / 8)
-	defer t.Stop()
-	for {
-		select {
-		case <-s.done:
-			return
-		case <-t.C:
-			now := clock.Now()
-			most, half := s.lim.Idle, s.lim.Idle
-			if s.IdleTimeouts != nil {
-				most, half = s.IdleTimeouts()
-			}
-			s.conns.Range(func(k, _ any) bool {
-				c := k.(*Conn)
-				idle, ok := c.idleFor(now)
-				if began := time.Duration(c.half.Load()); began > 0 {
-					if ok && now-began > half {
-						c.retire(closeHalf, true)
-					}
-				} else if ok && (idle > most || idle > s.lim.Silent && !c.spoke.Load()) {
-					c.retire(closeIdle, false)
-				}
-				return true
-			})
-		}
+// startServing starts the sweeper, unless Close was called before.
+func (s *Server) startServing() bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.state == serverClosed {
+		return false
 	}
+	s.state = serverServing
+	s.sweeper.Go(s.sweep)
+	return true
 }
 
-// Shutdown stops accepting and ends what is open: what was read is answered, what was sent is written, and what comes is
-// thrown away. It returns once the
-// peers have ended their side too, or at a reading of package clock. Close is to follow.
-func (s *Server) Shutdown(until time.Duration) {
-	s.ln.shut.Store(true)
-	for s.open.Load() > 0 && clock.Now() < until {
-		s.conns.Range(func(c, _ any) bool { c.(*Conn).CloseAfterReplies(closeEnding); return true })
-		time.Sleep(finishLook)
+// Shutdown stops accepting and closes what is open: what was read is answered, what was sent is written, and input
+// that comes now is discarded. It returns once the peers have closed their side too, or at the deadline, a reading
+// of package clock. Close is to follow.
+func (s *Server) Shutdown(deadline time.Duration) {
+	s.listener.state.stop()
+	for s.places.open.Load() > 0 && clock.Now() < deadline {
+		s.forEachConn(func(c *Conn) bool { c.CloseAfterReplies(closeShutdown); return true })
+		time.Sleep(shutdownPollInterval)
 	}
 }
 
-// finishLook is how often Finish looks whether all have ended.
-const finishLook = 2 * time.Millisecond
+// shutdownPollInterval is how often Shutdown looks whether all connections have closed.
+const shutdownPollInterval = 2 * time.Millisecond
 
-// Close stops accepting and closes what is open. It is called once.
+// Close stops accepting and closes what is open at once. It returns after Serve has, and is called once.
 func (s *Server) Close() {
-	s.ln.shut.Store(true) // also where Serve begins in this moment
-	close(s.done)
-	ctx, cancel := context.WithTimeout(context.Background(), time.Millisecond)
+	s.listener.state.stop() // also where Serve begins in this moment
+	s.mu.Lock()
+	wasServing := s.state == serverServing
+	s.state = serverClosed
+	s.mu.Unlock()
+	close(s.closing)
+	s.stopLoop()
+	s.forEachConn(func(c *Conn) bool { c.Close(); return true })
+	s.sweeper.Wait()
+	if wasServing {
+		s.awaitServe()
+	}
+}
+
+// loopStopTimeout is how long netpoll may take to close connections that are in use. Those that it leaves open,
+// Close closes.
+const loopStopTimeout = time.Millisecond
+
+func (s *Server) stopLoop() {
+	ctx, cancel := context.WithTimeout(context.Background(), loopStopTimeout)
 	defer cancel()
-	_ = s.loop.Shutdown(ctx) // what it leaves open is closed below
-	s.conns.Range(func(c, _ any) bool { c.(*Conn).Close(); return true })
+	_ = s.loop.Shutdown(ctx)
 }
 
-func (s *Server) prepare(nc netpoll.Connection) context.Context {
-	most, n := s.max.Load(), s.open.Add(1)
-	if n > s.bound() || n-s.going.Load() > most && s.evict(restMoving) != evictDone {
-		s.open.Add(-1)
-		return context.Background() // it is closed in opened: here netpoll has yet to set it up
+// awaitServe waits until Serve has returned. The loop is stopped again meanwhile: a stop is lost on a loop that is
+// just about to begin.
+func (s *Server) awaitServe() {
+	ticker := time.NewTicker(loopStopTimeout)
+	defer ticker.Stop()
+	for {
+		select {
+		case <-s.served:
+			return
+		case <-ticker.C:
+			s.stopLoop()
+		}
 	}
-	c := newConn(nc, s.lim, s.bud)
-	c.h = s.h(c)
+}
+
+// forEachConn calls f for the connections that are open until f returns false.
+func (s *Server) forEachConn(f func(*Conn) bool) {
+	s.conns.Range(func(key, _ any) bool { return f(key.(*Conn)) })
+}
+
+// onPrepare is netpoll's call for a new connection that is not registered yet. It finds a place for it.
+func (s *Server) onPrepare(transport netpoll.Connection) context.Context {
+	if !s.takePlace() {
+		return context.Background() // onConnect closes it: here netpoll has yet to set it up
+	}
+	c := newConn(transport, s.limits, s.budget)
+	c.handler = s.newHandler(c)
 	s.conns.Store(c, nil)
-	_ = nc.AddCloseCallback(func(nc netpoll.Connection) error { // fails on nil only
-		s.open.Add(-1)
-		if c.evicted.Swap(true) {
-			s.going.Add(-1)
-		}
+	_ = transport.AddCloseCallback(func(transport netpoll.Connection) error { // fails on nil only
+		s.freePlace(c)
 		s.conns.Delete(c)
-		return c.closing(nc)
+		return c.transportClosed(transport)
 	})
 	return context.WithValue(context.Background(), connKey{}, c)
 }
 
-func (s *Server) opened(ctx context.Context, nc netpoll.Connection) context.Context {
+// onConnect is netpoll's call for a new connection that can be used.
+func (s *Server) onConnect(ctx context.Context, transport netpoll.Connection) context.Context {
 	c, ok := ctx.Value(connKey{}).(*Conn)
 	if !ok {
-		_ = nc.Close() // a peer that is turned away is told so by the close
+		_ = transport.Close() // the close tells the peer that it is rejected
 		return ctx
 	}
-	if o, ok := c.h.(OpenHandler); ok {
-		o.Opened()
+	if h, ok := c.handler.(OpenHandler); ok {
+		h.Opened()
 	}
 	return ctx
 }
 
-func (s *Server) request(ctx context.Context, nc netpoll.Connection) error {
+// onRequest is netpoll's call for input.
+func (s *Server) onRequest(ctx context.Context, transport netpoll.Connection) error {
 	c, ok := ctx.Value(connKey{}).(*Conn)
 	if !ok {
-		return nc.Close()
+		return transport.Close()
 	}
-	return c.read(ctx, nc)
+	return c.read(ctx, transport)
 }
--- /dev/null
+++ b/internal/netio/state_test.go
@@ -0,0 +1,64 @@
+package netio
+
+import "testing"
+
+func TestConnStateTransitions(t *testing.T) {
+	for _, c := range []struct {
+		from connState
+		step closeStep
+		want connState
+	}{
+		{stateOpen, stepAwaitReplies, stateAwaitingReplies},
+		{stateOpen, stepFlush, stateFlushing},
+		{stateOpen, stepShut, stateShut},
+		{stateAwaitingReplies, stepAwaitReplies, stateAwaitingReplies},
+		{stateAwaitingReplies, stepFlush, stateFlushing},
+		{stateAwaitingReplies, stepShut, stateAwaitingReplies},
+		{stateFlushing, stepAwaitReplies, stateFlushing},
+		{stateFlushing, stepFlush, stateFlushing},
+		{stateFlushing, stepShut, stateFlushing},
+		{stateShut, stepAwaitReplies, stateAwaitingReplies},
+		{stateShut, stepFlush, stateFlushing},
+		{stateShut, stepShut, stateShut},
+	} {
+		if got := c.from.after(c.step); got != c.want {
+			t.Errorf("state %d after step %d: %d, want %d", c.from, c.step, got, c.want)
+		}
+	}
+}
+
+// A stop is never lost, and only a call of Accept ends a pause.
+func TestAcceptStateTransitions(t *testing.T) {
+	for _, c := range []struct{ from, stopped, paused, resumed acceptState }{
+		{accepting, acceptStopped, acceptPaused, accepting},
+		{acceptPaused, acceptStoppedPaused, acceptPaused, accepting},
+		{acceptStopped, acceptStopped, acceptStoppedPaused, acceptStopped},
+		{acceptStoppedPaused, acceptStoppedPaused, acceptStoppedPaused, acceptStopped},
+	} {
+		if got := c.from.stopped(); got != c.stopped {
+			t.Errorf("state %d stopped: %d, want %d", c.from, got, c.stopped)
+		}
+		if got := c.from.paused(); got != c.paused {
+			t.Errorf("state %d paused: %d, want %d", c.from, got, c.paused)
+		}
+		if got := c.from.resumed(); got != c.resumed {
+			t.Errorf("state %d resumed: %d, want %d", c.from, got, c.resumed)
+		}
+	}
+}
+
+// Close waits for Serve, also where it comes as Serve begins.
+func TestCloseWaitsForServe(t *testing.T) {
+	for range 200 {
+		s, err := Listen("127.0.0.1:0", 10, lim, NewBudget(1<<20), func(c *Conn) Handler { return echo{c} })
+		if err != nil {
+			t.Fatal(err)
+		}
+		served := make(chan error, 1)
+		go func() { served <- s.Serve() }()
+		s.Close()
+		if err := <-served; err != nil {
+			t.Fatalf("serve: %v", err)
+		}
+	}
+}
