--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,13 +1,14 @@
 // Package clock is the only place of the router where the clocks of the machine are read.
 //
-// Spans are measured on the monotonic clock, which never steps. The wall clock may be stepped at any moment, here and on
-// the machines whose time stamps are read; it is read only to turn a stamp into a span, once, as the stamp arrives.
+// Spans are measured on the monotonic clock, which never steps. The wall clock may be stepped at any moment, here
+// and on the machines whose time stamps are read; it is read only to turn a stamp into a span, once, as the stamp
+// arrives.
 package clock
 
 import "time"
 
-// origin is the reading of the monotonic clock at the start of the process. It lies far above 0, so that what happened
-// before the start has a time above 0 too.
+// origin is the reading of the monotonic clock at the start of the process. It lies far above 0, so that what
+// happened before the start has a time above 0 too.
 const origin = 1000 * 24 * time.Hour
 
 var (
@@ -35,9 +36,9 @@
 // Stamp is a Unix time that another machine's wall clock gave.
 type Stamp time.Duration
 
-// Date turns a stamp that arrived at now, when the own wall clock stood at wall, into a reading of the monotonic clock. The
-// result lies between earliest and now whatever the two wall clocks say: the stamped event can't lie in the future, nor
-// before the latest moment at which it is known not to have happened. A result is always above 0.
+// Date turns a stamp that arrived at now, when the own wall clock stood at wall, into a reading of the monotonic
+// clock. The result lies between earliest and now whatever the two wall clocks say: the stamped event can't lie in
+// the future, nor before the latest moment at which it is known not to have happened. A result is always above 0.
 func (s Stamp) Date(now, wall, earliest time.Duration) time.Duration {
 	stamp := max(time.Duration(s), 0) // a stamp of no sense must not overflow
 	age := min(max(wall-stamp, 0), now)
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -12,8 +12,8 @@
 	"time"
 )
 
-// A stamp is never dated into the future, nor before the moment from which it is known not to be, however far the clocks
-// of the two machines are apart.
+// A stamp is never dated into the future, nor before the moment from which it is known not to be, however far the
+// clocks of the two machines are apart.
 func TestDate(t *testing.T) {
 	const now, wall = 1000 * time.Hour, 500_000 * time.Hour
 	for _, c := range []struct {
@@ -77,8 +77,8 @@
 	return false
 }
 
-// clockReads returns the places of a file that use package time to read a clock, or call a method that turns a moment into
-// Unix time.
+// clockReads returns the places of a file that use package time to read a clock, or call a method that turns a
+// moment into Unix time.
 func clockReads(t *testing.T, path string) (places []string) {
 	t.Helper()
 	files := token.NewFileSet()
--- a/internal/core/attempts.go
+++ b/internal/core/attempts.go
@@ -1,101 +1,147 @@
 package core
 
 import (
-	"container/heap"
-
 	"hillknot/balancer"
 )
 
-// Attempts: whether one may be written now, and what its end means.
-
-func (c *Core) send(g balancer.SendAttempt) {
-	r := c.open[g.ID]
-	if r == nil { // its client left in the moment of the decision; the module counts the attempt until it is told
-		c.events = append(c.events, balancer.Outcome{ID: g.ID, Attempt: g.Attempt, Endpoint: g.Endpoint, Status: balancer.NotSent, Answered: true})
+// sendAttempt carries out the module's decision to send an attempt.
+func (c *Core) sendAttempt(decision balancer.SendAttempt) {
+	r := c.requests.open[decision.ID]
+	if r == nil {
+		// The client left as this was decided. The module counts the attempt until it learns that it was not sent.
+		c.emit(balancer.Outcome{ID: decision.ID, Attempt: decision.Attempt, Endpoint: decision.Endpoint,
+			Status: balancer.NotSent, Answered: true})
 		return
 	}
-	a := &Attempt{Request: &r.Request, Decision: g, Index: g.Attempt, Endpoint: c.members[g.Endpoint], NonIdempotent: c.unsafe[r.Class], owner: r,
-		sent: c.now, until: r.end}
-	if g.Timeout > 0 {
-		a.until = min(a.until, c.now+g.Timeout)
-	}
-	if r.attempt != nil || a.Endpoint == nil { // never two at once, and only to who is listed
-		a.over = true
-		c.outcome(a, AttemptResult{Status: balancer.NotSent})
+	a := c.newAttempt(r, decision)
+	if r.attempt != nil || a.Endpoint == nil { // one attempt at a time, and only to a listed endpoint
+		a.done = true
+		c.reportOutcome(a, AttemptResult{Status: balancer.NotSent})
 		return
 	}
-	if g.Source != g.Endpoint {
-		a.Source = c.members[g.Source]
-	}
 	r.attempt = a
-	for _, p := range c.purged {
-		c.bar(a, p)
+	for _, p := range c.iteration.purges {
+		c.excludeOlderCopies(a, p)
 	}
 	c.traceAttempt(a)
-	if a.until < r.end {
-		heap.Push(&c.timers, timer{at: a.until, attempt: a})
+	if a.deadline < r.deadline {
+		c.timers.add(timer{at: a.deadline, attempt: a})
 	}
-	if s, n := c.Permit(a); s != balancer.OK {
-		c.CompleteAttempt(a, AttemptResult{Status: s, Detail: n})
+	if status, detail := c.Permit(a); status != balancer.OK {
+		c.CompleteAttempt(a, AttemptResult{Status: status, Detail: detail})
 		return
 	}
-	c.up.Send(a)
+	c.upstream.Send(a)
 }
 
-// Permit tells whether an attempt may be written now: balancer.OK, or how it ends instead. What was decided
-// before a connection came up may no longer hold: it guards the rule on drains, for the cache and for the
-// source of a fill, the client's time, and the time in which a repeat is dropped.
+func (c *Core) newAttempt(r *request, decision balancer.SendAttempt) *Attempt {
+	a := &Attempt{
+		Request:       &r.Request,
+		Endpoint:      c.endpoints.byID[decision.Endpoint],
+		Decision:      decision,
+		Index:         decision.Attempt,
+		NonIdempotent: r.policy.nonIdempotent,
+		owner:         r,
+		sentAt:        c.iteration.now,
+		deadline:      r.deadline,
+	}
+	if decision.Timeout > 0 {
+		a.deadline = min(a.deadline, c.iteration.now+decision.Timeout)
+	}
+	if decision.Source != decision.Endpoint {
+		a.Source = c.endpoints.byID[decision.Source]
+	}
+	return a
+}
+
+// Permit reports whether an attempt may be written now: balancer.OK, or how it ends instead. What was decided
+// before a connection came up may no longer hold: an endpoint may be draining, as target or as the source of a
+// fill; the client's time may be over, or the time within which page caches drop a duplicate. It also sets the
+// attempt's Timeout.
 func (c *Core) Permit(a *Attempt) (balancer.Status, balancer.Detail) {
-	c.catchUp()
+	c.applyLateWatchEvents()
 	now := c.clock()
+	r := a.owner
 	switch {
-	case a.over || now >= a.until:
+	case a.done || now >= a.deadline:
 		return balancer.NotSent, balancer.NoDetail
-	case a.owner.ran && c.unsafe[a.owner.Class] && now-a.owner.ranAt >= c.repeat[a.owner.Class]:
+	case r.mayHaveRun && !r.policy.mayRetry(now-r.firstSentAt):
 		return balancer.NotSent, balancer.NoDetail
 	case a.Endpoint.State != balancer.InService:
 		return balancer.ConnectFailed, balancer.NoDetail
-	case a.Decision.Source != a.Decision.Endpoint && (a.Source == nil || a.Source.State != balancer.InService):
+	case a.needsSource() && (a.Source == nil || a.Source.State != balancer.InService):
 		return balancer.Rejected, balancer.SourceRejected
 	}
-	a.Timeout = min(a.until+c.lim.AttemptGrace, a.owner.expiry) - now
+	a.Timeout = min(a.deadline+c.limits.AttemptGrace, r.clientDeadline) - now
 	return balancer.OK, balancer.NoDetail
 }
 
-// CompleteAttempt reports how an attempt ended. What has ended already is ignored.
-func (c *Core) CompleteAttempt(a *Attempt, e AttemptResult) {
-	if a.over {
+// needsSource reports whether the decision has the endpoint fill its cache from another one.
+func (a *Attempt) needsSource() bool { return a.Decision.Source != a.Decision.Endpoint }
+
+// AttemptWritten counts an attempt that was written as a whole, and checks the rules on it.
+func (c *Core) AttemptWritten(a *Attempt) {
+	c.stats.attemptsWritten++
+	c.checkWritten(a)
+}
+
+// CompleteAttempt reports how an attempt ended. A second report is ignored.
+func (c *Core) CompleteAttempt(a *Attempt, result AttemptResult) {
+	if a.done {
 		return
 	}
-	a.over = true
+	a.done = true
 	r := a.owner
-	r.attempt, r.asking = nil, nil
-	if !r.ran && !e.Status.NeverRan() {
-		r.ran, r.ranAt = true, a.sent
-	}
-	c.traceEnd(a, e)
-	if c.shared != nil {
-		c.shared.count(a, e)
-	}
-	if e.Status == balancer.OK && c.open[r.id] == r {
-		c.forget(r)
-		a := Answer{Verdict: Served, Body: e.Body}
-		if e.NotModified {
-			a = Answer{Verdict: NotModified}
-		}
-		c.ended(r, a)
-		c.conclude(r, a)
-	}
-	c.outcome(a, e)
+	r.attempt, r.awaitingLease = nil, nil
+	if !r.mayHaveRun && !result.Status.NeverRan() {
+		r.mayHaveRun, r.firstSentAt = true, a.sentAt
+	}
+	c.traceAttemptEnd(a, result)
+	if c.extensions.cluster != nil {
+		c.extensions.cluster.countResult(a, result)
+	}
+	if result.Status == balancer.OK && c.requests.isOpen(r) {
+		c.serve(r, result)
+	}
+	c.reportOutcome(a, result)
 }
 
-func (c *Core) outcome(a *Attempt, e AttemptResult) {
-	c.events = append(c.events, balancer.Outcome{ID: a.owner.id, Attempt: a.Index, Endpoint: a.Decision.Endpoint, Status: e.Status,
-		Elapsed: c.now - a.sent, SourceWait: e.SourceWait, Answered: c.open[a.owner.id] != a.owner, Detail: e.Detail})
+// serve answers a request with the result of its attempt.
+func (c *Core) serve(r *request, result AttemptResult) {
+	c.requests.remove(r)
+	answer := Answer{Verdict: Served, Body: result.Body}
+	if result.NotModified {
+		answer = Answer{Verdict: NotModified}
+	}
+	c.finishOrder(r, answer)
+	c.deliver(r, answer)
+}
+
+// reportOutcome tells the module how an attempt ended.
+func (c *Core) reportOutcome(a *Attempt, result AttemptResult) {
+	c.emit(balancer.Outcome{
+		ID:         a.owner.id,
+		Attempt:    a.Index,
+		Endpoint:   a.Decision.Endpoint,
+		Status:     result.Status,
+		Elapsed:    c.iteration.now - a.sentAt,
+		SourceWait: result.SourceWait,
+		Answered:   !c.requests.isOpen(a.owner),
+		Detail:     result.Detail,
+	})
+}
+
+// abandonAttempt ends an attempt that is open. One that awaits its lease has surely not run.
+func (c *Core) abandonAttempt(a *Attempt, status balancer.Status) {
+	c.upstream.Cancel(a)
+	if a.owner.awaitingLease == a {
+		status = balancer.NotSent
+	}
+	c.CompleteAttempt(a, AttemptResult{Status: status})
 }
 
-func (c *Core) timeOut(a *Attempt) {
-	if !a.over {
-		c.giveUp(a, balancer.TimedOut)
+func (c *Core) timeOutAttempt(a *Attempt) {
+	if !a.done {
+		c.abandonAttempt(a, balancer.TimedOut)
 	}
 }
--- /dev/null
+++ b/internal/core/cluster.go
@@ -0,0 +1,169 @@
+package core
+
+import (
+	"time"
+
+	"hillknot/balancer"
+	"hillknot/internal/cluster/state"
+)
+
+// ClusterSettings sets up the state that the routers of a cluster share.
+type ClusterSettings struct {
+	State   state.Settings
+	WarmUp  state.Terms // the budget of each endpoint that is warming up; a rate of 0: not shared
+	Retries state.Terms // the budget of attempts that follow one that may have run; a rate of 0: not shared
+}
+
+// Peers sends to the other routers of the cluster. No method may block.
+type Peers interface {
+	// Send sends messages, or drops them where too many wait.
+	Send(letters []state.Letter)
+	// PublishFullState sets what a router is sent that knows nothing of this one yet.
+	PublishFullState(all []state.Message)
+	// DroppedMessages returns how many messages were dropped.
+	DroppedMessages() uint64
+	// Alive returns the names of the other routers that are alive, in order, and how many routers own a part of the
+	// budgets.
+	Alive() (others []string, owners int)
+}
+
+// ClusterState is the part of this router in the state that the routers of a cluster share. It implements
+// balancer.Coordinator. It belongs to the core's goroutine.
+type ClusterState struct {
+	settings ClusterSettings
+	state    *state.State
+	core     *Core // nil: nothing is shared yet
+	peers    Peers
+	metrics  *ClusterMetrics // as of the latest heartbeat
+}
+
+// Names of budgets and counters in messages between routers.
+const (
+	retryBudget        = "retries"
+	warmUpBudgetPrefix = "cold " // the id of an endpoint follows, here and below
+	hitsPrefix         = "hits "
+	missesPrefix       = "misses "
+	errorsPrefix       = "errors "
+)
+
+// NewClusterState returns the state of a router that has just started. It goes into the settings of the decision
+// module, as its Coordinator, before the core is made.
+func NewClusterState(settings ClusterSettings) (*ClusterState, error) {
+	own, err := state.New(settings.State)
+	if err != nil {
+		return nil, err
+	}
+	return &ClusterState{settings: settings, state: own}, nil
+}
+
+// JoinCluster begins to share. It is called once, as soon as no predecessor of this process spends from the budgets
+// any more.
+func (c *Core) JoinCluster(s *ClusterState, peers Peers) {
+	c.extensions.cluster, s.core, s.peers = s, c, peers
+	if s.settings.Retries.Rate > 0 {
+		s.state.Open(c.iteration.now, retryBudget, s.settings.Retries, 0)
+	}
+	for _, e := range c.endpoints.byID {
+		s.updateWarmUp(e)
+	}
+	s.heartbeat()
+}
+
+// ReceiveGossip takes messages of other routers.
+func (c *Core) ReceiveGossip(msgs []state.Message) {
+	s := c.extensions.cluster
+	if s == nil {
+		return
+	}
+	for _, m := range msgs {
+		s.state.Take(c.iteration.now, m)
+	}
+	s.flush()
+}
+
+// heartbeat tells the other routers what this one has seen. It calls itself at the interval of the settings.
+func (s *ClusterState) heartbeat() {
+	now := s.core.iteration.now
+	s.core.Schedule(now+s.settings.State.Beat, s.heartbeat)
+	s.state.Live(s.peers.Alive())
+	s.core.module.VisitHealth(func(id balancer.EndpointID, failures int, healthyFor time.Duration) {
+		if e := s.endpoint(id); e != nil {
+			s.state.Observe(now, e.ID, failures, healthyFor)
+		}
+	})
+	s.state.Beat(now)
+	s.peers.PublishFullState(s.state.Whole(now))
+	s.metrics = s.collectMetrics()
+	s.flush()
+}
+
+func (s *ClusterState) flush() {
+	if out := s.state.Outbox(); len(out) > 0 {
+		s.peers.Send(out)
+	}
+}
+
+// updateWarmUp opens the budget of an endpoint that is warming up, or closes that of one that is removed.
+func (s *ClusterState) updateWarmUp(e *Endpoint) {
+	now := s.core.iteration.now
+	warmAt := e.startedAt + s.core.policy.warmUp[e.kind]
+	switch {
+	case s.settings.WarmUp.Rate <= 0:
+	case e.State == balancer.Removed:
+		s.state.Close(warmUpBudgetPrefix + e.ID)
+	case e.startedAt > 0 && now < warmAt:
+		s.state.Open(now, warmUpBudgetPrefix+e.ID, s.settings.WarmUp, warmAt)
+	}
+}
+
+// countResult counts how an attempt ended, over all routers.
+func (s *ClusterState) countResult(a *Attempt, result AttemptResult) {
+	if a.Endpoint == nil {
+		return
+	}
+	switch {
+	case result.Status == balancer.OK && (result.Detail == balancer.Hit || result.Detail == balancer.Stale):
+		s.state.Count(hitsPrefix+a.Endpoint.ID, 1)
+	case result.Status == balancer.OK, result.Status == balancer.Miss:
+		s.state.Count(missesPrefix+a.Endpoint.ID, 1)
+	case !result.Status.NeverRan() && result.Status != balancer.Cancelled:
+		s.state.Count(errorsPrefix+a.Endpoint.ID, 1)
+	}
+}
+
+// AdmitWarmingUp implements balancer.Coordinator.
+func (s *ClusterState) AdmitWarmingUp(now time.Duration, id balancer.EndpointID) bool {
+	e := s.endpoint(id)
+	return e == nil || s.state.May(now, warmUpBudgetPrefix+e.ID)
+}
+
+// AdmitRetry implements balancer.Coordinator.
+func (s *ClusterState) AdmitRetry(now time.Duration) bool { return s.state.May(now, retryBudget) }
+
+// ProbedByPeer implements balancer.Coordinator.
+func (s *ClusterState) ProbedByPeer(now time.Duration, id balancer.EndpointID) bool {
+	e := s.endpoint(id)
+	return e != nil && s.state.Shun(now, e.ID)
+}
+
+// AttemptSent implements balancer.Coordinator.
+func (s *ClusterState) AttemptSent(now time.Duration, sent balancer.SendAttempt) {
+	if sent.MayHaveRun {
+		s.state.Spend(now, retryBudget)
+	}
+	if e := s.endpoint(sent.Endpoint); e != nil {
+		s.state.Spend(now, warmUpBudgetPrefix+e.ID)
+	}
+	if e := s.endpoint(sent.Source); e != nil && sent.Source != sent.Endpoint {
+		s.state.Spend(now, warmUpBudgetPrefix+e.ID)
+	}
+}
+
+// endpoint returns an endpoint, or nil where it is not listed or nothing is shared yet: then the module's own
+// bounds hold alone.
+func (s *ClusterState) endpoint(id balancer.EndpointID) *Endpoint {
+	if s.core == nil {
+		return nil
+	}
+	return s.core.endpoints.byID[id]
+}
--- /dev/null
+++ b/internal/core/clustermetrics.go
@@ -0,0 +1,34 @@
+package core
+
+import "hillknot/internal/cluster/state"
+
+// ClusterMetrics are figures on what the routers of a cluster share, for operators.
+type ClusterMetrics struct {
+	Peers           int      // other routers that are alive
+	DroppedMessages uint64   // messages to them that were dropped, as too many waited
+	Ejected         []string // endpoints that every router avoids but the one that probes them
+	Verdicts        uint64   // ejections so far
+	Counters        []ClusterCounter
+	Budgets         []state.Holding
+}
+
+// ClusterCounter is a counter over all routers.
+type ClusterCounter struct {
+	Key   string
+	Total uint64
+}
+
+func (s *ClusterState) collectMetrics() *ClusterMetrics {
+	now := s.core.iteration.now
+	others, _ := s.peers.Alive()
+	m := &ClusterMetrics{
+		Peers:           len(others),
+		DroppedMessages: s.peers.DroppedMessages(),
+		Budgets:         s.state.Holdings(now),
+	}
+	m.Ejected, m.Verdicts = s.state.Verdicts(now)
+	for _, key := range s.state.Counts() {
+		m.Counters = append(m.Counters, ClusterCounter{key, s.state.Total(key)})
+	}
+	return m
+}
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -9,58 +9,58 @@
 	"hillknot/internal/config"
 )
 
-// rig is a core on a clock that the test sets, with an upstream that only notes what it is told.
-type rig struct {
-	t       *testing.T
-	c       *Core
-	now     time.Duration
-	out     []*Attempt // sent and neither ended nor given up
-	most    int        // the most attempts of one request that were out at once
-	answers []Answer
+// harness is a core on a clock that the test sets, with an upstream that only notes what it is told.
+type harness struct {
+	t           *testing.T
+	core        *Core
+	now         time.Duration
+	outstanding []*Attempt // sent and neither ended nor given up
+	maxAtOnce   int        // the most attempts of one request that were out at once
+	answers     []Answer
 }
 
-func (r *rig) Send(a *Attempt) {
-	r.out = append(r.out, a)
+func (r *harness) Send(a *Attempt) {
+	r.outstanding = append(r.outstanding, a)
 	n := 0
-	for _, o := range r.out {
+	for _, o := range r.outstanding {
 		if o.owner == a.owner {
 			n++
 		}
 	}
-	r.most = max(r.most, n)
+	r.maxAtOnce = max(r.maxAtOnce, n)
 }
 
-func (r *rig) Cancel(a *Attempt) {
-	for i, o := range r.out {
+func (r *harness) Cancel(a *Attempt) {
+	for i, o := range r.outstanding {
 		if o == a {
-			r.out = append(r.out[:i], r.out[i+1:]...)
+			r.outstanding = append(r.outstanding[:i], r.outstanding[i+1:]...)
 			return
 		}
 	}
 }
 
-func (r *rig) CloseEndpoint(*Endpoint) {}
+func (r *harness) CloseEndpoint(*Endpoint) {}
 
-func (r *rig) reply(a Answer) Verdict { r.answers = append(r.answers, a); return a.Verdict }
+func (r *harness) reply(a Answer) Verdict { r.answers = append(r.answers, a); return a.Verdict }
 
-func (r *rig) end(a *Attempt, e AttemptResult) {
+func (r *harness) finish(a *Attempt, e AttemptResult) {
 	r.Cancel(a)
-	r.c.CompleteAttempt(a, e)
-	r.c.RunOnce()
+	r.core.CompleteAttempt(a, e)
+	r.core.RunOnce()
 }
 
-func (r *rig) wait(d time.Duration) {
+func (r *harness) wait(d time.Duration) {
 	for until := r.now + d; r.now < until; {
 		r.now += min(5*time.Millisecond, until-r.now)
-		r.c.RunOnce()
+		r.core.RunOnce()
 	}
 }
 
 const second = time.Second
 
-func newRig(t *testing.T) *rig {
+func newHarness(t *testing.T) *harness {
 	t.Helper()
-	r := &rig{t: t, now: 1e6 * second}
+	r := &harness{t: t, now: 1e6 * second}
 	lim := config.Limits{Open: 100, Resolves: 10, Margin: 15 * time.Millisecond, Longest: 5 * second, AttemptGrace: 200 * time.Millisecond, FinishMargin: 200 * time.Millisecond}
 	c, err := New(balancer.Settings{Topology: balancer.Topology{Zone: "edge", Zones: []string{"hub", "edge"},
 		Kinds: []string{"box", "mid", "store"}, ParentKind: 1, OriginKind: 2},
@@ -71,7 +71,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.c = c
+	r.core = c
 	c.SetUpstream(r)
 	c.ReplaceEndpoints([]EndpointUpdate{{ID: "a", Addr: "127.1.0.1:1", Kind: "box", Zone: "edge"}, {ID: "b", Addr: "127.1.0.2:1", Kind: "box", Zone: "edge"},
 		{ID: "m", Addr: "127.1.0.3:1", Kind: "mid", Zone: "hub"}, {ID: "o", Addr: "127.1.0.4:1", Kind: "store", Zone: "hub"}})
@@ -79,20 +79,20 @@
 	return r
 }
 
-func (r *rig) submit(class string, limit time.Duration) balancer.RequestID {
-	return r.submitted(class, limit, 0)
+func (r *harness) submit(class string, limit time.Duration) balancer.RequestID {
+	return r.submitLate(class, limit, 0)
 }
 
-// submitted submits a request that came in some time ago.
-func (r *rig) submitted(class string, limit, ago time.Duration) balancer.RequestID {
-	id := r.c.NewID()
-	r.c.Submit(id, Request{Txn: strconv.Itoa(int(id)), Class: class, Object: 7, Timeout: limit, Write: class == "order",
+// submitLate submits a request that came in some time ago.
+func (r *harness) submitLate(class string, limit, ago time.Duration) balancer.RequestID {
+	id := r.core.NewID()
+	r.core.Submit(id, Request{Txn: strconv.Itoa(int(id)), Class: class, Object: 7, Timeout: limit, Write: class == "order",
 		ArrivedAt: r.now - ago, Reply: r.reply})
-	r.c.RunOnce()
+	r.core.RunOnce()
 	return id
 }
 
-func (r *rig) one(what string, v Verdict) {
+func (r *harness) wantOneAnswer(what string, v Verdict) {
 	r.t.Helper()
 	if len(r.answers) != 1 || r.answers[0].Verdict != v {
 		r.t.Errorf("%s: answers %+v, want one of verdict %d", what, r.answers, v)
@@ -100,31 +100,31 @@
 }
 
 func TestServed(t *testing.T) {
-	r := newRig(t)
+	r := newHarness(t)
 	r.submit("page", 3*second)
-	if len(r.out) != 1 || r.out[0].Source == nil {
-		t.Fatalf("attempts %+v", r.out)
+	if len(r.outstanding) != 1 || r.outstanding[0].Source == nil {
+		t.Fatalf("attempts %+v", r.outstanding)
 	}
-	r.end(r.out[0], AttemptResult{Status: balancer.OK, Detail: balancer.Hit, Body: []byte("x")})
+	r.finish(r.outstanding[0], AttemptResult{Status: balancer.OK, Detail: balancer.Hit, Body: []byte("x")})
 	r.wait(4 * second)
-	r.one("served", Served)
+	r.wantOneAnswer("served", Served)
 }
 
 // However the attempts end, there is one answer, in time, and never two attempts at once.
 func TestOneAnswer(t *testing.T) {
 	for s := balancer.Error; s <= balancer.Miss; s++ {
 		for _, class := range []string{"page", "order"} {
-			r := newRig(t)
+			r := newHarness(t)
 			r.submit(class, 3*second)
 			sent := 0
 			for end := r.now + 3*second; r.now < end && len(r.answers) == 0; r.wait(20 * time.Millisecond) {
-				if len(r.out) > 0 {
+				if len(r.outstanding) > 0 {
 					sent++
-					r.end(r.out[0], AttemptResult{Status: s})
+					r.finish(r.outstanding[0], AttemptResult{Status: s})
 				}
 			}
-			if len(r.answers) != 1 || r.most != 1 {
-				t.Errorf("%s, status %d: answers %+v, %d attempts at once", class, s, r.answers, r.most)
+			if len(r.answers) != 1 || r.maxAtOnce != 1 {
+				t.Errorf("%s, status %d: answers %+v, %d attempts at once", class, s, r.answers, r.maxAtOnce)
 			}
 			if class == "order" && !s.NeverRan() && (sent != 1 || r.answers[0].Verdict != Failed) {
 				t.Errorf("order, status %d: %d attempts, answers %+v; what may have run is not resent", s, sent, r.answers)
@@ -135,74 +135,74 @@
 
 // A cache that says nothing: the attempt is given up and the answer is there before the client's time is over.
 func TestSilence(t *testing.T) {
-	r := newRig(t)
+	r := newHarness(t)
 	r.submit("order", second)
 	r.wait(second - 5*time.Millisecond)
-	r.one("silent", Failed)
-	if len(r.out) != 0 {
-		t.Errorf("%d attempts are still out", len(r.out))
+	r.wantOneAnswer("silent", Failed)
+	if len(r.outstanding) != 0 {
+		t.Errorf("%d attempts are still out", len(r.outstanding))
 	}
 }
 
-// A page cache is told what the client has left, to the millisecond, and no more. The router's own word still ends the
-// attempt first: its time is over a margin earlier.
+// A page cache is told what the client has left, to the millisecond, and no more. The router's own word still ends
+// the attempt first: its time is over a margin earlier.
 func TestCacheIsToldWhatTheClientHasLeft(t *testing.T) {
 	const ms = time.Millisecond
 	for _, waited := range []time.Duration{0, 200 * ms, 700 * ms} {
-		r := newRig(t)
-		r.submitted("page", second, waited)
-		if a := r.out[0]; a.Timeout != second-waited {
+		r := newHarness(t)
+		r.submitLate("page", second, waited)
+		if a := r.outstanding[0]; a.Timeout != second-waited {
 			t.Errorf("%v after it came in: told %v", waited, a.Timeout)
 		}
 		r.wait(second - waited - 15*ms - ms)
-		if len(r.out) != 1 {
+		if len(r.outstanding) != 1 {
 			t.Errorf("%v after it came in: given up too early", waited)
 		}
 		r.wait(ms)
-		if len(r.out) != 0 {
+		if len(r.outstanding) != 0 {
 			t.Errorf("%v after it came in: still out as the page cache's time ends", waited)
 		}
-		r.one("silent", Rejected)
+		r.wantOneAnswer("silent", Rejected)
 	}
 }
 
 // A request whose time was over before it was read is refused at once: nothing is sent.
 func TestRequestReadTooLate(t *testing.T) {
-	r := newRig(t)
-	r.submitted("page", second, second)
-	r.one("too late", Rejected)
-	if r.most != 0 {
+	r := newHarness(t)
+	r.submitLate("page", second, second)
+	r.wantOneAnswer("too late", Rejected)
+	if r.maxAtOnce != 0 {
 		t.Error("it was sent on")
 	}
 }
 
 // After a cancel or a closed connection nothing is owed, but the attempt is given up.
 func TestWithdraw(t *testing.T) {
-	r := newRig(t)
+	r := newHarness(t)
 	id := r.submit("page", second)
-	r.c.CancelRequest(id)
-	r.c.RunOnce()
+	r.core.CancelRequest(id)
+	r.core.RunOnce()
 	r.wait(2 * second)
-	if len(r.out) != 0 || len(r.answers) != 0 {
-		t.Errorf("%d attempts out, answers %+v", len(r.out), r.answers)
+	if len(r.outstanding) != 0 || len(r.answers) != 0 {
+		t.Errorf("%d attempts out, answers %+v", len(r.outstanding), r.answers)
 	}
 }
 
 // What was decided before a drain was told must not be written after it, as target or as source.
 func TestPermitAfterDrain(t *testing.T) {
 	for _, drained := range []string{"node", "source"} {
-		r := newRig(t)
+		r := newHarness(t)
 		r.submit("page", second)
-		a := r.out[0]
+		a := r.outstanding[0]
 		m := a.Endpoint
 		if drained == "source" {
 			m = a.Source
 		}
-		if s, _ := r.c.Permit(a); s != balancer.OK {
+		if s, _ := r.core.Permit(a); s != balancer.OK {
 			t.Fatalf("before: %d", s)
 		}
-		r.c.UpdateEndpoints([]EndpointUpdate{{ID: m.ID, Addr: m.Addr, Kind: "box", Zone: "edge", State: balancer.Draining}})
-		if s, _ := r.c.Permit(a); !s.NeverRan() {
+		r.core.UpdateEndpoints([]EndpointUpdate{{ID: m.ID, Addr: m.Addr, Kind: "box", Zone: "edge", State: balancer.Draining}})
+		if s, _ := r.core.Permit(a); !s.NeverRan() {
 			t.Errorf("%s drained: status %d, want one that proves that it never ran", drained, s)
 		}
 	}
@@ -210,12 +210,12 @@
 
 // An end that comes after the attempt was given up is nobody's.
 func TestLateEnd(t *testing.T) {
-	r := newRig(t)
+	r := newHarness(t)
 	id := r.submit("page", second)
-	a := r.out[0]
-	r.c.CancelRequest(id)
-	r.c.CompleteAttempt(a, AttemptResult{Status: balancer.OK})
-	r.c.RunOnce()
+	a := r.outstanding[0]
+	r.core.CancelRequest(id)
+	r.core.CompleteAttempt(a, AttemptResult{Status: balancer.OK})
+	r.core.RunOnce()
 	if len(r.answers) != 0 {
 		t.Errorf("answers %+v", r.answers)
 	}
@@ -223,8 +223,8 @@
 
 // Over the limit a request is refused at once, not held.
 func TestFull(t *testing.T) {
-	r := newRig(t)
-	for range r.c.lim.Open {
+	r := newHarness(t)
+	for range r.core.limits.Open {
 		r.submit("page", 3*second)
 	}
 	before := len(r.answers)
@@ -237,16 +237,16 @@
 // Page caches know a request by its id: a second one under the id of one that is open gets an error, and the
 // first is served as if nothing were.
 func TestSameIDTwice(t *testing.T) {
-	r := newRig(t)
+	r := newHarness(t)
 	for range 2 {
-		r.c.Submit(r.c.NewID(), Request{Txn: "t", Class: "page", Object: 7, Timeout: second, Reply: r.reply})
-		r.c.RunOnce()
+		r.core.Submit(r.core.NewID(), Request{Txn: "t", Class: "page", Object: 7, Timeout: second, Reply: r.reply})
+		r.core.RunOnce()
 	}
-	r.one("second", Failed)
-	if len(r.out) != 1 {
-		t.Fatalf("%d attempts are out", len(r.out))
+	r.wantOneAnswer("second", Failed)
+	if len(r.outstanding) != 1 {
+		t.Fatalf("%d attempts are out", len(r.outstanding))
 	}
-	r.end(r.out[0], AttemptResult{Status: balancer.OK})
+	r.finish(r.outstanding[0], AttemptResult{Status: balancer.OK})
 	if len(r.answers) != 2 || r.answers[1].Verdict != Served {
 		t.Errorf("answers %+v", r.answers)
 	}
@@ -255,36 +255,36 @@
 // A client that takes its request back in the moment in which it is decided: the module must be told that the
 // attempt was not sent. It was once left to count it for good, and after some hundreds refused all others.
 func TestWithdrawnAsItIsDecided(t *testing.T) {
-	r := newRig(t)
+	r := newHarness(t)
 	for range 500 {
-		id := r.c.NewID()
-		r.c.Submit(id, Request{Txn: strconv.Itoa(int(id)), Class: "page", Object: 7, Timeout: second, Reply: r.reply})
-		r.c.CancelRequest(id)
-		r.c.RunOnce()
+		id := r.core.NewID()
+		r.core.Submit(id, Request{Txn: strconv.Itoa(int(id)), Class: "page", Object: 7, Timeout: second, Reply: r.reply})
+		r.core.CancelRequest(id)
+		r.core.RunOnce()
 	}
 	r.submit("page", second)
-	if len(r.out) != 1 || len(r.answers) != 0 {
-		t.Errorf("%d attempts are out, answers %+v; want the request sent", len(r.out), r.answers)
+	if len(r.outstanding) != 1 || len(r.answers) != 0 {
+		t.Errorf("%d attempts are out, answers %+v; want the request sent", len(r.outstanding), r.answers)
 	}
 }
 
 // Each answer counts once, by whoever it was worded; what was taken back counts nowhere.
 func TestFigures(t *testing.T) {
-	r := newRig(t)
+	r := newHarness(t)
 	for range 3 {
 		r.submit("page", 3*second)
 	}
-	if s := r.c.Snapshot(); s.OpenRequests != 3 || s.Endpoints != 2 || s.AvoidedEndpoints != 0 {
+	if s := r.core.Snapshot(); s.OpenRequests != 3 || s.Endpoints != 2 || s.AvoidedEndpoints != 0 {
 		t.Errorf("three are open, two page caches are well: %+v", s)
 	}
-	r.end(r.out[0], AttemptResult{Status: balancer.OK})
+	r.finish(r.outstanding[0], AttemptResult{Status: balancer.OK})
 	id := r.submit("page", 3*second)
-	r.c.CancelRequest(id)
+	r.core.CancelRequest(id)
 	r.submit("order", second)
 	r.submit("page", time.Millisecond) // less time than the margin: refused at once
-	r.c.CountAnswer("what", Failed)
+	r.core.CountAnswer("what", Failed)
 	r.wait(4 * second) // the rest gets no answer from its page cache
-	s := r.c.Snapshot()
+	s := r.core.Snapshot()
 	if p, o, u := s.ByClass[0], s.ByClass[1], s.ByClass[2]; p != (ClassCounts{"page", 1, 3, 0}) || o != (ClassCounts{"order", 0, 0, 1}) || u != (ClassCounts{UnknownClass, 0, 0, 1}) {
 		t.Errorf("tallies %+v", s.ByClass)
 	}
@@ -295,25 +295,25 @@
 
 // What drains, and what fails all that it is asked, is told as avoided; once it is well again it is not.
 func TestAvoided(t *testing.T) {
-	r := newRig(t)
-	r.c.UpdateEndpoints([]EndpointUpdate{{ID: "a", Addr: "127.1.0.1:1", Kind: "box", Zone: "edge", State: balancer.Draining}})
-	r.c.RunOnce()
-	if s := r.c.Snapshot(); s.Endpoints != 2 || s.AvoidedEndpoints != 1 {
+	r := newHarness(t)
+	r.core.UpdateEndpoints([]EndpointUpdate{{ID: "a", Addr: "127.1.0.1:1", Kind: "box", Zone: "edge", State: balancer.Draining}})
+	r.core.RunOnce()
+	if s := r.core.Snapshot(); s.Endpoints != 2 || s.AvoidedEndpoints != 1 {
 		t.Errorf("one drains: %d of %d are avoided", s.AvoidedEndpoints, s.Endpoints)
 	}
 	for range 3 {
 		r.submit("page", second)
-		for len(r.out) > 0 {
-			r.end(r.out[0], AttemptResult{Status: balancer.Error})
+		for len(r.outstanding) > 0 {
+			r.finish(r.outstanding[0], AttemptResult{Status: balancer.Error})
 		}
 	}
-	if s := r.c.Snapshot(); s.AvoidedEndpoints != 2 {
+	if s := r.core.Snapshot(); s.AvoidedEndpoints != 2 {
 		t.Errorf("the other fails: %d are avoided", s.AvoidedEndpoints)
 	}
 	r.wait(2 * second)
 	r.submit("page", second)
-	r.end(r.out[0], AttemptResult{Status: balancer.OK, Detail: balancer.Hit})
-	if s := r.c.Snapshot(); s.AvoidedEndpoints != 1 {
+	r.finish(r.outstanding[0], AttemptResult{Status: balancer.OK, Detail: balancer.Hit})
+	if s := r.core.Snapshot(); s.AvoidedEndpoints != 1 {
 		t.Errorf("the other is well again: %d are avoided", s.AvoidedEndpoints)
 	}
 }
@@ -321,156 +321,156 @@
 // Standby: what comes while the front still sends is served, then connections close, and in the end nothing new
 // is taken. Active undoes it at any point; a router that ends does not come back.
 func TestStandby(t *testing.T) {
-	r := newRig(t)
-	r.c.lim.LeaveBehind, r.c.lim.LeaveIdle, r.c.lim.LeaveRefuse, r.c.lim.LeaveCut = second/2, second, 2*second, 3*second
-	r.c.EnterStandby()
-	r.c.RunOnce()
-	if r.c.Snapshot().Phase != Standby || r.c.DrainStage() != NotDraining {
-		t.Errorf("phase %v, leaving %d", r.c.Snapshot().Phase, r.c.DrainStage())
+	r := newHarness(t)
+	r.core.limits.LeaveBehind, r.core.limits.LeaveIdle, r.core.limits.LeaveRefuse, r.core.limits.LeaveCut = second/2, second, 2*second, 3*second
+	r.core.EnterStandby()
+	r.core.RunOnce()
+	if r.core.Snapshot().Phase != Standby || r.core.DrainStage() != NotDraining {
+		t.Errorf("phase %v, leaving %d", r.core.Snapshot().Phase, r.core.DrainStage())
 	}
 	r.submit("page", second)
-	r.end(r.out[0], AttemptResult{Status: balancer.OK})
-	r.one("on standby", Served)
+	r.finish(r.outstanding[0], AttemptResult{Status: balancer.OK})
+	r.wantOneAnswer("on standby", Served)
 	for _, want := range []DrainStage{CloseAfterResponse, CloseIdle, CloseIdle, RejectNew, RejectNew, CloseAll} {
-		if r.wait(second / 2); r.c.DrainStage() != want {
-			t.Errorf("after %v: leaving %d, want %d", r.now-r.c.lifecycle.drainingSince, r.c.DrainStage(), want)
+		if r.wait(second / 2); r.core.DrainStage() != want {
+			t.Errorf("after %v: leaving %d, want %d", r.now-r.core.lifecycle.drainingSince, r.core.DrainStage(), want)
 		}
 	}
-	r.c.maxWait = second
+	r.core.policy.maxRetryAfter = second
 	r.submit("page", second)
-	if a := r.answers[1]; a.Verdict != Rejected || a.RetryAfter != second || len(r.out) != 0 {
-		t.Errorf("at the end: %+v, %d attempts; want a refusal that says when to come back", a, len(r.out))
+	if a := r.answers[1]; a.Verdict != Rejected || a.RetryAfter != second || len(r.outstanding) != 0 {
+		t.Errorf("at the end: %+v, %d attempts; want a refusal that says when to come back", a, len(r.outstanding))
 	}
-	if !r.c.LeaveStandby() {
+	if !r.core.LeaveStandby() {
 		t.Error("not active again")
 	}
-	r.c.RunOnce()
-	if r.submit("page", second); r.c.Snapshot().Phase != Serving || r.c.DrainStage() != NotDraining || len(r.out) != 1 {
-		t.Errorf("active again: phase %v, leaving %d, %d attempts", r.c.Snapshot().Phase, r.c.DrainStage(), len(r.out))
+	r.core.RunOnce()
+	if r.submit("page", second); r.core.Snapshot().Phase != Serving || r.core.DrainStage() != NotDraining || len(r.outstanding) != 1 {
+		t.Errorf("active again: phase %v, leaving %d, %d attempts", r.core.Snapshot().Phase, r.core.DrainStage(), len(r.outstanding))
 	}
-	r.c.BeginShutdown(r.now)
-	r.c.EnterStandby()
-	if r.c.LeaveStandby() || r.c.lifecycle.state.phase() != ShuttingDown {
-		t.Errorf("phase %v; a router that ends goes on with that", r.c.lifecycle.state.phase())
+	r.core.BeginShutdown(r.now)
+	r.core.EnterStandby()
+	if r.core.LeaveStandby() || r.core.lifecycle.state.phase() != ShuttingDown {
+		t.Errorf("phase %v; a router that ends goes on with that", r.core.lifecycle.state.phase())
 	}
 }
 
 // Without a successor a router that ends keeps its connections; with one it leaves its clients at once. Either way
 // what it still takes is answered before it ends.
 func TestEnding(t *testing.T) {
-	r := newRig(t)
-	r.c.lim.LeaveBehind, r.c.lim.LeaveIdle, r.c.lim.LeaveRefuse, r.c.lim.LeaveCut = second/2, second, 2*second, 3*second
-	r.c.lim.Finish = 3 * second
-	r.c.BeginShutdown(r.now)
+	r := newHarness(t)
+	r.core.limits.LeaveBehind, r.core.limits.LeaveIdle, r.core.limits.LeaveRefuse, r.core.limits.LeaveCut = second/2, second, 2*second, 3*second
+	r.core.limits.Finish = 3 * second
+	r.core.BeginShutdown(r.now)
 	r.wait(second)
 	r.submit("page", 5*second)
-	if r.c.DrainStage() != NotDraining || r.c.Snapshot().Phase != ShuttingDown || len(r.out) != 1 {
-		t.Errorf("no successor: leaving %d, %d attempts", r.c.DrainStage(), len(r.out))
+	if r.core.DrainStage() != NotDraining || r.core.Snapshot().Phase != ShuttingDown || len(r.outstanding) != 1 {
+		t.Errorf("no successor: leaving %d, %d attempts", r.core.DrainStage(), len(r.outstanding))
 	}
-	r.c.SetSuccessorReady(true)
-	r.c.RunOnce()
-	if r.c.DrainStage() != CloseIdle {
-		t.Errorf("a successor: leaving %d", r.c.DrainStage())
+	r.core.SetSuccessorReady(true)
+	r.core.RunOnce()
+	if r.core.DrainStage() != CloseIdle {
+		t.Errorf("a successor: leaving %d", r.core.DrainStage())
 	}
 	r.wait(2 * second)
-	r.one("still open", Rejected)
+	r.wantOneAnswer("still open", Rejected)
 }
 
 // A request open as SIGTERM comes ends, answered, before the platform may kill the process, though its client would
 // wait longer: on the second deployment an episode's part waits 6 s, and the kill comes 3.7 s after SIGTERM.
 // A router that ends refuses at once what comes once nothing is open any more: it could not answer it.
 func TestNothingIsTakenAtTheEnd(t *testing.T) {
-	r := newRig(t)
-	r.c.lim.Finish = 3 * second
-	r.c.BeginShutdown(r.now)
+	r := newHarness(t)
+	r.core.limits.Finish = 3 * second
+	r.core.BeginShutdown(r.now)
 	r.submit("page", second)
-	if r.c.CloseIfIdle() {
+	if r.core.CloseIfIdle() {
 		t.Fatal("it is empty with a request open")
 	}
-	r.end(r.out[0], AttemptResult{Status: balancer.OK})
-	if len(r.answers) != 1 || !r.c.CloseIfIdle() {
+	r.finish(r.outstanding[0], AttemptResult{Status: balancer.OK})
+	if len(r.answers) != 1 || !r.core.CloseIfIdle() {
 		t.Fatalf("%d answers, then not empty", len(r.answers))
 	}
 	r.submit("page", second)
-	if len(r.out) > 0 || len(r.answers) != 2 || r.answers[1].Verdict != Rejected {
-		t.Errorf("%d sent, answers %+v", len(r.out), r.answers)
+	if len(r.outstanding) > 0 || len(r.answers) != 2 || r.answers[1].Verdict != Rejected {
+		t.Errorf("%d sent, answers %+v", len(r.outstanding), r.answers)
 	}
 }
 
 func TestOpenAtStopEndsInTime(t *testing.T) {
-	r := newRig(t)
-	r.c.lim.Finish = 3 * second
+	r := newHarness(t)
+	r.core.limits.Finish = 3 * second
 	r.submit("page", 5*second)
 	r.wait(second)
-	r.c.BeginShutdown(r.now)
-	r.wait(r.c.lim.Finish - r.c.lim.FinishMargin + 10*time.Millisecond)
-	r.one("open at SIGTERM", Rejected)
+	r.core.BeginShutdown(r.now)
+	r.wait(r.core.limits.Finish - r.core.limits.FinishMargin + 10*time.Millisecond)
+	r.wantOneAnswer("open at SIGTERM", Rejected)
 }
 
 // A process that follows another is not ready before it is told so, though it knows the list.
 func TestHold(t *testing.T) {
-	r := newRig(t)
-	r.c.HoldStart()
-	r.c.RunOnce()
-	if p := r.c.Snapshot().Phase; p != Starting {
+	r := newHarness(t)
+	r.core.HoldStart()
+	r.core.RunOnce()
+	if p := r.core.Snapshot().Phase; p != Starting {
 		t.Errorf("phase %v", p)
 	}
-	r.c.ReleaseStart()
-	r.c.RunOnce()
-	if p := r.c.Snapshot().Phase; p != Serving {
+	r.core.ReleaseStart()
+	r.core.RunOnce()
+	if p := r.core.Snapshot().Phase; p != Serving {
 		t.Errorf("phase %v", p)
 	}
 }
 
-// A purge counts for what waits in the same turn, whatever came first, and for an attempt that was decided on before and
-// is not written yet; one that is already to be younger stays so.
+// A purge counts for what waits in the same turn, whatever came first, and for an attempt that was decided on
+// before and is not written yet; one that is already to be younger stays so.
 func TestPurgeCountsForWhatIsNotWritten(t *testing.T) {
-	r := newRig(t)
+	r := newHarness(t)
 	r.submit("page", 3*second)
 	r.submit("page", 3*second)
-	r.c.PurgeObject(8, r.now)
-	if r.out[0].Decision.MaxAge != 0 {
-		t.Errorf("the purge of another object: newer than %v", r.out[0].Decision.MaxAge)
+	r.core.PurgeObject(8, r.now)
+	if r.outstanding[0].Decision.MaxAge != 0 {
+		t.Errorf("the purge of another object: newer than %v", r.outstanding[0].Decision.MaxAge)
 	}
-	r.c.Post(func() {
-		r.c.Submit(r.c.NewID(), Request{Txn: "late", Class: "page", Object: 7, Timeout: 3 * second, Reply: r.reply})
+	r.core.Post(func() {
+		r.core.Submit(r.core.NewID(), Request{Txn: "late", Class: "page", Object: 7, Timeout: 3 * second, Reply: r.reply})
 	})
 	at := r.now
 	r.now += 100 * time.Millisecond
-	r.c.PostWatchEvent(func() { r.c.PurgeObject(7, at) })
-	r.c.RunOnce()
-	r.c.PurgeObject(7, at-second)
-	if len(r.out) != 3 {
-		t.Fatalf("%d attempts", len(r.out))
+	r.core.PostWatchEvent(func() { r.core.PurgeObject(7, at) })
+	r.core.RunOnce()
+	r.core.PurgeObject(7, at-second)
+	if len(r.outstanding) != 3 {
+		t.Fatalf("%d attempts", len(r.outstanding))
 	}
-	for i, a := range r.out {
+	for i, a := range r.outstanding {
 		if a.Decision.MaxAge <= 0 || a.Decision.MaxAge > 100*time.Millisecond {
 			t.Errorf("attempt %d may be served a copy %v old, of an object purged 100 ms ago", i, a.Decision.MaxAge)
 		}
 	}
 }
 
-// The answer, the client's cancel and the end of its time come in one turn of the loop, in any order: the client has one answer or,
-// if it cancelled first, none; and no attempt follows.
+// The answer, the client's cancel and the end of its time come in one turn of the loop, in any order: the client
+// has one answer or, if it cancelled first, none; and no attempt follows.
 func TestAllInOneTurn(t *testing.T) {
 	for _, class := range []string{"page", "order"} {
 		for _, status := range []balancer.Status{balancer.OK, balancer.Error, balancer.Rejected} {
 			for _, cancelFirst := range []bool{true, false} {
-				r := newRig(t)
+				r := newHarness(t)
 				id := r.submit(class, second)
-				a := r.out[0]
-				steps := []func(){func() { r.c.CancelRequest(id) }, func() { r.Cancel(a); r.c.CompleteAttempt(a, AttemptResult{Status: status}) }}
+				a := r.outstanding[0]
+				steps := []func(){func() { r.core.CancelRequest(id) }, func() { r.Cancel(a); r.core.CompleteAttempt(a, AttemptResult{Status: status}) }}
 				if !cancelFirst {
 					steps[0], steps[1] = steps[1], steps[0]
 				}
 				for _, f := range steps {
-					r.c.Post(f)
+					r.core.Post(f)
 				}
 				r.now += second // the time is up, too
-				r.c.RunOnce()
+				r.core.RunOnce()
 				r.wait(2 * second)
-				if len(r.out) > 0 || r.most > 1 {
-					t.Errorf("%s, status %d, cancelled first %v: %d attempts out, %d at once", class, status, cancelFirst, len(r.out), r.most)
+				if len(r.outstanding) > 0 || r.maxAtOnce > 1 {
+					t.Errorf("%s, status %d, cancelled first %v: %d attempts out, %d at once", class, status, cancelFirst, len(r.outstanding), r.maxAtOnce)
 				}
 				want := 0
 				if status == balancer.OK && !cancelFirst {
--- /dev/null
+++ b/internal/core/endpointlog.go
@@ -0,0 +1,44 @@
+package core
+
+import (
+	"time"
+
+	"hillknot/balancer"
+)
+
+// endpointLogInterval is how often the log has a line on changes of the endpoint list, at most: a release brings
+// thousands.
+const endpointLogInterval = time.Second
+
+// endpointLog sums up the changes of the endpoint list that the log has yet to report.
+type endpointLog struct {
+	events, entries int
+	complete        bool // one of the events was a complete list
+	scheduled       bool // a line is due within endpointLogInterval
+}
+
+// logEndpoints logs a change of the endpoint list at once, and what follows within endpointLogInterval in one line.
+func (c *Core) logEndpoints(event balancer.EndpointUpdate) {
+	l := &c.endpoints.log
+	l.events++
+	l.entries += len(event.Endpoints)
+	l.complete = l.complete || event.Complete
+	if l.scheduled {
+		return
+	}
+	l.scheduled = true
+	c.writeEndpointLog()
+	c.Schedule(c.iteration.now+endpointLogInterval, func() {
+		l.scheduled = false
+		if l.events > 0 {
+			c.writeEndpointLog()
+		}
+	})
+}
+
+func (c *Core) writeEndpointLog() {
+	l := &c.endpoints.log
+	log.Info("endpoint list updated", "complete", l.complete, "events", l.events, "changed", l.entries,
+		"endpoints", len(c.endpoints.byID))
+	*l = endpointLog{scheduled: l.scheduled}
+}
--- a/internal/core/lifecycle.go
+++ b/internal/core/lifecycle.go
@@ -82,8 +82,8 @@
 	}
 }
 
-// enterStandby begins to drain at an operator's request. It reports whether anything changed: a router that is on standby
-// or shutting down stays so.
+// enterStandby begins to drain at an operator's request. It reports whether anything changed: a router that is on
+// standby or shutting down stays so.
 func (l *lifecycle) enterStandby(now time.Duration) bool {
 	if l.state >= stateStandby {
 		return false
@@ -119,7 +119,8 @@
 
 func (l *lifecycle) shuttingDown() bool { return l.state >= stateShuttingDown }
 
-// lastAnswer is when what is open must have ended, in a router that shuts down: the platform kills the process soon after.
+// lastAnswer is when what is open must have ended, in a router that shuts down: the platform kills the process soon
+// after.
 func (l *lifecycle) lastAnswer(limits *config.Limits) time.Duration {
 	return l.drainingSince + limits.Finish - limits.FinishMargin
 }
@@ -132,7 +133,7 @@
 
 // EnterStandby drains the router: it goes on answering while its clients leave.
 func (c *Core) EnterStandby() {
-	if c.lifecycle.enterStandby(c.now) {
+	if c.lifecycle.enterStandby(c.iteration.now) {
 		c.publish() // whoever asked for it is answered before the loop's iteration is over
 	}
 }
@@ -146,24 +147,24 @@
 	return true
 }
 
-// SetSuccessorReady tells the core whether a successor takes new connections. A router that has one drains its clients as it
-// shuts down, and spends none of the budgets that routers share.
+// SetSuccessorReady tells the core whether a successor takes new connections. A router that has one drains its
+// clients as it shuts down, and spends none of the budgets that routers share.
 func (c *Core) SetSuccessorReady(ready bool) {
 	c.lifecycle.successorReady = ready
-	if c.shared != nil {
-		c.shared.state.Retire(ready)
+	if c.extensions.cluster != nil {
+		c.extensions.cluster.state.Retire(ready)
 	}
 }
 
-// BeginShutdown marks the router as shutting down since a time; it goes on answering. What is open ends, answered, before the
-// platform may kill the process: a request whose client waits longer than that would be lost.
+// BeginShutdown marks the router as shutting down since a time; it goes on answering. What is open ends, answered,
+// before the platform may kill the process: a request whose client waits longer than that would be lost.
 func (c *Core) BeginShutdown(since time.Duration) {
 	c.lifecycle.beginShutdown(since)
-	c.advanceDeadlines(c.lifecycle.lastAnswer(&c.lim))
+	c.advanceDeadlines(c.lifecycle.lastAnswer(&c.limits))
 }
 
-// CloseIfIdle reports whether nothing is open, and if so has the core reject every request from then on: a router that ends
-// writes its last answers, and what came in meanwhile could get none. It is called after BeginShutdown.
+// CloseIfIdle reports whether nothing is open, and if so has the core reject every request from then on: a router
+// that ends writes its last answers, and what came in meanwhile could get none. It is called after BeginShutdown.
 func (c *Core) CloseIfIdle() bool {
 	if c.OpenCount() == 0 {
 		c.lifecycle.close()
@@ -183,16 +184,17 @@
 	CloseAll                      // no connection stays on which no answer is owed
 )
 
-// DrainStage returns how far the router has got in draining its clients. It may be called on any goroutine. A router that
-// shuts down without a successor keeps its connections up to its end: its clients have nobody else to call.
+// DrainStage returns how far the router has got in draining its clients. It may be called on any goroutine. A
+// router that shuts down without a successor keeps its connections up to its end: its clients have nobody else to
+// call.
 func (c *Core) DrainStage() DrainStage {
-	s := c.snap.Load()
+	s := c.stats.snapshot.Load()
 	drainingFor := c.clock() - s.DrainingSince
 	switch {
 	case s.Phase == ShuttingDown && s.HasSuccessor:
-		return drainStage(drainingFor+c.lim.LeaveBehind, &c.lim) // the successor has the new connections already
+		return drainStage(drainingFor+c.limits.LeaveBehind, &c.limits) // the successor has the new connections already
 	case s.Phase == Standby:
-		return drainStage(drainingFor, &c.lim)
+		return drainStage(drainingFor, &c.limits)
 	}
 	return NotDraining
 }
--- a/internal/core/lifecycle_test.go
+++ b/internal/core/lifecycle_test.go
@@ -39,7 +39,8 @@
 	}
 }
 
-// A router serves once all that it waits for has come, in any order; what comes while it is on standby counts as it leaves.
+// A router serves once all that it waits for has come, in any order; what comes while it is on standby counts as it
+// leaves.
 func TestStartWaitsForAllBlockers(t *testing.T) {
 	l := newLifecycle()
 	l.block(predecessorActive)
--- /dev/null
+++ b/internal/core/loop.go
@@ -0,0 +1,117 @@
+package core
+
+import (
+	"time"
+
+	"hillknot/balancer"
+)
+
+// Run runs the loop on the calling goroutine until stop is closed.
+func (c *Core) Run(stop <-chan struct{}) {
+	due := time.NewTimer(0)
+	defer due.Stop()
+	for {
+		select {
+		case <-c.queue.wake:
+		case <-due.C:
+		case <-stop:
+			return
+		}
+		checked, _ := c.awaitBacklog()
+		wait := c.limits.Beat // an idle loop iterates too: this is how a stall shows
+		if next, pending := c.iterate(checked); pending {
+			wait = min(wait, max(next-c.clock(), 0))
+		}
+		due.Reset(wait)
+	}
+}
+
+// RunOnce runs one iteration of the loop. It returns when the next timer is due, if any is pending.
+func (c *Core) RunOnce() (next time.Duration, pending bool) { return c.iterate(c.clock()) }
+
+// iterate is RunOnce where the loop looked for a stall of the process at a time that may be some while ago.
+func (c *Core) iterate(checked time.Duration) (next time.Duration, pending bool) {
+	c.iteration.now = c.clock()
+	c.stalls.tick(checked)
+	for _, f := range c.queue.takeAll() {
+		f()
+	}
+	for t, due := c.timers.popDue(c.iteration.now); due; t, due = c.timers.popDue(c.iteration.now) {
+		c.fire(t)
+	}
+	c.decide()
+	if c.extensions.orders != nil {
+		c.extensions.orders.Flush()
+	}
+	if c.extensions.credit != nil {
+		c.extensions.credit.Flush()
+	}
+	c.publish()
+	return c.timers.next()
+}
+
+// decide hands the events to the module and carries out its actions, until no more events come of them.
+func (c *Core) decide() {
+	for len(c.iteration.events) > 0 {
+		events := c.iteration.events
+		c.iteration.events, c.iteration.purges = nil, c.iteration.purges[:0] // the module knows these purges now
+		for _, action := range c.module.Handle(c.iteration.now, events...) {
+			c.execute(action)
+		}
+	}
+}
+
+// execute carries out one action of the module.
+func (c *Core) execute(action balancer.Action) {
+	switch a := action.(type) {
+	case balancer.SendAttempt:
+		c.sendAttempt(a)
+	case balancer.CancelAttempt:
+		if r := c.requests.open[a.ID]; r != nil && r.attempt != nil && r.attempt.Index == a.Attempt {
+			c.abandonAttempt(r.attempt, balancer.Cancelled)
+		}
+	case balancer.Reject:
+		c.completeQuery(a.ID, QueryResult{Rejected: true})
+		c.answer(c.requests.open[a.ID], Answer{Verdict: Rejected, RetryAfter: a.RetryAfter})
+	case balancer.Fail:
+		c.completeQuery(a.ID, QueryResult{})
+		c.answer(c.requests.open[a.ID], failedAnswer)
+	case balancer.ResolveAnswer:
+		c.answerQuery(a)
+	case balancer.SetTimer:
+		c.timers.add(timer{at: c.iteration.now + a.Delay, token: a.Token})
+	}
+}
+
+// awaitBacklog waits, for a bounded time, until what came in during a stall of the process is handed on. Such input
+// waits in sockets, which are read in no set order: a request must not overtake the purge that discovery sent
+// before it, nor an attempt the end of the client that it is for. It reports whether there was a stall, and at
+// which time it had looked: a stall after that is yet to be seen.
+func (c *Core) awaitBacklog() (checked time.Duration, stalled bool) {
+	now := c.clock()
+	if !c.stalls.detect(now) || c.backlog == nil {
+		return now, false
+	}
+	for end := now + c.limits.GatherMost; now < end; now = c.clock() {
+		if !c.backlog() {
+			c.stalls.recovered(now)
+			break
+		}
+		time.Sleep(c.limits.Gather)
+	}
+	return now, true
+}
+
+// applyLateWatchEvents takes the watch events that came in during a stall in the middle of an iteration: what was
+// decided before it is about to be written.
+func (c *Core) applyLateWatchEvents() {
+	checked, stalled := c.awaitBacklog()
+	if !stalled {
+		return
+	}
+	c.iteration.now = c.clock() // the events would else lie in the future of this iteration
+	c.stalls.tick(checked)
+	for _, f := range c.queue.takeWatchEvents() {
+		f()
+	}
+}
--- a/internal/core/memory.go
+++ b/internal/core/memory.go
@@ -7,32 +7,33 @@
 	"hillknot/balancer"
 )
 
-// ExportMemory returns what a successor goes on from, for TakeOver there. Its times are spans to now; the start of a member is
-// the stamp of the list, by which both processes know it.
+// ExportMemory returns what the decision module has learned, for ImportMemory of the successor. Its times are
+// relative to now; the start of an endpoint is the stamp of the endpoint list, by which both processes know it.
 func (c *Core) ExportMemory() balancer.Memory {
-	m := c.balancer.HandOver()
-	m.Relative(c.now)
-	for i := range m.Members {
-		t := &m.Members[i]
-		t.Start = 0
-		if o := c.members[t.Node]; o != nil {
-			t.Start = time.Duration(o.stamp)
+	memory := c.module.HandOver()
+	memory.Relative(c.iteration.now)
+	for i := range memory.Members {
+		learned := &memory.Members[i]
+		learned.Start = 0
+		if e := c.endpoints.byID[learned.Node]; e != nil {
+			learned.Start = time.Duration(e.startStamp)
 		}
 	}
-	return m
+	return memory
 }
 
-// ImportMemory goes on from what a predecessor handed over. What came in before is decided first, as the list counts. What was
-// seen of a member that has started anew since is passed over.
-func (c *Core) ImportMemory(m balancer.Memory) {
-	c.settle()
-	m.Absolute(c.now)
-	m.Members = slices.DeleteFunc(m.Members, func(t balancer.MemberMemory) bool {
-		o := c.members[t.Node]
-		return o == nil || t.Start != time.Duration(o.stamp)
+// ImportMemory goes on from what the predecessor has learned. Pending events come first, as the endpoint list must
+// be known. What was learned of an endpoint that has restarted since is dropped.
+func (c *Core) ImportMemory(memory balancer.Memory) {
+	c.decide()
+	memory.Absolute(c.iteration.now)
+	memory.Members = slices.DeleteFunc(memory.Members, func(learned balancer.MemberMemory) bool {
+		e := c.endpoints.byID[learned.Node]
+		return e == nil || learned.Start != time.Duration(e.startStamp)
 	})
-	for i := range m.Members {
-		m.Members[i].Start = c.members[m.Members[i].Node].start
+	for i := range memory.Members {
+		learned := &memory.Members[i]
+		learned.Start = c.endpoints.byID[learned.Node].startedAt
 	}
-	c.balancer.TakeOver(c.now, m)
+	c.module.TakeOver(c.iteration.now, memory)
 }
--- a/internal/core/requests.go
+++ b/internal/core/requests.go
@@ -2,174 +2,254 @@
 
 import (
 	"cmp"
-	"container/heap"
+	"sync/atomic"
 	"time"
 
 	"hillknot/balancer"
 )
 
-// The table of open requests: from their arrival to their one final answer.
+// requestState is where an open request stands.
+type requestState uint8
 
+const (
+	requestPending  requestState = iota // the module has it, or is about to
+	requestClaiming                     // other routers are asked what became of the order that it resumes
+	requestHeld                         // its rejection is held back until no other router can run it
+	requestAnswered                     // its client has been answered
+)
+
+// request is a request from its arrival to its one final answer.
 type request struct {
 	Request
-	id      balancer.RequestID
-	since   time.Duration
-	end     time.Duration // the router answers by then
-	expiry  time.Duration // the client stops waiting; not before end
-	attempt *Attempt
-	ran     bool          // an attempt may have run
-	ranAt   time.Duration // and the first of these was sent then
+	id             balancer.RequestID
+	policy         classPolicy
+	state          requestState
+	acceptedAt     time.Duration
+	deadline       time.Duration // the router answers by then
+	clientDeadline time.Duration // the client stops waiting; not before deadline
+
+	attempt     *Attempt      // the one that is open; nil: none is
+	mayHaveRun  bool          // an attempt may have run
+	firstSentAt time.Duration // and the first of these was sent then
+
+	reservation Reservation // of credit; nil: none
+
+	// Of an order that is replicated to other routers.
+	replicated    bool     // another router has a replica
+	awaitingLease *Attempt // is written once the lease is granted
+	heldRejection Answer   // in state requestHeld
+}
+
+// retryIsHarmless reports whether the client may be told that a retry of what has been sent so far does no harm.
+func (r *request) retryIsHarmless() bool { return !r.policy.nonIdempotent || !r.mayHaveRun }
+
+// requestTable holds the open requests.
+type requestTable struct {
+	open   map[balancer.RequestID]*request
+	byTxn  map[string]*request // the same: page caches and other routers know a request by its txn
+	lastID atomic.Uint64       // any goroutine
+}
 
-	answered bool // its client was told
+func newRequestTable() requestTable {
+	return requestTable{open: map[balancer.RequestID]*request{}, byTxn: map[string]*request{}}
+}
 
-	paid Reservation // set aside for it
+func (t *requestTable) add(r *request) { t.open[r.id], t.byTxn[r.Txn] = r, r }
 
-	// Where the loss of routers is guarded against.
-	kept     bool     // another router knows of it
-	claiming bool     // the others are being asked what became of it
-	asking   *Attempt // waits for the right to be written
-	ending   *Answer  // its refusal waits until no other router can run it
+func (t *requestTable) remove(r *request) {
+	delete(t.open, r.id)
+	delete(t.byTxn, r.Txn)
 }
 
-// OpenCount is how many requests and queries are owed an answer.
-func (c *Core) OpenCount() int { return len(c.open) + len(c.queries) }
+// rename puts a request under another txn.
+func (t *requestTable) rename(r *request, txn string) {
+	delete(t.byTxn, r.Txn)
+	r.Txn = txn
+	t.byTxn[txn] = r
+}
 
-// Submit takes a request. Its answer is owed from now on.
+func (t *requestTable) isOpen(r *request) bool { return t.open[r.id] == r }
+
+// held returns the request with a txn whose rejection is held back, or nil.
+func (t *requestTable) held(txn string) *request {
+	if r := t.byTxn[txn]; r != nil && r.state == requestHeld {
+		return r
+	}
+	return nil
+}
+
+// claiming returns the request with an id that awaits what becomes of its claim, or nil.
+func (t *requestTable) claiming(id balancer.RequestID) *request {
+	if r := t.open[id]; r != nil && r.state == requestClaiming {
+		return r
+	}
+	return nil
+}
+
+// NewID returns an id that no other request of this process has. Any goroutine may call it.
+func (c *Core) NewID() balancer.RequestID { return balancer.RequestID(c.requests.lastID.Add(1)) }
+
+// OpenCount returns how many requests and endpoint queries await their answer.
+func (c *Core) OpenCount() int { return len(c.requests.open) + len(c.queries) }
+
+// Submit takes a request, which is answered by its Reply exactly once, unless it is cancelled first.
 func (c *Core) Submit(id balancer.RequestID, q Request) {
-	arrived := cmp.Or(min(q.ArrivedAt, c.now), c.now)
-	expiry := arrived + min(q.Timeout, c.lim.Longest)
-	left := expiry - c.lim.Margin - c.now
-	if c.lifecycle.shuttingDown() { // what is open as the router ends would be lost
-		left = min(left, c.lifecycle.lastAnswer(&c.lim)-c.now)
+	arrived := cmp.Or(min(q.ArrivedAt, c.iteration.now), c.iteration.now)
+	clientDeadline := arrived + min(q.Timeout, c.limits.Longest)
+	deadline := clientDeadline - c.limits.Margin
+	if c.lifecycle.shuttingDown() { // what is open as the process ends would be lost
+		deadline = min(deadline, c.lifecycle.lastAnswer(&c.limits))
 	}
 	switch {
-	case len(c.open) >= c.lim.Open || c.lifecycle.state == stateClosed || c.DrainStage() >= RejectNew:
-		c.traceTurnedAway(&q, "no room, or the router ends")
-		c.reply(&q, Answer{Verdict: Rejected, RetryAfter: c.maxWait})
+	case len(c.requests.open) >= c.limits.Open || c.lifecycle.state == stateClosed || c.DrainStage() >= RejectNew:
+		c.rejectNew(&q, "over the limit, or the router is draining", c.rejection())
 		return
-	case left <= 0:
-		c.traceTurnedAway(&q, "no time is left")
-		c.reply(&q, Answer{Verdict: Rejected})
+	case deadline <= c.iteration.now:
+		c.rejectNew(&q, "no time left", Answer{Verdict: Rejected})
 		return
-	case c.txns[q.Txn] != nil: // page caches know a request by this id: two under one could not be told apart
-		c.traceTurnedAway(&q, "its txn is open already")
-		c.reply(&q, Answer{Verdict: Failed, Reason: "BadRequest"})
+	case c.requests.byTxn[q.Txn] != nil: // page caches could not tell the two apart
+		c.rejectNew(&q, "duplicate txn", Answer{Verdict: Failed, Reason: "BadRequest"})
 		return
 	}
-	r := &request{Request: q, id: id, since: c.now, end: c.now + left, expiry: expiry}
+	r := &request{
+		Request:        q,
+		id:             id,
+		policy:         c.policy.classes[q.Class],
+		acceptedAt:     c.iteration.now,
+		deadline:       deadline,
+		clientDeadline: clientDeadline,
+	}
 	c.traceRequest(r)
-	c.open[id] = r
-	c.txns[q.Txn] = r
-	heap.Push(&c.timers, timer{at: r.end, request: r})
-	if q.ResumesTxn != "" && c.unsafe[q.Class] {
-		c.claim(r)
+	c.requests.add(r)
+	c.timers.add(timer{at: r.deadline, request: r})
+	if q.ResumesTxn != "" && r.policy.nonIdempotent {
+		c.claimOrder(r)
 		return
 	}
-	c.begin(r)
+	c.startRequest(r)
 }
 
-// advanceDeadlines has the router answer what is open no later than at a time.
-func (c *Core) advanceDeadlines(last time.Duration) {
-	for _, r := range c.open {
-		if r.end > last {
-			r.end = last
-			heap.Push(&c.timers, timer{at: r.end, request: r})
-		}
-	}
+// rejection is the answer that asks the client to stay away for as long as the settings allow.
+func (c *Core) rejection() Answer {
+	return Answer{Verdict: Rejected, RetryAfter: c.policy.maxRetryAfter}
+}
+
+// rejectNew answers a request that is not taken.
+func (c *Core) rejectNew(q *Request, reason string, a Answer) {
+	c.traceRejected(q, reason)
+	c.reply(q, a)
 }
 
-// begin hands a request to the module.
-func (c *Core) begin(r *request) {
-	if !c.pay(r) || !c.keep(r) {
+// startRequest hands a request to the module.
+func (c *Core) startRequest(r *request) {
+	if !c.reserveCredit(r) || !c.replicateOrder(r) {
 		return
 	}
-	c.events = append(c.events, balancer.Request{ID: r.id, Class: r.Class, Object: r.Object, Part: r.Part, Group: r.Group,
-		Remaining: r.end - c.now, Write: r.Write, Retry: r.Retry})
+	c.emit(balancer.Request{
+		ID:        r.id,
+		Class:     r.Class,
+		Object:    r.Object,
+		Part:      r.Part,
+		Group:     r.Group,
+		Remaining: r.deadline - c.iteration.now,
+		Write:     r.Write,
+		Retry:     r.Retry,
+	})
 }
 
-// CancelRequest ends a request whose client no longer waits: nothing is owed, and its attempt is given up.
+// CancelRequest ends a request whose client no longer waits: it is not answered, and its attempt is cancelled. An
+// unknown id is ignored.
 func (c *Core) CancelRequest(id balancer.RequestID) {
-	if r := c.open[id]; r != nil {
-		c.drop(r)
+	r := c.requests.open[id]
+	if r == nil {
+		return
+	}
+	c.requests.remove(r)
+	c.emit(balancer.ClientAborted{ID: r.id})
+	if r.attempt != nil {
+		c.abandonAttempt(r.attempt, balancer.Cancelled)
 	}
+	c.settleCredit(r, r.mayHaveRun, 0)
+	c.cancelOrder(r)
 }
 
-// AbortRequest answers a request at once that is not worth any more work: its client breaks the protocol. It is refused where it
-// surely has not run, or may run again.
+// AbortRequest answers a request at once that is not worth any more work: its client breaks the protocol. It is
+// rejected where it surely has not run, or may run again, and failed else. An unknown id is ignored.
 func (c *Core) AbortRequest(id balancer.RequestID) {
-	r := c.open[id]
-	if r == nil || r.ending != nil {
+	r := c.requests.open[id]
+	if r == nil || r.state == requestHeld {
 		return
 	}
-	a := Answer{Verdict: Rejected, RetryAfter: c.maxWait}
-	if r.claiming || c.unsafe[r.Class] && (r.ran || r.attempt != nil) {
-		a = failed
+	a := c.rejection()
+	if r.state == requestClaiming || !r.retryIsHarmless() || r.policy.nonIdempotent && r.attempt != nil {
+		a = failedAnswer
 	}
-	c.events = append(c.events, balancer.ClientAborted{ID: r.id})
+	c.emit(balancer.ClientAborted{ID: r.id})
 	c.answer(r, a)
 }
 
-func (c *Core) forget(r *request) {
-	delete(c.open, r.id)
-	delete(c.txns, r.Txn)
+// advanceDeadlines has every open request answered no later than at a time.
+func (c *Core) advanceDeadlines(latest time.Duration) {
+	for _, r := range c.requests.open {
+		if r.deadline > latest {
+			r.deadline = latest
+			c.timers.add(timer{at: r.deadline, request: r})
+		}
+	}
 }
 
-// drop closes a request without an answer.
-func (c *Core) drop(r *request) {
-	c.forget(r)
-	c.events = append(c.events, balancer.ClientAborted{ID: r.id})
-	if a := r.attempt; a != nil {
-		c.giveUp(a, balancer.Cancelled)
+// expireRequest answers a request whose deadline has come. The module has the first word, once it knows that the
+// attempt timed out.
+func (c *Core) expireRequest(r *request) {
+	if c.requests.isOpen(r) && r.attempt != nil {
+		c.timeOutAttempt(r.attempt)
+		c.decide()
+	}
+	if c.requests.isOpen(r) {
+		c.answerOverdue(r)
 	}
-	c.withdrawn(r)
 }
 
-// giveUp ends an attempt that is out. One that waits for the right to be written has surely not run.
-func (c *Core) giveUp(a *Attempt, s balancer.Status) {
-	c.up.Cancel(a)
-	if a.owner.asking == a {
-		s = balancer.NotSent
+// answerOverdue answers a request in place of the module, which did not: no request may go without an answer.
+func (c *Core) answerOverdue(r *request) {
+	if r.state == requestHeld {
+		c.failHeld(r)
+		return
 	}
-	c.CompleteAttempt(a, AttemptResult{Status: s})
+	a := Answer{Verdict: Rejected}
+	if r.state == requestClaiming || !r.retryIsHarmless() {
+		a = failedAnswer
+	}
+	c.emit(balancer.ClientAborted{ID: r.id})
+	c.answer(r, a)
 }
 
-// answer gives the final answer. An attempt that is still out is given up first.
+// answer gives the final answer; nil and what is held back are left alone. An attempt that is still open is
+// cancelled first.
 func (c *Core) answer(r *request, a Answer) {
-	if r == nil || r.ending != nil {
+	if r == nil || r.state == requestHeld {
 		return
 	}
-	c.forget(r)
-	if at := r.attempt; at != nil {
-		c.giveUp(at, balancer.Cancelled)
+	c.requests.remove(r)
+	if r.attempt != nil {
+		c.abandonAttempt(r.attempt, balancer.Cancelled)
 	}
-	if c.ended(r, a) {
-		c.conclude(r, a)
+	if c.finishOrder(r, a) {
+		c.deliver(r, a)
 	}
 }
 
-// conclude tells the client.
-func (c *Core) conclude(r *request, a Answer) {
-	c.settled(r, a.Verdict == Served || a.Verdict == NotModified || r.ran, len(a.Body))
+// deliver hands the final answer to the client.
+func (c *Core) deliver(r *request, a Answer) {
+	served := a.Verdict == Served || a.Verdict == NotModified
+	c.settleCredit(r, served || r.mayHaveRun, len(a.Body))
 	c.traceAnswer(r, a.Verdict)
 	c.checkAnswer(r)
+	r.state = requestAnswered
 	c.reply(&r.Request, a)
 }
 
-// reply gives the one answer to a request, and counts it.
+// reply hands an answer to whoever submitted a request, and counts it.
 func (c *Core) reply(q *Request, a Answer) {
 	c.CountAnswer(q.Class, q.Reply(a))
 }
-
-// overdue gives the answer that a silent module did not: no request may go without.
-func (c *Core) overdue(r *request) {
-	if r.ending != nil {
-		c.failUnreleased(r)
-		return
-	}
-	a := Answer{Verdict: Rejected}
-	if r.claiming || r.ran && c.unsafe[r.Class] {
-		a = failed
-	}
-	c.events = append(c.events, balancer.ClientAborted{ID: r.id})
-	c.answer(r, a)
-}
--- a/internal/core/rules.go
+++ b/internal/core/rules.go
@@ -1,55 +1,53 @@
 package core
 
 import (
-	"log/slog"
 	"time"
-)
 
-// The rules that bind each request, checked as it is served. Permit decides whether an attempt may be written; what is checked
-// here should never fail. A violation is counted for operators and logged, and changes nothing else.
+	"hillknot/internal/logging"
+)
 
-// rule names a rule in the log.
+// rule is a rule that every request is held to while it is served, as the log names it. Permit keeps the rules; the
+// checks here should never fail. A violation is counted for operators and logged, and changes nothing else.
 type rule string
 
 const (
-	ruleOneAnswer   rule = "one answer to a request"
-	ruleOneAttempt  rule = "one attempt at a time"
-	ruleDeadline    rule = "a page cache is told what the client has left"
-	ruleOwed        rule = "no attempt for a request that is over"
-	ruleSafeRepeats rule = "no repeat of what may have run"
+	ruleOneAnswer  rule = "one answer per request"
+	ruleOneAttempt rule = "one attempt at a time"
+	ruleDeadline   rule = "an attempt's deadline is its client's"
+	ruleOpen       rule = "no attempt for a request that is over"
+	ruleRetry      rule = "no retry of what may have run"
 )
 
-// deadlineSlack is how much longer than its client waits a page cache may be told that the router will wait; see the
+// deadlineSlack is how much longer than its client waits a page cache may be told that the router will wait, by the
 // operators' terms.
 const deadlineSlack = 150 * time.Millisecond
 
-// violated counts and logs that a rule does not hold for a request.
-func (c *Core) violated(broken rule, r *request) {
-	c.violations++
-	slog.Error("rule violated", "rule", broken, "txn", r.Txn, "class", r.Class)
+// reportViolation counts and logs that a request breaks a rule.
+func (c *Core) reportViolation(broken rule, r *request) {
+	c.stats.ruleViolations++
+	log.Error("rule violated", logging.KeyRule, broken, logging.KeyRequestID, r.Txn, logging.KeyClass, r.Class)
 }
 
-// checkWritten holds an attempt that was just written to the rules.
+// checkWritten checks the rules on an attempt that was just written.
 func (c *Core) checkWritten(a *Attempt) {
 	r := a.owner
-	if r.attempt != a || a.over {
-		c.violated(ruleOneAttempt, r)
+	if r.attempt != a || a.done {
+		c.reportViolation(ruleOneAttempt, r)
 	}
-	if c.open[r.id] != r {
-		c.violated(ruleOwed, r)
+	if !c.requests.isOpen(r) {
+		c.reportViolation(ruleOpen, r)
 	}
-	if a.Timeout > r.expiry-c.clock()+deadlineSlack {
-		c.violated(ruleDeadline, r)
+	if a.Timeout > r.clientDeadline-c.clock()+deadlineSlack {
+		c.reportViolation(ruleDeadline, r)
 	}
-	if window := c.repeat[r.Class]; r.ran && c.unsafe[r.Class] && a.sent-r.ranAt >= window {
-		c.violated(ruleSafeRepeats, r)
+	if r.mayHaveRun && !r.policy.mayRetry(a.sentAt-r.firstSentAt) {
+		c.reportViolation(ruleRetry, r)
 	}
 }
 
-// checkAnswer holds a request to its one answer.
+// checkAnswer checks that a request that is about to be answered has not been before.
 func (c *Core) checkAnswer(r *request) {
-	if r.answered {
-		c.violated(ruleOneAnswer, r)
+	if r.state == requestAnswered {
+		c.reportViolation(ruleOneAnswer, r)
 	}
-	r.answered = true
 }
--- a/internal/core/stall.go
+++ b/internal/core/stall.go
@@ -5,33 +5,33 @@
 	"time"
 )
 
-// stallMonitor tells when the process stood still: it was stopped, got no processor time, or collected garbage. The loop
-// turns at regular intervals; a turn that comes too late says that it could not. What is read from sockets after a
-// stall may have come in at any time during it.
+// stallMonitor detects that the process stood still: it was stopped, got no processor time, or collected garbage.
+// The loop iterates at regular intervals; an iteration that comes too late shows a stall. What is read from sockets
+// after a stall may have come in at any time during it.
 //
-// Its methods may be called on any goroutine. All times are readings of the core's clock.
+// Any goroutine may call its methods. All times are readings of the core's clock.
 type stallMonitor struct {
-	threshold time.Duration // turns that lie further apart show a stall
+	threshold time.Duration // iterations that lie further apart show a stall
 	recovery  time.Duration // how long after a stall sockets may still hold what came in during it
 
-	mu      sync.Mutex
-	turned  time.Duration // the latest turn
-	stalled time.Duration // the last turn before the latest stall
-	until   time.Duration // what is read until then may have come in during that stall
-	ended   time.Duration // when that stall was seen to be over
+	mu           sync.Mutex
+	lastTick     time.Duration // the latest iteration
+	stalledSince time.Duration // the last iteration before the latest stall
+	unreadUntil  time.Duration // what is read until then may have come in during that stall
+	detectedAt   time.Duration // when that stall was detected, which is its end
 }
 
-// detect tells whether the process stood still since the latest turn.
+// detect reports whether the process stood still since the latest iteration.
 func (m *stallMonitor) detect(now time.Duration) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if now-m.turned <= m.threshold {
+	if now-m.lastTick <= m.threshold {
 		return false
 	}
-	if now > m.until { // else this stall came before the one ahead of it was over
-		m.stalled = m.turned
+	if now > m.unreadUntil { // else the stall before this one counts, as its input may be unread still
+		m.stalledSince = m.lastTick
 	}
-	m.until, m.ended = now+m.recovery, now
+	m.unreadUntil, m.detectedAt = now+m.recovery, now
 	return true
 }
 
@@ -39,37 +39,37 @@
 func (m *stallMonitor) recovered(now time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.until = min(m.until, now)
+	m.unreadUntil = min(m.unreadUntil, now)
 }
 
-// turn notes a turn of the loop.
-func (m *stallMonitor) turn(now time.Duration) {
+// tick notes an iteration of the loop.
+func (m *stallMonitor) tick(now time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.turned = now
+	m.lastTick = now
 }
 
-// signal returns the earliest moment at which a signal that is handed on now may have come: it waits in no socket, and how
-// soon it is handed on after a stall is not known.
-func (m *stallMonitor) signal(now time.Duration) time.Duration {
+// earliestSignal returns the earliest moment at which a signal may have come that is handed on now. A signal waits
+// in no socket, and how soon it is handed on after a stall is not known.
+func (m *stallMonitor) earliestSignal(now time.Duration) time.Duration {
 	m.mu.Lock()
-	stalled, ended := m.stalled, m.ended
+	stalledSince, detectedAt := m.stalledSince, m.detectedAt
 	m.mu.Unlock()
-	if ended > 0 && now <= ended+m.recovery {
-		return stalled
+	if detectedAt > 0 && now <= detectedAt+m.recovery {
+		return stalledSince
 	}
-	return m.arrival(now)
+	return m.earliestArrival(now)
 }
 
-// arrival returns the earliest moment at which what is read now may have come in.
-func (m *stallMonitor) arrival(now time.Duration) time.Duration {
+// earliestArrival returns the earliest moment at which what is read now may have come in.
+func (m *stallMonitor) earliestArrival(now time.Duration) time.Duration {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	switch {
-	case now <= m.until:
-		return m.stalled
-	case now-m.turned > m.threshold:
-		return m.turned
+	case now <= m.unreadUntil:
+		return m.stalledSince
+	case now-m.lastTick > m.threshold:
+		return m.lastTick
 	}
 	return now
 }
--- a/internal/core/stall_test.go
+++ b/internal/core/stall_test.go
@@ -7,8 +7,8 @@
 	"hillknot/balancer"
 )
 
-// What is read after a stall counts from the last turn before it, until the sockets have surely been read; everything
-// else counts from when it is read.
+// What is read after a stall counts from the last turn before it, until the sockets have surely been read;
+// everything else counts from when it is read.
 func TestStallMonitor(t *testing.T) {
 	const ms = time.Millisecond
 	m := stallMonitor{threshold: 70 * ms, recovery: 100 * ms}
@@ -31,9 +31,9 @@
 		{"turns again", 2100 * ms, true, true, 1991 * ms},
 		{"all is over", 2250 * ms, false, false, 2100 * ms},
 	}
-	m.turn(1000 * ms)
+	m.tick(1000 * ms)
 	for _, s := range steps {
-		if got := m.arrival(s.at); got != s.arrival {
+		if got := m.earliestArrival(s.at); got != s.arrival {
 			t.Errorf("%s: what is read counts from %v, want %v", s.name, got, s.arrival)
 		}
 		if !s.turn {
@@ -42,7 +42,7 @@
 		if got := m.detect(s.at); got != s.stalled {
 			t.Errorf("%s: a stall is seen: %v, want %v", s.name, got, s.stalled)
 		}
-		m.turn(s.at)
+		m.tick(s.at)
 	}
 }
 
@@ -50,47 +50,49 @@
 func TestStallsInARow(t *testing.T) {
 	const ms = time.Millisecond
 	m := stallMonitor{threshold: 70 * ms, recovery: 100 * ms}
-	m.turn(1000 * ms)
+	m.tick(1000 * ms)
 	m.detect(1500 * ms)
-	m.turn(1500 * ms)
+	m.tick(1500 * ms)
 	m.detect(1580 * ms)
-	m.turn(1580 * ms)
-	if got := m.arrival(1590 * ms); got != 1000*ms {
+	m.tick(1580 * ms)
+	if got := m.earliestArrival(1590 * ms); got != 1000*ms {
 		t.Errorf("what is read counts from %v, want 1s", got)
 	}
 }
 
-// Of what the module decided in one go, some may be sent only after a stall: a purge that was told meanwhile counts for it, too.
+// Of what the module decided in one go, some may be sent only after a stall: a purge that was told meanwhile counts
+// for it, too.
 func TestPurgeBetweenTwoOfOneDecision(t *testing.T) {
-	r := newRig(t)
+	r := newHarness(t)
 	r.submit("page", 3*second)
-	first := r.out[0]
-	r.c.PurgeObject(7, r.now-100*time.Millisecond)
-	id := r.c.NewID()
-	r.c.open[id] = &request{Request: Request{Txn: "t", Class: "page", Object: 7, Reply: r.reply}, id: id, since: r.now, end: r.now + second, expiry: r.now + second}
-	r.c.act(balancer.SendAttempt{ID: id, Endpoint: first.Decision.Endpoint, Source: first.Decision.Source}) // decided before the purge
-	if late := r.out[1]; late.Decision.MaxAge == 0 || late.Decision.MaxAge > 100*time.Millisecond {
+	first := r.outstanding[0]
+	r.core.PurgeObject(7, r.now-100*time.Millisecond)
+	id := r.core.NewID()
+	r.core.requests.open[id] = &request{Request: Request{Txn: "t", Class: "page", Object: 7, Reply: r.reply}, id: id, acceptedAt: r.now, deadline: r.now + second, clientDeadline: r.now + second}
+	r.core.execute(balancer.SendAttempt{ID: id, Endpoint: first.Decision.Endpoint, Source: first.Decision.Source}) // decided before the purge
+	if late := r.outstanding[1]; late.Decision.MaxAge == 0 || late.Decision.MaxAge > 100*time.Millisecond {
 		t.Errorf("a copy of %v will do, 100 ms after a purge", late.Decision.MaxAge)
 	}
 }
 
-// A stall in the middle of a turn, between a decision and the write: what the journal told meanwhile counts for what is about
-// to be written. A purge bars copies up to its own time, not up to the beginning of the turn; a drain keeps it back.
+// A stall in the middle of a turn, between a decision and the write: what the journal told meanwhile counts for
+// what is about to be written. A purge bars copies up to its own time, not up to the beginning of the turn; a drain
+// keeps it back.
 func TestStallBetweenDecisionAndWrite(t *testing.T) {
 	for _, told := range []string{"purge", "drain"} {
-		r := newRig(t)
-		r.c.SetBacklogCheck(func() bool { return false })
+		r := newHarness(t)
+		r.core.SetBacklogCheck(func() bool { return false })
 		r.submit("page", 3*second)
-		a := r.out[0]
+		a := r.outstanding[0]
 		r.now += 600 * time.Millisecond // the process stands still
-		r.c.PostWatchEvent(func() {
+		r.core.PostWatchEvent(func() {
 			if told == "purge" {
-				r.c.PurgeObject(7, r.now-100*time.Millisecond)
+				r.core.PurgeObject(7, r.now-100*time.Millisecond)
 				return
 			}
-			r.c.UpdateEndpoints([]EndpointUpdate{{ID: a.Endpoint.ID, Addr: a.Endpoint.Addr, Kind: "box", Zone: "edge", State: balancer.Draining}})
+			r.core.UpdateEndpoints([]EndpointUpdate{{ID: a.Endpoint.ID, Addr: a.Endpoint.Addr, Kind: "box", Zone: "edge", State: balancer.Draining}})
 		})
-		status, _ := r.c.Permit(a)
+		status, _ := r.core.Permit(a)
 		if told == "drain" && status != balancer.ConnectFailed {
 			t.Errorf("written to a page cache that drains: %d", status)
 		}
--- a/internal/core/timers.go
+++ b/internal/core/timers.go
@@ -1,59 +1,77 @@
 package core
 
 import (
+	"container/heap"
 	"time"
 
 	"hillknot/balancer"
 )
 
-// Timers of the loop.
-
-// timer is due for one of: a token of the module, an attempt's time-out, the end of a request or a query, a call.
+// timer is due at a time for one of: a call, a query's time-out, an attempt's time-out, a request's deadline, or,
+// where all these are nil, a token of the module.
 type timer struct {
-	call    func()
 	at      time.Duration
-	token   uint64
+	call    func()
 	query   *query
 	attempt *Attempt
 	request *request
+	token   uint64
 }
 
+// timers is a heap of pending timers, the earliest first.
 type timers []timer
 
+func (t *timers) add(pending timer) { heap.Push(t, pending) }
+
+// next returns when the earliest timer is due, if any is pending.
+func (t timers) next() (at time.Duration, pending bool) {
+	if len(t) == 0 {
+		return 0, false
+	}
+	return t[0].at, true
+}
+
+// popDue removes and returns the earliest timer, if it is due.
+func (t *timers) popDue(now time.Duration) (earliest timer, due bool) {
+	if len(*t) == 0 || (*t)[0].at > now {
+		return timer{}, false
+	}
+	return heap.Pop(t).(timer), true
+}
+
+// Len implements heap.Interface.
 func (t timers) Len() int { return len(t) }
 
+// Less implements heap.Interface.
 func (t timers) Less(i, j int) bool { return t[i].at < t[j].at }
 
+// Swap implements heap.Interface.
 func (t timers) Swap(i, j int) { t[i], t[j] = t[j], t[i] }
 
+// Push implements heap.Interface.
 func (t *timers) Push(x any) { *t = append(*t, x.(timer)) }
 
+// Pop implements heap.Interface.
 func (t *timers) Pop() any {
 	old := *t
 	last := old[len(old)-1]
-	old[len(old)-1] = timer{}
+	old[len(old)-1] = timer{} // else the array would keep what it refers to alive
 	*t = old[:len(old)-1]
 	return last
 }
 
-func (c *Core) due(t timer) {
-	switch r := t.request; {
+// fire does what a timer is due for.
+func (c *Core) fire(t timer) {
+	switch {
 	case t.call != nil:
 		t.call()
 	case t.query != nil:
-		c.resolved(t.query.id, QueryResult{})
+		c.completeQuery(t.query.id, QueryResult{})
 	case t.attempt != nil:
-		c.timeOut(t.attempt)
-	case r == nil:
-		c.events = append(c.events, balancer.Timer{Token: t.token})
-	case c.open[r.id] != r:
-	case r.attempt != nil:
-		c.timeOut(r.attempt)
-		c.settle() // the module has the final answer to give
-		fallthrough
+		c.timeOutAttempt(t.attempt)
+	case t.request != nil:
+		c.expireRequest(t.request)
 	default:
-		if c.open[r.id] == r { // it did not: the answer is owed all the same
-			c.overdue(r)
-		}
+		c.emit(balancer.Timer{Token: t.token})
 	}
 }
--- a/internal/core/trace.go
+++ b/internal/core/trace.go
@@ -3,25 +3,28 @@
 import (
 	"context"
 	"log/slog"
+
+	"hillknot/internal/logging"
 )
 
-// At the level debug the log has a line for each request, attempt and end, so that a bad minute can be counted over
-// the logs of a whole fleet. The request's line has its txn, the id under which page caches and the bench know it.
-// At any other level these cost one look at a flag.
+// At level debug the log has a line for each request, each attempt and the end of each, so that an incident can be
+// counted over the logs of all routers. The line on a request that came in has both its txn, by which page caches
+// and clients know it, and its sequence number, which the other lines have. At any other level the lines cost one
+// look at a flag.
 
-// tracing tells whether anybody reads the lines.
-func tracing() bool { return slog.Default().Enabled(context.Background(), slog.LevelDebug) }
+// debugEnabled reports whether the log takes debug lines.
+func debugEnabled() bool { return slog.Default().Enabled(context.Background(), slog.LevelDebug) }
 
 func (c *Core) traceRequest(r *request) {
 	if c.trace {
-		slog.Debug("request", "id", r.id, "txn", r.Txn, "class", r.Class, "object", r.ObjectText, "part", r.Part, "left", r.end-c.now, "again", r.Retry)
+		log.Debug("request received", logging.KeySequence, r.id, logging.KeyRequestID, r.Txn, logging.KeyClass, r.Class,
+			"object", r.ObjectText, "part", r.PartText, "timeout", r.deadline-c.iteration.now, "retry", r.Retry)
 	}
 }
 
-// traceTurnedAway tells why a request was not taken.
-func (c *Core) traceTurnedAway(q *Request, why string) {
+func (c *Core) traceRejected(q *Request, reason string) {
 	if c.trace {
-		slog.Debug("request turned away", "txn", q.Txn, "class", q.Class, "why", why)
+		log.Debug("request rejected", logging.KeyRequestID, q.Txn, logging.KeyClass, q.Class, logging.KeyReason, reason)
 	}
 }
 
@@ -31,18 +34,21 @@
 		if a.Source != nil {
 			source = a.Source.ID
 		}
-		slog.Debug("attempt", "id", a.owner.id, "n", a.Index, "node", a.Endpoint.ID, "source", source, "keep", a.Decision.CachePriority, "age", a.Decision.MaxAge)
+		log.Debug("attempt started", logging.KeySequence, a.owner.id, logging.KeyAttempt, a.Index,
+			logging.KeyEndpoint, a.Endpoint.ID, "source", source, "cache_priority", a.Decision.CachePriority, "max_age", a.Decision.MaxAge)
 	}
 }
 
-func (c *Core) traceEnd(a *Attempt, e AttemptResult) {
+func (c *Core) traceAttemptEnd(a *Attempt, result AttemptResult) {
 	if c.trace {
-		slog.Debug("end", "id", a.owner.id, "n", a.Index, "status", e.Status, "note", e.Detail, "took", c.now-a.sent, "waited", e.SourceWait)
+		log.Debug("attempt ended", logging.KeySequence, a.owner.id, logging.KeyAttempt, a.Index,
+			"status", result.Status, "detail", result.Detail, logging.KeyDuration, c.iteration.now-a.sentAt, "source_wait", result.SourceWait)
 	}
 }
 
 func (c *Core) traceAnswer(r *request, v Verdict) {
 	if c.trace {
-		slog.Debug("answer", "id", r.id, "verdict", v, "after", c.now-r.since)
+		log.Debug("request answered", logging.KeySequence, r.id, "verdict", v,
+			logging.KeyDuration, c.iteration.now-r.acceptedAt)
 	}
 }
