--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,8 +1,8 @@
-// Package clock is the only place of the router where the clocks of the machine are read.
+// Package clock reads the clocks of the machine. It is the only package of the router that does.
 //
-// Spans are measured on the monotonic clock, which never steps. The wall clock may be stepped at any moment, here
-// and on the machines whose time stamps are read; it is read only to turn a stamp into a span, once, as the stamp
-// arrives.
+// Durations are measured on the monotonic clock, which never steps. The wall clock may be stepped at any moment,
+// here and on the machines whose time stamps are read; it is read only to turn a time stamp into an age, once, as
+// the stamp arrives.
 package clock
 
 import "time"
@@ -24,23 +24,24 @@
 	return time.Now().Round(0).Sub(epoch) // Round drops the monotonic reading
 }
 
-// Deadline returns the moment a span from now, for calls that take a time.Time. It carries a monotonic reading.
-func Deadline(span time.Duration) time.Time { return time.Now().Add(span) }
+// Deadline returns the time that lies a duration from now, for calls that take a time.Time. It carries a monotonic
+// reading.
+func Deadline(in time.Duration) time.Time { return time.Now().Add(in) }
 
-// Until returns the span until a moment that carries a monotonic reading, as the deadline of a context does.
+// Until returns the duration until a time that carries a monotonic reading, as the deadline of a context does.
 func Until(at time.Time) time.Duration { return time.Until(at) }
 
-// Past returns a moment that is over on any clock, for deadlines that are to end a call at once.
+// Past returns a time that is over on any clock, for deadlines that end a call at once.
 func Past() time.Time { return time.Unix(1, 0) }
 
-// Stamp is a Unix time that another machine's wall clock gave.
+// Stamp is a Unix time that the wall clock of another machine gave.
 type Stamp time.Duration
 
-// Date turns a stamp that arrived at now, when the own wall clock stood at wall, into a reading of the monotonic
+// Date converts a stamp that arrived at now, when the own wall clock stood at wall, to a reading of the monotonic
 // clock. The result lies between earliest and now whatever the two wall clocks say: the stamped event can't lie in
-// the future, nor before the latest moment at which it is known not to have happened. A result is always above 0.
+// the future, nor before the latest time at which it is known not to have happened yet. A result is always above 0.
 func (s Stamp) Date(now, wall, earliest time.Duration) time.Duration {
-	stamp := max(time.Duration(s), 0) // a stamp of no sense must not overflow
+	stamp := max(time.Duration(s), 0) // an absurd stamp must not overflow
 	age := min(max(wall-stamp, 0), now)
 	return max(now-age, min(earliest, now), 1)
 }
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -14,7 +14,7 @@
 
 // A stamp is never dated into the future, nor before the moment from which it is known not to be, however far the
 // clocks of the two machines are apart.
-func TestDate(t *testing.T) {
+func TestStampDate(t *testing.T) {
 	const now, wall = 1000 * time.Hour, 500_000 * time.Hour
 	for _, c := range []struct {
 		name                  string
@@ -26,8 +26,8 @@
 		{"3 s behind, within the bound", wall - 3*time.Second, now - 5*time.Second, now - 3*time.Second},
 		{"long ago, no bound", wall - 2000*time.Hour, 0, 1},
 		{"a bound in the future", wall - time.Hour, now + time.Second, now},
-		{"no sense", math.MinInt64, 0, 1},
-		{"no sense either", math.MaxInt64, 0, now},
+		{"an absurd stamp", math.MinInt64, 0, 1},
+		{"another absurd stamp", math.MaxInt64, 0, now},
 	} {
 		if got := Stamp(c.stamp).Date(now, wall, c.earliest); got != c.want {
 			t.Errorf("%s: %v, want %v", c.name, got, c.want)
@@ -36,7 +36,7 @@
 }
 
 // The monotonic clock goes on, and lies above 0 for a long time before the start.
-func TestNow(t *testing.T) {
+func TestNowAndWall(t *testing.T) {
 	before := Now()
 	if after := Now(); after < before || before < 100*24*time.Hour {
 		t.Errorf("%v, then %v", before, after)
@@ -47,13 +47,19 @@
 }
 
 // wallReads are functions and methods that read a wall clock or turn one into a number.
-var wallReads = map[string]bool{"UnixNano": true, "UnixMilli": true, "UnixMicro": true, "Unix": true, "Now": true, "Since": true, "Until": true}
+var wallReads = map[string]bool{
+	"UnixNano": true, "UnixMilli": true, "UnixMicro": true, "Unix": true,
+	"Now": true, "Since": true, "Until": true,
+}
 
 // No other package of the router, of the module or of the client library reads a clock of the machine by itself.
 func TestNoOtherPackageReadsAClock(t *testing.T) {
-	for _, root := range []string{"../../internal", "../../balancer", "../../cmd/hillknot", "../../cmd/hillknot-simulator", "../../client"} { // the load tests are not part of the router
+	// The load tests are not part of the router.
+	roots := []string{"../../internal", "../../balancer", "../../cmd/hillknot", "../../cmd/hillknot-simulator", "../../client"}
+	for _, root := range roots {
 		err := filepath.WalkDir(root, func(path string, d fs.DirEntry, err error) error {
-			if err != nil || d.IsDir() || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") || exempt(path) {
+			source := strings.HasSuffix(path, ".go") && !strings.HasSuffix(path, "_test.go")
+			if err != nil || d.IsDir() || !source || exempt(path) {
 				return err
 			}
 			for _, at := range clockReads(t, path) {
@@ -69,7 +75,8 @@
 
 // exempt tells whether a file belongs to the clock package itself, or plays another party in tests.
 func exempt(path string) bool {
-	for _, dir := range []string{"internal/clock", "internal/testutil/faultnet", "internal/testutil/fakes", "internal/testutil/timeline"} {
+	dirs := []string{"internal/clock", "internal/testutil/faultnet", "internal/testutil/fakes", "internal/testutil/timeline"}
+	for _, dir := range dirs {
 		if strings.Contains(filepath.ToSlash(filepath.Dir(path))+"/", dir+"/") {
 			return true
 		}
@@ -79,8 +86,9 @@
 
 // clockReads returns the places of a file that use package time to read a clock, or call a method that turns a
 // moment into Unix time.
-func clockReads(t *testing.T, path string) (places []string) {
+func clockReads(t *testing.T, path string) []string {
 	t.Helper()
+	var places []string
 	files := token.NewFileSet()
 	file, err := parser.ParseFile(files, path, nil, 0)
 	if err != nil {
--- /dev/null
+++ b/internal/core/attempts_test.go
@@ -0,0 +1,93 @@
+package core
+
+import (
+	"strconv"
+	"testing"
+	"time"
+
+	"hillknot/balancer"
+)
+
+// Where an endpoint is silent, the attempt times out and the client is answered before its time is over.
+func TestSilentEndpointTimesOut(t *testing.T) {
+	h := newHarness(t)
+	h.submit("order", second)
+	h.wait(second - 5*time.Millisecond)
+	h.wantOneAnswer("silent", Failed)
+	if len(h.outstanding) != 0 {
+		t.Errorf("%d attempts are still open", len(h.outstanding))
+	}
+}
+
+// An endpoint is told the time that the client has left, to the millisecond, and no more. The router still ends the
+// attempt first: its own deadline is a margin earlier.
+func TestAttemptTimeoutIsWhatTheClientHasLeft(t *testing.T) {
+	const ms = time.Millisecond
+	for _, waited := range []time.Duration{0, 200 * ms, 700 * ms} {
+		h := newHarness(t)
+		h.submitLate("page", second, waited)
+		if a := h.outstanding[0]; a.Timeout != second-waited {
+			t.Errorf("%v after it came in: timeout %v", waited, a.Timeout)
+		}
+		h.wait(second - waited - 15*ms - ms)
+		if len(h.outstanding) != 1 {
+			t.Errorf("%v after it came in: timed out too early", waited)
+		}
+		h.wait(ms)
+		if len(h.outstanding) != 0 {
+			t.Errorf("%v after it came in: still open at the endpoint's deadline", waited)
+		}
+		h.wantOneAnswer("silent", Rejected)
+	}
+}
+
+// What was decided before an endpoint began to drain must not be written after it: neither to it, nor with it as
+// source.
+func TestNoPermitForDrainingEndpoint(t *testing.T) {
+	for _, drained := range []string{"target", "source"} {
+		h := newHarness(t)
+		h.submit("page", second)
+		a := h.outstanding[0]
+		e := a.Endpoint
+		if drained == "source" {
+			e = a.Source
+		}
+		if s, _ := h.core.Permit(a); s != balancer.OK {
+			t.Fatalf("before: %d", s)
+		}
+		h.core.UpdateEndpoints(draining(e.ID, e.Addr))
+		if s, _ := h.core.Permit(a); !s.NeverRan() {
+			t.Errorf("%s draining: status %d, want one that proves that it never ran", drained, s)
+		}
+	}
+}
+
+// A result that comes after the attempt was cancelled is ignored.
+func TestResultAfterCancelIsIgnored(t *testing.T) {
+	h := newHarness(t)
+	id := h.submit("page", second)
+	a := h.outstanding[0]
+	h.core.CancelRequest(id)
+	h.core.CompleteAttempt(a, AttemptResult{Status: balancer.OK})
+	h.core.RunOnce()
+	if len(h.answers) != 0 {
+		t.Errorf("answers %+v", h.answers)
+	}
+}
+
+// Where a client cancels its request as the module decides on it, the module must learn that the attempt was not
+// sent. It once counted such attempts for good, and after some hundreds rejected all other requests.
+func TestCancelAsItIsDecidedReportsNotSent(t *testing.T) {
+	h := newHarness(t)
+	for range 500 {
+		id := h.core.NewID()
+		txn := strconv.Itoa(int(id))
+		h.core.Submit(id, Request{Txn: txn, Class: "page", Object: 7, Timeout: second, Reply: h.reply})
+		h.core.CancelRequest(id)
+		h.core.RunOnce()
+	}
+	h.submit("page", second)
+	if len(h.outstanding) != 1 || len(h.answers) != 0 {
+		t.Errorf("%d attempts are open, answers %+v; want the request sent", len(h.outstanding), h.answers)
+	}
+}
--- /dev/null
+++ b/internal/core/harness_test.go
@@ -0,0 +1,166 @@
+package core
+
+import (
+	"strconv"
+	"testing"
+	"time"
+
+	"hillknot/balancer"
+	"hillknot/internal/config"
+)
+
+// harness is a core on a clock that the test sets. It is the core's upstream, and only notes its calls.
+type harness struct {
+	t           *testing.T
+	core        *Core
+	now         time.Duration
+	outstanding []*Attempt // sent, and neither completed nor cancelled
+	maxAtOnce   int        // the most attempts of one request that were open at once
+	answers     []Answer
+}
+
+func (h *harness) Send(a *Attempt) {
+	h.outstanding = append(h.outstanding, a)
+	n := 0
+	for _, o := range h.outstanding {
+		if o.owner == a.owner {
+			n++
+		}
+	}
+	h.maxAtOnce = max(h.maxAtOnce, n)
+}
+
+func (h *harness) Cancel(a *Attempt) {
+	for i, o := range h.outstanding {
+		if o == a {
+			h.outstanding = append(h.outstanding[:i], h.outstanding[i+1:]...)
+			return
+		}
+	}
+}
+
+func (h *harness) CloseEndpoint(*Endpoint) {}
+
+// reply is the Reply of the requests that the harness submits.
+func (h *harness) reply(a Answer) Verdict { h.answers = append(h.answers, a); return a.Verdict }
+
+// finish completes an attempt, and runs the loop once.
+func (h *harness) finish(a *Attempt, result AttemptResult) {
+	h.Cancel(a)
+	h.core.CompleteAttempt(a, result)
+	h.core.RunOnce()
+}
+
+// wait runs the loop while some time goes by.
+func (h *harness) wait(d time.Duration) {
+	for until := h.now + d; h.now < until; {
+		h.now += min(5*time.Millisecond, until-h.now)
+		h.core.RunOnce()
+	}
+}
+
+const second = time.Second
+
+func newHarness(t *testing.T) *harness {
+	t.Helper()
+	h := &harness{t: t, now: 1e6 * second}
+	core, err := New(testSettings(), testLimits(), func() time.Duration { return h.now })
+	if err != nil {
+		t.Fatal(err)
+	}
+	h.core = core
+	core.SetUpstream(h)
+	core.ReplaceEndpoints([]EndpointUpdate{
+		{ID: "a", Addr: "127.1.0.1:1", Kind: "box", Zone: "edge"},
+		{ID: "b", Addr: "127.1.0.2:1", Kind: "box", Zone: "edge"},
+		{ID: "m", Addr: "127.1.0.3:1", Kind: "mid", Zone: "hub"},
+		{ID: "o", Addr: "127.1.0.4:1", Kind: "store", Zone: "hub"},
+	})
+	core.RunOnce()
+	return h
+}
+
+func testLimits() config.Limits {
+	return config.Limits{
+		Open:         100,
+		Resolves:     10,
+		Margin:       15 * time.Millisecond,
+		Longest:      5 * second,
+		AttemptGrace: 200 * time.Millisecond,
+		FinishMargin: 200 * time.Millisecond,
+	}
+}
+
+// testSettings have a class that is idempotent, page, and one that is not, order.
+func testSettings() balancer.Settings {
+	page := balancer.Class{
+		Name:             "page",
+		LatencyObjective: 250 * time.Millisecond,
+		ObjectiveStretch: 2,
+		Deadline:         3 * second,
+		Idempotency:      balancer.Idempotent,
+		Weight:           1,
+	}
+	order := balancer.Class{
+		Name:             "order",
+		LatencyObjective: 700 * time.Millisecond,
+		Deadline:         3 * second,
+		Weight:           3,
+		Write:            true,
+	}
+	return balancer.Settings{
+		Topology: balancer.Topology{
+			Zone:       "edge",
+			Zones:      []string{"hub", "edge"},
+			Kinds:      []string{"box", "mid", "store"},
+			ParentKind: 1,
+			OriginKind: 2,
+		},
+		Capabilities: balancer.Capabilities{Cancellation: true},
+		MaxAttempts:  6,
+		PurgeWindow:  6 * second,
+		Classes:      []balancer.Class{page, order},
+	}
+}
+
+// draining is the change of the list that has an endpoint drain.
+func draining(id, addr string) []EndpointUpdate {
+	return []EndpointUpdate{{ID: id, Addr: addr, Kind: "box", Zone: "edge", State: balancer.Draining}}
+}
+
+// setDrainTimes has each stage of draining begin half a second to a second after the one before.
+func (h *harness) setDrainTimes() {
+	h.core.limits.LeaveBehind = second / 2
+	h.core.limits.LeaveIdle = second
+	h.core.limits.LeaveRefuse = 2 * second
+	h.core.limits.LeaveCut = 3 * second
+}
+
+// submit submits a request of a class that comes in now, and runs the loop once.
+func (h *harness) submit(class string, timeout time.Duration) balancer.RequestID {
+	return h.submitLate(class, timeout, 0)
+}
+
+// submitLate submits a request that came in some time ago.
+func (h *harness) submitLate(class string, timeout, ago time.Duration) balancer.RequestID {
+	id := h.core.NewID()
+	h.core.Submit(id, Request{
+		Txn:       strconv.Itoa(int(id)),
+		Class:     class,
+		Object:    7,
+		Timeout:   timeout,
+		Write:     class == "order",
+		ArrivedAt: h.now - ago,
+		Reply:     h.reply,
+	})
+	h.core.RunOnce()
+	return id
+}
+
+// wantOneAnswer fails the test unless there has been one answer, with a verdict.
+func (h *harness) wantOneAnswer(what string, v Verdict) {
+	h.t.Helper()
+	if len(h.answers) != 1 || h.answers[0].Verdict != v {
+		h.t.Errorf("%s: answers %+v, want one of verdict %d", what, h.answers, v)
+	}
+}
--- a/internal/core/lifecycle_test.go
+++ b/internal/core/lifecycle_test.go
@@ -2,7 +2,9 @@
 
 import (
 	"testing"
+	"time"
 
+	"hillknot/balancer"
 	"hillknot/internal/config"
 )
 
@@ -73,3 +75,109 @@
 		t.Errorf("the last answer is due at %v", at)
 	}
 }
+
+// On standby requests are served at first, then connections close, and in the end no request is taken. LeaveStandby
+// undoes it at any point; a router that shuts down does not come back.
+func TestStandbyDrainsInStages(t *testing.T) {
+	h := newHarness(t)
+	h.setDrainTimes()
+	h.core.EnterStandby()
+	h.core.RunOnce()
+	if h.core.Snapshot().Phase != Standby || h.core.DrainStage() != NotDraining {
+		t.Errorf("phase %v, stage %d", h.core.Snapshot().Phase, h.core.DrainStage())
+	}
+	h.submit("page", second)
+	h.finish(h.outstanding[0], AttemptResult{Status: balancer.OK})
+	h.wantOneAnswer("on standby", Served)
+	for _, want := range []DrainStage{CloseAfterResponse, CloseIdle, CloseIdle, RejectNew, RejectNew, CloseAll} {
+		if h.wait(second / 2); h.core.DrainStage() != want {
+			t.Errorf("after %v: stage %d, want %d", h.now-h.core.lifecycle.drainingSince, h.core.DrainStage(), want)
+		}
+	}
+	h.core.policy.maxRetryAfter = second
+	h.submit("page", second)
+	if a := h.answers[1]; a.Verdict != Rejected || a.RetryAfter != second || len(h.outstanding) != 0 {
+		t.Errorf("at the end: %+v, %d attempts; want a rejection with the time to retry after", a, len(h.outstanding))
+	}
+	if !h.core.LeaveStandby() {
+		t.Error("not active again")
+	}
+	h.core.RunOnce()
+	h.submit("page", second)
+	if p, s := h.core.Snapshot().Phase, h.core.DrainStage(); p != Serving || s != NotDraining || len(h.outstanding) != 1 {
+		t.Errorf("active again: phase %v, stage %d, %d attempts", p, s, len(h.outstanding))
+	}
+	h.core.BeginShutdown(h.now)
+	h.core.EnterStandby()
+	if h.core.LeaveStandby() || h.core.lifecycle.state.phase() != ShuttingDown {
+		t.Errorf("phase %v; a router that shuts down goes on with that", h.core.lifecycle.state.phase())
+	}
+}
+
+// Without a successor a router that shuts down keeps its connections; with one it drains its clients at once.
+// Either way what it still takes is answered before the process ends.
+func TestShutdownDrainsOnlyWithSuccessor(t *testing.T) {
+	h := newHarness(t)
+	h.setDrainTimes()
+	h.core.limits.Finish = 3 * second
+	h.core.BeginShutdown(h.now)
+	h.wait(second)
+	h.submit("page", 5*second)
+	if h.core.DrainStage() != NotDraining || h.core.Snapshot().Phase != ShuttingDown || len(h.outstanding) != 1 {
+		t.Errorf("no successor: stage %d, %d attempts", h.core.DrainStage(), len(h.outstanding))
+	}
+	h.core.SetSuccessorReady(true)
+	h.core.RunOnce()
+	if h.core.DrainStage() != CloseIdle {
+		t.Errorf("a successor: stage %d", h.core.DrainStage())
+	}
+	h.wait(2 * second)
+	h.wantOneAnswer("still open", Rejected)
+}
+
+// Once nothing is open any more, a router that shuts down rejects what comes at once: it could not answer it later.
+func TestClosedRouterRejectsRequests(t *testing.T) {
+	h := newHarness(t)
+	h.core.limits.Finish = 3 * second
+	h.core.BeginShutdown(h.now)
+	h.submit("page", second)
+	if h.core.CloseIfIdle() {
+		t.Fatal("it is closed with a request open")
+	}
+	h.finish(h.outstanding[0], AttemptResult{Status: balancer.OK})
+	if len(h.answers) != 1 || !h.core.CloseIfIdle() {
+		t.Fatalf("%d answers, then not closed", len(h.answers))
+	}
+	h.submit("page", second)
+	if len(h.outstanding) > 0 || len(h.answers) != 2 || h.answers[1].Verdict != Rejected {
+		t.Errorf("%d sent, answers %+v", len(h.outstanding), h.answers)
+	}
+}
+
+// A request that is open at SIGTERM is answered before the platform may kill the process, though its client would
+// wait longer: on the second deployment an episode's part waits 6 s, and the kill comes 3.7 s after SIGTERM.
+func TestShutdownAnswersOpenRequestsInTime(t *testing.T) {
+	h := newHarness(t)
+	h.core.limits.Finish = 3 * second
+	h.submit("page", 5*second)
+	h.wait(second)
+	h.core.BeginShutdown(h.now)
+	h.wait(h.core.limits.Finish - h.core.limits.FinishMargin + 10*time.Millisecond)
+	h.wantOneAnswer("open at SIGTERM", Rejected)
+}
+
+// A process that follows another is not ready before the predecessor has handed over, though it knows the
+// endpoints.
+func TestHoldStartKeepsStarting(t *testing.T) {
+	h := newHarness(t)
+	h.core.HoldStart()
+	h.core.RunOnce()
+	if p := h.core.Snapshot().Phase; p != Starting {
+		t.Errorf("phase %v", p)
+	}
+	h.core.ReleaseStart()
+	h.core.RunOnce()
+	if p := h.core.Snapshot().Phase; p != Serving {
+		t.Errorf("phase %v", p)
+	}
+}
--- a/internal/core/orders.go
+++ b/internal/core/orders.go
@@ -137,11 +137,11 @@
 	if !r.replicated || !c.extensions.orders.Finish(r.Txn, a, r.mayHaveRun) {
 		return true
 	}
-	r.state, r.heldRejection = requestHeld, a
+	r.state, r.pendingRejection = requestRejectionPending, a
 	c.requests.add(r)
 	c.Schedule(c.iteration.now+c.limits.LetGo, func() {
 		if c.requests.isOpen(r) {
-			c.failHeld(r)
+			c.failPendingRejection(r)
 		}
 	})
 	return false
@@ -149,22 +149,23 @@
 
 // OrderReleased reports that no other router runs an order whose rejection is held back: the client gets it.
 func (c *Core) OrderReleased(txn string) {
-	if r := c.requests.held(txn); r != nil {
+	if r := c.requests.withPendingRejection(txn); r != nil {
 		c.requests.remove(r)
-		c.deliver(r, r.heldRejection)
+		c.deliver(r, r.pendingRejection)
 	}
 }
 
 // OrderNotReleased reports that another router may run an order whose rejection is held back: the order fails
 // instead.
 func (c *Core) OrderNotReleased(txn string) {
-	if r := c.requests.held(txn); r != nil {
-		c.failHeld(r)
+	if r := c.requests.withPendingRejection(txn); r != nil {
+		c.failPendingRejection(r)
 	}
 }
 
-// failHeld fails an order whose rejection is held back, as nobody confirmed that no other router runs it.
-func (c *Core) failHeld(r *request) {
+// failPendingRejection fails an order whose rejection is held back, as nobody confirmed that no other router runs
+// it.
+func (c *Core) failPendingRejection(r *request) {
 	c.extensions.orders.StopWaiting(r.Txn)
 	c.requests.remove(r)
 	c.deliver(r, failedAnswer)
@@ -175,7 +176,7 @@
 	switch {
 	case r.state == requestClaiming:
 		c.extensions.orders.CancelClaim(r.id)
-	case r.state == requestHeld:
+	case r.state == requestRejectionPending:
 		c.extensions.orders.StopWaiting(r.Txn)
 	case r.replicated:
 		c.extensions.orders.Cancel(r.Txn, r.mayHaveRun)
--- a/internal/core/requests.go
+++ b/internal/core/requests.go
@@ -12,10 +12,10 @@
 type requestState uint8
 
 const (
-	requestPending  requestState = iota // the module has it, or is about to
-	requestClaiming                     // other routers are asked what became of the order that it resumes
-	requestHeld                         // its rejection is held back until no other router can run it
-	requestAnswered                     // its client has been answered
+	requestPending          requestState = iota // the module has it, or is about to
+	requestClaiming                             // other routers are asked what became of the order that it resumes
+	requestRejectionPending                     // its rejection is held back until no other router can run it
+	requestAnswered                             // its client has been answered
 )
 
 // request is a request from its arrival to its one final answer.
@@ -35,9 +35,9 @@
 	reservation Reservation // of credit; nil: none
 
 	// Of an order that is replicated to other routers.
-	replicated    bool     // another router has a replica
-	awaitingLease *Attempt // is written once the lease is granted
-	heldRejection Answer   // in state requestHeld
+	replicated       bool     // another router has a replica
+	awaitingLease    *Attempt // is written once the lease is granted
+	pendingRejection Answer   // in state requestHeld
 }
 
 // retryIsHarmless reports whether the client may be told that a retry of what has been sent so far does no harm.
@@ -70,9 +70,9 @@
 
 func (t *requestTable) isOpen(r *request) bool { return t.open[r.id] == r }
 
-// held returns the request with a txn whose rejection is held back, or nil.
-func (t *requestTable) held(txn string) *request {
-	if r := t.byTxn[txn]; r != nil && r.state == requestHeld {
+// withPendingRejection returns the request with a txn whose rejection is held back, or nil.
+func (t *requestTable) withPendingRejection(txn string) *request {
+	if r := t.byTxn[txn]; r != nil && r.state == requestRejectionPending {
 		return r
 	}
 	return nil
@@ -177,7 +177,7 @@
 // rejected where it surely has not run, or may run again, and failed else. An unknown id is ignored.
 func (c *Core) AbortRequest(id balancer.RequestID) {
 	r := c.requests.open[id]
-	if r == nil || r.state == requestHeld {
+	if r == nil || r.state == requestRejectionPending {
 		return
 	}
 	a := c.rejection()
@@ -212,8 +212,8 @@
 
 // answerOverdue answers a request in place of the module, which did not: no request may go without an answer.
 func (c *Core) answerOverdue(r *request) {
-	if r.state == requestHeld {
-		c.failHeld(r)
+	if r.state == requestRejectionPending {
+		c.failPendingRejection(r)
 		return
 	}
 	a := Answer{Verdict: Rejected}
@@ -227,7 +227,7 @@
 // answer gives the final answer; nil and what is held back are left alone. An attempt that is still open is
 // cancelled first.
 func (c *Core) answer(r *request, a Answer) {
-	if r == nil || r.state == requestHeld {
+	if r == nil || r.state == requestRejectionPending {
 		return
 	}
 	c.requests.remove(r)
--- /dev/null
+++ b/internal/core/requests_test.go
@@ -0,0 +1,137 @@
+package core
+
+import (
+	"slices"
+	"testing"
+	"time"
+
+	"hillknot/balancer"
+)
+
+// A request is sent to an endpoint, with a source to fill its cache from, and answered with the result.
+func TestRequestIsServed(t *testing.T) {
+	h := newHarness(t)
+	h.submit("page", 3*second)
+	if len(h.outstanding) != 1 || h.outstanding[0].Source == nil {
+		t.Fatalf("attempts %+v", h.outstanding)
+	}
+	h.finish(h.outstanding[0], AttemptResult{Status: balancer.OK, Detail: balancer.Hit, Body: []byte("x")})
+	h.wait(4 * second)
+	h.wantOneAnswer("served", Served)
+}
+
+// However the attempts end, there is one answer, in time, and never two attempts at once.
+func TestEachRequestGetsOneAnswer(t *testing.T) {
+	for s := balancer.Error; s <= balancer.Miss; s++ {
+		for _, class := range []string{"page", "order"} {
+			h := newHarness(t)
+			h.submit(class, 3*second)
+			sent := 0
+			for end := h.now + 3*second; h.now < end && len(h.answers) == 0; h.wait(20 * time.Millisecond) {
+				if len(h.outstanding) > 0 {
+					sent++
+					h.finish(h.outstanding[0], AttemptResult{Status: s})
+				}
+			}
+			if len(h.answers) != 1 || h.maxAtOnce != 1 {
+				t.Errorf("%s, status %d: answers %+v, %d attempts at once", class, s, h.answers, h.maxAtOnce)
+			}
+			if class == "order" && !s.NeverRan() && (sent != 1 || h.answers[0].Verdict != Failed) {
+				t.Errorf("order, status %d: %d attempts, answers %+v; what may have run is not retried",
+					s, sent, h.answers)
+			}
+		}
+	}
+}
+
+// A request whose time was over before it was read is rejected at once: nothing is sent.
+func TestExpiredRequestIsRejected(t *testing.T) {
+	h := newHarness(t)
+	h.submitLate("page", second, second)
+	h.wantOneAnswer("too late", Rejected)
+	if h.maxAtOnce != 0 {
+		t.Error("it was forwarded")
+	}
+}
+
+// After a cancel or a closed connection no answer is given, and the attempt is cancelled.
+func TestCancelledRequestGetsNoAnswer(t *testing.T) {
+	h := newHarness(t)
+	id := h.submit("page", second)
+	h.core.CancelRequest(id)
+	h.core.RunOnce()
+	h.wait(2 * second)
+	if len(h.outstanding) != 0 || len(h.answers) != 0 {
+		t.Errorf("%d attempts open, answers %+v", len(h.outstanding), h.answers)
+	}
+}
+
+// Over the limit a request is rejected at once, not queued.
+func TestRequestOverLimitIsRejected(t *testing.T) {
+	h := newHarness(t)
+	for range h.core.limits.Open {
+		h.submit("page", 3*second)
+	}
+	before := len(h.answers)
+	h.submit("page", 3*second)
+	if got := h.answers[before:]; len(got) != 1 || got[0].Verdict != Rejected {
+		t.Errorf("answers %+v, want a rejection", got)
+	}
+}
+
+// Page caches know a request by its txn: a second one under the txn of one that is open fails, and the first is
+// served as if nothing had happened.
+func TestDuplicateTxnFails(t *testing.T) {
+	h := newHarness(t)
+	for range 2 {
+		h.core.Submit(h.core.NewID(), Request{Txn: "t", Class: "page", Object: 7, Timeout: second, Reply: h.reply})
+		h.core.RunOnce()
+	}
+	h.wantOneAnswer("second", Failed)
+	if len(h.outstanding) != 1 {
+		t.Fatalf("%d attempts are open", len(h.outstanding))
+	}
+	h.finish(h.outstanding[0], AttemptResult{Status: balancer.OK})
+	if len(h.answers) != 2 || h.answers[1].Verdict != Served {
+		t.Errorf("answers %+v", h.answers)
+	}
+}
+
+// The answer, the client's cancel and the end of its time come in one iteration of the loop, in any order: the
+// client has one answer or, if it cancelled first, none; and no attempt follows.
+func TestResultCancelAndDeadlineInOneIteration(t *testing.T) {
+	for _, class := range []string{"page", "order"} {
+		for _, status := range []balancer.Status{balancer.OK, balancer.Error, balancer.Rejected} {
+			for _, cancelFirst := range []bool{true, false} {
+				h := newHarness(t)
+				id := h.submit(class, second)
+				a := h.outstanding[0]
+				steps := []func(){
+					func() { h.core.CancelRequest(id) },
+					func() { h.Cancel(a); h.core.CompleteAttempt(a, AttemptResult{Status: status}) },
+				}
+				if !cancelFirst {
+					slices.Reverse(steps)
+				}
+				for _, f := range steps {
+					h.core.Post(f)
+				}
+				h.now += second // the time is up, too
+				h.core.RunOnce()
+				h.wait(2 * second)
+				if len(h.outstanding) > 0 || h.maxAtOnce > 1 {
+					t.Errorf("%s, status %d, cancelled first %v: %d attempts open, %d at once",
+						class, status, cancelFirst, len(h.outstanding), h.maxAtOnce)
+				}
+				want := 0
+				if status == balancer.OK && !cancelFirst {
+					want = 1
+				}
+				if len(h.answers) != want {
+					t.Errorf("%s, status %d, cancelled first %v: answers %+v, want %d",
+						class, status, cancelFirst, h.answers, want)
+				}
+			}
+		}
+	}
+}
--- a/internal/core/trace.go
+++ b/internal/core/trace.go
@@ -35,14 +35,16 @@
 			source = a.Source.ID
 		}
 		log.Debug("attempt started", logging.KeySequence, a.owner.id, logging.KeyAttempt, a.Index,
-			logging.KeyEndpoint, a.Endpoint.ID, "source", source, "cache_priority", a.Decision.CachePriority, "max_age", a.Decision.MaxAge)
+			logging.KeyEndpoint, a.Endpoint.ID, "source", source,
+			"cache_priority", a.Decision.CachePriority, "max_age", a.Decision.MaxAge)
 	}
 }
 
 func (c *Core) traceAttemptEnd(a *Attempt, result AttemptResult) {
 	if c.trace {
 		log.Debug("attempt ended", logging.KeySequence, a.owner.id, logging.KeyAttempt, a.Index,
-			"status", result.Status, "detail", result.Detail, logging.KeyDuration, c.iteration.now-a.sentAt, "source_wait", result.SourceWait)
+			"status", result.Status, "detail", result.Detail,
+			logging.KeyDuration, c.iteration.now-a.sentAt, "source_wait", result.SourceWait)
 	}
 }
 
