--- /dev/null
+++ b/internal/rpc/decoder.go
@@ -0,0 +1,218 @@
+package rpc
+
+import (
+	"encoding/binary"
+	"errors"
+	"math"
+)
+
+// errIncomplete says that the buffer ends within the message. Every other error says that it never becomes a message.
+var errIncomplete = errors.New("message is incomplete")
+
+// maxDepth is how deep a value that is skipped may be nested.
+const maxDepth = 8
+
+// decoder reads MessagePack values from a buffer that may end anywhere.
+type decoder struct {
+	buffer []byte
+	offset int
+	needed int // with errIncomplete: bytes that the buffer must hold to get further
+}
+
+// progress is the result of a parser of a value of at most limit bytes: how far it came, given the error that stopped
+// it.
+func (d *decoder) progress(limit int, err error) (Progress, error) {
+	switch {
+	case errors.Is(err, errIncomplete) && d.needed <= limit && len(d.buffer) < limit:
+		return Progress{Needed: d.needed}, nil
+	case err != nil || d.offset > limit:
+		return Progress{}, ErrMalformed
+	}
+	return Progress{Consumed: d.offset}, nil
+}
+
+// peek returns the next byte and leaves it.
+func (d *decoder) peek() (byte, error) {
+	if d.offset >= len(d.buffer) {
+		d.needed = d.offset + 1
+		return 0, errIncomplete
+	}
+	return d.buffer[d.offset], nil
+}
+
+// take returns the next bytes.
+func (d *decoder) take(size int) ([]byte, error) {
+	if size > len(d.buffer)-d.offset {
+		d.needed = d.offset + size
+		return nil, errIncomplete
+	}
+	d.offset += size
+	return d.buffer[d.offset-size : d.offset : d.offset], nil
+}
+
+// bigEndian reads a number of at most 8 bytes.
+func (d *decoder) bigEndian(size int) (uint64, error) {
+	bytes, err := d.take(size)
+	if err != nil {
+		return 0, err
+	}
+	var wide [8]byte
+	copy(wide[8-size:], bytes)
+	return binary.BigEndian.Uint64(wide[:]), nil
+}
+
+// uint reads a whole number that is not negative.
+func (d *decoder) uint() (uint64, error) {
+	head, err := d.peek()
+	if err != nil {
+		return 0, err
+	}
+	switch formats[head] {
+	case formatPositiveInt:
+		d.offset++
+		return uint64(head), nil
+	case formatUint:
+		d.offset++
+		return d.bigEndian(1 << (head - headUint8))
+	}
+	return 0, ErrMalformed
+}
+
+// id reads the id of a message.
+func (d *decoder) id() (uint64, error) {
+	id, err := d.uint()
+	if err == nil && id > math.MaxUint32 {
+		err = ErrMalformed
+	}
+	return id, err
+}
+
+// arrayLength reads the head of an array.
+func (d *decoder) arrayLength() (int, error) { return d.collectionLength(formatArray, headArray16) }
+
+// mapLength reads the head of a map, and returns how many pairs follow.
+func (d *decoder) mapLength() (int, error) { return d.collectionLength(formatMap, headMap16) }
+
+// collectionLength reads the head of an array or a map. The form with a length of 32 bits follows the one with 16 bits.
+func (d *decoder) collectionLength(want format, form16 byte) (int, error) {
+	head, err := d.peek()
+	if err != nil {
+		return 0, err
+	}
+	d.offset++
+	if formats[head] != want {
+		return 0, ErrMalformed
+	}
+	if head >= form16 {
+		return d.length(2 << (head - form16))
+	}
+	return int(head & shortCollectionMask), nil
+}
+
+// length reads a length of so many bytes.
+func (d *decoder) length(size int) (int, error) {
+	length, err := d.bigEndian(size)
+	if err != nil {
+		return 0, err
+	}
+	if length > math.MaxInt32 {
+		return 0, ErrMalformed
+	}
+	return int(length), nil
+}
+
+// bytes reads a string or binary data, which clients' libraries don't always tell apart.
+func (d *decoder) bytes() ([]byte, error) {
+	size, err := d.bytesLength()
+	if err != nil {
+		return nil, err
+	}
+	return d.take(size)
+}
+
+// bytesLength reads the head of a string or of binary data.
+func (d *decoder) bytesLength() (int, error) {
+	head, err := d.peek()
+	if err != nil {
+		return 0, err
+	}
+	d.offset++
+	switch {
+	case formats[head] == formatBinary:
+		return d.length(1 << (head - headBinary8))
+	case formats[head] != formatString:
+		return 0, ErrMalformed
+	case head >= headString8:
+		return d.length(1 << (head - headString8))
+	}
+	return int(head & shortStringMask), nil
+}
+
+// skip passes over any value that is nested no deeper than depth.
+func (d *decoder) skip(depth int) error {
+	head, err := d.peek()
+	if err != nil {
+		return err
+	}
+	if depth == 0 {
+		return ErrMalformed
+	}
+	switch formats[head] {
+	case formatMap:
+		pairs, err := d.mapLength()
+		if err != nil {
+			return err
+		}
+		return d.skipValues(2*pairs, depth-1)
+	case formatArray:
+		values, err := d.arrayLength()
+		if err != nil {
+			return err
+		}
+		return d.skipValues(values, depth-1)
+	case formatExtension:
+		return d.skipExtension(head)
+	case formatString, formatBinary:
+		_, err := d.bytes()
+		return err
+	case formatNeverUsed:
+		return ErrMalformed
+	}
+	_, err = d.take(scalarSize(head))
+	return err
+}
+
+func (d *decoder) skipValues(count, depth int) error {
+	for range count {
+		if err := d.skip(depth); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// skipExtension passes over an extension value with a length, a type and data.
+func (d *decoder) skipExtension(head byte) error {
+	d.offset++
+	size, err := d.length(1 << (head - headExtension8))
+	if err != nil {
+		return err
+	}
+	_, err = d.take(1 + size)
+	return err
+}
+
+// scalarSize is the size of a value that has no length of its own, with its head byte.
+func scalarSize(head byte) int {
+	switch formats[head] {
+	case formatFloat:
+		return 1 + 4<<(head-headFloat32)
+	case formatUint:
+		return 1 + 1<<(head-headUint8)
+	case formatInt:
+		return 1 + 1<<(head-headInt8)
+	case formatFixedExtension:
+		return 2 + 1<<(head-headFixExtension1) // with the type
+	}
+	return 1
+}
--- /dev/null
+++ b/internal/rpc/parse.go
@@ -0,0 +1,211 @@
+package rpc
+
+// ParseMessage reads the message at the start of the buffer. It allocates nothing but Message.IDs. A message of more
+// than limit bytes is malformed.
+func ParseMessage(buffer []byte, limit int) (Message, Progress, error) {
+	d := decoder{buffer: buffer}
+	var m Message
+	progress, err := d.progress(limit, d.message(&m))
+	if progress.Consumed == 0 {
+		m = Message{}
+	}
+	return m, progress, err
+}
+
+// ParseResponseHeader reads a response up to its body, or all of a response that has no body. A header of more than
+// limit bytes is malformed, and so is one that announces a body of more than bodyLimit bytes: the caller may allocate
+// BodySize.
+func ParseResponseHeader(buffer []byte, limit, bodyLimit int) (ResponseHeader, Progress, error) {
+	d := decoder{buffer: buffer}
+	var h ResponseHeader
+	err := d.responseHeader(&h)
+	if err == nil && h.BodySize > bodyLimit {
+		err = ErrMalformed
+	}
+	progress, err := d.progress(limit, err)
+	if progress.Consumed == 0 {
+		h = ResponseHeader{}
+	}
+	return h, progress, err
+}
+
+// ParseResponseTrailer reads the fields that follow the body of a response. A trailer of more than limit bytes is
+// malformed.
+func ParseResponseTrailer(buffer []byte, limit int) (Fields, Progress, error) {
+	d := decoder{buffer: buffer}
+	var f Fields
+	progress, err := d.progress(limit, d.fields(&f))
+	if progress.Consumed == 0 {
+		f = Fields{}
+	}
+	return f, progress, err
+}
+
+// The elements of messages: a request is [kind, id, method, params], a notification [kind, method, params].
+const (
+	requestElements      = 4
+	responseElements     = 4
+	notificationElements = 3
+)
+
+// message reads a request or a notification.
+func (d *decoder) message(m *Message) error {
+	elements, err := d.arrayLength()
+	if err != nil {
+		return err
+	}
+	kind, err := d.uint()
+	if err != nil {
+		return err
+	}
+	m.Kind = MessageKind(kind)
+	switch {
+	case m.Kind == KindRequest && elements == requestElements:
+		if m.ID, err = d.id(); err != nil {
+			return err
+		}
+	case m.Kind == KindNotification && elements == notificationElements:
+	default:
+		return ErrMalformed
+	}
+	if m.Method, err = d.bytes(); err != nil {
+		return err
+	}
+	return d.params(m)
+}
+
+// params reads the parameters, of which there may be more than are known.
+func (d *decoder) params(m *Message) error {
+	count, err := d.arrayLength()
+	if err != nil {
+		return err
+	}
+	m.ParamCount = count
+	for range count {
+		if err := d.param(m); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// param reads one parameter: a map holds fields, a string or binary data are the body, a whole number is an id.
+func (d *decoder) param(m *Message) error {
+	head, err := d.peek()
+	if err != nil {
+		return err
+	}
+	switch formats[head] {
+	case formatMap:
+		return d.fields(&m.Fields)
+	case formatString, formatBinary:
+		m.Body, err = d.bytes()
+		return err
+	case formatPositiveInt, formatUint:
+		id, err := d.uint()
+		m.IDs = append(m.IDs, id)
+		return err
+	}
+	return d.skip(maxDepth)
+}
+
+// fields reads a map, and keeps the values whose names are known.
+func (d *decoder) fields(f *Fields) error {
+	count, err := d.mapLength()
+	if err != nil {
+		return err
+	}
+	for range count {
+		name, err := d.bytes()
+		if err != nil {
+			return err
+		}
+		if slot := f.slot(name); slot != nil {
+			*slot, err = d.bytes()
+		} else {
+			err = d.skip(maxDepth)
+		}
+		if err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// responseHeader reads [kind, id, error, result], the result up to the bytes of the body.
+func (d *decoder) responseHeader(h *ResponseHeader) error {
+	elements, err := d.arrayLength()
+	if err != nil {
+		return err
+	}
+	kind, err := d.uint()
+	if err != nil {
+		return err
+	}
+	if MessageKind(kind) != KindResponse || elements != responseElements {
+		return ErrMalformed
+	}
+	if h.ID, err = d.id(); err != nil {
+		return err
+	}
+	head, err := d.peek()
+	if err != nil {
+		return err
+	}
+	if formats[head] != formatNil {
+		return d.errorResponse(h)
+	}
+	d.offset++
+	return d.result(h)
+}
+
+// result reads the result of a request that was served, up to its body: [body, fields], or [ready, fields] of a health
+// check.
+func (d *decoder) result(h *ResponseHeader) error {
+	elements, err := d.arrayLength()
+	if err != nil {
+		return err
+	}
+	if elements != 2 {
+		return ErrMalformed
+	}
+	head, err := d.peek()
+	if err != nil {
+		return err
+	}
+	if formats[head] == formatBool {
+		d.offset++
+		h.Kind, h.Ready = ResponseHealth, head == headTrue
+		return d.fields(&h.Fields)
+	}
+	h.BodySize, err = d.bytesLength()
+	return err
+}
+
+// errorResponse reads an error, [code, fields] or [code] or the code alone, and the result beside it, which says
+// nothing.
+func (d *decoder) errorResponse(h *ResponseHeader) error {
+	h.Kind = ResponseError
+	head, err := d.peek()
+	if err != nil {
+		return err
+	}
+	elements := 1
+	if formats[head] == formatArray {
+		if elements, err = d.arrayLength(); err != nil {
+			return err
+		}
+		if elements < 1 || elements > 2 {
+			return ErrMalformed
+		}
+	}
+	if h.Code, err = d.bytes(); err != nil {
+		return err
+	}
+	if elements == 2 {
+		if err := d.fields(&h.Fields); err != nil {
+			return err
+		}
+	}
+	return d.skip(maxDepth)
+}
