--- a/internal/cluster/failover/claim.go
+++ b/internal/cluster/failover/claim.go
@@ -9,227 +9,277 @@
 	"hillknot/internal/cluster/messaging"
 )
 
-// claim is what this router asks others for a client that has lost another router.
-type claim struct {
-	order Order
-	until time.Duration
-	began time.Duration
-	asked bool
-	again time.Duration   // when those that have said nothing for good are asked once more
-	words map[string]word // of those that were asked
-	out   map[string]bool // asked, and nothing was said yet
-}
-
-// Claim asks what became of an order that a client has lost: its txn, and all else as the client asks for it now. Begin or
-// Settle follows, unless it is dropped before.
-func (t *Coordinator) Claim(now time.Duration, id uint64, o Order) {
-	t.Totals.Claims++
-	c := &claim{order: o, until: now + o.Left, began: now, words: map[string]word{}, out: map[string]bool{}}
-	t.claims[id] = c
-	t.log("claimed", o.Txn, "")
-	// What is known here first: nothing may be kept of it from now on but for this claim.
-	c.words[""] = t.look(now, o, waiter{Incarnation{t.set.Self, t.set.Process}, id})
-	t.weigh(now, id, c)
+// openClaim is what this router asks other routers for a client that lost one of them.
+type openClaim struct {
+	order     Order
+	deadline  time.Duration // when the client gives up
+	startedAt time.Duration
+	requested bool            // the other routers were asked
+	retryAt   time.Duration   // when those without a final reply are asked again
+	replies   map[string]word // by router; "" is this one
+	pending   map[string]bool // routers that were asked and have not replied
+}
+
+// Reasons of MayHaveRunError. docs/errors.md and tests have them.
+const (
+	reasonBeingSent   = "it was being sent when its router was lost"
+	reasonUnreachable = "its router can't be reached, and no other knows what became of it"
+	reasonNoTime      = "there was no time left for it"
+	reasonNoReply     = "nobody knew in its time"
+)
+
+// Claim asks what became of an order whose router a client has lost. The order carries the lost txn, and all else as the
+// client asks for it now. ActionBeginClaim or ActionSettleClaim follows, unless CancelClaim comes before.
+func (c *Coordinator) Claim(now time.Duration, id uint64, order Order) {
+	c.counters.Claims++
+	claim := &openClaim{
+		order:     order,
+		deadline:  now + order.Left,
+		startedAt: now,
+		replies:   map[string]word{},
+		pending:   map[string]bool{},
+	}
+	c.claims[id] = claim
+	c.trace(eventClaimed, order.Txn, "")
+	// This router answers first: from now on it stores no record of the order for anyone but this claim.
+	self := Incarnation{c.settings.Self, c.settings.Process}
+	claim.replies[""] = c.claimReply(now, order, waiter{self, id})
+	c.decideClaim(now, id, claim)
 }
 
 // CancelClaim ends a claim whose client no longer waits.
-func (t *Coordinator) CancelClaim(id uint64) { delete(t.claims, id) }
+func (c *Coordinator) CancelClaim(id uint64) { delete(c.claims, id) }
 
-// look is what this router itself knows of an order.
-func (t *Coordinator) look(now time.Duration, o Order, w waiter) word {
-	own := t.mine[o.Txn]
-	if own != nil && (own.end == nil || own.end.Kind != NeverRan || t.records[o.Txn] == nil) {
-		if own.order.Digest != o.Digest {
+// claimReply is what this router itself knows of an order that is claimed.
+func (c *Coordinator) claimReply(now time.Duration, order Order, w waiter) word {
+	own, r := c.owned.orders[order.Txn], c.stored.records[order.Txn]
+	if own != nil && (r == nil || !own.state.ended() || own.outcome.Kind != NeverRan) {
+		if own.order.Digest != order.Digest {
 			return word{Say: sayMay} // whoever asks does not know the order, and learns nothing
 		}
-		return t.ownWord(own, w)
+		return c.ownedOrderReply(own, w)
 	}
-	if r := t.records[o.Txn]; r != nil {
-		if !r.blank && (!r.known || r.order.Digest != o.Digest) {
+	if r != nil {
+		if r.contents != contentsReserved && (r.contents != contentsComplete || r.order.Digest != order.Digest) {
 			return word{Say: sayMay}
 		}
-		return t.recordWord(now, r, w)
+		return c.recordReply(now, r, w)
 	}
-	r := t.room(now, o.Txn)
-	if r == nil {
+	if r = c.newRecord(now, order.Txn); r == nil {
 		return word{Say: sayUnknown}
 	}
-	r.state, r.blank, r.to = given, true, w
-	return word{Say: sayUnknown, Sure: t.sure(now)}
+	r.reserveFor(w)
+	return c.unknownReply(now)
 }
 
-// ownWord is what a claimant is told of an order of this router's own.
-func (t *Coordinator) ownWord(o *own, w waiter) word {
-	switch {
-	case o.end == nil:
-		return t.later(&o.wait, w)
-	case o.end.Kind == Served, o.end.Kind == Failed:
-		return word{Say: sayOutcome, Outcome: *o.end}
-	case o.end.Kind == MayHaveRun && o.went:
-		return word{Say: sayMay}
-	case o.end.Kind == MayHaveRun, o.ever, o.given != (Incarnation{}) && o.given != w.Incarnation: // its keeper has it to give, or it was given
+// ownedOrderReply is what a claimant is told of an order of this router's own. An order that never ran, and that no replica
+// knows, is given to the claimant by this reply.
+func (c *Coordinator) ownedOrderReply(o *ownedOrder, w waiter) word {
+	if !o.state.ended() {
+		return addWaiter(&o.waiters, w)
+	}
+	switch o.outcome.Kind {
+	case Served, Failed:
+		return word{Say: sayOutcome, Outcome: o.outcome}
+	case MayHaveRun:
+		if o.state.sent() {
+			return word{Say: sayMay}
+		}
 		return word{Say: sayElsewhere}
 	}
-	o.given = w.Incarnation
-	t.Totals.OrdersGiven++
-	t.log("given", o.order.Txn, w.Name)
+	replicaDecides := o.replication.exposure != exposedToNone
+	givenToAnother := o.givenTo != (Incarnation{}) && o.givenTo != w.Incarnation
+	if replicaDecides || givenToAnother {
+		return word{Say: sayElsewhere}
+	}
+	o.givenTo = w.Incarnation
+	c.counters.OrdersGiven++
+	c.trace(eventGiven, o.order.Txn, w.Name)
 	return word{Say: sayRun}
 }
 
-// claimed answers a claimant.
-func (t *Coordinator) claimed(now time.Duration, a messaging.Delivery, m message) {
-	w := t.look(now, m.Order, waiter{Incarnation{a.From, a.Process}, m.Claim})
-	t.answer(a, w)
+// receiveClaim answers a claimant.
+func (c *Coordinator) receiveClaim(now time.Duration, delivery messaging.Delivery, m message) {
+	claimant := waiter{Incarnation{delivery.From, delivery.Process}, m.Claim}
+	c.reply(delivery, c.claimReply(now, m.Order, claimant))
 }
 
-// tell tells a claimant more.
-func (t *Coordinator) tell(now time.Duration, txn string, w waiter, what word) {
-	if w.Name == t.set.Self {
-		if c := t.claims[w.claim]; c != nil {
-			c.words[""] = what
-			t.weigh(now, w.claim, c)
-		} else if what.Say == sayRun {
-			t.giveBack(now, txn, "")
-		}
+// updateClaimant tells a claimant that waits what is known of its order now.
+func (c *Coordinator) updateClaimant(now time.Duration, txn string, w waiter, update word) {
+	if w.Name != c.settings.Self {
+		m := message{Kind: kindNews, Txn: txn, Claim: w.claim, Word: update}
+		// A claimant that can't be reached asks again by itself.
+		_ = c.send(now, w.Name, m, now+c.settings.MaxClientWait, request{})
 		return
 	}
-	// A claimant that can't be told asks again by itself.
-	_, _ = t.send(now, w.Name, message{Kind: kindNews, Txn: txn, Claim: w.claim, Word: what}, now+t.set.MaxClientWait, ask{})
+	if claim := c.claims[w.claim]; claim != nil {
+		claim.replies[""] = update
+		c.decideClaim(now, w.claim, claim)
+	} else if update.Say == sayRun {
+		c.returnOrder(now, txn)
+	}
 }
 
-// news takes what one that was asked before tells now.
-func (t *Coordinator) news(now time.Duration, a messaging.Delivery, m message) {
-	t.answer(a, word{Say: sayHeld})
-	c := t.claims[m.Claim]
-	if c == nil || c.order.Txn != m.Txn {
-		if m.Word.Say == sayRun && t.mine[m.Txn] == nil {
-			t.giveBack(now, m.Txn, a.From)
+// receiveClaimUpdate takes what a router that was asked before tells now.
+func (c *Coordinator) receiveClaimUpdate(now time.Duration, delivery messaging.Delivery, m message) {
+	c.reply(delivery, word{Say: sayHeld})
+	claim := c.claims[m.Claim]
+	if claim == nil || claim.order.Txn != m.Txn {
+		if m.Word.Say == sayRun && c.owned.orders[m.Txn] == nil {
+			c.returnOrderTo(now, m.Txn, delivery.From)
 		}
 		return
 	}
-	c.words[a.From] = m.Word
-	t.weigh(now, m.Claim, c)
+	claim.replies[delivery.From] = m.Word
+	c.decideClaim(now, m.Claim, claim)
 }
 
-// giveBack returns an order to who gave it: nobody here waits for it any more.
-func (t *Coordinator) giveBack(now time.Duration, txn, from string) {
-	if from != "" {
-		_, _ = t.send(now, from, message{Kind: kindTell, Txn: txn, Step: stepEnded, Outcome: Outcome{Kind: NeverRan}}, now+t.set.Retention, ask{step: stepEnded})
-		return // one that can't be told holds it as given, which is safe
-	}
-	if r := t.records[txn]; r != nil && r.state == given && !r.blank {
-		t.finish(now, r, Outcome{Kind: NeverRan})
+// returnOrder takes an order back that this router's own replica role gave to a claim whose client no longer waits.
+func (c *Coordinator) returnOrder(now time.Duration, txn string) {
+	r := c.stored.records[txn]
+	if r != nil && r.state == recordGiven && r.contents != contentsReserved {
+		c.endRecord(now, r, Outcome{Kind: NeverRan})
 	}
 }
 
-// heard takes the answer to a question, or that there is none.
-func (t *Coordinator) heard(now time.Duration, a ask, d messaging.Completion, w word) {
-	c := t.claims[a.claim]
-	if c == nil || c.order.Txn != a.txn {
-		if w.Say == sayRun && t.mine[a.txn] == nil { // else it was begun
-			t.giveBack(now, a.txn, d.To)
+// returnOrderTo returns an order to the router that gave it to a claim whose client no longer waits. A router that can't be
+// reached holds the order as given, which is safe.
+func (c *Coordinator) returnOrderTo(now time.Duration, txn, router string) {
+	m := message{Kind: kindTell, Txn: txn, Step: stepEnded, Outcome: Outcome{Kind: NeverRan}}
+	_ = c.send(now, router, m, now+c.settings.Retention, request{step: stepEnded})
+}
+
+// receiveClaimReply takes the reply to a question, or the failure to get one.
+func (c *Coordinator) receiveClaimReply(now time.Duration, req request, err error, w word) {
+	claim := c.claims[req.claim]
+	if claim == nil || claim.order.Txn != req.txn {
+		if w.Say == sayRun && c.owned.orders[req.txn] == nil { // else the order was begun here
+			c.returnOrderTo(now, req.txn, req.to)
 		}
 		return
 	}
-	delete(c.out, d.To)
+	delete(claim.pending, req.to)
 	switch {
-	case d.Err == nil:
-		c.words[d.To] = w
-	case errors.As(d.Err, new(messaging.ProcessReplacedError)): // it has been restarted since it was heard of last
-		t.askOne(now, a.claim, c, d.To)
+	case err == nil:
+		claim.replies[req.to] = w
+	case errors.As(err, new(messaging.ProcessReplacedError)): // its new process has not been asked yet
+		c.requestReply(now, req.claim, claim, req.to)
 	}
-	t.weigh(now, a.claim, c)
+	c.decideClaim(now, req.claim, claim)
 }
 
-// weigh acts on the strongest word, once it is strong enough or all have been heard or waited for.
-func (t *Coordinator) weigh(now time.Duration, id uint64, c *claim) {
-	best, sure := word{}, 0
-	for _, from := range slices.Sorted(maps.Keys(c.words)) {
-		if w := c.words[from]; w.Say > best.Say {
-			best = w
+// strongestReply returns the strongest of the replies, and how many routers are certain that they know nothing.
+func (claim *openClaim) strongestReply() (strongest word, certainUnknown int) {
+	for _, router := range slices.Sorted(maps.Keys(claim.replies)) {
+		w := claim.replies[router]
+		if w.Say > strongest.Say {
+			strongest = w
 		}
-		if w := c.words[from]; w.Say == sayUnknown && w.Sure {
-			sure++
+		if w.Say == sayUnknown && w.Sure {
+			certainUnknown++
 		}
 	}
-	switch {
-	case best.Say == sayRun:
-		t.begin(now, id, c)
-		return
-	case best.Say == sayOutcome:
-		t.Totals.ClaimsAnswered++
-		t.settle(id, Action{Outcome: best.Outcome})
+	return strongest, certainUnknown
+}
+
+// decideClaim acts on the strongest reply once it is strong enough, or once all have replied or their time is over.
+func (c *Coordinator) decideClaim(now time.Duration, id uint64, claim *openClaim) {
+	strongest, certainUnknown := claim.strongestReply()
+	switch strongest.Say {
+	case sayRun:
+		c.beginClaim(now, id, claim)
 		return
-	case best.Say == sayUnknown && t.set.Strict && sure >= t.set.ClusterSize-1: // all but its lost owner: none held it, so it never went out
-		t.Totals.ClaimsOfUnsent++
-		t.begin(now, id, c)
+	case sayOutcome:
+		c.counters.ClaimsAnswered++
+		c.settleClaim(id, strongest.Outcome, nil)
 		return
+	case sayUnknown:
+		// If all routers but the lost owner are certain, no replica ever held the order, so it was never sent.
+		if c.settings.Strict && certainUnknown >= c.settings.ClusterSize-1 {
+			c.counters.ClaimsOfUnsent++
+			c.beginClaim(now, id, claim)
+			return
+		}
 	}
-	later := best.Say == sayWait || best.Say == sayElsewhere
-	if !c.asked || later && now >= c.again {
-		t.askAll(now, id, c)
+	betterExpected := strongest.Say == sayWait || strongest.Say == sayElsewhere
+	if !claim.requested || betterExpected && now >= claim.retryAt {
+		c.requestReplies(now, id, claim)
 	}
-	if len(c.out) > 0 && now < c.began+t.set.ClaimTimeout || later {
-		return // more is to be heard
+	repliesExpected := len(claim.pending) > 0 && now < claim.startedAt+c.settings.ClaimTimeout
+	if repliesExpected || betterExpected {
+		return
 	}
-	why := "its router can't be reached, and no other knows what became of it"
-	if best.Say == sayMay {
-		why = "it was being sent when its router was lost"
+	reason := reasonUnreachable
+	if strongest.Say == sayMay {
+		reason = reasonBeingSent
 	}
-	t.may(id, why)
+	c.settleAsMayHaveRun(id, reason)
 }
 
-// askAll asks all others that have not said anything for good.
-func (t *Coordinator) askAll(now time.Duration, id uint64, c *claim) {
-	c.asked, c.again = true, now+t.set.ClaimTimeout
-	for _, o := range t.live {
-		if s := c.words[o.Name].Say; s == sayMay || s == sayUnknown || c.out[o.Name] {
-			continue
+// requestReplies asks all other routers that have not given a final reply.
+func (c *Coordinator) requestReplies(now time.Duration, id uint64, claim *openClaim) {
+	claim.requested, claim.retryAt = true, now+c.settings.ClaimTimeout
+	for _, p := range c.peers {
+		final := claim.replies[p.Name].Say == sayMay || claim.replies[p.Name].Say == sayUnknown
+		if !final && !claim.pending[p.Name] {
+			c.requestReply(now, id, claim, p.Name)
 		}
-		t.askOne(now, id, c, o.Name)
 	}
 }
 
-func (t *Coordinator) askOne(now time.Duration, id uint64, c *claim, to string) {
-	m := message{Kind: kindClaim, Txn: c.order.Txn, Claim: id, Order: Order{Txn: c.order.Txn, Digest: c.order.Digest}}
-	if _, err := t.send(now, to, m, min(c.until, now+4*t.set.ClaimTimeout), ask{claim: id, txn: c.order.Txn}); err == nil {
-		c.out[to] = true
+// claimTimeouts is for how many ClaimTimeouts a question is repeated to a router that does not answer.
+const claimTimeouts = 4
+
+func (c *Coordinator) requestReply(now time.Duration, id uint64, claim *openClaim, router string) {
+	txn := claim.order.Txn
+	m := message{Kind: kindClaim, Txn: txn, Claim: id, Order: Order{Txn: txn, Digest: claim.order.Digest}}
+	until := min(claim.deadline, now+claimTimeouts*c.settings.ClaimTimeout)
+	if err := c.send(now, router, m, until, request{claim: id, txn: txn}); err == nil {
+		claim.pending[router] = true
 	}
 }
 
-// begin gives the claim to its client's router to run.
-func (t *Coordinator) begin(now time.Duration, id uint64, c *claim) {
-	delete(t.claims, id)
-	if now >= c.until {
-		t.giveBack(now, c.order.Txn, "")
-		t.do(Action{Kind: ActionSettleClaim, ClaimID: id, Txn: c.order.Txn, Outcome: Outcome{Kind: MayHaveRun}, Err: MayHaveRunError{"there was no time left for it"}})
+// beginClaim has the caller run a claimed order.
+func (c *Coordinator) beginClaim(now time.Duration, id uint64, claim *openClaim) {
+	delete(c.claims, id)
+	order := claim.order
+	if now >= claim.deadline {
+		c.returnOrder(now, order.Txn)
+		c.act(Action{
+			Kind:    ActionSettleClaim,
+			ClaimID: id,
+			Txn:     order.Txn,
+			Outcome: Outcome{Kind: MayHaveRun},
+			Err:     MayHaveRunError{reasonNoTime},
+		})
 		return
 	}
-	t.log("begun", c.order.Txn, "")
-	o := c.order
-	o.Left = c.until - now
-	t.do(Action{Kind: ActionBeginClaim, ClaimID: id, Txn: o.Txn, Order: o})
+	c.trace(eventClaimBegun, order.Txn, "")
+	order.Left = claim.deadline - now
+	c.act(Action{Kind: ActionBeginClaim, ClaimID: id, Txn: order.Txn, Order: order})
 }
 
-func (t *Coordinator) settle(id uint64, a Action) {
-	a.Kind, a.ClaimID, a.Txn = ActionSettleClaim, id, t.claims[id].order.Txn
-	delete(t.claims, id)
-	t.log("settled "+a.Outcome.Kind.String(), a.Txn, "")
-	t.do(a)
+// settleClaim has the caller answer a claim.
+func (c *Coordinator) settleClaim(id uint64, outcome Outcome, err error) {
+	txn := c.claims[id].order.Txn
+	delete(c.claims, id)
+	c.trace(eventClaimSettled+outcome.Kind.String(), txn, "")
+	c.act(Action{Kind: ActionSettleClaim, ClaimID: id, Txn: txn, Outcome: outcome, Err: err})
 }
 
-func (t *Coordinator) may(id uint64, why string) {
-	t.Totals.ClaimsMayHaveRun++
-	t.settle(id, Action{Outcome: Outcome{Kind: MayHaveRun}, Err: MayHaveRunError{why}})
+func (c *Coordinator) settleAsMayHaveRun(id uint64, reason string) {
+	c.counters.ClaimsMayHaveRun++
+	c.settleClaim(id, Outcome{Kind: MayHaveRun}, MayHaveRunError{reason})
 }
 
-// beatClaims asks again, and ends claims whose time is over.
-func (t *Coordinator) beatClaims(now time.Duration) {
-	for _, id := range slices.Sorted(maps.Keys(t.claims)) {
-		if c := t.claims[id]; now >= c.until {
-			t.may(id, "nobody knew in its time")
+// tickClaims asks again, and ends claims whose client's time is over.
+func (c *Coordinator) tickClaims(now time.Duration) {
+	for _, id := range slices.Sorted(maps.Keys(c.claims)) {
+		claim := c.claims[id]
+		if now >= claim.deadline {
+			c.settleAsMayHaveRun(id, reasonNoReply)
 		} else {
-			t.weigh(now, id, c)
+			c.decideClaim(now, id, claim)
 		}
 	}
 }
--- a/internal/cluster/failover/errors.go
+++ b/internal/cluster/failover/errors.go
@@ -1,6 +1,7 @@
 package failover
 
 import (
+	"errors"
 	"fmt"
 
 	"hillknot/internal/operatorhint"
@@ -16,7 +17,7 @@
 	return fmt.Sprintf("no router keeps the order; asked: %q", e.Tried)
 }
 
-// Hint implements remedy.Error.
+// Hint implements operatorhint.Error.
 func (ReplicaUnreachableError) Hint() string {
 	return "Bring other routers up, or mend the network between them; with strict = false orders go out unkept."
 }
@@ -28,7 +29,7 @@
 	return fmt.Sprintf("%q has no room for a record", e.Replica)
 }
 
-// Hint implements remedy.Error.
+// Hint implements operatorhint.Error.
 func (ReplicaFullError) Hint() string {
 	return "Raise records at all routers, at some 1 kB of memory each, or lower keep_ms."
 }
@@ -40,7 +41,7 @@
 	return fmt.Sprintf("the right to run the order was lost to %q", e.Replica)
 }
 
-// Hint implements remedy.Error.
+// Hint implements operatorhint.Error.
 func (LeaseLostError) Hint() string {
 	return "Find out why this router stood still or was cut off for longer than lease_ms; if that is usual, raise it."
 }
@@ -52,7 +53,7 @@
 	return fmt.Sprintf("%q did not say in time that it lets go of the order", e.Replica)
 }
 
-// Hint implements remedy.Error.
+// Hint implements operatorhint.Error.
 func (NotReleasedError) Hint() string {
 	return "Look at the router that kept it: it is down or cut off. The client was told that the order may have run."
 }
@@ -62,10 +63,25 @@
 
 func (e MayHaveRunError) Error() string { return "the order may have run: " + e.Reason }
 
-// Hint implements remedy.Error.
+// Hint implements operatorhint.Error.
 func (MayHaveRunError) Hint() string {
 	return "Have the client look up what it ordered before it orders again; its router and that one's keeper were lost together, or it was being sent."
 }
 
+// noReplicaError returns why no replica holds an order: the last one had no room, or none of those that were tried answered.
+func noReplicaError(last error, tried []string) error {
+	var full ReplicaFullError
+	if errors.As(last, &full) {
+		return last
+	}
+	return ReplicaUnreachableError{tried}
+}
+
 // Errors holds an example of each type of this package, as docs/errors.md shows it.
-var Errors = []operatorhint.Error{ReplicaUnreachableError{}, ReplicaFullError{"r2"}, LeaseLostError{"r2"}, NotReleasedError{"r2"}, MayHaveRunError{"it was being sent when its router was lost"}}
+var Errors = []operatorhint.Error{
+	ReplicaUnreachableError{},
+	ReplicaFullError{"r2"},
+	LeaseLostError{"r2"},
+	NotReleasedError{"r2"},
+	MayHaveRunError{reasonBeingSent},
+}
--- a/internal/cluster/failover/message.go
+++ b/internal/cluster/failover/message.go
@@ -78,3 +78,8 @@
 }
 
 func (w *word) sane() bool { return w.Say <= sayRun && w.Outcome.sane() }
+
+// String returns the step's name in events.
+func (s step) String() string {
+	return [...]string{"none", "taken", "left", "may", "ended"}[min(s, stepEnded)]
+}
--- a/internal/cluster/messaging/messaging.go
+++ b/internal/cluster/messaging/messaging.go
@@ -42,7 +42,7 @@
 
 func (e QueueFullError) Error() string { return fmt.Sprintf("too many parcels on the way to %q", e.To) }
 
-// Hint implements remedy.Error.
+// Hint implements operatorhint.Error.
 func (QueueFullError) Hint() string {
 	return "Look whether that router is up and how busy its machine is; what is on the way to it is given up by itself."
 }
@@ -54,7 +54,7 @@
 	return fmt.Sprintf("a parcel of %d bytes, over %d", e.Bytes, e.Most)
 }
 
-// Hint implements remedy.Error.
+// Hint implements operatorhint.Error.
 func (MessageTooLongError) Hint() string {
 	return "Lower body_bytes, so that longer bodies are left out of records."
 }
@@ -66,7 +66,7 @@
 	return fmt.Sprintf("%q did not say in time that it holds a parcel", e.To)
 }
 
-// Hint implements remedy.Error.
+// Hint implements operatorhint.Error.
 func (NotAcknowledgedError) Hint() string {
 	return "Look at app_fleet_others: the router is down or cut off, or has other keys."
 }
@@ -78,7 +78,7 @@
 	return fmt.Sprintf("another process of %q is there now", e.To)
 }
 
-// Hint implements remedy.Error.
+// Hint implements operatorhint.Error.
 func (ProcessReplacedError) Hint() string {
 	return "None is needed after a restart; if it goes on, two routers have one name: give each its own."
 }
