--- a/client/conn.go
+++ b/client/conn.go
@@ -2,436 +2,171 @@
 
 import (
 	"context"
-	"errors"
-	"io"
 	"maps"
 	"net"
 	"slices"
-	"time"
 
 	"hillknot/client/policy"
-	"hillknot/internal/rpc"
 )
 
-const (
-	headMost  = 4 << 10  // bytes of an answer without its body
-	readSize  = 16 << 10 // bytes read at a time
-	batchMost = 64 << 10 // bytes written at a time
-)
-
-// conn is a connection to a router. A goroutine writes what is queued, another reads; all else is under the
-// client's lock.
-type conn struct {
-	c    *Client
-	pn   *policy.Conn
-	addr string
-	nc   net.Conn
-
-	out    []item
-	wake   chan struct{}
-	calls  map[uint32]*call // whose answer is owed
-	nextID uint32
-	down   bool // nothing more is written or read
-	taken  []written
-}
+// routerConn is a connection to a router. One goroutine dials it and then reads responses, another writes what is
+// queued. Both end when the connection does; Client.goroutines counts them. All fields are guarded by the client's
+// lock, except client, address, policyConn and netConn, which don't change once the goroutines that use them run.
+type routerConn struct {
+	client     *Client
+	address    string
+	policyConn *policy.Conn
+	netConn    net.Conn // nil until the connection is up
 
-// item is something to be written.
-type item struct {
-	kind   itemKind
-	call   *call
-	id     uint32
-	second bool
+	state  connState
+	calls  map[uint32]*pendingCall // in flight, by id
+	lastID uint32                  // of calls and health checks
+	outbox outbox
 }
 
-type itemKind uint8
+// connState is the state of a connection.
+type connState uint8
 
 const (
-	sendCall itemKind = iota
-	sendCancel
-	sendCheck
+	connDialing connState = iota
+	connOpen
+	connClosing // closed on this side; its end is not reported to the policy yet
+	connEnded   // its end was reported
 )
 
-// written is a call in the bytes of the latest write.
-type written struct {
-	id    uint32
-	start int // of its bytes
-}
+// shutDown says whether nothing more is to be written.
+func (s connState) shutDown() bool { return s >= connClosing }
 
-// queue has something written. The lock is held.
-func (n *conn) queue(i item) {
-	if n.down {
-		return
-	}
-	n.out = append(n.out, i)
-	select {
-	case n.wake <- struct{}{}:
-	default:
+// openConn starts a connection. The lock is held.
+func (c *Client) openConn(action policy.Action) {
+	conn := &routerConn{
+		client:     c,
+		address:    c.config.Routers[action.Router],
+		policyConn: action.Conn,
+		calls:      map[uint32]*pendingCall{},
+		outbox:     outbox{wake: make(chan struct{}, 1)},
 	}
+	action.Conn.UserData = conn
+	c.goroutines.Add(1)
+	go conn.run()
 }
 
-// cancel tells that nobody waits for a call any more, or keeps it from being written at all.
-func (n *conn) cancel(q *call) {
-	n.forget(q)
-	for i, it := range n.out {
-		if it.kind == sendCall && it.call == q {
-			n.out = slices.Delete(n.out, i, i+1)
-			return
-		}
-	}
-	n.queue(item{kind: sendCancel, id: q.id})
-}
-
-// forget takes a call off the connection: an answer to it is passed over.
-func (n *conn) forget(q *call) {
-	if q.wire == n {
-		delete(n.calls, q.id)
-		q.wire = nil
-	}
-}
-
-// shut ends the connection. The lock is held.
-func (n *conn) shut() {
-	n.down = true
-	select {
-	case n.wake <- struct{}{}:
-	default:
-	}
-	if n.nc != nil {
-		_ = n.nc.Close() // it is of no more use, whatever comes back
+// run serves a connection from the dial to its end.
+func (conn *routerConn) run() {
+	c := conn.client
+	defer c.goroutines.Done()
+	if !conn.dial() {
+		return
 	}
+	c.goroutines.Add(1)
+	go conn.writeLoop()
+	reader := responseReader{conn: conn, buffer: make([]byte, readSize)}
+	conn.end(reader.run(), nil)
 }
 
-// run opens the connection and serves it until it ends.
-func (n *conn) run() {
-	c := n.c
-	defer c.work.Done()
-	ctx, cancel := context.WithTimeout(c.ctx, c.set.DialWait)
-	nc, err := c.cfg.Dial(ctx, n.addr)
+// dial opens the connection and reports that to the policy; false where it did not come up or is not wanted any more.
+func (conn *routerConn) dial() bool {
+	c := conn.client
+	ctx, cancel := context.WithTimeout(c.dialContext, c.settings.DialWait)
+	netConn, err := c.config.Dial(ctx, conn.address)
 	cancel()
-	c.mu.Lock()
-	switch {
-	case err != nil:
-		n.down = true
-		c.observe(Observation{What: DialFailed, Router: n.addr, Err: err})
-		c.pol.DialFailed(c.now(), n.pn)
-		c.settle()
-	case n.down: // given up meanwhile
-		_ = nc.Close()
-	default:
-		n.nc = nc
-		c.observe(Observation{What: Connected, Router: n.addr})
-		c.pol.Connected(c.now(), n.pn)
-		c.settle()
-	}
-	up := n.nc != nil
-	c.unlock()
-	if !up {
-		return
-	}
-	c.work.Add(1)
-	go n.write()
-	n.end(n.read(), 0, false)
-}
 
-// end takes the end of the connection, by whichever side comes first. Of the latest write so many bytes went out,
-// if that is what failed.
-func (n *conn) end(err error, wrote int, failed bool) {
-	c := n.c
 	c.mu.Lock()
 	defer c.unlock()
-	if n.pn == nil {
-		return
+	if err != nil {
+		conn.state = connEnded
+		c.observer.add(Observation{What: DialFailed, Router: conn.address, Err: err})
+		c.policy.DialFailed(c.now(), conn.policyConn)
+		c.runActions()
+		return false
 	}
-	pn := n.pn
-	n.pn = nil
-	n.shut()
-	// Surely unsent is what was never handed to the socket, and of a write that failed what lies behind the bytes
-	// that went out. A write that is under way may have been read.
-	sure := map[uint32]bool{}
-	for _, i := range n.out {
-		if i.kind == sendCall {
-			sure[i.id] = true
-		}
+	if conn.state.shutDown() {
+		_ = netConn.Close() // nothing was written to it
+		return false
 	}
-	if failed {
-		for _, w := range n.taken {
-			if w.start >= wrote {
-				sure[w.id] = true
-			}
-		}
+	conn.state, conn.netConn = connOpen, netConn
+	c.observer.add(Observation{What: Connected, Router: conn.address})
+	c.policy.Connected(c.now(), conn.policyConn)
+	c.runActions()
+	return true
+}
+
+// shut closes the connection, which ends its goroutines. The lock is held.
+func (conn *routerConn) shut() {
+	if conn.state < connClosing {
+		conn.state = connClosing
 	}
-	n.out = nil
-	var unsent, lost []*policy.Call
-	for _, id := range slices.Sorted(maps.Keys(n.calls)) {
-		q := n.calls[id]
-		n.forget(q)
-		if sure[id] {
-			unsent = append(unsent, q.pc)
-		} else {
-			lost = append(lost, q.pc)
-			if q.lost == 0 { // a claim that is lost itself names the same
-				q.lost = q.txn
-			}
-		}
+	wake(conn.outbox.wake)
+	if conn.netConn != nil {
+		_ = conn.netConn.Close() // an error changes nothing: the connection is not used any more
 	}
-	c.observe(Observation{What: Disconnected, Router: n.addr, Err: err})
-	c.pol.ConnectionClosed(c.now(), pn, unsent, lost)
-	c.settle()
 }
 
-// write writes what is queued until the connection ends.
-func (n *conn) write() {
-	c := n.c
-	defer c.work.Done()
-	var buf []byte
-	for range n.wake {
-		for {
-			var stop bool
-			if buf, stop = n.take(buf[:0]); stop {
-				return
-			}
-			if len(buf) == 0 {
-				break
-			}
-			began := c.now()
-			wrote, err := n.nc.Write(buf)
-			if err != nil {
-				n.end(err, wrote, true)
-				return
-			}
-			took := c.now() - began
-			c.mu.Lock()
-			if n.pn != nil {
-				n.pn.WriteCompleted(len(buf), took)
-			}
-			n.taken = n.taken[:0]
-			c.unlock()
-		}
-	}
+// writeFailure is what went wrong with a write.
+type writeFailure struct {
+	written int // bytes of the batch that went out
 }
 
-// take turns what is queued into bytes, up to a batch. A call whose time has gone by while it waited is left out.
-func (n *conn) take(buf []byte) (_ []byte, stop bool) {
-	c := n.c
+// end closes the connection and reports its end to the policy. Reader and writer both call it with why they ended;
+// only the first call counts. The writer gives its failure too.
+func (conn *routerConn) end(err error, failure *writeFailure) {
+	c := conn.client
 	c.mu.Lock()
 	defer c.unlock()
-	if n.down {
-		return buf, true
-	}
-	i := 0
-	for ; i < len(n.out) && len(buf) < batchMost; i++ {
-		switch it := n.out[i]; it.kind {
-		case sendCheck:
-			n.nextID++
-			buf = rpc.AppendHealthRequest(buf, uint64(n.nextID))
-		case sendCancel:
-			buf = rpc.AppendCancel(buf, uint64(it.id))
-		default:
-			buf = n.appendCall(buf, it)
-		}
-	}
-	rest := copy(n.out, n.out[i:])
-	clear(n.out[rest:])
-	n.out = n.out[:rest]
-	c.settle()
-	return buf, false
-}
-
-func (n *conn) appendCall(buf []byte, it item) []byte {
-	q := it.call
-	if n.calls[it.id] != q { // withdrawn meanwhile
-		return buf
-	}
-	limit, ok := n.c.pol.PrepareWrite(n.c.now(), q.pc, len(buf)+len(q.req.Body)+200)
-	if !ok {
-		return buf
-	}
-	n.taken = append(n.taken, written{id: it.id, start: len(buf)})
-	q.txn = n.c.txns.Uint64()
-	resumes := uint64(0)
-	if q.pc.IsClaim() {
-		resumes = q.lost
+	if conn.state == connEnded {
+		return
 	}
-	return rpc.AppendRequest(buf, uint64(it.id), &rpc.Request{Method: n.c.names[q.class], Txn: q.txn, ResumedTxn: resumes, Account: n.c.cfg.Account,
-		TimeoutMillis: max(limit.Milliseconds(), 1), Retry: it.second, Item: q.req.Item, Nth: q.req.Part, Batch: q.req.Group,
-		CachedTag: q.req.Have, Body: q.req.Body})
-}
-
-// errStray says that a router answers what nobody asked.
-var errStray = errors.New("an answer under an id that was never used")
-
-// read reads answers until the connection ends, and returns why.
-func (n *conn) read() error {
-	space := make([]byte, readSize)
-	fill := 0
-	for {
-		buf := space[:fill] // what has come and is not used up
-		for len(buf) > 0 {
-			h, progress, err := rpc.ParseResponseHeader(buf, headMost, n.c.cfg.MaxAnswer)
-			if err != nil {
-				return err
-			}
-			if progress.Consumed == 0 {
-				break
-			}
-			buf = buf[progress.Consumed:]
-			if h.Kind != rpc.ResponseBody {
-				if err := n.answered(h, nil); err != nil {
-					return err
-				}
-				continue
-			}
-			if buf, err = n.readBody(h, buf, space); err != nil {
-				return err
-			}
-		}
-		fill = copy(space, buf)
-		m, err := n.nc.Read(space[fill:])
-		fill += m
-		if m > 0 {
-			n.heard()
+	conn.shut()
+	conn.state = connEnded
+	unsentIDs := conn.outbox.unsentCalls(failure)
+	conn.outbox.messages = nil
+	var unsent, lost []*policy.Call
+	for _, id := range slices.Sorted(maps.Keys(conn.calls)) {
+		call := conn.calls[id]
+		conn.detach(call)
+		if unsentIDs[id] {
+			unsent = append(unsent, call.policyCall)
 			continue
 		}
-		if err != nil {
-			return err
-		}
-	}
-}
-
-func (n *conn) heard() {
-	n.c.mu.Lock()
-	if n.pn != nil {
-		n.c.pol.BytesReceived(n.c.now(), n.pn)
-	}
-	n.c.mu.Unlock()
-}
-
-// readBody reads the body and the tail of an answer, of which buf has come already. It returns what is behind them.
-func (n *conn) readBody(h rpc.ResponseHeader, buf, space []byte) (rest []byte, err error) {
-	q, err := n.begin(h)
-	if err != nil {
-		return nil, err
-	}
-	body := make([]byte, h.BodySize) // its length is bounded
-	have := copy(body, buf)
-	buf = buf[have:]
-	n.progress(q, body, have)
-	for have < len(body) {
-		m, err := n.nc.Read(body[have:])
-		have += m
-		if m > 0 {
-			n.heard()
-			n.progress(q, body, have)
-		} else if err != nil {
-			return nil, cut(err)
-		}
-	}
-	for {
-		f, progress, err := rpc.ParseResponseTrailer(buf, headMost)
-		if err != nil {
-			return nil, err
-		}
-		if progress.Consumed > 0 {
-			h.Fields = f
-			err = n.answered(h, body)
-			return buf[progress.Consumed:], err
-		}
-		fill := copy(space, buf)
-		m, err := n.nc.Read(space[fill:])
-		if buf = space[:fill+m]; m == 0 && err != nil {
-			return nil, cut(err)
+		lost = append(lost, call.policyCall)
+		if call.claimedTxn == 0 { // a claim that is lost itself leaves what is claimed
+			call.claimedTxn = call.txn
 		}
 	}
+	c.observer.add(Observation{What: Disconnected, Router: conn.address, Err: err})
+	c.policy.ConnectionClosed(c.now(), conn.policyConn, unsent, lost)
+	c.runActions()
 }
 
-// cut is the error of a connection that ends inside an answer.
-func cut(err error) error {
-	if err == io.EOF {
-		return io.ErrUnexpectedEOF
-	}
-	return err
+// send queues a call under an id of its own. The lock is held.
+func (conn *routerConn) send(call *pendingCall, retry bool) {
+	conn.lastID++
+	call.conn, call.id = conn, conn.lastID
+	conn.calls[call.id] = call
+	conn.enqueue(message{kind: requestMessage, call: call, id: call.id, retry: retry})
 }
 
-// begin finds the call that an answer is for; nil where nobody waits for it any more.
-func (n *conn) begin(h rpc.ResponseHeader) (*call, error) {
-	n.c.mu.Lock()
-	defer n.c.mu.Unlock()
-	if h.ID == 0 || h.ID > uint64(n.nextID) {
-		return nil, errStray
-	}
-	q := n.calls[uint32(h.ID)]
-	if q != nil && q.more != nil {
-		q.try++
-		q.body, q.have = nil, 0
+// cancel tells the router that nobody waits for a call any more, or takes it back if it was not written. The lock
+// is held.
+func (conn *routerConn) cancel(call *pendingCall) {
+	conn.detach(call)
+	if !conn.outbox.remove(call) {
+		conn.enqueue(message{kind: cancelNotice, id: call.id})
 	}
-	return q, nil
 }
 
-// progress tells a call with a sink how much of its answer has come.
-func (n *conn) progress(q *call, body []byte, have int) {
-	if q == nil || q.more == nil {
-		return
-	}
-	n.c.mu.Lock()
-	if q.wire == n {
-		q.body, q.have = body, have
-		select {
-		case q.more <- struct{}{}:
-		default:
-		}
+// detach takes a call off the connection: a response to it is ignored. The lock is held.
+func (conn *routerConn) detach(call *pendingCall) {
+	if call.conn == conn {
+		delete(conn.calls, call.id)
+		call.conn = nil
 	}
-	n.c.mu.Unlock()
 }
 
-// answered takes a whole answer.
-func (n *conn) answered(h rpc.ResponseHeader, body []byte) error {
-	c := n.c
-	c.mu.Lock()
-	defer c.unlock()
-	if n.pn == nil {
-		return net.ErrClosed
-	}
-	if h.ID == 0 || h.ID > uint64(n.nextID) {
-		return errStray
-	}
-	if h.Kind == rpc.ResponseHealth {
-		if !h.Ready {
-			c.observe(Observation{What: Drained, Router: n.addr})
-		}
-		c.pol.HealthReceived(c.now(), n.pn, h.Ready)
-		c.settle()
-		return nil
-	}
-	q := n.calls[uint32(h.ID)]
-	if q == nil { // its caller has gone, or it is a second answer
-		c.stats.strays++
-		c.pol.BytesReceived(c.now(), n.pn)
-		return nil
-	}
-	n.forget(q)
-	res, wait := policy.ResultServed, time.Duration(0)
-	if h.Kind == rpc.ResponseError {
-		q.word = string(h.Code)
-		switch q.word {
-		case rpc.CodeThrottled:
-			res, wait = policy.ResultRejected, time.Duration(h.Fields.RetryAfterMillis())*time.Millisecond
-		case rpc.CodeBadRequest, rpc.CodeNoSuchMethod:
-			res = policy.ResultInvalid
-		default:
-			res = policy.ResultFailed
-		}
-	}
-	q.resp.Router = n.addr
-	if res == policy.ResultServed {
-		q.resp.Unchanged, q.resp.Size = h.Fields.IsNotModified(), len(body)
-		if q.req.To == nil {
-			q.resp.Body = body
-		} else {
-			q.body, q.have = body, len(body)
-		}
+// enqueue has a message written. The lock is held.
+func (conn *routerConn) enqueue(m message) {
+	if !conn.state.shutDown() {
+		conn.outbox.messages = append(conn.outbox.messages, m)
+		wake(conn.outbox.wake)
 	}
-	c.observe(Observation{What: Answered, Router: n.addr, Class: c.names[q.class], Result: res, Wait: wait})
-	c.pol.AnswerReceived(c.now(), q.pc, res, wait)
-	c.settle()
-	return nil
 }
--- a/client/errors.go
+++ b/client/errors.go
@@ -10,34 +10,35 @@
 	"hillknot/client/policy"
 )
 
-// The kinds of errors, for errors.Is.
+// The kinds of errors of Do, for errors.Is.
 var (
-	ErrRefused     = errors.New("refused")               // by routers, or before it was sent; it never ran
-	ErrFailed      = errors.New("failed")                // a router said so
-	ErrLost        = errors.New("answer lost")           // the connection broke, or brought nonsense
+	ErrRefused     = errors.New("refused")               // rejected by routers, or shed by the client; it never ran
+	ErrFailed      = errors.New("failed")                // a router reported an error
+	ErrLost        = errors.New("answer lost")           // the connection broke, or brought what can't be read
 	ErrDeadline    = errors.New("no answer in time")     // also matches context.DeadlineExceeded
 	ErrBusy        = errors.New("too many calls wait")   // it was not sent
 	ErrUnreachable = errors.New("no router reached")     // in time; it was not sent
 	ErrCanceled    = errors.New("withdrawn")             // the context ended, or the client was closed meanwhile
-	ErrClosed      = errors.New("client closed")         // before the call
+	ErrClosed      = errors.New("client closed")         // before the call of Do
 	ErrRequest     = errors.New("malformed request")     // it was not sent
-	ErrSink        = errors.New("answer not written to") // Request.To failed
-	ErrMayHaveRun  = errors.New("may have run")          // matches besides, where the class must not be repeated
+	ErrSink        = errors.New("answer not written to") // Request.To failed; the request was served
+	ErrMayHaveRun  = errors.New("may have run")          // matches besides, where the request must not be repeated
 )
 
-// Error says how a call ended that was not served. It matches one of the kinds above, and ErrMayHaveRun besides
-// where a request that must not be repeated may have taken effect.
+// Error says how a request ended that was not served. By errors.Is it matches its Kind, and ErrMayHaveRun besides
+// where a request that must not be repeated may have taken effect: then find out before it is sent again.
 type Error struct {
 	Kind       error
 	MayHaveRun bool          // a router may have got it, and nothing proves that it did not run
-	Unsafe     bool          // a repeat could take effect twice
-	Local      bool          // of ErrRefused: it was not sent, as routers refuse nearly all
-	Wait       time.Duration // of ErrRefused and ErrUnreachable: how long to stay away; 0: not known
-	Tries      int           // times that it was sent
-	Text       string        // of the router, or what is wrong
-	Cause      error         // of the context, or of Request.To
+	Unsafe     bool          // a repeat could take effect twice: its class is not Safe
+	Local      bool          // of ErrRefused: the client shed it, as routers reject nearly all requests
+	Wait       time.Duration // of ErrRefused and ErrUnreachable: when to come back; 0: not known
+	Tries      int           // attempts that were sent
+	Text       string        // the router's error, or what is wrong with the request
+	Cause      error         // the context's, or the error of Request.To; may be nil
 }
 
+// Error implements error.
 func (e *Error) Error() string {
 	var b strings.Builder
 	b.WriteString(e.Kind.Error())
@@ -53,41 +54,64 @@
 	if e.Wait > 0 {
 		fmt.Fprintf(&b, ", to come back in %v", e.Wait.Round(time.Millisecond))
 	}
-	if e.MayHaveRun && e.Unsafe {
+	if e.notToRepeat() {
 		b.WriteString("; it may have run")
 	}
 	return b.String()
 }
 
-// Is implements errors.Is.
+func (e *Error) notToRepeat() bool { return e.MayHaveRun && e.Unsafe }
+
+// Is implements the matching of errors.Is.
 func (e *Error) Is(target error) bool {
-	return target == e.Kind || target == ErrMayHaveRun && e.MayHaveRun && e.Unsafe ||
-		target == context.DeadlineExceeded && e.Kind == ErrDeadline
+	switch target {
+	case e.Kind:
+		return true
+	case ErrMayHaveRun:
+		return e.notToRepeat()
+	case context.DeadlineExceeded:
+		return e.Kind == ErrDeadline
+	}
+	return false
 }
 
-// Unwrap returns the cause.
+// Unwrap returns Cause.
 func (e *Error) Unwrap() error { return e.Cause }
 
-var kinds = map[policy.Verdict]error{
-	policy.Refused: ErrRefused, policy.Failed: ErrFailed, policy.Lost: ErrLost, policy.Deadline: ErrDeadline,
-	policy.Busy: ErrBusy, policy.Unreachable: ErrUnreachable, policy.Withdrawn: ErrCanceled,
+// errorKinds are the kinds of errors by the policy's verdict.
+var errorKinds = map[policy.Verdict]error{
+	policy.Refused:     ErrRefused,
+	policy.Failed:      ErrFailed,
+	policy.Lost:        ErrLost,
+	policy.Deadline:    ErrDeadline,
+	policy.Busy:        ErrBusy,
+	policy.Unreachable: ErrUnreachable,
+	policy.Withdrawn:   ErrCanceled,
 }
 
-// outcome is the error of a call that has ended; nil where it was served.
-func (c *Client) outcome(q *call, cause error) error {
-	e := q.end
-	if e.Verdict == policy.Served {
+// outcomeError is the error of a call that has ended, or nil where it was served. Cause is why the caller canceled
+// it.
+func (c *Client) outcomeError(call *pendingCall, cause error) error {
+	outcome := call.outcome
+	if outcome.Verdict == policy.Served {
 		return nil
 	}
-	out := &Error{Kind: kinds[e.Verdict], MayHaveRun: e.MayHaveRun, Unsafe: !c.kinds[q.class].Safe, Local: e.Local,
-		Wait: e.RetryAfter, Tries: e.Attempts}
-	switch e.Verdict {
+	e := &Error{
+		Kind:       errorKinds[outcome.Verdict],
+		MayHaveRun: outcome.MayHaveRun,
+		Unsafe:     !c.classes.list[call.class].Safe,
+		Local:      outcome.Local,
+		Wait:       outcome.RetryAfter,
+		Tries:      outcome.Attempts,
+	}
+	switch outcome.Verdict {
 	case policy.Failed, policy.Refused:
-		out.Text = q.word
+		e.Text = call.errorText
 	case policy.Withdrawn:
-		if out.Cause = cause; errors.Is(cause, context.DeadlineExceeded) {
-			out.Kind = ErrDeadline
+		e.Cause = cause
+		if errors.Is(cause, context.DeadlineExceeded) {
+			e.Kind = ErrDeadline
 		}
 	}
-	return out
+	return e
 }
--- /dev/null
+++ b/client/observer.go
@@ -0,0 +1,66 @@
+package client
+
+import (
+	"sync"
+	"time"
+
+	"hillknot/client/policy"
+)
+
+// Event is the kind of an Observation.
+type Event uint8
+
+// The events.
+const (
+	Tried        Event = iota // an attempt is sent; see Retry
+	Answered                  // a router has answered an attempt; see Result and Wait
+	Ended                     // a request has ended; see Verdict, Tries and Took
+	Connected                 // a connection is up
+	DialFailed                // a connection did not come up; see Err
+	Disconnected              // a connection has ended; see Err
+	Drained                   // a router answered a health check: it takes no clients now
+)
+
+// Observation is something that happened, for Config.Observer. What says which fields are set.
+type Observation struct {
+	What    Event
+	Router  string // address; empty where no router is concerned
+	Class   string
+	Retry   bool
+	Result  policy.Result
+	Verdict policy.Verdict
+	Wait    time.Duration // the router's Retry-After; 0: none
+	Tries   int           // attempts that were sent
+	Took    time.Duration // over all attempts
+	Err     error
+}
+
+// observer calls Config.Observer for what happened under the client's lock, in order, once that is free.
+type observer struct {
+	notify    func(Observation) // may be nil
+	pending   []Observation     // under the client's lock
+	notifying sync.Mutex        // held while notify is called
+}
+
+// add queues an observation. The client's lock is held.
+func (o *observer) add(observation Observation) {
+	if o.notify != nil {
+		o.pending = append(o.pending, observation)
+	}
+}
+
+// unlockAndNotify frees the client's lock and calls notify for what was queued.
+func (o *observer) unlockAndNotify(clientLock *sync.Mutex) {
+	if len(o.pending) == 0 {
+		clientLock.Unlock()
+		return
+	}
+	o.notifying.Lock() // before the client's lock is free, or observations could overtake each other
+	defer o.notifying.Unlock()
+	pending := o.pending
+	o.pending = nil
+	clientLock.Unlock()
+	for _, observation := range pending {
+		o.notify(observation)
+	}
+}
--- a/client/policy/action.go
+++ b/client/policy/action.go
@@ -9,9 +9,11 @@
 	ActionDial ActionKind = iota
 	// ActionCheckHealth: ask on Conn whether Router takes clients, then report HealthReceived.
 	ActionCheckHealth
-	// ActionSend: write Call on Conn once PrepareWrite allows it. Retry marks that a router may have seen the call before.
+	// ActionSend: write Call on Conn once PrepareWrite allows it. Retry marks that a router may have seen the call
+	// before.
 	ActionSend
-	// ActionCancel: tell the router on Conn that nobody waits for Call any more. Its answer, if one comes, is not reported.
+	// ActionCancel: tell the router on Conn that nobody waits for Call any more. Its response, if one comes, is not
+	// reported.
 	ActionCancel
 	// ActionClose: close Conn. ConnectionClosed must still be reported, with the calls that were in flight on it.
 	ActionClose
--- a/client/policy/call.go
+++ b/client/policy/call.go
@@ -43,7 +43,7 @@
 // retryState is what decides whether a call may be sent again.
 type retryState struct {
 	mayHaveRun   bool // an attempt may have taken effect
-	forbidden    bool // part of an answer has been handed to the caller
+	forbidden    bool // part of a response has been handed to the caller
 	crossedClose bool // it was sent again as it had crossed a router's close, which is done once
 	claiming     bool // its router was lost: the next attempt asks another one for the outcome
 	claimed      bool // it has done so once without the retry budget
@@ -60,21 +60,27 @@
 // StartCall takes a new call. It may end at once: shed, too late, or with too many others waiting.
 func (p *Policy) StartCall(now time.Duration, spec CallSpec) *Call {
 	p.now = now
-	c := &Call{UserData: spec.UserData, class: spec.Class, idempotent: spec.Idempotent, deadline: spec.Deadline, state: callDelayed}
-	c.latest.router = -1
-	c.timer = newTimer(c)
+	call := &Call{
+		UserData:   spec.UserData,
+		class:      spec.Class,
+		idempotent: spec.Idempotent,
+		deadline:   spec.Deadline,
+		state:      callDelayed,
+		latest:     attempt{router: -1},
+	}
+	call.timer = newTimer(call)
 	p.counts.Calls++
 	p.budget.recordFirstAttempt(now)
 	switch {
 	case !p.throttle.admit(now):
 		p.counts.RefusedLocally++
-		p.finish(c, Outcome{Verdict: Refused, Local: true, RetryAfter: p.shedRetryAfter()})
+		p.finish(call, Outcome{Verdict: Refused, Local: true, RetryAfter: p.shedRetryAfter()})
 	case p.waiting >= p.settings.Waiting:
-		p.finish(c, Outcome{Verdict: Busy})
+		p.finish(call, Outcome{Verdict: Busy})
 	default:
-		p.dispatch(c)
+		p.dispatch(call)
 	}
-	return c
+	return call
 }
 
 // shedRetryAfter is how long the caller of a call that is shed should stay away.
@@ -87,76 +93,76 @@
 }
 
 // CancelCall ends a call whose caller no longer waits. It does nothing for a call that has ended.
-func (p *Policy) CancelCall(now time.Duration, c *Call) {
+func (p *Policy) CancelCall(now time.Duration, call *Call) {
 	p.now = now
-	p.abandon(c, Withdrawn)
+	p.abandon(call, Withdrawn)
 	p.sendQueued()
 }
 
 // abandon ends a call whatever its state, and tells the router that may be working on it.
-func (p *Policy) abandon(c *Call, verdict Verdict) {
-	if c.state == callEnded {
+func (p *Policy) abandon(call *Call, verdict Verdict) {
+	if call.state == callEnded {
 		return
 	}
-	if c.state == callInFlight {
-		p.request(Action{Kind: ActionCancel, Conn: c.latest.conn, Call: c})
-		if c.latest.written {
-			c.retry.mayHaveRun = true
+	if call.state == callInFlight {
+		p.request(Action{Kind: ActionCancel, Conn: call.latest.conn, Call: call})
+		if call.latest.written {
+			call.retry.mayHaveRun = true
 		} else {
-			p.uncountAttempt(c)
+			p.uncountAttempt(call)
 		}
-		p.detach(c)
+		p.detach(call)
 	}
-	p.finish(c, Outcome{Verdict: verdict})
+	p.finish(call, Outcome{Verdict: verdict})
 }
 
 // uncountAttempt takes back the latest attempt: not a byte of it was written.
-func (p *Policy) uncountAttempt(c *Call) {
-	c.attempts--
+func (p *Policy) uncountAttempt(call *Call) {
+	call.attempts--
 	p.counts.Tries--
-	if c.isRetry() {
+	if call.isRetry() {
 		p.counts.Retries--
 	}
 }
 
 // isRetry says whether a router may have seen the call before the attempt that is about to be made.
-func (c *Call) isRetry() bool { return c.attempts > 0 }
+func (call *Call) isRetry() bool { return call.attempts > 0 }
 
 // IsClaim says whether the call's attempt asks for the outcome of the one before it, whose router was lost.
-func (c *Call) IsClaim() bool { return c.retry.claiming }
+func (call *Call) IsClaim() bool { return call.retry.claiming }
 
-// ForbidRetry keeps the call from being sent again, as part of an answer has been handed to its caller.
-func (c *Call) ForbidRetry() { c.retry.forbidden = true }
+// ForbidRetry keeps the call from being sent again, as part of a response has been handed to its caller.
+func (call *Call) ForbidRetry() { call.retry.forbidden = true }
 
 // finish ends a call for its caller.
-func (p *Policy) finish(c *Call, outcome Outcome) {
-	p.uncountWaiting(c)
-	c.state = callEnded
-	p.stopTimer(&c.timer)
-	outcome.MayHaveRun = c.retry.mayHaveRun && outcome.Verdict != Served
-	outcome.Attempts = c.attempts
-	p.request(Action{Kind: ActionFinish, Call: c, Outcome: outcome})
+func (p *Policy) finish(call *Call, outcome Outcome) {
+	p.uncountWaiting(call)
+	call.state = callEnded
+	p.stopTimer(&call.timer)
+	outcome.MayHaveRun = call.retry.mayHaveRun && outcome.Verdict != Served
+	outcome.Attempts = call.attempts
+	p.request(Action{Kind: ActionFinish, Call: call, Outcome: outcome})
 }
 
 // setCallTimer sets a call's timer to its deadline, or to the end of its delay where that comes first.
-func (p *Policy) setCallTimer(c *Call) {
-	at := c.deadline
-	if c.state == callDelayed {
-		at = min(at, c.delayedUntil)
+func (p *Policy) setCallTimer(call *Call) {
+	at := call.deadline
+	if call.state == callDelayed {
+		at = min(at, call.delayedUntil)
 	}
-	p.setTimer(&c.timer, at)
+	p.setTimer(&call.timer, at)
 }
 
-func (c *Call) timerDue(p *Policy) {
+func (call *Call) timerDue(p *Policy) {
 	switch {
-	case p.now >= c.deadline:
-		if c.state == callInFlight {
-			p.recordOverdue(c.latest.conn.router)
+	case p.now >= call.deadline:
+		if call.state == callInFlight {
+			p.recordOverdue(call.latest.conn.router)
 		}
-		p.abandon(c, Deadline)
-	case c.state == callDelayed:
-		p.dispatch(c)
+		p.abandon(call, Deadline)
+	case call.state == callDelayed:
+		p.dispatch(call)
 	default:
-		p.setCallTimer(c)
+		p.setCallTimer(call)
 	}
 }
--- a/client/policy/conn.go
+++ b/client/policy/conn.go
@@ -22,7 +22,7 @@
 	sent       uint64 // calls in all
 	writePace  float64
 	lastUsed   time.Duration // when a call was last added or removed
-	lastHeard  time.Duration // when bytes last came, or the connection began to owe an answer
+	lastHeard  time.Duration // when bytes last came, or the connection began to owe a response
 	idleBefore time.Duration // how long it had been idle before the calls that are in flight now
 	health     healthCheck
 }
@@ -38,7 +38,7 @@
 
 const (
 	connDialing  connState = iota
-	connChecking           // up, and waits for the answer to its first health check
+	connChecking           // up, and waits for the response to its first health check
 	connReady              // takes calls
 	connDraining           // takes no new calls, and is closed once none is in flight
 	connClosed
@@ -49,7 +49,7 @@
 
 func (conn *Conn) addCall(p *Policy) {
 	conn.inFlight++
-	if conn.inFlight == 1 { // it owed no answer: its silence begins now
+	if conn.inFlight == 1 { // it owed no response: its silence begins now
 		conn.lastHeard, conn.idleBefore = p.now, p.now-conn.lastUsed
 		p.setConnTimer(conn)
 	}
@@ -83,7 +83,8 @@
 	}
 }
 
-// lacksCapacity says whether all connections to a router are nearly full, no other is on its way, and one more is allowed.
+// lacksCapacity says whether all connections to a router are nearly full, no other is on its way, and one more is
+// allowed.
 func (p *Policy) lacksCapacity(r *router) bool {
 	active := 0
 	for _, conn := range r.conns {
@@ -130,8 +131,8 @@
 	p.sendQueued()
 }
 
-// reviewConn drains a connection that has carried all the calls that it may, closes one that has drained, and makes sure
-// that a ready one has its timer.
+// reviewConn drains a connection that has carried all the calls that it may, closes one that has drained, and makes
+// sure that a ready one has its timer.
 func (p *Policy) reviewConn(conn *Conn) {
 	switch {
 	case conn.state == connDraining && conn.inFlight == 0:
--- a/client/policy/connclose.go
+++ b/client/policy/connclose.go
@@ -12,8 +12,9 @@
 	spreadDial   bool // the connection was in use: other clients lost theirs too, and come back at the same time
 }
 
-// ConnectionClosed reports that a connection has ended: by the router, through a fault, or as ActionClose asked. Unsent
-// lists the calls in flight of which surely not one byte was written, lost all others. It must be reported once.
+// ConnectionClosed reports that a connection has ended: by the router, through a fault, or as ActionClose asked.
+// Unsent lists the calls in flight of which surely not one byte was written, lost all others. It must be reported
+// once.
 func (p *Policy) ConnectionClosed(now time.Duration, conn *Conn, unsent, lost []*Call) {
 	p.now = now
 	end := p.classifyEnd(conn, lost)
@@ -24,16 +25,16 @@
 	if end.spreadDial {
 		p.backOffDial(conn.router)
 	}
-	for _, c := range unsent {
-		if c.latest.conn == conn {
-			p.detach(c)
-			p.move(c)
+	for _, call := range unsent {
+		if call.latest.conn == conn {
+			p.detach(call)
+			p.move(call)
 		}
 	}
-	for _, c := range lost {
-		if c.latest.conn == conn {
-			p.detach(c)
-			p.recoverLost(c, end.crossedClose)
+	for _, call := range lost {
+		if call.latest.conn == conn {
+			p.detach(call)
+			p.recoverLost(call, end.crossedClose)
 		}
 	}
 	p.sendQueued()
@@ -56,8 +57,8 @@
 
 // writtenJustNow says whether all of these calls were written so shortly ago that the router may not have seen them.
 func (p *Policy) writtenJustNow(calls []*Call) bool {
-	for _, c := range calls {
-		if p.now-c.latest.sentAt > p.settings.Crossing {
+	for _, call := range calls {
+		if p.now-call.latest.sentAt > p.settings.Crossing {
 			return false
 		}
 	}
--- a/client/policy/dispatch.go
+++ b/client/policy/dispatch.go
@@ -3,15 +3,15 @@
 import "time"
 
 // dispatch sends a call, keeps it until it can be sent, or ends it where that moment comes too late.
-func (p *Policy) dispatch(c *Call) {
-	latestStart := c.deadline - p.minServiceTime(c)
+func (p *Policy) dispatch(call *Call) {
+	latestStart := call.deadline - p.minServiceTime(call)
 	if p.now > latestStart {
-		p.finish(c, Outcome{Verdict: Deadline})
+		p.finish(call, Outcome{Verdict: Deadline})
 		return
 	}
 	p.openConns()
-	if conn := p.pickConn(c); conn != nil {
-		p.send(c, conn)
+	if conn := p.pickConn(call); conn != nil {
+		p.send(call, conn)
 		return
 	}
 	at, verdict := p.nextCapacity()
@@ -21,55 +21,55 @@
 	}
 	switch {
 	case at > latestStart:
-		p.finish(c, Outcome{Verdict: verdict, Local: verdict == Refused, RetryAfter: at - p.now})
+		p.finish(call, Outcome{Verdict: verdict, Local: verdict == Refused, RetryAfter: at - p.now})
 	case rejecting:
-		c.delayedUntil = at
-		p.hold(c, callDelayed)
+		call.delayedUntil = at
+		p.hold(call, callDelayed)
 	default:
-		p.queue = append(p.queue, c)
-		p.hold(c, callQueued)
+		p.queue = append(p.queue, call)
+		p.hold(call, callQueued)
 	}
 }
 
 // hold keeps a call in a state in which it is with no router.
-func (p *Policy) hold(c *Call, state callState) {
-	if !c.neverSent && c.attempts == 0 {
-		c.neverSent = true
+func (p *Policy) hold(call *Call, state callState) {
+	if !call.neverSent && call.attempts == 0 {
+		call.neverSent = true
 		p.waiting++
 	}
-	c.state = state
-	p.setCallTimer(c)
+	call.state = state
+	p.setCallTimer(call)
 }
 
 // uncountWaiting takes a call off those that were never sent.
-func (p *Policy) uncountWaiting(c *Call) {
-	if c.neverSent {
-		c.neverSent = false
+func (p *Policy) uncountWaiting(call *Call) {
+	if call.neverSent {
+		call.neverSent = false
 		p.waiting--
 	}
 }
 
 // send starts an attempt on a connection with capacity.
-func (p *Policy) send(c *Call, conn *Conn) {
-	p.uncountWaiting(c)
-	isRetry := c.isRetry()
-	c.state = callInFlight
-	c.latest = attempt{conn: conn, router: conn.router.index, sentAt: p.now}
+func (p *Policy) send(call *Call, conn *Conn) {
+	p.uncountWaiting(call)
+	isRetry := call.isRetry()
+	call.state = callInFlight
+	call.latest = attempt{conn: conn, router: conn.router.index, sentAt: p.now}
 	conn.addCall(p)
-	c.attempts++
+	call.attempts++
 	p.counts.Tries++
 	if isRetry {
 		p.counts.Retries++
 	}
-	p.setCallTimer(c)
+	p.setCallTimer(call)
 	p.reviewConn(conn)
-	p.request(Action{Kind: ActionSend, Call: c, Conn: conn, Router: conn.router.index, Retry: isRetry})
+	p.request(Action{Kind: ActionSend, Call: call, Conn: conn, Router: conn.router.index, Retry: isRetry})
 }
 
 // detach takes a call off its connection.
-func (p *Policy) detach(c *Call) {
-	conn := c.latest.conn
-	c.latest.conn, c.state = nil, callDelayed
+func (p *Policy) detach(call *Call) {
+	conn := call.latest.conn
+	call.latest.conn, call.state = nil, callDelayed
 	conn.removeCall(p.now)
 	p.reviewConn(conn)
 }
@@ -77,13 +77,13 @@
 // sendQueued sends what is queued, in order, for as long as there is capacity.
 func (p *Policy) sendQueued() {
 	for len(p.queue) > 0 {
-		if c := p.queue[0]; c.state == callQueued {
-			conn := p.pickConn(c)
+		if call := p.queue[0]; call.state == callQueued {
+			conn := p.pickConn(call)
 			if conn == nil {
 				return
 			}
 			p.dropQueueHead()
-			p.send(c, conn)
+			p.send(call, conn)
 		} else {
 			p.dropQueueHead()
 		}
@@ -102,37 +102,38 @@
 func (p *Policy) redispatchQueued() {
 	queued := p.queue
 	p.queue = nil
-	for _, c := range queued {
-		if c.state == callQueued {
-			p.dispatch(c)
+	for _, call := range queued {
+		if call.state == callQueued {
+			p.dispatch(call)
 		}
 	}
 }
 
 // anyQueued says whether a call waits for capacity.
 func (p *Policy) anyQueued() bool {
-	for _, c := range p.queue {
-		if c.state == callQueued {
+	for _, call := range p.queue {
+		if call.state == callQueued {
 			return true
 		}
 	}
 	return false
 }
 
-// PrepareWrite must be called right before a call that ActionSend asked for is written. With ok it counts as written, and
-// limit is how long the router may be told that the client waits. Without ok the call has ended, or ends now as too
-// little time is left, and must not be written. Bytes is the size of the write up to and with this call.
-func (p *Policy) PrepareWrite(now time.Duration, c *Call, bytes int) (limit time.Duration, ok bool) {
+// PrepareWrite must be called right before a call that ActionSend asked for is written. With ok it counts as
+// written, and limit is how long the router may be told that the client waits. Without ok the call has ended, or
+// ends now as too little time is left, and must not be written. Bytes is the size of the write up to and with this
+// call.
+func (p *Policy) PrepareWrite(now time.Duration, call *Call, bytes int) (limit time.Duration, ok bool) {
 	p.now = now
-	if c.state != callInFlight {
+	if call.state != callInFlight {
 		return 0, false
 	}
-	c.latest.sentAt = now
-	limit = c.deadline - now - c.latest.conn.expectedWriteTime(bytes)
-	if limit < p.minServiceTime(c) {
-		p.abandon(c, Deadline)
+	call.latest.sentAt = now
+	limit = call.deadline - now - call.latest.conn.expectedWriteTime(bytes)
+	if limit < p.minServiceTime(call) {
+		p.abandon(call, Deadline)
 		return 0, false
 	}
-	c.latest.written = true
+	call.latest.written = true
 	return limit, true
 }
--- a/client/policy/health.go
+++ b/client/policy/health.go
@@ -14,7 +14,7 @@
 	return min(conn.lastHeard+p.settings.Quiet, conn.health.lastSent+p.settings.CheckEvery)
 }
 
-// HealthReceived reports the answer to a health check: whether the router takes clients.
+// HealthReceived reports the response to a health check: whether the router takes clients.
 func (p *Policy) HealthReceived(now time.Duration, conn *Conn, ready bool) {
 	p.now = now
 	conn.lastHeard, conn.health.pendingSince = now, 0
@@ -33,8 +33,8 @@
 	p.sendQueued()
 }
 
-// BytesReceived reports that bytes came in. Where a connection is in use they count as the answer to a health check: the
-// router is there.
+// BytesReceived reports that bytes came in. Where a connection is in use they count as the response to a health
+// check: the router is there.
 func (p *Policy) BytesReceived(now time.Duration, conn *Conn) {
 	conn.lastHeard = now
 	if conn.state != connChecking {
@@ -42,7 +42,7 @@
 	}
 }
 
-// closeSilent closes a connection whose router did not answer a health check.
+// closeSilent closes a connection whose router did not response a health check.
 func (p *Policy) closeSilent(conn *Conn) {
 	p.counts.Silent++
 	p.closeConn(conn)
--- a/client/policy/outcome.go
+++ b/client/policy/outcome.go
@@ -11,7 +11,7 @@
 	Refused             // rejected by routers, or locally while routers reject nearly all; it never ran
 	Failed              // a router reported an error
 	Lost                // the connection broke, or brought something that can't be read
-	Deadline            // no answer in time
+	Deadline            // no response in time
 	Busy                // too many calls wait already; it was not sent
 	Unreachable         // no router can be reached in time; it was not sent
 	Withdrawn           // canceled by its caller
--- a/client/policy/outlier.go
+++ b/client/policy/outlier.go
@@ -6,7 +6,8 @@
 	// maxEjectionDoublings bounds how often the span of a router's ejections is doubled.
 	maxEjectionDoublings = 16
 
-	// ejectionMemory is how many times EjectFor a router has to do well after an ejection until the next one is short again.
+	// ejectionMemory is how many times EjectFor a router has to do well after an ejection until the next one is
+	// short again.
 	ejectionMemory = 4
 )
 
@@ -17,7 +18,7 @@
 	ejections    int // that make the next one longer
 }
 
-// recordSuccess counts an answer that shows a router at work.
+// recordSuccess counts a response that shows a router at work.
 func (p *Policy) recordSuccess(r *router) {
 	r.outlier.failures = 0
 	if r.outlier.ejections > 0 && p.now > r.outlier.ejectedUntil+ejectionMemory*p.settings.EjectFor {
@@ -33,7 +34,7 @@
 	}
 }
 
-// recordOverdue counts that a router did not answer within the time that it was told.
+// recordOverdue counts that a router did not response within the time that it was told.
 func (p *Policy) recordOverdue(r *router) {
 	r.recordSuccessRate(0)
 	p.recordFailure(r)
--- a/client/policy/policy.go
+++ b/client/policy/policy.go
@@ -1,13 +1,13 @@
-// Package policy decides for a client of edge routers: which router gets a request, whether and when it is retried, when
-// it is shed before it is sent, and when connections are opened, checked and closed.
+// Package policy decides for a client of edge routers: which router gets a request, whether and when it is retried,
+// when it is shed before it is sent, and when connections are opened, checked and closed.
 //
-// It is a state machine without I/O, clock or global randomness. The caller reports events through the methods of Policy,
-// each with the time at which it happened, and after each of them does what Actions returns. Times are durations since
-// any fixed moment, must be above 0 and never go back. Random numbers come from Settings.Seed: equal events lead to
-// equal actions.
+// It is a state machine without I/O, clock or global randomness. The caller reports events through the methods of
+// Policy, each with the time at which it happened, and after each of them does what Actions returns. Times are
+// durations since any fixed moment, must be above 0 and never go back. Random numbers come from Settings.Seed:
+// equal events lead to equal actions.
 //
-// A Policy, its calls and its connections are not safe for concurrent use: the caller holds one lock around an event and
-// the actions that follow from it.
+// A Policy, its calls and its connections are not safe for concurrent use: the caller holds one lock around an
+// event and the actions that follow from it.
 package policy
 
 import (
@@ -32,8 +32,8 @@
 	counts   Counts
 }
 
-// New returns the policy of a client that knows the given number of routers and classes of requests. Both are named by
-// their index from 0. The settings must have passed Settings.Check.
+// New returns the policy of a client that knows the given number of routers and classes of requests. Both are named
+// by their index from 0. The settings must have passed Settings.Check.
 func New(settings Settings, routers, classes int) *Policy {
 	const stream = 0x9e3779b97f4a7c15
 	p := &Policy{
--- a/client/policy/policy_test.go
+++ b/client/policy/policy_test.go
@@ -195,7 +195,7 @@
 			if res == ResultRejected {
 				l.peer.away = max(l.peer.away, w.now+wait)
 			}
-			w.p.AnswerReceived(w.now, a.Call, res, wait)
+			w.p.ResponseReceived(w.now, a.Call, res, wait)
 		}
 	})
 }
--- a/client/policy/reconnect.go
+++ b/client/policy/reconnect.go
@@ -27,8 +27,8 @@
 	}
 }
 
-// backOffDial sets when the next connection to a router is opened, unless another one is ready. The clients of a router
-// that restarts must not all come back together; one that was never up is dialed again sooner at first.
+// backOffDial sets when the next connection to a router is opened, unless another one is ready. The clients of a
+// router that restarts must not all come back together; one that was never up is dialed again sooner at first.
 func (p *Policy) backOffDial(r *router) {
 	for _, conn := range r.conns {
 		if conn.state == connReady {
--- a/client/policy/retrybudget.go
+++ b/client/policy/retrybudget.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// retryBudget bounds the retries of all calls together, to a share of the first attempts of a sliding window and a small
-// floor. Without it the retries of all calls would multiply the load on routers that are overloaded already.
+// retryBudget bounds the retries of all calls together, to a share of the first attempts of a sliding window and a
+// small floor. Without it the retries of all calls would multiply the load on routers that are overloaded already.
 type retryBudget struct {
 	share, floor           float64
 	firstAttempts, retries slidingSum
--- a/client/policy/router.go
+++ b/client/policy/router.go
@@ -9,7 +9,7 @@
 	// loadFade is the time constant with which what was seen of a router fades.
 	loadFade = 2 * time.Second
 
-	// Weights of the latest sample in moving averages. A slower answer counts sooner than a quicker one.
+	// Weights of the latest sample in moving averages. A slower response counts sooner than a quicker one.
 	slowerWeight        = 0.3
 	quickerWeight       = 0.1
 	successRateWeight   = 0.1
@@ -32,11 +32,11 @@
 	timer        timer
 }
 
-// loadEstimate is what a router's answers tell of its load.
+// loadEstimate is what a router's responses tell of its load.
 type loadEstimate struct {
-	latency     float64 // moving average of the answers that served, in seconds; 0: not known
-	successRate float64 // share of its answers that served, a moving average from 0 to 1
-	lastAnswer  time.Duration
+	latency      float64 // moving average of the responses that served, in seconds; 0: not known
+	successRate  float64 // share of its responses that served, a moving average from 0 to 1
+	lastResponse time.Duration
 }
 
 // usable says whether the router may get calls now.
@@ -55,9 +55,9 @@
 	return best
 }
 
-// recordAnswer takes the time and the kind of an answer.
-func (r *router) recordAnswer(now, took time.Duration, result Result) {
-	r.load.lastAnswer = now
+// recordResponse takes the time and the kind of a response.
+func (r *router) recordResponse(now, took time.Duration, result Result) {
+	r.load.lastResponse = now
 	if result != ResultServed && result != ResultInvalid {
 		r.recordSuccessRate(0)
 		return
@@ -77,11 +77,11 @@
 	r.load.successRate += successRateWeight * (sample - r.load.successRate)
 }
 
-// expectedCost is the lower the sooner a call is expected to be served there. A router that rejects does so quickly: its
-// answers count as slower the fewer of them serve. What was seen of a router fades, so that it is tried again; where
-// nothing is known the average over all routers is expected.
+// expectedCost is the lower the sooner a call is expected to be served there. A router that rejects does so
+// quickly: its responses count as slower the fewer of them serve. What was seen of a router fades, so that it is
+// tried again; where nothing is known the average over all routers is expected.
 func (p *Policy) expectedCost(r *router) float64 {
-	known := math.Exp(-(p.now - r.load.lastAnswer).Seconds() / loadFade.Seconds())
+	known := math.Exp(-(p.now - r.load.lastResponse).Seconds() / loadFade.Seconds())
 	latency := p.latency
 	if r.load.latency > 0 {
 		latency += (r.load.latency - p.latency) * known
--- a/client/policy/selection.go
+++ b/client/policy/selection.go
@@ -6,9 +6,9 @@
 )
 
 // pickConn chooses the connection for a call: the better of two random routers that have capacity (power of two
-// choices). A retry goes to another router than the attempt before it where there is one. It returns nil where no router
-// has capacity.
-func (p *Policy) pickConn(c *Call) *Conn {
+// choices). A retry goes to another router than the attempt before it where there is one. It returns nil where no
+// router has capacity.
+func (p *Policy) pickConn(call *Call) *Conn {
 	pair := pairSampler{random: p.random}
 	var previous *Conn
 	for _, r := range p.routers {
@@ -19,7 +19,7 @@
 		if conn == nil {
 			continue
 		}
-		if r.index == c.latest.router && c.attempts+c.moves > 0 {
+		if r.index == call.latest.router && call.attempts+call.moves > 0 {
 			previous = conn
 			continue
 		}
@@ -34,8 +34,8 @@
 	return pair.first
 }
 
-// pairSampler draws two of the connections that it is offered, each pair as likely as any other (reservoir sampling): it
-// needs no list of them.
+// pairSampler draws two of the connections that it is offered, each pair as likely as any other (reservoir
+// sampling): it needs no list of them.
 type pairSampler struct {
 	random        *rand.Rand
 	first, second *Conn
@@ -59,8 +59,8 @@
 	}
 }
 
-// nextCapacity returns when a call that finds no capacity now may find some, and the verdict with which it ends if that is
-// too late. The time is now where calls in flight or a connection on its way may make room at any moment.
+// nextCapacity returns when a call that finds no capacity now may find some, and the verdict with which it ends if
+// that is too late. The time is now where calls in flight or a connection on its way may make room at any moment.
 func (p *Policy) nextCapacity() (at time.Duration, verdict Verdict) {
 	if at, all := p.allRejectingUntil(); all {
 		return at, Refused
@@ -81,8 +81,8 @@
 	return at, Unreachable
 }
 
-// allRejectingUntil says whether all routers that can be reached told their clients to stay away, and when the first of
-// them takes calls again.
+// allRejectingUntil says whether all routers that can be reached told their clients to stay away, and when the
+// first of them takes calls again.
 func (p *Policy) allRejectingUntil() (at time.Duration, all bool) {
 	for _, r := range p.routers {
 		notReachable := len(r.conns) == 0 && p.now < r.dial.notBefore || p.now < r.outlier.ejectedUntil
--- a/client/policy/servicetime.go
+++ b/client/policy/servicetime.go
@@ -41,6 +41,6 @@
 }
 
 // minServiceTime is the least time that an attempt of the call needs.
-func (p *Policy) minServiceTime(c *Call) time.Duration {
-	return p.classes[c.class].quickest(p.now, p.settings.LeastTime)
+func (p *Policy) minServiceTime(call *Call) time.Duration {
+	return p.classes[call.class].quickest(p.now, p.settings.LeastTime)
 }
--- a/client/policy/settings.go
+++ b/client/policy/settings.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Settings are the limits and times of a client. Start from Defaults: the zero value is not valid. A time is above 0 and
-// at most an hour.
+// Settings are the limits and times of a client. Start from Defaults: the zero value is not valid. A time is above
+// 0 and at most an hour.
 type Settings struct {
 	// Seed is the seed of all random numbers. Clients must differ in it, or they act at the same moments.
 	Seed uint64
@@ -30,7 +30,7 @@
 	DialWait       time.Duration // time limit of a dial
 	CheckWait      time.Duration // time limit of a health check
 	CheckEvery     time.Duration // interval of health checks on a connection in use
-	Quiet          time.Duration // a connection that owes answers and is silent for so long is checked
+	Quiet          time.Duration // a connection that owes responses and is silent for so long is checked
 	Reconnect      time.Duration // span over which reconnects after a break are spread
 
 	// Outlier ejection.
@@ -39,13 +39,13 @@
 	EjectMost  time.Duration // how long any ejection lasts, give or take a quarter
 	EjectShare float64       // of the routers that may be ejected at a time, from 0 to 1
 
-	// Claims has a call that is not idempotent, and whose router was lost, ask another router for its outcome. That one
-	// asks the others, and runs the request only if it surely never ran. All routers must be configured to keep orders
-	// for each other.
+	// Claims has a call that is not idempotent, and whose router was lost, ask another router for its outcome. That
+	// one asks the others, and runs the request only if it surely never ran. All routers must be configured to keep
+	// orders for each other.
 	Claims bool
 
 	// Throttling, while routers reject nearly all calls.
-	ThrottleWindow time.Duration // sliding window of answers that it is judged by
+	ThrottleWindow time.Duration // sliding window of responses that it is judged by
 	ThrottleLeast  int           // calls of the window below which nothing is shed
 	ThrottleOver   float64       // calls beyond this multiple of the accepted ones are shed
 	ProbeEvery     time.Duration // one call is admitted so often all the same
--- a/client/policy/throttle.go
+++ b/client/policy/throttle.go
@@ -9,24 +9,25 @@
 	// rampShedShare is the share of calls that is shed when the ramp after a storm begins.
 	rampShedShare = 0.8
 
-	// So many accepted answers in a row end a storm: more where routers accepted some calls all along, as two
+	// So many accepted responses in a row end a storm: more where routers accepted some calls all along, as two
 	// accepted ones in a row say little there.
 	stormEndStreak        = 2
 	partialStormEndStreak = 8
 
-	// partialStormAccepted is how many accepted answers of a window make a storm a partial one.
+	// partialStormAccepted is how many accepted responses of a window make a storm a partial one.
 	partialStormAccepted = 2
 )
 
-// throttle sheds calls locally while routers reject nearly all of them (a storm): adaptive throttling, as in the Google
-// SRE book, with a probe and a ramp that let it recover within a second. It spares routers the work of rejecting, and
-// the callers' link what comes to nothing. One call at a time is admitted all the same, to see the end of the storm.
+// throttle sheds calls locally while routers reject nearly all of them (a storm): adaptive throttling, as in the
+// Google SRE book, with a probe and a ramp that let it recover within a second. It spares routers the work of
+// rejecting, and the callers' link what comes to nothing. One call at a time is admitted all the same, to see the
+// end of the storm.
 type throttle struct {
 	settings  *Settings
 	random    *rand.Rand
 	ended     slidingSum    // calls answered by routers or shed
 	accepted  slidingSum    // calls that routers did not reject
-	streak    int           // answers accepted in a row
+	streak    int           // responses accepted in a row
 	lastProbe time.Duration // when a call was last admitted as a probe
 	rampStart time.Duration // 0: no ramp
 }
@@ -81,7 +82,7 @@
 	t.ended.add(now, 1)
 }
 
-// recordAccepted counts an answer that was no rejection, and starts the ramp where it shows that a storm is over.
+// recordAccepted counts a response that was no rejection, and starts the ramp where it shows that a storm is over.
 func (t *throttle) recordAccepted(now time.Duration) {
 	t.streak++
 	inStorm := t.rampStart == 0 && t.shedShare(now) > 0
--- a/client/policy/timers.go
+++ b/client/policy/timers.go
@@ -43,7 +43,8 @@
 // popTimer removes the earliest timer.
 func (p *Policy) popTimer() *timer { return heap.Pop(&p.timers).(*timer) }
 
-// timerHeap implements heap.Interface, with the earliest timer first. Each timer knows its index, so that it can be moved.
+// timerHeap implements heap.Interface, with the earliest timer first. Each timer knows its index, so that it can be
+// moved.
 type timerHeap []*timer
 
 func (h timerHeap) Len() int { return len(h) }
--- a/client/stats.go
+++ b/client/stats.go
@@ -8,35 +8,7 @@
 	"hillknot/client/policy"
 )
 
-// Event is what an Observation tells of.
-type Event uint8
-
-// The events.
-const (
-	Tried        Event = iota // a call goes out; Retry marks a further try
-	Answered                  // a router has answered a try; see Result and Wait
-	Ended                     // a call has ended; see Verdict, Tries and Took
-	Connected                 // a connection is up
-	DialFailed                // one did not come up; see Err
-	Disconnected              // one has ended; see Err
-	Drained                   // a router said that it takes no clients
-)
-
-// Observation is something that happened.
-type Observation struct {
-	What    Event
-	Router  string // address; empty where there is none
-	Class   string
-	Retry   bool
-	Result  policy.Result
-	Verdict policy.Verdict
-	Wait    time.Duration
-	Tries   int
-	Took    time.Duration
-	Err     error
-}
-
-// Latency summarises how long calls of a class took, over all their tries.
+// Latency summarizes how long the requests of a class took, over all their attempts.
 type Latency struct {
 	Count                    int64
 	Mean, P50, P95, P99, Max time.Duration
@@ -45,70 +17,70 @@
 // Stats are the figures of a client since its start.
 type Stats struct {
 	policy.Counts
-	Open    int // calls begun and not ended
-	Waiting int // of these, not sent yet
-	Ended   map[policy.Verdict]uint64
-	Strays  uint64 // answers for which nobody waited any more
-	Served  map[string]Latency
+	Open    int                       // requests that have not ended
+	Waiting int                       // of these, not sent yet
+	Ended   map[policy.Verdict]uint64 // requests that have ended
+	Strays  uint64                    // responses to requests that had ended already
+	Served  map[string]Latency        // of the requests that were served, by class
 }
 
-// stats is what the client counts, under its lock.
-type stats struct {
-	ends   [policy.Withdrawn + 1]uint64
+// counters are the client's own figures, under its lock.
+type counters struct {
+	ended  [policy.Withdrawn + 1]uint64 // by verdict
 	strays uint64
 	served []*hdrhistogram.Histogram // by class, in microseconds
 }
 
-func (s *stats) init(classes int) {
+const (
+	longestLatency  = 2 * time.Hour // no request takes longer than an hour
+	latencyAccuracy = 2             // significant figures; some 20 kB a class
+)
+
+func newCounters(classes int) counters {
+	var s counters
 	for range classes {
-		// Two figures from 1 µs to two hours, in some 20 kB a class.
-		s.served = append(s.served, hdrhistogram.New(1, (2*time.Hour).Microseconds(), 2))
+		s.served = append(s.served, hdrhistogram.New(1, longestLatency.Microseconds(), latencyAccuracy))
 	}
+	return s
 }
 
-func (s *stats) ended(q *call, e policy.Outcome) {
-	s.ends[e.Verdict]++
-	if e.Verdict == policy.Served {
-		_ = s.served[q.class].RecordValue(q.resp.Took.Microseconds()) // no call is over an hour
+// recordEnd counts a call that has ended.
+func (s *counters) recordEnd(call *pendingCall) {
+	s.ended[call.outcome.Verdict]++
+	if call.outcome.Verdict == policy.Served {
+		_ = s.served[call.class].RecordValue(call.response.Took.Microseconds()) // it can't be out of range
 	}
 }
 
-// Stats returns the figures up to now.
+// Stats returns the figures up to now. They are consistent with each other, and the caller's own.
 func (c *Client) Stats() Stats {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	s := Stats{Counts: c.pol.Counts(), Open: len(c.open), Waiting: c.pol.Waiting(), Strays: c.stats.strays,
-		Ended: map[policy.Verdict]uint64{}, Served: map[string]Latency{}}
-	for v, n := range c.stats.ends {
-		s.Ended[policy.Verdict(v)] = n
+	stats := Stats{
+		Counts:  c.policy.Counts(),
+		Open:    len(c.calls),
+		Waiting: c.policy.Waiting(),
+		Ended:   map[policy.Verdict]uint64{},
+		Strays:  c.counters.strays,
+		Served:  map[string]Latency{},
 	}
-	for i, h := range c.stats.served {
-		us := func(v int64) time.Duration { return time.Duration(v) * time.Microsecond }
-		s.Served[c.names[i]] = Latency{Count: h.TotalCount(), Mean: us(int64(h.Mean())), P50: us(h.ValueAtQuantile(50)),
-			P95: us(h.ValueAtQuantile(95)), P99: us(h.ValueAtQuantile(99)), Max: us(h.Max())}
+	for verdict, n := range c.counters.ended {
+		stats.Ended[policy.Verdict(verdict)] = n
 	}
-	return s
-}
-
-// observe keeps what is to be told once the lock is free, which is held.
-func (c *Client) observe(o Observation) {
-	if c.cfg.Observer != nil {
-		c.seen = append(c.seen, o)
+	for class, histogram := range c.counters.served {
+		stats.Served[c.classes.list[class].name] = summarize(histogram)
 	}
+	return stats
 }
 
-// unlock frees the lock and tells the observer what has happened under it.
-func (c *Client) unlock() {
-	if len(c.seen) == 0 {
-		c.mu.Unlock()
-		return
-	}
-	c.tell.Lock() // before the other is free: observations come in their order
-	seen := c.seen
-	c.seen = nil
-	c.mu.Unlock()
-	for _, o := range seen {
-		c.cfg.Observer(o)
+func summarize(histogram *hdrhistogram.Histogram) Latency {
+	microseconds := func(v int64) time.Duration { return time.Duration(v) * time.Microsecond }
+	return Latency{
+		Count: histogram.TotalCount(),
+		Mean:  microseconds(int64(histogram.Mean())),
+		P50:   microseconds(histogram.ValueAtQuantile(50)),
+		P95:   microseconds(histogram.ValueAtQuantile(95)),
+		P99:   microseconds(histogram.ValueAtQuantile(99)),
+		Max:   microseconds(histogram.Max()),
 	}
-	c.tell.Unlock()
 }
--- /dev/null
+++ b/client/writer.go
@@ -0,0 +1,177 @@
+package client
+
+import (
+	"slices"
+
+	"hillknot/internal/rpc"
+)
+
+const (
+	// maxBatch is the size of a write, in bytes, from which on no more messages are added to it.
+	maxBatch = 64 << 10
+
+	// requestOverhead is about what a request takes besides its body, in bytes.
+	requestOverhead = 200
+)
+
+// message is something to be written to a router.
+type message struct {
+	kind  messageKind
+	call  *pendingCall // of a request
+	id    uint32       // of a request, or of the one that is canceled
+	retry bool         // of a request
+}
+
+type messageKind uint8
+
+const (
+	requestMessage messageKind = iota
+	cancelNotice
+	healthCheck
+)
+
+// outbox is what a connection has to write. It is guarded by the client's lock.
+type outbox struct {
+	messages []message
+	wake     chan struct{} // has an element when there are messages, or the connection is shut
+	batch    []batchedCall // the calls in the write that is under way
+}
+
+// batchedCall is a call in a write.
+type batchedCall struct {
+	id    uint32
+	start int // of its bytes in the batch
+}
+
+// remove takes back a call that is not in a batch yet; false where it is, or is not in the outbox.
+func (o *outbox) remove(call *pendingCall) bool {
+	i := slices.IndexFunc(o.messages, func(m message) bool { return m.kind == requestMessage && m.call == call })
+	if i < 0 {
+		return false
+	}
+	o.messages = slices.Delete(o.messages, i, i+1)
+	return true
+}
+
+// unsentCalls returns the ids of the calls of which surely not one byte was written: those that were never in a
+// batch, and in a batch whose write failed those behind the bytes that went out. Of a write that is under way
+// nothing is sure.
+func (o *outbox) unsentCalls(failure *writeFailure) map[uint32]bool {
+	unsent := map[uint32]bool{}
+	for _, m := range o.messages {
+		if m.kind == requestMessage {
+			unsent[m.id] = true
+		}
+	}
+	if failure != nil {
+		for _, batched := range o.batch {
+			if batched.start >= failure.written {
+				unsent[batched.id] = true
+			}
+		}
+	}
+	return unsent
+}
+
+// writeLoop writes what is queued until the connection ends.
+func (conn *routerConn) writeLoop() {
+	defer conn.client.goroutines.Done()
+	var buf []byte
+	for range conn.outbox.wake {
+		for {
+			var open bool
+			if buf, open = conn.nextBatch(buf[:0]); !open {
+				return
+			}
+			if len(buf) == 0 {
+				break
+			}
+			if !conn.writeBatch(buf) {
+				return
+			}
+		}
+	}
+}
+
+// writeBatch writes a batch; false where the connection has ended by it.
+func (conn *routerConn) writeBatch(batch []byte) bool {
+	c := conn.client
+	start := c.now()
+	written, err := conn.netConn.Write(batch)
+	if err != nil {
+		conn.end(err, &writeFailure{written: written})
+		return false
+	}
+	took := c.now() - start
+	c.mu.Lock()
+	if conn.state != connEnded {
+		conn.policyConn.WriteCompleted(len(batch), took)
+	}
+	conn.outbox.batch = conn.outbox.batch[:0]
+	c.mu.Unlock()
+	return true
+}
+
+// nextBatch turns queued messages into bytes; open is false where the connection is shut.
+func (conn *routerConn) nextBatch(buf []byte) (batch []byte, open bool) {
+	c := conn.client
+	c.mu.Lock()
+	defer c.unlock()
+	if conn.state.shutDown() {
+		return buf, false
+	}
+	messages := conn.outbox.messages
+	taken := 0
+	for taken < len(messages) && len(buf) < maxBatch {
+		buf = conn.appendMessage(buf, messages[taken])
+		taken++
+	}
+	rest := copy(messages, messages[taken:])
+	clear(messages[rest:]) // or the array would keep their calls
+	conn.outbox.messages = messages[:rest]
+	c.runActions()
+	return buf, true
+}
+
+func (conn *routerConn) appendMessage(buf []byte, m message) []byte {
+	switch m.kind {
+	case healthCheck:
+		conn.lastID++
+		return rpc.AppendHealthRequest(buf, uint64(conn.lastID))
+	case cancelNotice:
+		return rpc.AppendCancel(buf, uint64(m.id))
+	default:
+		return conn.appendRequest(buf, m)
+	}
+}
+
+// appendRequest appends a request unless its call has ended, or has too little time left.
+func (conn *routerConn) appendRequest(buf []byte, m message) []byte {
+	c, call := conn.client, m.call
+	if conn.calls[m.id] != call {
+		return buf
+	}
+	limit, ok := c.policy.PrepareWrite(c.now(), call.policyCall, len(buf)+len(call.request.Body)+requestOverhead)
+	if !ok {
+		return buf
+	}
+	conn.outbox.batch = append(conn.outbox.batch, batchedCall{id: m.id, start: len(buf)})
+	call.txn = c.txns.Uint64()
+	resumes := uint64(0)
+	if call.policyCall.IsClaim() {
+		resumes = call.claimedTxn
+	}
+	return rpc.AppendRequest(buf, uint64(m.id), &rpc.Request{
+		Method:        c.classes.list[call.class].name,
+		Txn:           call.txn,
+		ResumedTxn:    resumes,
+		Account:       c.config.Account,
+		TimeoutMillis: max(limit.Milliseconds(), 1),
+		Retry:         m.retry,
+		Item:          call.request.Item,
+		Nth:           call.request.Part,
+		Batch:         call.request.Group,
+		CachedTag:     call.request.Have,
+		Body:          call.request.Body,
+	})
+}
