--- /dev/null
+++ b/balancer/golden_test.go
@@ -0,0 +1,23 @@
+package balancer
+
+import (
+	"fmt"
+	"strings"
+	"testing"
+
+	"hillknot/internal/golden"
+)
+
+// Routers of different releases name the same members for an object only if they hash alike. The file of testdata/golden was
+// written at commit 86ccf0f. No name of Go reaches the hashes. The numbers of the roles reach the bytes that package handover
+// writes: the place in Memory.Loads is a role's.
+func TestGoldenHashes(t *testing.T) {
+	var text strings.Builder
+	for _, key := range []uint64{1, 0x91f03b7c55d20a64, 1<<64 - 1} {
+		for _, salt := range []uint64{0, 1, 1 << 63} {
+			fmt.Fprintf(&text, "%x %x mix %x unit %.15f\n", key, salt, mix(key^salt), unit(key, 0xfedcba9876543210, salt))
+		}
+	}
+	fmt.Fprintln(&text, "roles", int(cache), int(parent), int(origin))
+	golden.Same(t, "hashes.txt", []byte(text.String()))
+}
--- /dev/null
+++ b/internal/cluster/placement/golden_test.go
@@ -0,0 +1,36 @@
+package fleetchoice
+
+import (
+	"fmt"
+	"strings"
+	"testing"
+	"time"
+
+	"hillknot/internal/golden"
+)
+
+// The choices of routers of different releases have to add up, so each has to choose as before. The file of testdata/golden was
+// written at commit 86ccf0f.
+//
+// What reaches the choices: no name of Go, but the salts of score ("subset", "bound", "turn", "start", "backoff"), the duty
+// "ramp NAME" of Ramp, and the duties that the callers word ("meet" of members, "keeper of NAME" of takeover).
+func TestGoldenChoices(t *testing.T) {
+	routers, caches := []string{"r1", "r2", "r3", "ünion"}, []string{"edge-1", "edge-2", "edge-3", "edge-4", "edge-5", "edge-6"}
+	var text strings.Builder
+	for _, salt := range []string{"subset", "bound", "turn", "start", "backoff", ""} {
+		fmt.Fprintf(&text, "score %q %.15f\n", salt, score("r1", "edge-1", salt))
+	}
+	fmt.Fprintln(&text, "subsets", Subsets(routers, caches, 3), Size(4, 6, 2), Own("r2", routers, caches, 2))
+	for _, duty := range []string{"keeper of r1", "meet", "ramp edge-1"} {
+		fmt.Fprintln(&text, duty, "first", First(duty, routers), "start", Start("r1", duty, 1000), "turn", Turn("r2", duty, routers, time.Second),
+			"alone", Turn("r2", duty, nil, time.Second).Round(time.Microsecond), "backoff", Backoff("r1", duty, 5, time.Second, time.Hour).Round(time.Millisecond))
+	}
+	for _, r := range routers {
+		for age := range 5 {
+			fmt.Fprint(&text, " ", Ramp(r, "edge-1", routers, time.Duration(age)*time.Second, 4*time.Second),
+				Ramp(r, "edge-1", nil, time.Duration(age)*time.Second, 4*time.Second))
+		}
+		fmt.Fprintln(&text)
+	}
+	golden.Same(t, "choices.txt", []byte(text.String()))
+}
--- /dev/null
+++ b/internal/outlive/golden_test.go
@@ -0,0 +1,47 @@
+package outlive
+
+import (
+	"reflect"
+	"testing"
+	"time"
+
+	"hillknot/internal/core"
+	"hillknot/internal/golden"
+	"hillknot/internal/takeover"
+)
+
+// A claim is held against the record of its order by a hash of what the client asked for, which two routers of different releases
+// reckon. The file of testdata/golden was written at commit 86ccf0f.
+//
+// What reaches the bytes: no name, but what function order hashes, in its order: the length (8 bytes, highest first) and the bytes
+// of Class, Item, Account and Body, then Part and Group.
+func TestGoldenDigest(t *testing.T) {
+	q := &core.Request{Txn: "00000000000000a1", Class: "order", Item: "00000000000000b2", Account: "acme", Part: 300, Group: 4, Body: []byte("two seats")}
+	o := order(q, "00000000000000c3", 1500*time.Millisecond)
+	golden.Same(t, "digest.hex", o.Digest[:])
+	want := takeover.Order{Txn: "00000000000000c3", Class: "order", Item: "00000000000000b2", Account: "acme", Part: 300, Group: 4, Digest: o.Digest,
+		Left: 1500 * time.Millisecond, Body: []byte("two seats")}
+	if !reflect.DeepEqual(o, want) {
+		t.Errorf("order %+v, want %+v", o, want)
+	}
+	empty := order(&core.Request{}, "", 0)
+	golden.Same(t, "digest-empty.hex", empty.Digest[:])
+}
+
+// What a keeper is told of an answer, and what a claimant is told of that.
+func TestGoldenOutcomes(t *testing.T) {
+	for name, c := range map[string]struct {
+		in   core.Answer
+		ran  bool
+		want takeover.Outcome
+	}{
+		"served":      {core.Answer{Verdict: core.Served, Body: []byte("seat 12")}, true, takeover.Outcome{Kind: takeover.Served, Body: []byte("seat 12")}},
+		"refused":     {core.Answer{Verdict: core.Refused, Wait: time.Second}, false, takeover.Outcome{Kind: takeover.NeverRan, Wait: time.Second}},
+		"refused ran": {core.Answer{Verdict: core.Refused, Wait: time.Second}, true, takeover.Outcome{Kind: takeover.MayHaveRun}},
+		"failed":      {core.Answer{Verdict: core.Failed}, true, takeover.Outcome{Kind: takeover.Failed}},
+	} {
+		if got := outcome(c.in, c.ran); !reflect.DeepEqual(got, c.want) {
+			t.Errorf("%s: %+v, want %+v", name, got, c.want)
+		}
+	}
+}
