--- a/balancer/golden_test.go
+++ b/balancer/golden_test.go
@@ -5,7 +5,7 @@
 	"strings"
 	"testing"
 
-	"hillknot/internal/golden"
+	"hillknot/internal/testutil/golden"
 )
 
 // Routers of different releases name the same members for an object only if they hash alike. The file of testdata/golden was
@@ -15,9 +15,9 @@
 	var text strings.Builder
 	for _, key := range []uint64{1, 0x91f03b7c55d20a64, 1<<64 - 1} {
 		for _, salt := range []uint64{0, 1, 1 << 63} {
-			fmt.Fprintf(&text, "%x %x mix %x unit %.15f\n", key, salt, mix(key^salt), unit(key, 0xfedcba9876543210, salt))
+			fmt.Fprintf(&text, "%x %x mix %x unit %.15f\n", key, salt, mix(key^salt), hashFraction(key, 0xfedcba9876543210, salt))
 		}
 	}
-	fmt.Fprintln(&text, "roles", int(cache), int(parent), int(origin))
+	fmt.Fprintln(&text, "roles", int(roleCache), int(roleParent), int(roleOrigin))
 	golden.Same(t, "hashes.txt", []byte(text.String()))
 }
--- a/cmd/hillknot-simulator/golden_test.go
+++ b/cmd/hillknot-simulator/golden_test.go
@@ -6,8 +6,8 @@
 	"testing"
 
 	"hillknot/balancer"
-	"hillknot/internal/golden"
-	"hillknot/internal/wire"
+	"hillknot/internal/simulator"
+	"hillknot/internal/testutil/golden"
 )
 
 // The operators' drill speaks this with the program, and no release of hillknot changes its form. The files of testdata/golden are
@@ -57,9 +57,9 @@
 
 // What the recorded replies lack: the exception of an instance that fails, and a time limit.
 func TestGoldenRare(t *testing.T) {
-	lines := handle(nil, nil, wire.Event{Instance: "director-1", Event: balancer.ClientGone{ID: 1}}, 1)
-	lines = wire.AppendAction(lines, "director-1", balancer.Get{ID: 36, Attempt: 4, Node: 5, Timeout: 900_000_000, Source: 7, Keep: 3, MaxAge: 1_500_000_000,
-		Join: true, Held: true, Renew: true, Again: true})
-	lines = wire.AppendAction(lines, "director-1", balancer.Refuse{ID: 1 << 51})
-	golden.Same(t, "rare.txt", wire.AppendDone(wire.AppendException(lines, "director-2", "two\nlines")))
+	lines := handle(nil, nil, simulator.Event{Instance: "director-1", Event: balancer.ClientAborted{ID: 1}}, 1)
+	lines = simulator.AppendAction(lines, "director-1", balancer.SendAttempt{ID: 36, Attempt: 4, Endpoint: 5, Timeout: 900_000_000, Source: 7, CachePriority: 3, MaxAge: 1_500_000_000,
+		Coalesce: true, CachedOnly: true, Revalidate: true, MayHaveRun: true})
+	lines = simulator.AppendAction(lines, "director-1", balancer.Reject{ID: 1 << 51})
+	golden.Same(t, "rare.txt", simulator.AppendDone(simulator.AppendException(lines, "director-2", "two\nlines")))
 }
--- a/internal/cluster/failover/golden_test.go
+++ b/internal/cluster/failover/golden_test.go
@@ -1,4 +1,4 @@
-package takeover
+package failover
 
 import (
 	"reflect"
@@ -7,7 +7,7 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"hillknot/internal/golden"
+	"hillknot/internal/testutil/golden"
 )
 
 // Routers of different releases exchange these messages: a router that is replaced talks to others that are not yet. The files
--- a/internal/cluster/keyring/golden_test.go
+++ b/internal/cluster/keyring/golden_test.go
@@ -1,4 +1,4 @@
-package fleetkeys
+package keyring
 
 import (
 	"os"
@@ -6,7 +6,7 @@
 	"reflect"
 	"testing"
 
-	"hillknot/internal/golden"
+	"hillknot/internal/testutil/golden"
 )
 
 // Operators keep this file, and write it by hand: no name of Go reaches its bytes. The file of testdata/golden is as commit
--- a/internal/cluster/membership/golden_test.go
+++ b/internal/cluster/membership/golden_test.go
@@ -1,6 +1,6 @@
-//go:build talk
+//go:build cluster
 
-package members
+package membership
 
 import (
 	"bytes"
@@ -10,10 +10,10 @@
 	"testing"
 	"time"
 
+	"hillknot/internal/cluster/messaging"
+	"hillknot/internal/cluster/state"
 	"hillknot/internal/config"
-	"hillknot/internal/fleetstate"
-	"hillknot/internal/golden"
-	"hillknot/internal/parcel"
+	"hillknot/internal/testutil/golden"
 )
 
 // Routers of different releases gossip with each other. The files of testdata/golden were written at commit 86ccf0f.
@@ -23,14 +23,14 @@
 // credit, and has golden files there. All around it, with the router's name and the encryption, is memberlist's own.
 
 // member returns a router that takes no part yet; what it hears is noted.
-func member(t *testing.T, cfg config.Fleet) (m *Members, heard *[]fleetstate.Message, packets map[string][]byte) {
+func member(t *testing.T, cfg config.Fleet) (m *Members, heard *[]state.Message, packets map[string][]byte) {
 	t.Helper()
 	cfg.KeyFile = filepath.Join(t.TempDir(), "keys")
 	if err := os.WriteFile(cfg.KeyFile, []byte("000102030405060708090a0b0c0d0e0f\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	heard, packets = new([]fleetstate.Message), map[string][]byte{}
-	m, err := New("r1", cfg, func(msgs []fleetstate.Message) { *heard = append(*heard, msgs...) }, Lanes{
+	heard, packets = new([]state.Message), map[string][]byte{}
+	m, err := New("r1", cfg, func(msgs []state.Message) { *heard = append(*heard, msgs...) }, Lanes{
 		Orders: func(b []byte) { packets["orders"] = b },
 		Credit: func(b []byte) { packets["credit"] = b }})
 	if err != nil {
@@ -45,8 +45,8 @@
 		cfg  config.Fleet
 		want told
 	}{
-		"meta.txt":       {config.Fleet{Place: "hall 2", State: fleetstate.Settings{Size: 12}, Takeover: config.Takeover{On: true}}, told{"12", true, "hall 2"}},
-		"meta-guest.txt": {config.Fleet{Place: "hall;2", State: fleetstate.Settings{Size: 12, Guest: true}}, told{"guest", false, "hall;2"}},
+		"meta.txt":       {config.Fleet{Place: "hall 2", State: state.Settings{Size: 12}, Takeover: config.Takeover{On: true}}, told{"12", true, "hall 2"}},
+		"meta-guest.txt": {config.Fleet{Place: "hall;2", State: state.Settings{Size: 12, Guest: true}}, told{"guest", false, "hall;2"}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			m, _, _ := member(t, c.cfg)
@@ -58,17 +58,17 @@
 	}
 }
 
-var goldenMessages = []fleetstate.Message{
-	{Kind: fleetstate.KindCount, From: "r1", Process: 11, Key: "hits edge-7", Value: 129},
-	{Kind: fleetstate.KindEvidence, From: "r2", Process: 22, Key: "edge-7", Round: 6, Ill: true, Left: 3 * time.Second},
+var goldenMessages = []state.Message{
+	{Kind: state.KindCount, From: "r1", Process: 11, Key: "hits edge-7", Value: 129},
+	{Kind: state.KindEvidence, From: "r2", Process: 22, Key: "edge-7", Round: 6, Ill: true, Left: 3 * time.Second},
 }
 
 // What is sent to one or to all, and how another takes it.
 func TestGoldenSent(t *testing.T) {
 	m, heard, packets := member(t, config.Fleet{})
-	m.Send([]fleetstate.Letter{{To: "r2", Key: "count hits edge-7", Msg: goldenMessages[0]}})
-	m.Carry([]parcel.Packet{{To: "r2", Data: []byte("a packet of orders")}})
-	m.CarryCredit([]parcel.Packet{{To: "r2", Data: []byte("a packet of credit")}})
+	m.Send([]state.Letter{{To: "r2", Key: "count hits edge-7", Msg: goldenMessages[0]}})
+	m.Carry([]messaging.Packet{{To: "r2", Data: []byte("a packet of orders")}})
+	m.CarryCredit([]messaging.Packet{{To: "r2", Data: []byte("a packet of credit")}})
 	for _, name := range []string{"letter.hex", "orders.hex", "credit.hex"} {
 		golden.Same(t, name, (<-m.letter).text)
 		delegate{m}.NotifyMsg(golden.Read(t, name))
--- a/internal/cluster/messaging/golden_test.go
+++ b/internal/cluster/messaging/golden_test.go
@@ -1,4 +1,4 @@
-package parcel
+package messaging
 
 import (
 	"bytes"
@@ -8,7 +8,7 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"hillknot/internal/golden"
+	"hillknot/internal/testutil/golden"
 )
 
 // Routers of different releases exchange these packets: a router that is replaced talks to others that are not yet. The files
@@ -50,15 +50,15 @@
 func TestGoldenTalk(t *testing.T) {
 	one, two := New(Defaults("r1", 11)), New(Defaults("r2", 22))
 	now := time.Second
-	step := func(from, to *Post, names ...string) (in []Arrival) {
+	step := func(from, to *Messenger, names ...string) (in []Delivery) {
 		t.Helper()
-		out := from.Out(now)
+		out := from.DuePackets(now)
 		if len(out) != len(names) {
 			t.Fatalf("%d packets, want %v", len(out), names)
 		}
 		for i, name := range names {
 			golden.Same(t, name, out[i].Data)
-			in = append(in, to.Take(now, golden.Read(t, name))...)
+			in = append(in, to.Receive(now, golden.Read(t, name))...)
 		}
 		return in
 	}
@@ -70,12 +70,12 @@
 	step(one, two, "talk-4-parcel.hex", "talk-5-echo.hex")
 	now += 30 * time.Millisecond
 	in := step(one, two, "talk-6-parcel.hex")
-	if want := []Arrival{{From: "r1", Process: 11, ID: 1, Body: []byte("order")}}; !reflect.DeepEqual(in, want) {
+	if want := []Delivery{{From: "r1", Process: 11, ID: 1, Body: []byte("order")}}; !reflect.DeepEqual(in, want) {
 		t.Fatalf("arrived %+v, want %+v", in, want)
 	}
-	two.Answer(in[0], []byte("yes"))
+	two.Acknowledge(in[0], []byte("yes"))
 	step(two, one, "talk-7-answer.hex")
-	if done := one.Done(); len(done) != 1 || done[0].Err != nil || !bytes.Equal(done[0].Reply, []byte("yes")) {
+	if done := one.Completions(); len(done) != 1 || done[0].Err != nil || !bytes.Equal(done[0].Reply, []byte("yes")) {
 		t.Errorf("done %+v", done)
 	}
 }
--- a/internal/cluster/placement/golden_test.go
+++ b/internal/cluster/placement/golden_test.go
@@ -1,4 +1,4 @@
-package fleetchoice
+package placement
 
 import (
 	"fmt"
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"hillknot/internal/golden"
+	"hillknot/internal/testutil/golden"
 )
 
 // The choices of routers of different releases have to add up, so each has to choose as before. The file of testdata/golden was
--- a/internal/cluster/state/golden_test.go
+++ b/internal/cluster/state/golden_test.go
@@ -1,10 +1,10 @@
-package fleetstate
+package state
 
 import (
 	"testing"
 	"time"
 
-	"hillknot/internal/golden"
+	"hillknot/internal/testutil/golden"
 )
 
 // Routers of different releases exchange these messages. The files of testdata/golden were written at commit 86ccf0f.
--- a/internal/credit/golden_test.go
+++ b/internal/credit/golden_test.go
@@ -9,8 +9,8 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"hillknot/internal/golden"
-	"hillknot/internal/parcel"
+	"hillknot/internal/cluster/messaging"
+	"hillknot/internal/testutil/golden"
 )
 
 // Ledgers outlive the releases that write them, and routers of different releases exchange these messages. The files of
@@ -29,7 +29,7 @@
 //     that hashes otherwise refuses the whole list of top-ups.
 
 var (
-	goldenTopup   = Topup{ID: "inv-1", Account: "acme", Amount: 9_000_001, Among: []string{"r2", "r1", `r"3`}}
+	goldenTopup   = TopUp{ID: "inv-1", Account: "acme", Amount: 9_000_001, Routers: []string{"r2", "r1", `r"3`}}
 	goldenMeta    = meta{Ledger: "0123456789abcdef0123456789abcdef", Self: "r1", Born: true}
 	goldenAccount = accountLine{Rights: 5_000_000_000, Drawn: 70_000}
 	goldenApplied = applied{Print: goldenTopup.print(), Part: 3_000_000}
@@ -68,9 +68,9 @@
 
 // A book reads every kind of line from the ledger, and writes each as it was.
 func TestGoldenBook(t *testing.T) {
-	var lines []Entry
+	var lines []Record
 	for _, key := range slices.Sorted(maps.Keys(goldenLedger)) {
-		lines = append(lines, Entry{key, golden.Read(t, "line-"+goldenLedger[key]+".hex")})
+		lines = append(lines, Record{key, golden.Read(t, "line-"+goldenLedger[key]+".hex")})
 	}
 	b, err := New(Defaults("r1", 11, goldenMeta.Ledger), lines)
 	if err != nil {
@@ -97,14 +97,14 @@
 		t.Errorf("names %+v, want %+v", b.names, want)
 	}
 	b.change(nil, slices.Collect(maps.Keys(goldenLedger))...)
-	if out := b.Write(); !reflect.DeepEqual(out, lines) {
+	if out := b.NextWrite(); !reflect.DeepEqual(out, lines) {
 		t.Errorf("written anew as %q, want %q", out, lines)
 	}
 }
 
 // The hash that tells top-ups of one id apart is in ledgers.
 func TestGoldenPrint(t *testing.T) {
-	for name, topup := range map[string]Topup{"print.hex": goldenTopup, "print-back.hex": {ID: "inv \"2\"", Account: "ünion", Amount: -5, Among: []string{"r1"}}} {
+	for name, topup := range map[string]TopUp{"print.hex": goldenTopup, "print-back.hex": {ID: "inv \"2\"", Account: "ünion", Amount: -5, Routers: []string{"r1"}}} {
 		p := topup.print()
 		golden.Same(t, name, p[:])
 	}
@@ -147,29 +147,29 @@
 // A book takes each message of before, answers it, and writes and sends what follows: the gift that was asked for, byte for byte.
 // No rate is reckoned here, as its last bits may differ between machines.
 func TestGoldenTaken(t *testing.T) {
-	b, err := New(Defaults("r1", 11, goldenMeta.Ledger), []Entry{{"account/acme", golden.Read(t, "line-account.hex")}})
+	b, err := New(Defaults("r1", 11, goldenMeta.Ledger), []Record{{"account/acme", golden.Read(t, "line-account.hex")}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	other := parcel.New(parcel.Defaults("r2", 22))
+	other := messaging.New(messaging.Defaults("r2", 22))
 	replies, now := map[uint64]string{}, time.Second
-	turn := func() (bodies [][]byte, lines []Entry) {
+	turn := func() (bodies [][]byte, lines []Record) {
 		for range 8 { // they have to learn of each other first
 			now += time.Second / 2
-			for _, p := range other.Out(now) {
-				b.Take(now, p.Data)
+			for _, p := range other.DuePackets(now) {
+				b.ReceivePacket(now, p.Data)
 			}
-			if w := b.Write(); w != nil {
+			if w := b.NextWrite(); w != nil {
 				lines = append(lines, w...)
-				b.Written(now, w, nil)
+				b.WriteCompleted(now, w, nil)
 			}
-			for _, p := range b.Out(now) {
-				for _, a := range other.Take(now, p.Data) {
+			for _, p := range b.OutgoingPackets(now) {
+				for _, a := range other.Receive(now, p.Data) {
 					bodies = append(bodies, a.Body)
 				}
 			}
 		}
-		for _, d := range other.Done() {
+		for _, d := range other.Completions() {
 			replies[d.ID] = string(d.Reply)
 		}
 		return bodies, lines
--- a/internal/credit/store/golden_test.go
+++ b/internal/credit/store/golden_test.go
@@ -1,4 +1,4 @@
-package ledger
+package store
 
 import (
 	"bytes"
@@ -11,7 +11,7 @@
 
 	bolt "go.etcd.io/bbolt"
 
-	"hillknot/internal/golden"
+	"hillknot/internal/testutil/golden"
 )
 
 // Ledgers outlive the releases that write them. testdata/golden/r1.ledger was written at commit 86ccf0f.
@@ -23,7 +23,7 @@
 
 const goldenID = "9ad047be1ce9f8e4d640c89889da1a33" // as it was drawn then
 
-var goldenLines = []Line{
+var goldenLines = []Record{
 	{"account/acme", []byte{0x82, 0x1a, 0, 1, 0x11, 0x70, 0x19, 1, 0x2c}},
 	{"empty", []byte{}},
 	{"gift/r2", bytes.Repeat([]byte("more than a page "), 300)},
@@ -38,7 +38,7 @@
 	if err != nil || len(all) != 0 {
 		t.Fatalf("%d lines, %v", len(all), err)
 	}
-	for _, group := range [][]Line{{{"meta", []byte("the first time")}, goldenLines[0]}, goldenLines[1:]} {
+	for _, group := range [][]Record{{{"meta", []byte("the first time")}, goldenLines[0]}, goldenLines[1:]} {
 		if err := l.Write(group); err != nil {
 			t.Fatal(err)
 		}
@@ -108,17 +108,17 @@
 func TestGoldenLedger(t *testing.T) {
 	path := copied(t)
 	l, all, err := Open(path, "r1")
-	if err != nil || !reflect.DeepEqual(all, goldenLines) || l.ID != goldenID {
-		t.Fatalf("read %q of %q, %v; want %q of %q", all, l.ID, err, goldenLines, goldenID)
+	if err != nil || !reflect.DeepEqual(all, goldenLines) || l.LedgerID != goldenID {
+		t.Fatalf("read %q of %q, %v; want %q of %q", all, l.LedgerID, err, goldenLines, goldenID)
 	}
-	if err := l.Write([]Line{{"more", []byte("of today")}}); err != nil {
+	if err := l.Write([]Record{{"more", []byte("of today")}}); err != nil {
 		t.Fatal(err)
 	}
 	if err := l.Close(); err != nil {
 		t.Fatal(err)
 	}
 	l, all, err = Open(path, "r1")
-	if err != nil || len(all) != len(goldenLines)+1 || l.ID != goldenID {
+	if err != nil || len(all) != len(goldenLines)+1 || l.LedgerID != goldenID {
 		t.Fatalf("read %q, %v", all, err)
 	}
 	if err := l.Close(); err != nil {
--- a/internal/credit/topups/golden_test.go
+++ b/internal/credit/topups/golden_test.go
@@ -6,7 +6,7 @@
 	"testing"
 
 	"hillknot/internal/credit"
-	"hillknot/internal/golden"
+	"hillknot/internal/testutil/golden"
 )
 
 // Operators keep this file, and routers read it again and again: what an old line says must not change, as ledgers hold its hash.
@@ -16,10 +16,10 @@
 // no name of Go.
 func TestGoldenTopups(t *testing.T) {
 	got, err := Read(filepath.Join("testdata", "golden", "topups.hcl"))
-	want := []credit.Topup{
-		{ID: "inv-1", Account: "acme", Amount: 25_000_001, Among: []string{"r1", "r2"}},
-		{ID: "inv/2", Account: "ünion", Amount: -500_000, Among: []string{"r3"}},
-		{ID: "inv-3", Account: "acme", Amount: 1_000_000_000_000_000, Among: []string{"r1", "r2"}},
+	want := []credit.TopUp{
+		{ID: "inv-1", Account: "acme", Amount: 25_000_001, Routers: []string{"r1", "r2"}},
+		{ID: "inv/2", Account: "ünion", Amount: -500_000, Routers: []string{"r3"}},
+		{ID: "inv-3", Account: "acme", Amount: 1_000_000_000_000_000, Routers: []string{"r1", "r2"}},
 	}
 	if err != nil || !reflect.DeepEqual(got, want) {
 		t.Errorf("read as %+v, %v; want %+v", got, err, want)
--- a/internal/discovery/golden_test.go
+++ b/internal/discovery/golden_test.go
@@ -1,4 +1,4 @@
-package journal
+package discovery
 
 import (
 	"errors"
@@ -14,8 +14,8 @@
 	"hillknot/balancer"
 	"hillknot/internal/clock"
 	"hillknot/internal/core"
-	"hillknot/internal/fields"
-	"hillknot/internal/golden"
+	"hillknot/internal/jsonfields"
+	"hillknot/internal/testutil/golden"
 )
 
 // The journal is the operators' and does not change with this code: the files of testdata/golden are in its form, as commit
@@ -28,12 +28,12 @@
 
 // goldenEvents are the events of the stream.
 var goldenEvents = []Event{
-	{Pos: 41, List: true, Full: true, Hosts: []core.Host{
-		{ID: "edge-7", Addr: "127.0.0.1:7001", Kind: "box", Zone: "west", Cell: 3, Weight: 1.5, State: balancer.InService, Stamp: clock.Stamp(1_700_000_000_123 * time.Millisecond)},
-		{ID: `odd "}],[{`, Addr: "127.0.0.1:7002", Kind: "mid", Zone: "north", Cell: 4, Weight: 2.5, State: balancer.Draining, Stamp: clock.Stamp(5 * time.Millisecond)},
-		{ID: "least", Weight: 1, State: balancer.Gone}}},
-	{Pos: 42, List: true, Hosts: []core.Host{{ID: "edge-8", Addr: "127.0.0.1:7003", Kind: "box", Zone: "west", Cell: 5, Weight: 0.25, State: balancer.Draining,
-		Stamp: clock.Stamp(6 * time.Millisecond)}}},
+	{Pos: 41, List: true, Full: true, Hosts: []core.EndpointUpdate{
+		{ID: "edge-7", Addr: "127.0.0.1:7001", Kind: "box", Zone: "west", Cell: 3, Weight: 1.5, State: balancer.InService, StartStamp: clock.Stamp(1_700_000_000_123 * time.Millisecond)},
+		{ID: `odd "}],[{`, Addr: "127.0.0.1:7002", Kind: "mid", Zone: "north", Cell: 4, Weight: 2.5, State: balancer.Draining, StartStamp: clock.Stamp(5 * time.Millisecond)},
+		{ID: "least", Weight: 1, State: balancer.Removed}}},
+	{Pos: 42, List: true, Hosts: []core.EndpointUpdate{{ID: "edge-8", Addr: "127.0.0.1:7003", Kind: "box", Zone: "west", Cell: 5, Weight: 0.25, State: balancer.Draining,
+		StartStamp: clock.Stamp(6 * time.Millisecond)}}},
 	{Pos: 43, Purge: true, Object: 0xfedcba9876543210, Stamp: clock.Stamp(1_700_000_000_456 * time.Millisecond)},
 	{Pos: 44, Purge: true, ByGroup: true, Group: 200, Stamp: clock.Stamp(7 * time.Millisecond)},
 	{Pos: 45},
@@ -81,8 +81,8 @@
 		t.Fatalf("read %d hosts at %d, %v", len(e.Hosts), e.Pos, err)
 	}
 	for i, h := range e.Hosts {
-		if want := (core.Host{ID: "edge-" + strconv.Itoa(i), Addr: "127.0.0.1:" + strconv.Itoa(7000+i), Kind: "box", Zone: "west", Cell: i, Weight: float64(i) + 0.5,
-			Stamp: clock.Stamp(time.Duration(1_700_000_000_000+i) * time.Millisecond)}); h != want {
+		if want := (core.EndpointUpdate{ID: "edge-" + strconv.Itoa(i), Addr: "127.0.0.1:" + strconv.Itoa(7000+i), Kind: "box", Zone: "west", Cell: i, Weight: float64(i) + 0.5,
+			StartStamp: clock.Stamp(time.Duration(1_700_000_000_000+i) * time.Millisecond)}); h != want {
 			t.Errorf("host %+v, want %+v", h, want)
 		}
 	}
@@ -90,7 +90,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	evs, last, err := known(fields.Of(v))
+	evs, last, err := known(jsonfields.Of(v))
 	if err != nil || last != 45 || !reflect.DeepEqual(evs, goldenEvents) {
 		t.Errorf("read %+v up to %d, %v; want %+v", evs, last, err, goldenEvents)
 	}
--- a/internal/outlive/golden_test.go
+++ b/internal/extension/orderfailover/golden_test.go
@@ -1,13 +1,13 @@
-package outlive
+package orderfailover
 
 import (
 	"reflect"
 	"testing"
 	"time"
 
+	"hillknot/internal/cluster/failover"
 	"hillknot/internal/core"
-	"hillknot/internal/golden"
-	"hillknot/internal/takeover"
+	"hillknot/internal/testutil/golden"
 )
 
 // A claim is held against the record of its order by a hash of what the client asked for, which two routers of different releases
@@ -16,10 +16,10 @@
 // What reaches the bytes: no name, but what function order hashes, in its order: the length (8 bytes, highest first) and the bytes
 // of Class, Item, Account and Body, then Part and Group.
 func TestGoldenDigest(t *testing.T) {
-	q := &core.Request{Txn: "00000000000000a1", Class: "order", Item: "00000000000000b2", Account: "acme", Part: 300, Group: 4, Body: []byte("two seats")}
+	q := &core.Request{Txn: "00000000000000a1", Class: "order", ObjectText: "00000000000000b2", Account: "acme", Part: 300, Group: 4, Body: []byte("two seats")}
 	o := order(q, "00000000000000c3", 1500*time.Millisecond)
 	golden.Same(t, "digest.hex", o.Digest[:])
-	want := takeover.Order{Txn: "00000000000000c3", Class: "order", Item: "00000000000000b2", Account: "acme", Part: 300, Group: 4, Digest: o.Digest,
+	want := failover.Order{Txn: "00000000000000c3", Class: "order", Item: "00000000000000b2", Account: "acme", Part: 300, Group: 4, Digest: o.Digest,
 		Left: 1500 * time.Millisecond, Body: []byte("two seats")}
 	if !reflect.DeepEqual(o, want) {
 		t.Errorf("order %+v, want %+v", o, want)
@@ -33,12 +33,12 @@
 	for name, c := range map[string]struct {
 		in   core.Answer
 		ran  bool
-		want takeover.Outcome
+		want failover.Outcome
 	}{
-		"served":      {core.Answer{Verdict: core.Served, Body: []byte("seat 12")}, true, takeover.Outcome{Kind: takeover.Served, Body: []byte("seat 12")}},
-		"refused":     {core.Answer{Verdict: core.Refused, Wait: time.Second}, false, takeover.Outcome{Kind: takeover.NeverRan, Wait: time.Second}},
-		"refused ran": {core.Answer{Verdict: core.Refused, Wait: time.Second}, true, takeover.Outcome{Kind: takeover.MayHaveRun}},
-		"failed":      {core.Answer{Verdict: core.Failed}, true, takeover.Outcome{Kind: takeover.Failed}},
+		"served":      {core.Answer{Verdict: core.Served, Body: []byte("seat 12")}, true, failover.Outcome{Kind: failover.Served, Body: []byte("seat 12")}},
+		"refused":     {core.Answer{Verdict: core.Rejected, RetryAfter: time.Second}, false, failover.Outcome{Kind: failover.NeverRan, Wait: time.Second}},
+		"refused ran": {core.Answer{Verdict: core.Rejected, RetryAfter: time.Second}, true, failover.Outcome{Kind: failover.MayHaveRun}},
+		"failed":      {core.Answer{Verdict: core.Failed}, true, failover.Outcome{Kind: failover.Failed}},
 	} {
 		if got := outcome(c.in, c.ran); !reflect.DeepEqual(got, c.want) {
 			t.Errorf("%s: %+v, want %+v", name, got, c.want)
--- a/internal/handover/golden_test.go
+++ b/internal/handover/golden_test.go
@@ -7,7 +7,7 @@
 	"testing"
 
 	"hillknot/balancer"
-	"hillknot/internal/golden"
+	"hillknot/internal/testutil/golden"
 )
 
 // Processes of different releases follow each other: the new one reads what the old one wrote. The files of testdata/golden were
@@ -69,19 +69,19 @@
 	}
 	p := predecessor()
 	text := append(golden.Read(t, "at.txt"), golden.Read(t, "state.txt")...)
-	if used, _, err := p.Take(text); err != nil || used != len(text) || string(<-p.at) != "4100000000" {
+	if used, _, err := p.Consume(text); err != nil || used != len(text) || string(<-p.at) != "4100000000" {
 		t.Errorf("%d of %d bytes taken, %v", used, len(text), err)
 	}
 	if s, err := decode(<-p.states); err != nil || !reflect.DeepEqual(s, goldenState) {
 		t.Errorf("state %+v, %v", s, err)
 	}
 	for _, other := range []string{"AT 1 2\n41", "AT 3 2\n41", "STATE 1 2\n{}"} {
-		if _, _, err := predecessor().Take([]byte(other)); !errors.Is(err, errBad) {
+		if _, _, err := predecessor().Consume([]byte(other)); !errors.Is(err, errBad) {
 			t.Errorf("%q: %v, want %v", other, err, errBad)
 		}
 	}
 	for _, other := range []string{"TAKE 1 0\n", "TAKE 3 0\n"} {
-		if _, _, err := (&successor{}).Take([]byte(other)); !errors.Is(err, errBad) {
+		if _, _, err := (&successor{}).Consume([]byte(other)); !errors.Is(err, errBad) {
 			t.Errorf("%q: %v, want %v", other, err, errBad)
 		}
 	}
--- a/internal/upstream/golden_test.go
+++ b/internal/upstream/golden_test.go
@@ -1,4 +1,4 @@
-package cachewire
+package upstream
 
 import (
 	"reflect"
@@ -7,7 +7,7 @@
 
 	"hillknot/balancer"
 	"hillknot/internal/core"
-	"hillknot/internal/golden"
+	"hillknot/internal/testutil/golden"
 )
 
 // Page caches are the operators', and their form does not change with this code. The files of testdata/golden were written at
@@ -16,28 +16,28 @@
 // What reaches the bytes: no name of a type or field, but the texts of appendAsk and appendQuit and the words of statuses, notes
 // and answer.end.
 func TestGoldenAsks(t *testing.T) {
-	a := &core.Attempt{Request: &core.Request{Txn: "00000000000000a1", Class: "order", Item: "0a", Nth: "3", Holds: "v7", Key: "k1", Body: []byte("two\r\nseats")},
-		Left: 900 * time.Millisecond, Source: &core.Member{ID: "mid-1"},
-		Get: balancer.Get{Keep: 2, MaxAge: 1500 * time.Millisecond, Join: true, Held: true, Renew: true}}
+	a := &core.Attempt{Request: &core.Request{Txn: "00000000000000a1", Class: "order", ObjectText: "0a", PartText: "3", ETag: "v7", IdempotencyKey: "k1", Body: []byte("two\r\nseats")},
+		Timeout: 900 * time.Millisecond, Source: &core.Endpoint{ID: "mid-1"},
+		Decision: balancer.SendAttempt{CachePriority: 2, MaxAge: 1500 * time.Millisecond, Coalesce: true, CachedOnly: true, Revalidate: true}}
 	golden.Same(t, "ask.hex", appendAsk(nil, a))
-	golden.Same(t, "ask-least.hex", appendAsk(nil, &core.Attempt{Request: &core.Request{Txn: "t", Class: "page", Item: "0a", Nth: "0"}}))
+	golden.Same(t, "ask-least.hex", appendAsk(nil, &core.Attempt{Request: &core.Request{Txn: "t", Class: "page", ObjectText: "0a", PartText: "0"}}))
 	golden.Same(t, "quit.hex", appendQuit(nil, "00000000000000a1"))
 }
 
 // All words and notes of answers, one after the other in one file.
 func TestGoldenAnswers(t *testing.T) {
-	want := []core.End{
-		{Status: balancer.OK, Note: balancer.Hit, Waited: 1500 * time.Microsecond, Body: []byte("hi")},
-		{Status: balancer.OK, Note: balancer.Filled, Unchanged: true, Tag: "v7"},
-		{Status: balancer.Miss, Note: balancer.SourceLacks},
-		{Status: balancer.Full, Note: balancer.NoPlace},
-		{Status: balancer.Error, Note: balancer.OriginFailed},
-		{Status: balancer.Moot},
-		{Status: balancer.OK, Note: balancer.FilledByOrigin, Body: []byte{}},
-		{Status: balancer.OK, Note: balancer.Joined, Body: []byte{}},
-		{Status: balancer.OK, Note: balancer.Stale, Body: []byte{}},
-		{Status: balancer.Full, Note: balancer.SourceRefused},
-		{Status: balancer.Error, Note: balancer.SourceLost},
+	want := []core.AttemptResult{
+		{Status: balancer.OK, Detail: balancer.Hit, SourceWait: 1500 * time.Microsecond, Body: []byte("hi")},
+		{Status: balancer.OK, Detail: balancer.Filled, NotModified: true, ETag: "v7"},
+		{Status: balancer.Miss, Detail: balancer.SourceMiss},
+		{Status: balancer.Rejected, Detail: balancer.NoFillSlot},
+		{Status: balancer.Error, Detail: balancer.OriginFailed},
+		{Status: balancer.NotSent},
+		{Status: balancer.OK, Detail: balancer.FilledByOrigin, Body: []byte{}},
+		{Status: balancer.OK, Detail: balancer.Coalesced, Body: []byte{}},
+		{Status: balancer.OK, Detail: balancer.Stale, Body: []byte{}},
+		{Status: balancer.Rejected, Detail: balancer.SourceRejected},
+		{Status: balancer.Error, Detail: balancer.SourceUnreachable},
 	}
 	for rest := golden.Read(t, "answers.hex"); len(rest) > 0; want = want[1:] {
 		a, n, _, err := parse(rest, 100, 100)
