--- a/internal/cluster/membership/golden_test.go
+++ b/internal/cluster/membership/golden_test.go
@@ -67,7 +67,7 @@
 func TestGoldenSent(t *testing.T) {
 	m, heard, packets := member(t, config.Fleet{})
 	m.Send([]state.Letter{{To: "r2", Key: "count hits edge-7", Msg: goldenMessages[0]}})
-	m.Carry([]messaging.Packet{{To: "r2", Data: []byte("a packet of orders")}})
+	m.SendOrderPackets([]messaging.Packet{{To: "r2", Data: []byte("a packet of orders")}})
 	m.CarryCredit([]messaging.Packet{{To: "r2", Data: []byte("a packet of credit")}})
 	for _, name := range []string{"letter.hex", "orders.hex", "credit.hex"} {
 		golden.Same(t, name, (<-m.letter).text)
@@ -81,7 +81,7 @@
 // What two routers exchange when they meet.
 func TestGoldenWhole(t *testing.T) {
 	m, heard, _ := member(t, config.Fleet{})
-	m.Know(goldenMessages)
+	m.PublishFullState(goldenMessages)
 	golden.Same(t, "whole.hex", delegate{m}.LocalState(true))
 	delegate{m}.MergeRemoteState(golden.Read(t, "whole.hex"), true)
 	if !reflect.DeepEqual(*heard, goldenMessages) {
--- a/internal/rpc/golden_test.go
+++ b/internal/rpc/golden_test.go
@@ -51,7 +51,7 @@
 			golden.Same(t, name, AppendRequest(nil, c.id, &c.q))
 			text := golden.Read(t, name)
 			m, progress, err := ParseMessage(text, 1<<16)
-			want := Message{Kind: KindRequest, ID: c.id, Method: []byte("order"), Params: 2, Fields: c.fields, Body: c.q.Body}
+			want := Message{Kind: KindRequest, ID: c.id, Method: []byte("order"), ParamCount: 2, Fields: c.fields, Body: c.q.Body}
 			if m.Body != nil && len(m.Body) == 0 {
 				m.Body = nil
 			}
@@ -64,8 +64,8 @@
 		text []byte
 		want Message
 	}{
-		"cancel.hex": {AppendCancel(nil, 70000), Message{Kind: KindNotification, Method: []byte("cancel"), Params: 1, IDs: []uint64{70000}}},
-		"health.hex": {AppendHealthRequest(nil, 9), Message{Kind: KindRequest, ID: 9, Method: []byte("health"), Params: 1}},
+		"cancel.hex": {AppendCancel(nil, 70000), Message{Kind: KindNotification, Method: []byte("cancel"), ParamCount: 1, IDs: []uint64{70000}}},
+		"health.hex": {AppendHealthRequest(nil, 9), Message{Kind: KindRequest, ID: 9, Method: []byte("health"), ParamCount: 1}},
 	} {
 		golden.Same(t, name, c.text)
 		if m, progress, err := ParseMessage(golden.Read(t, name), 1<<16); err != nil || progress.Consumed != len(c.text) || !reflect.DeepEqual(m, c.want) {
@@ -87,7 +87,7 @@
 	golden.Nonzero(t, f)
 	text := golden.Read(t, "foreign.hex")
 	m, progress, err := ParseMessage(text, 1<<16)
-	want := Message{Kind: KindRequest, ID: 5, Method: []byte("page"), Params: 3, Fields: f, Body: []byte("body"), IDs: []uint64{3}}
+	want := Message{Kind: KindRequest, ID: 5, Method: []byte("page"), ParamCount: 3, Fields: f, Body: []byte("body"), IDs: []uint64{3}}
 	if err != nil || progress.Consumed != len(text) || !reflect.DeepEqual(m, want) {
 		t.Errorf("read as %+v, %d bytes, %v; want %+v", m, progress.Consumed, err, want)
 	}
