--- a/internal/core/endpointlog.go
+++ b/internal/core/endpointlog.go
@@ -4,6 +4,7 @@
 	"time"
 
 	"hillknot/balancer"
+	"hillknot/internal/logging"
 )
 
 // endpointLogInterval is how often the log has a line on changes of the endpoint list, at most: a release brings
@@ -38,7 +39,7 @@
 
 func (c *Core) writeEndpointLog() {
 	l := &c.endpoints.log
-	log.Info("endpoint list updated", "complete", l.complete, "events", l.events, "changed", l.entries,
-		"endpoints", len(c.endpoints.byID))
+	log.Info("endpoint list updated", logging.KeyComplete, l.complete, logging.KeyEvents, l.events,
+		logging.KeyChanged, l.entries, logging.KeyEndpoints, len(c.endpoints.byID))
 	*l = endpointLog{scheduled: l.scheduled}
 }
--- a/internal/core/trace.go
+++ b/internal/core/trace.go
@@ -17,8 +17,9 @@
 
 func (c *Core) traceRequest(r *request) {
 	if c.trace {
-		log.Debug("request received", logging.KeySequence, r.id, logging.KeyRequestID, r.Txn, logging.KeyClass, r.Class,
-			"object", r.ObjectText, "part", r.PartText, "timeout", r.deadline-c.iteration.now, "retry", r.Retry)
+		log.Debug("request received", logging.KeySequence, r.id, logging.KeyRequestID, r.Txn,
+			logging.KeyClass, r.Class, logging.KeyObject, r.ObjectText, logging.KeyPart, r.Part,
+			logging.KeyTimeout, r.deadline-c.iteration.now, logging.KeyRetry, r.Retry)
 	}
 }
 
@@ -35,22 +36,22 @@
 			source = a.Source.ID
 		}
 		log.Debug("attempt started", logging.KeySequence, a.owner.id, logging.KeyAttempt, a.Index,
-			logging.KeyEndpoint, a.Endpoint.ID, "source", source,
-			"cache_priority", a.Decision.CachePriority, "max_age", a.Decision.MaxAge)
+			logging.KeyEndpoint, a.Endpoint.ID, logging.KeySource, source,
+			logging.KeyCachePriority, a.Decision.CachePriority, logging.KeyMaxAge, a.Decision.MaxAge)
 	}
 }
 
 func (c *Core) traceAttemptEnd(a *Attempt, result AttemptResult) {
 	if c.trace {
 		log.Debug("attempt ended", logging.KeySequence, a.owner.id, logging.KeyAttempt, a.Index,
-			"status", result.Status, "detail", result.Detail,
-			logging.KeyDuration, c.iteration.now-a.sentAt, "source_wait", result.SourceWait)
+			logging.KeyStatus, result.Status, logging.KeyDetail, result.Detail,
+			logging.KeyDuration, c.iteration.now-a.sentAt, logging.KeySourceWait, result.SourceWait)
 	}
 }
 
 func (c *Core) traceAnswer(r *request, v Verdict) {
 	if c.trace {
-		log.Debug("request answered", logging.KeySequence, r.id, "verdict", v,
+		log.Debug("request answered", logging.KeySequence, r.id, logging.KeyVerdict, v,
 			logging.KeyDuration, c.iteration.now-r.acceptedAt)
 	}
 }
