--- a/cmd/hillknot/cluster.go
+++ b/cmd/hillknot/cluster.go
@@ -21,60 +21,76 @@
 	"hillknot/internal/extension/prepaidcredit"
 )
 
-// talk begins to share, and to talk to the others until stop is closed. It is called once a predecessor, if there is one,
-// has been told that this process takes its place.
-func talk(cfg *config.Config, c *core.Core, shared *core.ClusterState, stop <-chan struct{}) (keyed, error) {
-	var hands *orderfailover.Extension // these are of the core's goroutine
-	var prepaid *prepaidcredit.Extension
-	m, err := membership.New(cfg.Name, cfg.Fleet, func(msgs []state.Message) { c.Post(func() { c.ReceiveGossip(msgs) }) }, membership.Lanes{
-		Orders: func(packet []byte) {
-			c.Post(func() {
-				if hands != nil {
-					hands.Receive(packet)
-				}
-			})
-		},
-		Credit: func(packet []byte) {
-			c.Post(func() {
-				if prepaid != nil {
-					prepaid.ReceivePacket(packet)
-				}
-			})
-		}})
+// joinCluster begins to share state with the other routers of the cluster, until stop is closed. It is called once a
+// predecessor, if there is one, has been told that this process takes its place.
+func joinCluster(cfg *config.Config, c *core.Core, shared *core.ClusterState, stop <-chan struct{}) (reloader, error) {
+	var received packetReceivers
+	members, err := membership.New(cfg.Name, cfg.Fleet,
+		func(msgs []state.Message) { c.Post(func() { c.ReceiveGossip(msgs) }) },
+		membership.Lanes{
+			Orders: func(packet []byte) { c.Post(func() { received.orderPacket(packet) }) },
+			Credit: func(packet []byte) { c.Post(func() { received.creditPacket(packet) }) },
+		})
 	if err != nil {
 		return nil, err
 	}
-	t := &talking{Members: m}
+	cluster := &clusterMember{Members: members}
 	if cfg.Fleet.Credit.On {
-		if t.prepaid, err = openPrepaidCredit(cfg, c, m); err != nil {
+		if cluster.credit, err = openPrepaidCredit(cfg, c, members); err != nil {
 			return nil, err
 		}
-		c.Post(func() { prepaid = t.prepaid; prepaid.Start() })
-		go t.prepaid.Run(stop)
+		c.Post(func() {
+			received.credit = cluster.credit
+			cluster.credit.Start()
+		})
+		go cluster.credit.Run(stop)
 	}
 	if cfg.Fleet.Takeover.On {
-		h, err := orderfailover.New(c, takeoverSettings(cfg), cfg.Settings.Classes, m, slog.Default().Enabled(context.Background(), slog.LevelDebug))
+		tracing := slog.Default().Enabled(context.Background(), slog.LevelDebug)
+		orders, err := orderfailover.New(c, failoverSettings(cfg), cfg.Settings.Classes, members, tracing)
 		if err != nil {
 			return nil, err
 		}
-		c.Post(func() { hands = h; h.Start() })
+		c.Post(func() {
+			received.orders = orders
+			orders.Start()
+		})
 	}
-	c.Post(func() { c.JoinCluster(shared, m) })
-	go m.Run(stop)
-	return t, nil
+	c.Post(func() { c.JoinCluster(shared, members) })
+	go members.Run(stop)
+	return cluster, nil
 }
 
-// talking is what SIGHUP reads again.
-type talking struct {
+// packetReceivers are the extensions that take packets of other routers; nil: it has not started. They belong to the
+// core's goroutine.
+type packetReceivers struct {
+	orders *orderfailover.Extension
+	credit *prepaidcredit.Extension
+}
+
+func (r *packetReceivers) orderPacket(packet []byte) {
+	if r.orders != nil {
+		r.orders.Receive(packet)
+	}
+}
+
+func (r *packetReceivers) creditPacket(packet []byte) {
+	if r.credit != nil {
+		r.credit.ReceivePacket(packet)
+	}
+}
+
+// clusterMember is what SIGHUP reloads of a router in a cluster.
+type clusterMember struct {
 	*membership.Members
-	prepaid *prepaidcredit.Extension
+	credit *prepaidcredit.Extension // nil: requests are free
 }
 
-// Reread reads the keys and the top-ups again. A faulty file changes nothing.
-func (t *talking) Reread() error {
-	err := t.ReadKeys()
-	if t.prepaid != nil {
-		err = errors.Join(err, t.prepaid.ReloadTopUps())
+// Reload implements reloader: it reads the keys and the top-ups again.
+func (m *clusterMember) Reload() error {
+	err := m.ReadKeys()
+	if m.credit != nil {
+		err = errors.Join(err, m.credit.ReloadTopUps())
 	}
 	return err
 }
@@ -92,7 +108,7 @@
 // micro is an amount of credits in millionths.
 func micro(credits float64) int64 { return int64(math.Round(credits * 1e6)) }
 
-func takeoverSettings(cfg *config.Config) failover.Settings {
+func failoverSettings(cfg *config.Config) failover.Settings {
 	f := cfg.Fleet
 	longest := time.Duration(0)
 	for _, k := range cfg.Settings.Classes {
--- a/cmd/hillknot/check.go
+++ b/cmd/hillknot/configcmd.go
@@ -11,7 +11,7 @@
 
 func configCommand() *cobra.Command {
 	cmd := &cobra.Command{Use: "config", Short: "Work with configuration files", Args: cobra.NoArgs,
-		RunE: func(cmd *cobra.Command, _ []string) error { return usage{fmt.Errorf("config wants a sub-command")} }}
+		RunE: func(*cobra.Command, []string) error { return usage{fmt.Errorf("config wants a sub-command")} }}
 	var operator string
 	check := &cobra.Command{
 		Use: "check FILE", Short: "Check a configuration: print every faulty key", Args: cobra.ExactArgs(1),
--- a/cmd/hillknot/figures_test.go
+++ b/cmd/hillknot/figures_test.go
@@ -29,7 +29,7 @@
 		t.Fatal(err)
 	}
 	defer cache.Close()
-	clients, ops := router(t, conf, cache.Addr())
+	clients, ops := startRouter(t, conf, cache.Addr())
 	nc, err := net.Dial("tcp", clients.Addr().String())
 	if err != nil {
 		t.Fatal(err)
--- a/cmd/hillknot/main.go
+++ b/cmd/hillknot/main.go
@@ -13,6 +13,8 @@
 
 	"github.com/spf13/cobra"
 	"github.com/spf13/pflag"
+
+	"hillknot/internal/logging"
 )
 
 // version is that of the latest entry of CHANGELOG.md.
@@ -56,7 +58,7 @@
 	case errors.As(err, &status):
 		return int(status)
 	case ran && !errors.As(err, new(usage)):
-		slog.Error(cmd.CommandPath()+" ends", "err", err)
+		log.Error("command failed", "command", cmd.CommandPath(), logging.KeyError, err)
 		return exitOther
 	}
 	fmt.Fprintf(errs, "hillknot: %v\nsee: %s --help\n", err, cmd.CommandPath())
--- a/cmd/hillknot/main_test.go
+++ b/cmd/hillknot/main_test.go
@@ -62,7 +62,9 @@
 	}
 	write(fmt.Sprintf(conf, nowhere, first.Addr(), nobody))
 	signals, ended := make(chan os.Signal, 4), make(chan error, 1)
-	go func() { ended <- run(path, "", signals, func(net.Addr) {}) }()
+	go func() {
+		ended <- runRouter(routerOptions{configPath: path, getenv: os.Getenv, signals: signals, onServing: func(net.Addr) {}})
+	}()
 	if pos := called(t, first); pos != "7" {
 		t.Errorf("called from %q, want 7", pos)
 	}
@@ -132,7 +134,9 @@
 	start := func() (chan<- os.Signal, <-chan error) {
 		inherit(t, ln)
 		signals, ended, up := make(chan os.Signal, 4), make(chan error, 1), make(chan struct{})
-		go func() { ended <- run(path, "", signals, func(net.Addr) { close(up) }) }()
+		go func() {
+			ended <- runRouter(routerOptions{configPath: path, getenv: os.Getenv, signals: signals, onServing: func(net.Addr) { close(up) }})
+		}()
 		select {
 		case <-up:
 		case err := <-ended:
--- a/cmd/hillknot/orders_test.go
+++ b/cmd/hillknot/orders_test.go
@@ -27,9 +27,9 @@
 	"retryAfter":true,"maxRetryAfterUs":100000},"profiles":[{"name":"part-page","repeat":"safe","deadlineUs":3000000},
 	{"name":"new-arrange","repeat":"unsafe","deadlineUs":3000000}],"specifics":{"instancesByZone":[0,1],"midKind":1,"storeKind":2,"classWrite":[false,true]}}}`
 
-// router runs the router on a listener of its own until the test ends, with the configuration's text for a listener,
+// startRouter runs a router on a listener of its own until the test ends, with the configuration's text for a listener,
 // a journal and a page cache.
-func router(t *testing.T, text, cache string) (clients net.Listener, ops net.Addr) {
+func startRouter(t *testing.T, text, cache string) (clients net.Listener, ops net.Addr) {
 	t.Helper()
 	news, err := fakes.NewJournal(nowhere, 8)
 	if err != nil {
@@ -44,7 +44,9 @@
 		t.Fatal(err)
 	}
 	signals, ended, up := make(chan os.Signal, 1), make(chan error, 1), make(chan net.Addr, 1)
-	go func() { ended <- run(path, "", signals, func(ops net.Addr) { up <- ops }) }()
+	go func() {
+		ended <- runRouter(routerOptions{configPath: path, getenv: os.Getenv, signals: signals, onServing: func(ops net.Addr) { up <- ops }})
+	}()
 	select {
 	case ops = <-up:
 	case err := <-ended:
@@ -112,7 +114,7 @@
 		t.Fatal(err)
 	}
 	defer cache.Close()
-	clients, _ := router(t, text, cache.Addr())
+	clients, _ := startRouter(t, text, cache.Addr())
 	var all sync.WaitGroup
 	var mu sync.Mutex
 	ends := map[string]int{}
--- /dev/null
+++ b/cmd/hillknot/reload.go
@@ -0,0 +1,26 @@
+package main
+
+import (
+	"hillknot/internal/config"
+	"hillknot/internal/logging"
+)
+
+// reloader has files that are read again on SIGHUP. A file that can't be used changes nothing.
+type reloader interface{ Reload() error }
+
+// reload takes discovery's address from the configuration as it is now, and the keys and top-ups of the cluster from
+// their files. All other settings hold from the start of the process to its end. A faulty file changes nothing.
+func (r *router) reload() {
+	if r.cluster != nil {
+		if err := r.cluster.Reload(); err != nil {
+			log.Error("cluster files rejected", logging.KeyError, err)
+		}
+	}
+	cfg, err := config.LoadEnv(r.options.configPath, r.options.operatorPath, r.options.getenv)
+	if err != nil {
+		log.Error("configuration rejected", logging.KeyError, err)
+		return
+	}
+	log.Info("configuration reloaded", "journal", cfg.Journal)
+	r.watcher.SetAddress(cfg.Journal)
+}
--- /dev/null
+++ b/cmd/hillknot/replacement.go
@@ -0,0 +1,115 @@
+package main
+
+import (
+	"runtime/debug"
+	"sync"
+	"time"
+
+	"hillknot/internal/config"
+	"hillknot/internal/core"
+	"hillknot/internal/discovery"
+	"hillknot/internal/frontend/msgpackrpc"
+	"hillknot/internal/handover"
+	"hillknot/internal/logging"
+	"hillknot/internal/netio"
+	"hillknot/internal/upstream"
+)
+
+// replacement is this process in a hot restart: as the successor of one process and the predecessor of the next. Two
+// processes of a router share its limits. It implements handover.Process.
+type replacement struct {
+	core     *core.Core
+	watcher  *discovery.Watcher
+	upstream *upstream.Client
+	clients  *msgpackrpc.Front
+	budget   *netio.Budget
+	limits   config.Limits
+
+	mu             sync.Mutex
+	hasPredecessor bool
+	hasSuccessor   bool // a process that starts
+	successorReady bool // and it has taken over
+}
+
+func newReplacement(c *core.Core, watcher *discovery.Watcher, up *upstream.Client, clients *msgpackrpc.Front, budget *netio.Budget, limits config.Limits) *replacement {
+	return &replacement{core: c, watcher: watcher, upstream: up, clients: clients, budget: budget, limits: limits}
+}
+
+// importState waits until this process has seen the events of discovery that its predecessor has, and goes on from its
+// state. Where that fails the router starts as any new one: cautiously.
+func (r *replacement) importState(p *handover.Predecessor) {
+	if !r.watcher.WaitForPosition(p.DiscoveryPosition, r.limits.HandoverReach) {
+		log.Warn("discovery behind predecessor", logging.KeyPosition, r.watcher.Position(), "predecessor_position", p.DiscoveryPosition)
+	}
+	state, err := p.AnnounceReady()
+	if err != nil {
+		log.Warn("hot restart without state", logging.KeyError, err)
+		return
+	}
+	done := make(chan struct{})
+	r.core.Post(func() {
+		r.core.ImportMemory(state.Memory)
+		close(done)
+	})
+	<-done
+	memory := state.Memory
+	log.Info("hot restart state imported", "endpoints", len(memory.Members), "purges", len(memory.Purges), "objects", len(memory.Objects))
+}
+
+// waitForPredecessor takes the whole of the limits once the predecessor has ended.
+func (r *replacement) waitForPredecessor(p *handover.Predecessor, stop <-chan struct{}) {
+	select {
+	case <-p.Gone:
+		log.Info("predecessor ended")
+		r.setPredecessor(false)
+	case <-stop:
+	}
+}
+
+func (r *replacement) setPredecessor(present bool) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.hasPredecessor = present
+	r.applyLimits()
+}
+
+// DiscoveryPosition implements handover.Process.
+func (r *replacement) DiscoveryPosition() int64 { return r.watcher.Position() }
+
+// State implements handover.Process. A core that does not answer in time hands over nothing.
+func (r *replacement) State() handover.State {
+	exported := make(chan handover.State, 1)
+	r.core.Post(func() {
+		exported <- handover.State{Pos: r.watcher.Position(), Memory: r.core.ExportMemory()}
+	})
+	timeout := time.NewTimer(r.limits.HandoverWait / 2)
+	defer timeout.Stop()
+	select {
+	case state := <-exported:
+		return state
+	case <-timeout.C:
+		return handover.State{}
+	}
+}
+
+// Beside implements handover.Process.
+func (r *replacement) Beside(present, ready bool) {
+	log.Info("successor changed", "present", present, "ready", ready)
+	r.mu.Lock()
+	r.hasSuccessor, r.successorReady = present, ready
+	r.applyLimits()
+	r.mu.Unlock()
+	r.core.Post(func() { r.core.SetSuccessorReady(ready) })
+}
+
+// applyLimits sets the limits by which other process of the router runs. The caller holds mu.
+func (r *replacement) applyLimits() {
+	limits := r.limits
+	if r.hasPredecessor || r.hasSuccessor {
+		limits = limits.Shared(!r.successorReady)
+	}
+	debug.SetMemoryLimit(int64(limits.MemoryMB) << 20 * 3 / 4) // the rest is for what the collector does not see
+	r.budget.SetLimit(limits.HeldBytes)
+	r.clients.SetMaxConns(limits.ClientConns)
+	r.core.Post(func() { r.upstream.SetMaxConnections(limits.CacheConns) })
+}
--- a/cmd/hillknot/stage_test.go
+++ b/cmd/hillknot/stage_test.go
@@ -181,7 +181,9 @@
 	s.path = filepath.Join(s.t.TempDir(), "config.json")
 	s.write()
 	up := make(chan bool, 1)
-	go func() { s.ended <- run(s.path, "", s.signals, func(net.Addr) { up <- true }) }()
+	go func() {
+		s.ended <- runRouter(routerOptions{configPath: s.path, getenv: os.Getenv, signals: s.signals, onServing: func(net.Addr) { up <- true }})
+	}()
 	select {
 	case <-up:
 	case err := <-s.ended:
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -49,9 +49,12 @@
 	Deadline time.Duration // by then a query is answered
 }
 
-// Load reads the configuration from a file, and what an operator sets up besides from another, if that is
-// named: its keys stand in place of the same ones.
-func Load(path, operator string) (*Config, error) {
+// Load is LoadEnv with the environment of this process.
+func Load(path, operator string) (*Config, error) { return LoadEnv(path, operator, os.Getenv) }
+
+// LoadEnv reads the configuration from a file, and from an operator's file, if one is named, whose keys replace those of
+// the first. What the platform tells a process by its environment is read with getenv.
+func LoadEnv(path, operator string, getenv func(string) string) (*Config, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, fmt.Errorf("read configuration: %w", err)
@@ -69,7 +72,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("configuration %s: %w", path, err)
 	}
-	if err := c.environment(os.Getenv); err != nil {
+	if err := c.environment(getenv); err != nil {
 		return nil, fmt.Errorf("environment: %w", err)
 	}
 	return c, nil
