--- /dev/null
+++ b/internal/cluster/messaging/packet.go
@@ -0,0 +1,150 @@
+package messaging
+
+import (
+	"time"
+
+	"github.com/fxamacker/cbor/v2"
+)
+
+// wire is a packet as it is sent.
+type wire struct {
+	_       struct{} `cbor:",toarray"`
+	From    string
+	Process uint64
+	To      uint64 // the process that the messages are for; 0: not known yet, and there are none
+	Parcels []item // messages
+	Answers []item // acknowledgements of messages of the process To
+	Ask     uint64 // which process is there now? Answered by Echo with the same number
+	Echo    uint64
+}
+
+// item is a message, or the acknowledgement of one, with its reply.
+type item struct {
+	_    struct{} `cbor:",toarray"`
+	ID   uint64
+	Body []byte
+}
+
+// maxNameBytes bounds the name of a router.
+const maxNameBytes = 128
+
+// decode returns the packet that data holds, or false if it can't be used.
+func (m *Messenger) decode(data []byte) (wire, bool) {
+	var w wire
+	if err := cbor.Unmarshal(data, &w); err != nil {
+		return w, false
+	}
+	named := w.From != "" && len(w.From) <= maxNameBytes && w.From != m.settings.Self
+	return w, named && w.Process != 0
+}
+
+// packetWriter puts what is due for one peer into as few packets as it fits.
+type packetWriter struct {
+	messenger *Messenger
+	peer      *peer
+	packet    wire
+	size      int // of the items in packet
+	packets   []Packet
+}
+
+// itemOverhead is the size of an item without its body, at most.
+const itemOverhead = 12
+
+// reserve counts an item, and begins another packet if it no longer fits into this one. It returns false for an item that is
+// left out: the one that begins another packet. That is a fault of long standing, kept until it is mended on its own: such a
+// message goes out with its next retry, and such an acknowledgement once its message comes again.
+func (w *packetWriter) reserve(it item) bool {
+	full := w.size > 0 && w.size+len(it.Body) > w.messenger.settings.MaxPacketBytes
+	if full {
+		w.flush()
+	}
+	w.size += len(it.Body) + itemOverhead
+	return !full
+}
+
+func (w *packetWriter) addMessage(it item) {
+	if w.reserve(it) {
+		w.packet.Parcels = append(w.packet.Parcels, it)
+	}
+}
+
+func (w *packetWriter) addAcknowledgement(it item) {
+	if w.reserve(it) {
+		w.packet.Answers = append(w.packet.Answers, it)
+	}
+}
+
+// flush ends the packet and begins another.
+func (w *packetWriter) flush() {
+	data, err := cbor.Marshal(&w.packet)
+	if err == nil { // these types can't fail
+		w.packets = append(w.packets, Packet{w.peer.name, data})
+	}
+	w.begin()
+}
+
+func (w *packetWriter) begin() {
+	self := w.messenger.settings
+	w.packet = wire{From: self.Self, Process: self.Process, To: w.peer.process}
+	w.size = 0
+}
+
+// appendDuePackets appends the packets that are due for a peer.
+func (m *Messenger) appendDuePackets(packets []Packet, now time.Duration, p *peer) []Packet {
+	w := &packetWriter{messenger: m, peer: p, packets: packets}
+	w.begin()
+	if p.process != 0 {
+		p.writeAcknowledgements(w)
+		p.writeMessages(w, now, m.settings.RetryMax)
+	} else if len(p.outbox.messages) > 0 {
+		m.startQuery(now, p)
+	}
+	queried := p.writeQuery(w, now, m.settings.RetryInitial)
+	if w.size > 0 || queried || p.announce {
+		p.announce = false
+		w.flush()
+	}
+	p.writeQueryReplies(w)
+	return w.packets
+}
+
+func (p *peer) writeAcknowledgements(w *packetWriter) {
+	for _, ack := range p.acknowledgements {
+		w.addAcknowledgement(ack)
+	}
+	p.acknowledgements = nil
+}
+
+// writeMessages writes the messages that are due, and sets when each is due again.
+func (p *peer) writeMessages(w *packetWriter, now, retryMax time.Duration) {
+	for _, out := range p.outbox.messages {
+		if now < out.sendAt {
+			continue
+		}
+		out.sendAt = now + out.backoff
+		out.backoff = min(2*out.backoff, retryMax)
+		w.addMessage(item{ID: out.id, Body: out.body})
+	}
+}
+
+// writeQuery writes the open query for the peer's process, if it is due. It gives up a query that nothing waits for any more.
+func (p *peer) writeQuery(w *packetWriter, now, interval time.Duration) bool {
+	if len(p.outbox.messages) == 0 && now >= p.query.expiresAt {
+		p.query.number = 0
+	}
+	if p.query.number == 0 || now < p.query.sendAt {
+		return false
+	}
+	w.packet.Ask = p.query.number
+	p.query.sendAt = now + interval
+	return true
+}
+
+// writeQueryReplies answers queries, each in a packet of its own: each is for the process that asked.
+func (p *peer) writeQueryReplies(w *packetWriter) {
+	for _, reply := range p.queryReplies {
+		w.packet.To, w.packet.Echo = reply.process, reply.number
+		w.flush()
+	}
+	p.queryReplies = nil
+}
--- /dev/null
+++ b/internal/cluster/messaging/peer.go
@@ -0,0 +1,164 @@
+package messaging
+
+import (
+	"maps"
+	"slices"
+	"time"
+)
+
+// peer is another router, as its latest process that was heard of.
+type peer struct {
+	name             string
+	process          uint64 // 0: not known yet
+	outbox           outbox
+	inbox            inbox
+	acknowledgements []item // to be sent
+	query            query  // for the process that is there now
+	queryReplies     []queryReply
+	announce         bool // it takes this router for another process, and is to hear of this one
+	heardAt          time.Duration
+}
+
+// outgoing is a message in flight.
+type outgoing struct {
+	id       uint64
+	process  uint64 // that it is for; 0: not known yet
+	body     []byte
+	sendAt   time.Duration // when it is sent again
+	backoff  time.Duration // until the attempt after that
+	deadline time.Duration
+}
+
+// outbox holds the messages in flight to a peer, in the order in which they were sent first.
+type outbox struct {
+	messages []*outgoing
+	bytes    int // of their bodies
+}
+
+func (o *outbox) add(out *outgoing) {
+	o.messages = append(o.messages, out)
+	o.bytes += len(out.body)
+}
+
+func (o *outbox) remove(id uint64) {
+	i := slices.IndexFunc(o.messages, func(out *outgoing) bool { return out.id == id })
+	if i < 0 {
+		return
+	}
+	o.bytes -= len(o.messages[i].body)
+	o.messages = slices.Delete(o.messages, i, i+1)
+}
+
+// inbox knows which messages of a peer's process have come, so that each is delivered at most once.
+type inbox struct {
+	replies map[uint64][]byte // of messages that came; nil: not acknowledged yet
+	order   []uint64          // the keys of replies, oldest first
+	floor   uint64            // messages with numbers up to this are too old to be told apart
+}
+
+// accept notes a message and returns true if it came for the first time. Else it returns the reply to be sent again, if
+// there is one.
+func (b *inbox) accept(id uint64, memory int) (first bool, reply []byte) {
+	reply, known := b.replies[id]
+	if known || id <= b.floor || id == 0 {
+		return false, reply
+	}
+	b.replies[id] = nil
+	b.order = append(b.order, id)
+	if len(b.order) > memory {
+		b.floor = max(b.floor, b.order[0])
+		delete(b.replies, b.order[0])
+		b.order = b.order[1:]
+	}
+	return true, nil
+}
+
+// setReply remembers the reply to a message. It returns false if the message is not remembered.
+func (b *inbox) setReply(id uint64, reply []byte) bool {
+	if _, known := b.replies[id]; !known {
+		return false
+	}
+	b.replies[id] = reply
+	return true
+}
+
+// reset forgets the messages of a process that has ended.
+func (b *inbox) reset() {
+	b.order, b.floor = nil, 0
+	clear(b.replies)
+}
+
+// query asks which process of a peer is there now. Only the reply to an open query tells: a process that has ended can't
+// give it, however late its packets come.
+type query struct {
+	number    uint64        // 0: no query is open
+	sendAt    time.Duration // when it is sent again
+	expiresAt time.Duration // when it is given up if no message waits for the reply
+}
+
+// queryReply tells a process that asked that this one is here.
+type queryReply struct{ process, number uint64 }
+
+// maxQueryReplies bounds the queries of a peer that wait for a reply.
+const maxQueryReplies = 4
+
+// queryLifetime is how long a query is repeated if no message waits for the reply.
+const queryLifetime = 2 * time.Second
+
+// silent tells whether there is nothing to send to the peer.
+func (p *peer) silent() bool {
+	return len(p.outbox.messages) == 0 && len(p.acknowledgements) == 0 && p.query.number == 0 &&
+		len(p.queryReplies) == 0 && !p.announce
+}
+
+// peer finds a peer, or begins to remember it. If there are too many, the one that was heard of longest ago and has no
+// message in flight is forgotten; if there is none, peer returns nil.
+func (m *Messenger) peer(now time.Duration, name string) *peer {
+	if p := m.peers[name]; p != nil {
+		return p
+	}
+	if len(m.peers) >= m.settings.MaxPeers {
+		oldest := m.oldestIdlePeer()
+		if oldest == nil {
+			return nil
+		}
+		delete(m.peers, oldest.name)
+	}
+	p := &peer{name: name, heardAt: now, inbox: inbox{replies: map[uint64][]byte{}}}
+	m.peers[name], m.names = p, nil
+	return p
+}
+
+func (m *Messenger) oldestIdlePeer() *peer {
+	var oldest *peer
+	for _, name := range slices.Sorted(maps.Keys(m.peers)) {
+		p := m.peers[name]
+		if len(p.outbox.messages) == 0 && (oldest == nil || p.heardAt < oldest.heardAt) {
+			oldest = p
+		}
+	}
+	return oldest
+}
+
+// startQuery asks which process of a peer is there now, unless that query is open already.
+func (m *Messenger) startQuery(now time.Duration, p *peer) {
+	if p.query.number != 0 {
+		return
+	}
+	m.lastQuery++
+	p.query = query{number: m.lastQuery, sendAt: now, expiresAt: now + queryLifetime}
+}
+
+// replaceProcess goes on with another process of a peer. Messages for the one before end with ProcessReplacedError; those
+// that are for no process yet are sent to it at once.
+func (m *Messenger) replaceProcess(p *peer, process uint64) {
+	for _, out := range slices.Clone(p.outbox.messages) {
+		if out.process == 0 {
+			out.process, out.sendAt = process, 0
+			continue
+		}
+		m.complete(p, Completion{ID: out.id, To: p.name, Err: ProcessReplacedError{p.name}})
+	}
+	p.process, p.acknowledgements = process, nil
+	p.inbox.reset()
+}
