--- a/cmd/hillknot/cluster.go
+++ b/cmd/hillknot/cluster.go
@@ -43,7 +43,6 @@
 			received.credit = cluster.credit
 			cluster.credit.Start()
 		})
-		go cluster.credit.Run(stop)
 	}
 	if cfg.Fleet.Takeover.On {
 		tracing := slog.Default().Enabled(context.Background(), slog.LevelDebug)
--- a/internal/credit/store/golden_test.go
+++ b/internal/credit/store/golden_test.go
@@ -11,45 +11,46 @@
 
 	bolt "go.etcd.io/bbolt"
 
+	"hillknot/internal/credit"
 	"hillknot/internal/testutil/golden"
 )
 
 // Ledgers outlive the releases that write them. testdata/golden/r1.ledger was written at commit 86ccf0f.
 //
-// What reaches the bytes: no name of a type or field, but these texts: the buckets about and lines (the variables of the same
-// names), the keys "format", "self", "id" and "file" of begin, the value of the constant format, and the ending of the constant
-// making, under which a killed process may have left a file. A line is its checksum (CRC-32 of key and value, 4 bytes, highest
-// first) and its value. looked reads bbolt's own pages.
+// What reaches the bytes: no name of a type or field, but the names of the buckets metadataBucket and recordsBucket,
+// the keys formatKey, routerKey, idKey and fileKey, the value of the constant format, and unfinishedSuffix, under
+// which a killed process may have left a file. A record is its checksum (CRC-32 of key and value, 4 bytes, highest
+// first) and its value. checkLength reads bbolt's own pages.
 
 const goldenID = "9ad047be1ce9f8e4d640c89889da1a33" // as it was drawn then
 
-var goldenLines = []Record{
-	{"account/acme", []byte{0x82, 0x1a, 0, 1, 0x11, 0x70, 0x19, 1, 0x2c}},
-	{"empty", []byte{}},
-	{"gift/r2", bytes.Repeat([]byte("more than a page "), 300)},
-	{"meta", []byte("a line that was written twice")},
-	{"zero/\x00\xff", []byte{0}},
+var goldenRecords = []credit.Record{
+	record("account/acme", []byte{0x82, 0x1a, 0, 1, 0x11, 0x70, 0x19, 1, 0x2c}),
+	record("empty", []byte{}),
+	record("gift/r2", bytes.Repeat([]byte("more than a page "), 300)),
+	record("meta", []byte("a line that was written twice")),
+	record("zero/\x00\xff", []byte{0}),
 }
 
-// writeGolden writes the golden lines as two groups, one of which writes a line anew.
+// writeGolden writes the golden records as two groups, one of which writes a record anew.
 func writeGolden(t *testing.T, path string) {
 	t.Helper()
-	l, all, err := Open(path, "r1")
-	if err != nil || len(all) != 0 {
-		t.Fatalf("%d lines, %v", len(all), err)
+	ledger, records, err := Open(path, "r1")
+	if err != nil || len(records) != 0 {
+		t.Fatalf("%d lines, %v", len(records), err)
 	}
-	for _, group := range [][]Record{{{"meta", []byte("the first time")}, goldenLines[0]}, goldenLines[1:]} {
-		if err := l.Write(group); err != nil {
+	for _, group := range [][]credit.Record{{record("meta", []byte("the first time")), goldenRecords[0]}, goldenRecords[1:]} {
+		if err := ledger.Write(group); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if err := l.Close(); err != nil {
+	if err := ledger.Close(); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// contents lists all buckets, keys and values of a file. Two values are left out, as each file has others: the id, which is
-// drawn, and the file, which is the number that the file system gave it. Of the id its form is kept.
+// contents lists all buckets, keys and values of a file. Two values are left out, as each file has others: the id,
+// which is drawn, and the file, which is the number that the file system gave it. Of the id its form is kept.
 func contents(t *testing.T, path string) string {
 	t.Helper()
 	db, err := bolt.Open(path, 0o600, &bolt.Options{ReadOnly: true})
@@ -87,7 +88,7 @@
 	if err := os.WriteFile(path, golden.Read(t, "r1.ledger"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	here, err := identity(path)
+	here, err := fileIdentity(path)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -107,21 +108,21 @@
 // A ledger of before is read line by line, keeps its id, and takes more lines.
 func TestGoldenLedger(t *testing.T) {
 	path := copied(t)
-	l, all, err := Open(path, "r1")
-	if err != nil || !reflect.DeepEqual(all, goldenLines) || l.LedgerID != goldenID {
-		t.Fatalf("read %q of %q, %v; want %q of %q", all, l.LedgerID, err, goldenLines, goldenID)
+	ledger, records, err := Open(path, "r1")
+	if err != nil || !reflect.DeepEqual(records, goldenRecords) || ledger.LedgerID != goldenID {
+		t.Fatalf("read %q of %q, %v; want %q of %q", records, ledger.LedgerID, err, goldenRecords, goldenID)
 	}
-	if err := l.Write([]Record{{"more", []byte("of today")}}); err != nil {
+	if err := ledger.Write([]credit.Record{record("more", []byte("of today"))}); err != nil {
 		t.Fatal(err)
 	}
-	if err := l.Close(); err != nil {
+	if err := ledger.Close(); err != nil {
 		t.Fatal(err)
 	}
-	l, all, err = Open(path, "r1")
-	if err != nil || len(all) != len(goldenLines)+1 || l.LedgerID != goldenID {
-		t.Fatalf("read %q, %v", all, err)
+	ledger, records, err = Open(path, "r1")
+	if err != nil || len(records) != len(goldenRecords)+1 || ledger.LedgerID != goldenID {
+		t.Fatalf("read %q, %v", records, err)
 	}
-	if err := l.Close(); err != nil {
+	if err := ledger.Close(); err != nil {
 		t.Fatal(err)
 	}
 }
@@ -141,11 +142,11 @@
 	if err := os.WriteFile(left, golden.Read(t, "r1.ledger")[:5000], 0o600); err != nil {
 		t.Fatal(err)
 	}
-	l, all, err := Open(path, "r1")
-	if err != nil || len(all) != 0 {
-		t.Fatalf("%d lines, %v", len(all), err)
+	ledger, records, err := Open(path, "r1")
+	if err != nil || len(records) != 0 {
+		t.Fatalf("%d lines, %v", len(records), err)
 	}
-	if err := l.Close(); err != nil {
+	if err := ledger.Close(); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := os.Stat(left); !os.IsNotExist(err) {
--- a/internal/credit/store/space_test.go
+++ b/internal/credit/store/space_test.go
@@ -11,6 +11,8 @@
 	"strings"
 	"syscall"
 	"testing"
+
+	"hillknot/internal/credit"
 )
 
 // spaceFile names the ledger of a process that is to run out of space.
@@ -30,11 +32,11 @@
 
 // runOutOfSpace writes a ledger, has writes fail for want of space, and writes on once there is space again.
 func runOutOfSpace(path string) error {
-	l, _, err := Open(path, "r1")
+	ledger, _, err := Open(path, "r1")
 	if err != nil {
 		return err
 	}
-	if err := l.Write([]Record{{"before", []byte("1")}}); err != nil {
+	if err := ledger.Write([]credit.Record{record("before", []byte("1"))}); err != nil {
 		return err
 	}
 	signal.Ignore(syscall.SIGXFSZ) // the write fails with EFBIG instead
@@ -42,45 +44,46 @@
 	if err != nil {
 		return err
 	}
-	var all syscall.Rlimit
-	if err := syscall.Getrlimit(syscall.RLIMIT_FSIZE, &all); err != nil {
+	var unlimited syscall.Rlimit
+	if err := syscall.Getrlimit(syscall.RLIMIT_FSIZE, &unlimited); err != nil {
 		return err
 	}
-	if err := syscall.Setrlimit(syscall.RLIMIT_FSIZE, &syscall.Rlimit{Cur: uint64(info.Size()), Max: all.Max}); err != nil {
+	full := syscall.Rlimit{Cur: uint64(info.Size()), Max: unlimited.Max}
+	if err := syscall.Setrlimit(syscall.RLIMIT_FSIZE, &full); err != nil {
 		return err
 	}
-	large := []Record{{"large", bytes.Repeat([]byte("x"), 1<<20)}}
+	large := []credit.Record{record("large", bytes.Repeat([]byte("x"), 1<<20))}
 	for range 20 {
-		if err := l.Write(large); err == nil {
+		if err := ledger.Write(large); err == nil {
 			return errors.New("written without space")
 		}
 	}
-	if err := syscall.Setrlimit(syscall.RLIMIT_FSIZE, &all); err != nil {
+	if err := syscall.Setrlimit(syscall.RLIMIT_FSIZE, &unlimited); err != nil {
 		return err
 	}
-	if err := l.Write(large); err != nil {
+	if err := ledger.Write(large); err != nil {
 		return fmt.Errorf("with space again: %w", err)
 	}
-	return l.Close()
+	return ledger.Close()
 }
 
-// A ledger that could not be written for want of space holds all that was acknowledged before, says so of each write that
-// fails, and takes writes again once there is space.
-func TestNoSpaceForAWhile(t *testing.T) {
+// A ledger that could not be written because the disk was full holds all that was acknowledged before, says so of
+// each write that fails, and takes writes again once there is space.
+func TestDiskFullForAWhile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "r1.ledger")
 	cmd := exec.Command(os.Args[0])
 	cmd.Env = append(os.Environ(), spaceFile+"="+path)
 	if text, err := cmd.CombinedOutput(); err != nil {
 		t.Fatalf("%v\n%s", err, text)
 	}
-	l, all, err := Open(path, "r1")
+	ledger, records, err := Open(path, "r1")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer l.Close()
+	t.Cleanup(func() { _ = ledger.Close() })
 	var keys []string
-	for _, line := range all {
-		keys = append(keys, fmt.Sprintf("%s %d", line.Key, len(line.Value)))
+	for _, record := range records {
+		keys = append(keys, fmt.Sprintf("%s %d", record.Key, len(record.Value)))
 	}
 	if got := strings.Join(keys, ", "); got != "before 1, large 1048576" {
 		t.Errorf("the ledger holds %s", got)
--- a/internal/credit/store/store_test.go
+++ b/internal/credit/store/store_test.go
@@ -6,49 +6,68 @@
 	"os"
 	"path/filepath"
 	"testing"
+
+	"hillknot/internal/credit"
 )
 
-func make1(t *testing.T, path string, n int) {
+func record(key string, value []byte) credit.Record { return credit.Record{Key: key, Value: value} }
+
+// createLedger creates a ledger of router r1 with records of so many accounts, and one of their count.
+func createLedger(t *testing.T, path string, accounts int) {
 	t.Helper()
-	l, _, err := Open(path, "r1")
+	ledger, _, err := Open(path, "r1")
 	if err != nil {
 		t.Fatal(err)
 	}
-	for i := range n {
-		if err := l.Write([]Record{{fmt.Sprint("account/", i), make([]byte, 200)}, {"count", []byte(fmt.Sprint(i))}}); err != nil {
+	for i := range accounts {
+		group := []credit.Record{record(fmt.Sprint("account/", i), make([]byte, 200)), record("count", []byte(fmt.Sprint(i)))}
+		if err := ledger.Write(group); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if err := l.Close(); err != nil {
+	if err := ledger.Close(); err != nil {
+		t.Fatal(err)
+	}
+}
+
+func readFile(t *testing.T, path string) []byte {
+	t.Helper()
+	content, err := os.ReadFile(path)
+	if err != nil {
 		t.Fatal(err)
 	}
+	return content
 }
 
-// What was written is there again, under the same id; another's, a copy, another kind of file and one in use are refused.
+// What was written is there again, under the same ID; the ledger of another router, a copy, another kind of file and a
+// ledger in use are rejected.
 func TestOpen(t *testing.T) {
-	dir := t.TempDir()
-	path := filepath.Join(dir, "r1.ledger")
-	make1(t, path, 20)
-	l, all, err := Open(path, "r1")
-	if err != nil || len(all) != 21 || l.LedgerID == "" {
-		t.Fatalf("%d lines, %v", len(all), err)
+	directory := t.TempDir()
+	path := filepath.Join(directory, "r1.ledger")
+	createLedger(t, path, 20)
+	ledger, records, err := Open(path, "r1")
+	if err != nil || len(records) != 21 || ledger.LedgerID == "" {
+		t.Fatalf("%d lines, %v", len(records), err)
 	}
 	if _, _, err := Open(path, "r1"); !errors.As(err, new(FileInUseError)) {
 		t.Errorf("in use: %v", err)
 	}
-	if err := l.Close(); err != nil {
+	if err := ledger.Close(); err != nil {
 		t.Fatal(err)
 	}
 	if _, _, err := Open(path, "r2"); !errors.As(err, new(ForeignFileError)) {
 		t.Errorf("of another router: %v", err)
 	}
-	text, err := os.ReadFile(path)
+	content, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	for name, text := range map[string][]byte{"copy": text, "text": []byte("this is a letter, and not a ledger at all")} {
-		other := filepath.Join(dir, name)
-		if err := os.WriteFile(other, text, 0o600); err != nil {
+	for name, content := range map[string][]byte{
+		"copy": content,
+		"text": []byte("this is a letter, and not a ledger at all"),
+	} {
+		other := filepath.Join(directory, name)
+		if err := os.WriteFile(other, content, 0o600); err != nil {
 			t.Fatal(err)
 		}
 		if _, _, err := Open(other, "r1"); !errors.As(err, new(ForeignFileError)) {
@@ -57,44 +76,50 @@
 	}
 }
 
-// A ledger that is cut anywhere is refused, or has all its lines: never some of them, and never a panic.
-func TestCut(t *testing.T) {
+// truncate makes a file the first bytes of a content. It stays the same file, so it is no copy.
+func truncate(t *testing.T, path string, content []byte, size int) {
+	t.Helper()
+	file, err := os.OpenFile(path, os.O_WRONLY, 0)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if _, err := file.WriteAt(content, 0); err != nil {
+		t.Fatal(err)
+	}
+	if err := file.Truncate(int64(size)); err != nil {
+		t.Fatal(err)
+	}
+	if err := file.Close(); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// A ledger that is truncated anywhere is rejected, or has all its records: never some of them, and never a panic.
+func TestTruncatedFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "r1.ledger")
-	make1(t, path, 60)
-	whole, err := os.ReadFile(path)
+	createLedger(t, path, 60)
+	content, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	torn := 0
-	for cut := len(whole) - 1; cut > 0; cut -= 509 {
-		f, err := os.OpenFile(path, os.O_WRONLY, 0) // the same file, so that it is no copy
-		if err != nil {
-			t.Fatal(err)
-		}
-		if _, err := f.WriteAt(whole, 0); err != nil {
-			t.Fatal(err)
-		}
-		if err := f.Truncate(int64(cut)); err != nil {
-			t.Fatal(err)
-		}
-		if err := f.Close(); err != nil {
-			t.Fatal(err)
-		}
-		l, all, err := Open(path, "r1")
+	rejected := 0
+	for size := len(content) - 1; size > 0; size -= 509 {
+		truncate(t, path, content, size)
+		ledger, records, err := Open(path, "r1")
 		if err != nil {
-			if torn++; !errors.As(err, new(CorruptFileError)) && !errors.As(err, new(ForeignFileError)) {
-				t.Fatalf("cut at %d: %v", cut, err)
+			if rejected++; !errors.As(err, new(CorruptFileError)) && !errors.As(err, new(ForeignFileError)) {
+				t.Fatalf("cut at %d: %v", size, err)
 			}
 			continue
 		}
-		if len(all) != 61 {
-			t.Fatalf("cut at %d: %d lines", cut, len(all))
+		if len(records) != 61 {
+			t.Fatalf("cut at %d: %d lines", size, len(records))
 		}
-		if err := l.Close(); err != nil {
+		if err := ledger.Close(); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if torn == 0 {
+	if rejected == 0 {
 		t.Error("no cut was found")
 	}
 }
