--- a/internal/credit/account.go
+++ b/internal/credit/account.go
@@ -8,8 +8,8 @@
 // account is what this router holds of one customer's balance. Amounts are millionths of a credit.
 //
 // A right goes from the record to withdrawing (the record that it was withdrawn is being written), then to available,
-// then to reserved, and is then charged or becomes available again. What is available, reserved or withdrawing is lost if
-// the process is killed, as the record no longer has it.
+// then to reserved, and is then charged or becomes available again. What is available, reserved or withdrawing is
+// lost if the process is killed, as the record no longer has it.
 type account struct {
 	name   string
 	record accountRecord
--- a/internal/credit/golden_test.go
+++ b/internal/credit/golden_test.go
@@ -18,23 +18,26 @@
 //
 // What reaches the bytes:
 //   - identityRecord, accountRecord, topUpRecord, transferRecord, message and balanceReport are CBOR arrays
-//     (`cbor:",toarray"`), so that the order, the types and the number of their exported fields count, and no name does. A
-//     struct that loses its field _ with the tag is written as a map of its fields' names.
+//     (`cbor:",toarray"`), so that the order, the types and the number of their exported fields count, and no name
+//     does. A struct that loses its field _ with the tag is written as a map of its fields' names.
 //   - The constants of messageKind are sent as numbers, so their order counts.
-//   - The keys of records begin with the constants kindIdentity to kindKnownLedger: "meta", "account/", "topup/", "gift/",
-//     "got/", "name/".
+//   - The keys of records begin with the constants kindIdentity to kindKnownLedger: "meta", "account/", "topup/",
+//     "gift/", "got/", "name/".
 //   - The replies are the texts of ackAccepted, ackRejected and ackStale.
-//   - TopUp.fingerprint hashes ID, Account, Amount and Routers, in this order and in the form of %q; the ledger holds the
-//     hash. A release that hashes otherwise rejects the whole list of top-ups.
+//   - TopUp.fingerprint hashes ID, Account, Amount and Routers, in this order and in the form of %q; the ledger holds
+//     the hash. A release that hashes otherwise rejects the whole list of top-ups.
 
 var (
-	goldenTopUp       = TopUp{ID: "inv-1", Account: "acme", Amount: 9_000_001, Routers: []string{"r2", "r1", `r"3`}}
-	goldenIdentity    = identityRecord{LedgerID: "0123456789abcdef0123456789abcdef", Router: "r1", Confirmed: true}
-	goldenAccount     = accountRecord{Rights: 5_000_000_000, Withdrawn: 70_000}
-	goldenTopUpRecord = topUpRecord{Fingerprint: goldenTopUp.fingerprint(), Portion: 3_000_000}
-	goldenTransfer    = transferRecord{Sequence: 300, Account: "acme", Amount: 1 << 33}
-	goldenReceived    = uint64(70_000)
-	goldenOtherLedger = "fedcba9876543210fedcba9876543210"
+	goldenTopUp             = TopUp{ID: "inv-1", Account: "acme", Amount: 9_000_001, Routers: []string{"r2", "r1", `r"3`}}
+	goldenIdentity          = identityRecord{LedgerID: "0123456789abcdef0123456789abcdef", Router: "r1", Confirmed: true}
+	goldenAccount           = accountRecord{Rights: 5_000_000_000, Withdrawn: 70_000}
+	goldenTopUpRecord       = topUpRecord{Fingerprint: goldenTopUp.fingerprint(), Portion: 3_000_000}
+	goldenTransfer          = transferRecord{Sequence: 300, Account: "acme", Amount: 1 << 33}
+	goldenOverdrawn         = accountRecord{Rights: -5, Withdrawn: -6}
+	goldenNegativeTopUp     = topUpRecord{Fingerprint: goldenTopUp.fingerprint(), Portion: -3}
+	goldenCompletedTransfer = transferRecord{Sequence: 301, Account: "acme"}
+	goldenReceived          = uint64(70_000)
+	goldenOtherLedger       = "fedcba9876543210fedcba9876543210"
 )
 
 // One value of each kind of record.
@@ -43,9 +46,17 @@
 	golden.Nonzero(t, goldenAccount)
 	golden.Nonzero(t, goldenTopUpRecord)
 	golden.Nonzero(t, goldenTransfer)
-	for name, want := range map[string]any{"meta": goldenIdentity, "account": goldenAccount, "topup": goldenTopUpRecord, "gift": goldenTransfer,
-		"got": goldenReceived, "name": goldenOtherLedger, "account-overdrawn": accountRecord{Rights: -5, Withdrawn: -6},
-		"topup-back": topUpRecord{Fingerprint: goldenTopUp.fingerprint(), Portion: -3}, "gift-taken": transferRecord{Sequence: 301, Account: "acme"}} {
+	for name, want := range map[string]any{
+		"meta":              goldenIdentity,
+		"account":           goldenAccount,
+		"account-overdrawn": goldenOverdrawn,
+		"topup":             goldenTopUpRecord,
+		"topup-back":        goldenNegativeTopUp,
+		"gift":              goldenTransfer,
+		"gift-taken":        goldenCompletedTransfer,
+		"got":               goldenReceived,
+		"name":              goldenOtherLedger,
+	} {
 		t.Run(name, func(t *testing.T) {
 			file := "line-" + name + ".hex"
 			value, err := cbor.Marshal(want) // as Ledger.NextWrite does
@@ -54,7 +65,8 @@
 			}
 			golden.Same(t, file, value)
 			got := reflect.New(reflect.TypeOf(want))
-			if err := cbor.Unmarshal(golden.Read(t, file), got.Interface()); err != nil || !reflect.DeepEqual(got.Elem().Interface(), want) {
+			err = cbor.Unmarshal(golden.Read(t, file), got.Interface())
+			if err != nil || !reflect.DeepEqual(got.Elem().Interface(), want) {
 				t.Errorf("read as %+v, %v; want %+v", got.Elem(), err, want)
 			}
 		})
@@ -62,8 +74,17 @@
 }
 
 // goldenLedger is a whole ledger: its keys, and the files of its values.
-var goldenLedger = map[string]string{"meta": "meta", "account/acme": "account", "account/ac/me": "account-overdrawn", "topup/inv-1": "topup",
-	"topup/inv/2": "topup-back", "gift/r2": "gift", "gift/r3": "gift-taken", "got/" + goldenOtherLedger: "got", "name/r2": "name"}
+var goldenLedger = map[string]string{
+	"meta":                     "meta",
+	"account/acme":             "account",
+	"account/ac/me":            "account-overdrawn",
+	"topup/inv-1":              "topup",
+	"topup/inv/2":              "topup-back",
+	"gift/r2":                  "gift",
+	"gift/r3":                  "gift-taken",
+	"got/" + goldenOtherLedger: "got",
+	"name/r2":                  "name",
+}
 
 // A ledger restores every kind of record, and writes each as it was.
 func TestGoldenLedger(t *testing.T) {
@@ -78,16 +99,22 @@
 	if ledger.identity.record != goldenIdentity {
 		t.Errorf("meta %+v, want %+v", ledger.identity.record, goldenIdentity)
 	}
-	if want := (map[string]accountRecord{"acme": goldenAccount, "ac/me": {Rights: -5, Withdrawn: -6}}); len(ledger.accounts) != len(want) ||
-		ledger.accounts["acme"].record != want["acme"] || ledger.accounts["ac/me"].record != want["ac/me"] {
-		t.Errorf("accounts %+v, want %+v", ledger.accounts, want)
+	accounts := map[string]accountRecord{}
+	for name, a := range ledger.accounts {
+		accounts[name] = a.record
+	}
+	if want := (map[string]accountRecord{"acme": goldenAccount, "ac/me": goldenOverdrawn}); !maps.Equal(accounts, want) {
+		t.Errorf("accounts %+v, want %+v", accounts, want)
 	}
-	if want := map[string]topUpRecord{"inv-1": goldenTopUpRecord, "inv/2": {Fingerprint: goldenTopUp.fingerprint(), Portion: -3}}; !reflect.DeepEqual(ledger.topUps.applied, want) {
+	if want := map[string]topUpRecord{
+		"inv-1": goldenTopUpRecord,
+		"inv/2": goldenNegativeTopUp,
+	}; !reflect.DeepEqual(ledger.topUps.applied, want) {
 		t.Errorf("top-ups %+v, want %+v", ledger.topUps.applied, want)
 	}
 	if want := map[string]*transfer{
-		"r2": {receiver: "r2", state: transferReady, record: transferRecord{Sequence: 300, Account: "acme", Amount: 1 << 33}},
-		"r3": {receiver: "r3", state: transferIdle, record: transferRecord{Sequence: 301, Account: "acme"}},
+		"r2": {receiver: "r2", state: transferReady, record: goldenTransfer},
+		"r3": {receiver: "r3", state: transferIdle, record: goldenCompletedTransfer},
 	}; !reflect.DeepEqual(ledger.transfers, want) {
 		t.Errorf("transfers %+v, want %+v", ledger.transfers, want)
 	}
@@ -105,16 +132,27 @@
 
 // The hash that tells top-ups of one id apart is in ledgers.
 func TestGoldenFingerprint(t *testing.T) {
-	for name, topup := range map[string]TopUp{"print.hex": goldenTopUp, "print-back.hex": {ID: "inv \"2\"", Account: "ünion", Amount: -5, Routers: []string{"r1"}}} {
-		p := topup.fingerprint()
-		golden.Same(t, name, p[:])
+	for name, topUp := range map[string]TopUp{
+		"print.hex":      goldenTopUp,
+		"print-back.hex": {ID: "inv \"2\"", Account: "ünion", Amount: -5, Routers: []string{"r1"}},
+	} {
+		fingerprint := topUp.fingerprint()
+		golden.Same(t, name, fingerprint[:])
 	}
 }
 
 var goldenMessages = map[string]message{
-	"message.hex": {Kind: messageTransfer, LedgerID: goldenIdentity.LedgerID, Account: "acme", Amount: 1 << 33, Sequence: 300,
-		Balances: []balanceReport{{Account: "acme", Amount: 70_000, Rate: 2.5}, {Account: "ac/me", Amount: 5, Rate: 1.0 / 3}}},
-	"tell.hex":  {Kind: messageBalances, LedgerID: goldenIdentity.LedgerID, Balances: []balanceReport{{Account: "acme", Amount: 70_000, Rate: 2.5}}},
+	"message.hex": {
+		Kind: messageTransfer, LedgerID: goldenIdentity.LedgerID, Account: "acme", Amount: 1 << 33, Sequence: 300,
+		Balances: []balanceReport{
+			{Account: "acme", Amount: 70_000, Rate: 2.5},
+			{Account: "ac/me", Amount: 5, Rate: 1.0 / 3},
+		},
+	},
+	"tell.hex": {
+		Kind: messageBalances, LedgerID: goldenIdentity.LedgerID,
+		Balances: []balanceReport{{Account: "acme", Amount: 70_000, Rate: 2.5}},
+	},
 	"beg.hex":   {Kind: messageTransferRequest, LedgerID: goldenIdentity.LedgerID, Account: "acme", Amount: 300},
 	"give.hex":  {Kind: messageTransfer, LedgerID: goldenIdentity.LedgerID, Account: "acme", Amount: 300, Sequence: 7},
 	"birth.hex": {Kind: messageIdentity, LedgerID: goldenIdentity.LedgerID, Sequence: 7},
@@ -140,7 +178,11 @@
 			}
 		})
 	}
-	for name, want := range map[string]string{"answer-yes.txt": ackAccepted, "answer-no.txt": ackRejected, "answer-stale.txt": ackStale} {
+	for name, want := range map[string]string{
+		"answer-yes.txt":   ackAccepted,
+		"answer-no.txt":    ackRejected,
+		"answer-stale.txt": ackStale,
+	} {
 		golden.Same(t, name, []byte(want))
 	}
 }
@@ -148,7 +190,8 @@
 // A ledger takes each message of before, acknowledges it, and writes and sends what follows: the transfer that was
 // requested, byte for byte. No rate is reckoned here, as its last bits may differ between machines.
 func TestGoldenMessagesReceived(t *testing.T) {
-	ledger, err := New(Defaults("r1", 11, goldenIdentity.LedgerID), []Record{{"account/acme", golden.Read(t, "line-account.hex")}})
+	records := []Record{{"account/acme", golden.Read(t, "line-account.hex")}}
+	ledger, err := New(Defaults("r1", 11, goldenIdentity.LedgerID), records)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -186,7 +229,8 @@
 		{file: "birth.hex", reply: ackRejected}, // another ledger under the same name
 		{file: "beg-other.hex", reply: ackAccepted, sent: "give-taken.hex",
 			lines: map[string]string{"account/acme": "line-account-given.hex", "gift/r2": "line-gift-given.hex"}},
-		{file: "give-other.hex", reply: ackAccepted, lines: map[string]string{"account/acme": "line-account-got.hex", "got/" + goldenOtherLedger: "line-got-first.hex"}},
+		{file: "give-other.hex", reply: ackAccepted,
+			lines: map[string]string{"account/acme": "line-account-got.hex", "got/" + goldenOtherLedger: "line-got-first.hex"}},
 		{file: "birth-old.hex", reply: ackStale}, // it has forgotten what it gave
 	} {
 		id, err := other.Send(now, "r1", golden.Read(t, c.file), now+time.Minute)
--- a/internal/credit/ledger.go
+++ b/internal/credit/ledger.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"iter"
 	"maps"
 	"slices"
 	"time"
@@ -69,7 +70,7 @@
 func (l *Ledger) Tick(now time.Duration) {
 	l.messenger.Tick(now)
 	l.handleCompletions(now)
-	for _, a := range l.sortedAccounts() {
+	for a := range l.sortedAccounts() {
 		a.updateRate(l.settings.TickInterval)
 		l.updateLevel(now, a)
 		l.rebalance(now, a)
@@ -83,7 +84,7 @@
 // Close returns what is available to the records. Nothing may be reserved after it. The caller writes the records that
 // NextWrite returns then.
 func (l *Ledger) Close() {
-	for _, a := range l.sortedAccounts() {
+	for a := range l.sortedAccounts() {
 		l.returnAvailable(a, 0)
 	}
 }
@@ -102,7 +103,7 @@
 // AccountStatuses returns the status of all accounts, in the order of their names.
 func (l *Ledger) AccountStatuses(now time.Duration) []AccountStatus {
 	var statuses []AccountStatus
-	for _, a := range l.sortedAccounts() {
+	for a := range l.sortedAccounts() {
 		statuses = append(statuses, AccountStatus{
 			Account:   a.name,
 			Level:     a.pacer.level,
@@ -116,11 +117,13 @@
 	return statuses
 }
 
-// sortedAccounts returns all accounts in the order of their names.
-func (l *Ledger) sortedAccounts() []*account {
-	accounts := make([]*account, 0, len(l.accounts))
-	for _, name := range slices.Sorted(maps.Keys(l.accounts)) {
-		accounts = append(accounts, l.accounts[name])
+// sortedAccounts iterates over all accounts in the order of their names.
+func (l *Ledger) sortedAccounts() iter.Seq[*account] {
+	return func(yield func(*account) bool) {
+		for _, name := range slices.Sorted(maps.Keys(l.accounts)) {
+			if !yield(l.accounts[name]) {
+				return
+			}
+		}
 	}
-	return accounts
 }
--- a/internal/credit/ledger_test.go
+++ b/internal/credit/ledger_test.go
@@ -166,7 +166,8 @@
 	c.replaceDisk(other)
 	c.start(other)
 	c.pass(2 * time.Second)
-	if err := other.ledger.IdentityError(); !errors.As(err, new(NameTakenError)) || other.ledger.topUps.applied["first"].Portion != 0 {
+	portion := other.ledger.topUps.applied["first"].Portion
+	if err := other.ledger.IdentityError(); !errors.As(err, new(NameTakenError)) || portion != 0 {
 		t.Errorf("a new ledger of a known name: %v", err)
 	}
 	c.checkViolations(t)
--- a/internal/credit/peers.go
+++ b/internal/credit/peers.go
@@ -97,7 +97,7 @@
 // balanceReports returns reports of all accounts; those that are spent fastest come first.
 func (l *Ledger) balanceReports() []balanceReport {
 	var reports []balanceReport
-	for _, a := range l.sortedAccounts() {
+	for a := range l.sortedAccounts() {
 		reports = append(reports, balanceReport{Account: a.name, Amount: a.spendable(), Rate: a.spendingRate})
 	}
 	slices.SortStableFunc(reports, func(x, y balanceReport) int {
--- a/internal/credit/store/golden_test.go
+++ b/internal/credit/store/golden_test.go
@@ -39,7 +39,8 @@
 	if err != nil || len(records) != 0 {
 		t.Fatalf("%d lines, %v", len(records), err)
 	}
-	for _, group := range [][]credit.Record{{record("meta", []byte("the first time")), goldenRecords[0]}, goldenRecords[1:]} {
+	first := []credit.Record{record("meta", []byte("the first time")), goldenRecords[0]}
+	for _, group := range [][]credit.Record{first, goldenRecords[1:]} {
 		if err := ledger.Write(group); err != nil {
 			t.Fatal(err)
 		}
@@ -96,7 +97,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := db.Update(func(tx *bolt.Tx) error { return tx.Bucket([]byte("about")).Put([]byte("file"), []byte(here)) }); err != nil {
+	if err := db.Update(func(tx *bolt.Tx) error {
+		return tx.Bucket([]byte("about")).Put([]byte("file"), []byte(here))
+	}); err != nil {
 		t.Fatal(err)
 	}
 	if err := db.Close(); err != nil {
--- a/internal/credit/topups/golden_test.go
+++ b/internal/credit/topups/golden_test.go
@@ -9,12 +9,12 @@
 	"hillknot/internal/testutil/golden"
 )
 
-// Operators keep this file, and routers read it again and again: what an old line says must not change, as ledgers hold its hash.
-// testdata/golden/topups.hcl is as commit 86ccf0f reads it.
+// Operators keep this file, and routers read it again and again: what an old line says must not change, as ledgers
+// hold its hash. testdata/golden/topups.hcl is as commit 86ccf0f reads it.
 //
-// What reaches the bytes: the names of the tags `hcl:"..."` of file and topup ("among", "topup", "id", "account", "amount"), and
-// no name of Go.
-func TestGoldenTopups(t *testing.T) {
+// What reaches the bytes: the names of the tags `hcl:"..."` of file and topUp ("among", "topup", "id", "account",
+// "amount"), and no name of Go.
+func TestGoldenTopUps(t *testing.T) {
 	got, err := Read(filepath.Join("testdata", "golden", "topups.hcl"))
 	want := []credit.TopUp{
 		{ID: "inv-1", Account: "acme", Amount: 25_000_001, Routers: []string{"r1", "r2"}},
--- a/internal/credit/topups/topups.go
+++ b/internal/credit/topups/topups.go
@@ -1,4 +1,5 @@
-// Package topups reads the file in which an operator writes down what customers have paid.
+// Package topups reads the file of top-ups, in which operators record what customers have paid. docs/credit.md
+// describes it.
 package topups
 
 import (
@@ -12,46 +13,59 @@
 	"hillknot/internal/credit"
 )
 
-// sizeMost bounds the file.
-const sizeMost = 16 << 20
+const (
+	// maxFileSize bounds the file, in bytes.
+	maxFileSize = 16 << 20
 
+	// maxAmount bounds the credits of a top-up: within it a number in the file is exact to a millionth.
+	maxAmount = 1e9
+
+	// unitsPerCredit is how many units of credit.TopUp.Amount a credit has.
+	unitsPerCredit = 1e6
+)
+
+// file is the content of the file.
 type file struct {
-	Among  []string `hcl:"among,optional"` // for top-ups that say nothing else
-	Topups []topup  `hcl:"topup,block"`
+	Routers []string `hcl:"among,optional"` // of the top-ups that name none
+	TopUps  []topUp  `hcl:"topup,block"`
 }
 
-type topup struct {
+type topUp struct {
 	ID      string   `hcl:"id,label"`
 	Account string   `hcl:"account"`
-	Amount  float64  `hcl:"amount"` // credits
-	Among   []string `hcl:"among,optional"`
+	Amount  float64  `hcl:"amount"` // in credits
+	Routers []string `hcl:"among,optional"`
 }
 
-// amountMost is how many credits one top-up may have: within it a number in the file is exact to a millionth.
-const amountMost = 1e9
-
-// Read reads the file, which is HCL. Errors name file, line and column.
-func Read(path string) (list []credit.TopUp, err error) {
-	if info, err := os.Stat(path); err == nil && info.Size() > sizeMost {
-		return nil, fmt.Errorf("top-ups %s: over %d bytes", path, sizeMost)
+// Read reads the file, which is HCL. Errors name the file, and if they can, line and column. What the top-ups say is
+// for credit.Ledger.ApplyTopUps to check.
+func Read(path string) ([]credit.TopUp, error) {
+	if info, err := os.Stat(path); err == nil && info.Size() > maxFileSize {
+		return nil, fmt.Errorf("top-ups %s: over %d bytes", path, maxFileSize)
 	}
-	f, diags := hclparse.NewParser().ParseHCLFile(path)
-	if diags.HasErrors() {
-		return nil, fmt.Errorf("top-ups: %w", diags)
+	parsed, diagnostics := hclparse.NewParser().ParseHCLFile(path)
+	if diagnostics.HasErrors() {
+		return nil, fmt.Errorf("top-ups: %w", diagnostics)
 	}
-	var all file
-	if diags := gohcl.DecodeBody(f.Body, nil, &all); diags.HasErrors() {
-		return nil, fmt.Errorf("top-ups: %w", diags)
+	var content file
+	if diagnostics := gohcl.DecodeBody(parsed.Body, nil, &content); diagnostics.HasErrors() {
+		return nil, fmt.Errorf("top-ups: %w", diagnostics)
 	}
-	for _, t := range all.Topups {
-		if !(math.Abs(t.Amount) <= amountMost) {
+	var list []credit.TopUp
+	for _, t := range content.TopUps {
+		if !(math.Abs(t.Amount) <= maxAmount) { // not a number, too
 			return nil, fmt.Errorf("top-ups %s: %q: amount is over a milliard", path, t.ID)
 		}
-		among := t.Among
-		if among == nil {
-			among = all.Among
+		routers := t.Routers
+		if routers == nil {
+			routers = content.Routers
 		}
-		list = append(list, credit.TopUp{ID: t.ID, Account: t.Account, Amount: int64(math.Round(t.Amount * 1e6)), Routers: among})
+		list = append(list, credit.TopUp{
+			ID:      t.ID,
+			Account: t.Account,
+			Amount:  int64(math.Round(t.Amount * unitsPerCredit)),
+			Routers: routers,
+		})
 	}
 	return list, nil
 }
