--- a/cmd/hillknot/replacement.go
+++ b/cmd/hillknot/replacement.go
@@ -21,7 +21,7 @@
 	core     *core.Core
 	watcher  *discovery.Watcher
 	upstream *upstream.Client
-	clients  *msgpackrpc.Front
+	clients  *msgpackrpc.Server
 	budget   *netio.Budget
 	limits   config.Limits
 
@@ -31,7 +31,7 @@
 	successorReady bool // and it has taken over
 }
 
-func newReplacement(c *core.Core, watcher *discovery.Watcher, up *upstream.Client, clients *msgpackrpc.Front, budget *netio.Budget, limits config.Limits) *replacement {
+func newReplacement(c *core.Core, watcher *discovery.Watcher, up *upstream.Client, clients *msgpackrpc.Server, budget *netio.Budget, limits config.Limits) *replacement {
 	return &replacement{core: c, watcher: watcher, upstream: up, clients: clients, budget: budget, limits: limits}
 }
 
--- a/cmd/hillknot/router.go
+++ b/cmd/hillknot/router.go
@@ -43,7 +43,7 @@
 	core     *core.Core
 	upstream *upstream.Client
 	watcher  *discovery.Watcher
-	clients  *msgpackrpc.Front
+	clients  *msgpackrpc.Server
 	others   []frontEnd // all front ends but clients
 	admin    net.Addr   // of the admin front end; nil: there is none
 
--- a/internal/frontend/admin/http.go
+++ b/internal/frontend/admin/http.go
@@ -7,56 +7,63 @@
 )
 
 var (
-	errBad     = errors.New("malformed call")
-	errTooLong = errors.New("call over the limit")
+	errMalformed = errors.New("malformed call")
+	errTooLong   = errors.New("call over the limit")
 )
 
-// call is an HTTP call. Its slices are of the buffer that it was read from.
-type call struct{ method, path []byte }
+// request is the request line of an HTTP call. Its slices are of the buffer that it was read from.
+type request struct{ method, path []byte }
 
-// parse reads the call at the start of buf. It returns its length with its body, or 0 where it is not whole yet,
-// with the length that is needed, as far as that is known.
-func parse(buf []byte, maxHead, maxBody int) (c call, n, want int, err error) {
-	end := bytes.Index(buf, []byte("\r\n\r\n"))
+// progress tells how much of a buffer the parser has used.
+type progress struct {
+	consumed int // bytes of the complete request with its body; 0: it is not complete yet
+	needed   int // bytes that the buffer must hold before the next attempt, as far as known; 0: any more
+}
+
+const headerEnd = "\r\n\r\n"
+
+// parseRequest reads the request at the start of buf.
+func parseRequest(buf []byte, maxHead, maxBody int) (request, progress, error) {
+	end := bytes.Index(buf, []byte(headerEnd))
 	if end > maxHead || end < 0 && len(buf) > maxHead {
-		return call{}, 0, 0, errTooLong
+		return request{}, progress{}, errTooLong
 	}
 	if end < 0 {
-		return call{}, 0, 0, nil
+		return request{}, progress{}, nil
 	}
 	line, head, _ := bytes.Cut(buf[:end], []byte("\r\n"))
 	words := bytes.Split(line, []byte(" "))
-	if len(words) != 3 || !token(words[0]) || len(words[1]) == 0 || words[1][0] != '/' || !bytes.HasPrefix(words[2], []byte("HTTP/1.")) {
-		return call{}, 0, 0, errBad
+	if len(words) != 3 || !isToken(words[0]) || len(words[1]) == 0 || words[1][0] != '/' || !bytes.HasPrefix(words[2], []byte("HTTP/1.")) {
+		return request{}, progress{}, errMalformed
 	}
-	c.method = words[0]
-	c.path, _, _ = bytes.Cut(words[1], []byte("?"))
+	path, _, _ := bytes.Cut(words[1], []byte("?"))
 	size, err := bodySize(head)
 	if err != nil {
-		return call{}, 0, 0, err
+		return request{}, progress{}, err
 	}
 	if size > maxBody {
-		return call{}, 0, 0, errTooLong
+		return request{}, progress{}, errTooLong
 	}
-	if n = end + 4 + size; len(buf) < n {
-		return call{}, 0, n, nil
+	length := end + len(headerEnd) + size
+	if len(buf) < length {
+		return request{}, progress{needed: length}, nil
 	}
-	return c, n, 0, nil
+	return request{method: words[0], path: path}, progress{consumed: length}, nil
 }
 
-// bodySize reads the headers for the length of the body. A body in chunks is not taken: no call here needs one.
+// bodySize reads the length of the body from the headers. Chunked bodies are not supported: no call here needs one.
 func bodySize(head []byte) (size int, err error) {
 	for more := len(head) > 0; more; {
 		var line []byte
 		line, head, more = bytes.Cut(head, []byte("\r\n"))
 		name, value, ok := bytes.Cut(line, []byte(":"))
 		switch {
-		case !ok || !token(name) || bytes.EqualFold(name, []byte("Transfer-Encoding")):
-			return 0, errBad
+		case !ok || !isToken(name) || bytes.EqualFold(name, []byte("Transfer-Encoding")):
+			return 0, errMalformed
 		case bytes.EqualFold(name, []byte("Content-Length")):
 			n, err := strconv.ParseUint(string(bytes.TrimSpace(value)), 10, 31)
 			if err != nil {
-				return 0, errBad
+				return 0, errMalformed
 			}
 			size = int(n)
 		}
@@ -64,8 +71,8 @@
 	return size, nil
 }
 
-// token tells whether a method or the name of a header is well formed.
-func token(b []byte) bool {
+// isToken tells whether a method or the name of a header is well formed.
+func isToken(b []byte) bool {
 	for _, c := range b {
 		if c <= ' ' || c >= 0x7f {
 			return false
--- a/internal/frontend/admin/admin_test.go
+++ b/internal/frontend/admin/server_test.go
@@ -18,30 +18,30 @@
 	"hillknot/internal/testutil/parsertest"
 )
 
-// desk is a core of which the test sets what it tells. Its loop runs nothing until the test has it run.
-type desk struct {
+// fakeCore is a core whose snapshot the test sets. Its loop runs nothing until the test has it run.
+type fakeCore struct {
 	snap  atomic.Pointer[core.Snapshot]
 	posts chan func()
 	ended atomic.Bool
 }
 
-func (d *desk) Post(f func())            { d.posts <- f }
-func (d *desk) Snapshot() *core.Snapshot { return d.snap.Load() }
-func (d *desk) EnterStandby()            { d.snap.Store(&core.Snapshot{Phase: core.Standby}) }
-func (d *desk) LeaveStandby() bool {
+func (d *fakeCore) Post(f func())            { d.posts <- f }
+func (d *fakeCore) Snapshot() *core.Snapshot { return d.snap.Load() }
+func (d *fakeCore) EnterStandby()            { d.snap.Store(&core.Snapshot{Phase: core.Standby}) }
+func (d *fakeCore) LeaveStandby() bool {
 	d.snap.Store(&core.Snapshot{Phase: core.Serving})
 	return !d.ended.Load()
 }
-func (d *desk) take(t *testing.T, n int) {
+func (d *fakeCore) take(t *testing.T, n int) {
 	t.Helper()
 	for range n {
 		(<-d.posts)()
 	}
 }
 
-func open(t *testing.T, places int) (*desk, string) {
+func open(t *testing.T, places int) (*fakeCore, string) {
 	t.Helper()
-	d := &desk{posts: make(chan func(), 10)}
+	d := &fakeCore{posts: make(chan func(), 10)}
 	d.snap.Store(&core.Snapshot{})
 	lim := config.Limits{OpsConns: places, OpsHead: 1 << 10, OpsBody: 1 << 10,
 		Ops: config.Conn{Pending: 1 << 16, Read: time.Minute, Whole: time.Minute, Write: time.Minute, Idle: time.Minute, Silent: time.Minute}}
@@ -86,7 +86,7 @@
 
 func line(method, path string) string { return method + " " + path + " HTTP/1.1\r\nHost: x\r\n\r\n" }
 
-func TestCalls(t *testing.T) {
+func TestStatusCodes(t *testing.T) {
 	d, addr := open(t, 16)
 	d.LeaveStandby()
 	for text, want := range map[string]int{
@@ -109,7 +109,7 @@
 }
 
 // A call that changes the state says yes once the loop has carried it out; one that ends does not come back.
-func TestSteer(t *testing.T) {
+func TestStandbyAndActive(t *testing.T) {
 	d, addr := open(t, 16)
 	go d.take(t, 3)
 	if got, _ := ask(t, addr, "POST /standby HTTP/1.1\r\nContent-Length: 2\r\n\r\nhi"); got != 200 || d.Snapshot().Phase != core.Standby {
@@ -140,7 +140,7 @@
 	}
 }
 
-func TestFigures(t *testing.T) {
+func TestMetrics(t *testing.T) {
 	d, addr := open(t, 16)
 	d.snap.Store(&core.Snapshot{ByClass: []core.ClassCounts{{Class: "page", Success: 812, Overload: 3, Error: 4}, {Class: `a"b`, Error: 1}},
 		AttemptsWritten: 900, OpenRequests: 14, Endpoints: 12, AvoidedEndpoints: 2})
@@ -153,14 +153,14 @@
 	}
 }
 
-func TestParser(t *testing.T) {
+func TestRequestParser(t *testing.T) {
 	gen := func(t *rapid.T) []byte {
 		body := rapid.SliceOfN(rapid.Byte(), 0, 50).Draw(t, "body")
 		return append(fmt.Appendf(nil, "%s /%s HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\n\r\n", rapid.SampledFrom([]string{"GET", "POST"}).Draw(t, "method"),
 			rapid.StringMatching("[a-z/]{0,20}").Draw(t, "path"), len(body)), body...)
 	}
 	parsertest.Run(t, gen, func(buf []byte) (int, int, error) {
-		_, n, want, err := parse(buf, 1<<10, 100)
-		return n, want, err
+		_, progress, err := parseRequest(buf, 1<<10, 100)
+		return progress.consumed, progress.needed, err
 	})
 }
--- a/internal/frontend/agentcheck/agentcheck.go
+++ b/internal/frontend/agentcheck/agentcheck.go
@@ -1,4 +1,5 @@
-// Package agentcheck tells load balancers how the router is, as the line that HAProxy's agent check reads.
+// Package agentcheck is the front end for load balancers that use HAProxy's agent check: it answers every connection with
+// one line that says whether the router takes clients.
 package agentcheck
 
 import (
@@ -7,54 +8,56 @@
 	"hillknot/internal/netio"
 )
 
-// Core is what is asked.
+// Core tells the state of the router. Any goroutine may call it.
 type Core interface{ Snapshot() *core.Snapshot }
 
-// Front answers checks on one address.
-type Front struct{ *netio.Server }
+// Server answers agent checks on one address.
+type Server struct{ *netio.Server }
 
-// The words of HAProxy's agent check.
+// Words of HAProxy's agent check.
 const (
-	ready = "ready"
-	drain = "drain"
-	down  = "down"
+	wordReady = "ready"
+	wordDrain = "drain"
+	wordDown  = "down"
 )
 
-func word(p core.Phase) string {
-	switch p {
-	case core.Standby, core.ShuttingDown:
-		return drain
-	case core.Serving:
-		return ready
-	}
-	return down
-}
-
-// Listen opens the listener: every connection is answered with one line, as HAProxy's agent-check wants it.
-func Listen(addr string, c Core, lim config.Limits) (*Front, error) {
-	s, err := netio.Listen(addr, lim.CheckConns, lim.Check, netio.NewBudget(lim.CheckConns*lim.Check.Pending), func(nc *netio.Conn) netio.Handler {
-		return &agent{core: c, nc: nc}
+// Listen opens the listener. Its connections have places of their own: clients can't take them.
+func Listen(addr string, c Core, limits config.Limits) (*Server, error) {
+	budget := netio.NewBudget(limits.CheckConns * limits.Check.Pending)
+	s, err := netio.Listen(addr, limits.CheckConns, limits.Check, budget, func(nc *netio.Conn) netio.Handler {
+		return &conn{core: c, nc: nc}
 	})
 	if err != nil {
 		return nil, err
 	}
-	return &Front{s}, nil
+	return &Server{s}, nil
 }
 
-type agent struct {
+// conn is a load balancer's connection.
+type conn struct {
 	core Core
 	nc   *netio.Conn
 }
 
-var _ netio.OpenHandler = (*agent)(nil)
+var _ netio.OpenHandler = (*conn)(nil)
 
 // Opened implements netio.OpenHandler.
-func (a *agent) Opened() {
-	a.nc.SendAndClose([]byte(word(a.core.Snapshot().Phase) + "\n"))
+func (c *conn) Opened() {
+	c.nc.SendAndClose([]byte(word(c.core.Snapshot().Phase) + "\n"))
 }
 
-// Consume implements netio.Handler: what an agent check may send first is of no matter.
-func (a *agent) Consume(buf []byte) (used, want int, err error) { return len(buf), 0, nil }
+// Consume implements netio.Handler. HAProxy may send a line first (agent-send); it changes nothing.
+func (c *conn) Consume(buf []byte) (used, want int, err error) { return len(buf), 0, nil }
 
 // Closed implements netio.Handler.
-func (a *agent) Closed() {}
+func (c *conn) Closed() {}
+
+func word(p core.Phase) string {
+	switch p {
+	case core.Serving:
+		return wordReady
+	case core.Standby, core.ShuttingDown:
+		return wordDrain
+	}
+	return wordDown
+}
--- a/internal/frontend/agentcheck/agentcheck_test.go
+++ b/internal/frontend/agentcheck/agentcheck_test.go
@@ -10,28 +10,30 @@
 	"hillknot/internal/core"
 )
 
-type desk struct{ phase core.Phase }
+type fakeCore struct{ phase core.Phase }
 
-func (d *desk) Snapshot() *core.Snapshot { return &core.Snapshot{Phase: d.phase} }
+func (d *fakeCore) Snapshot() *core.Snapshot { return &core.Snapshot{Phase: d.phase} }
 
 // Every connection gets the one line that HAProxy reads, and ends.
-func TestWords(t *testing.T) {
+func TestAgentCheckLines(t *testing.T) {
 	lim := config.Limits{CheckConns: 8, Check: config.Conn{Pending: 1 << 10, Read: time.Minute, Write: time.Minute, Idle: time.Minute, Silent: time.Minute}}
 	for phase, want := range map[core.Phase]string{core.Starting: "down\n", core.Serving: "ready\n", core.Standby: "drain\n", core.ShuttingDown: "drain\n"} {
-		f, err := Listen("127.0.0.1:0", &desk{phase}, lim)
-		if err != nil {
-			t.Fatal(err)
-		}
-		go f.Serve()
-		nc, err := net.Dial("tcp", f.Addr().String())
-		if err != nil {
-			t.Fatal(err)
-		}
-		nc.SetDeadline(time.Now().Add(20 * time.Second))
-		if got, err := io.ReadAll(nc); err != nil || string(got) != want {
-			t.Errorf("%v: %q, %v; want %q", phase, got, err, want)
-		}
-		nc.Close()
-		f.Close()
+		t.Run(phase.String(), func(t *testing.T) {
+			f, err := Listen("127.0.0.1:0", &fakeCore{phase}, lim)
+			if err != nil {
+				t.Fatal(err)
+			}
+			t.Cleanup(f.Close)
+			go f.Serve()
+			nc, err := net.Dial("tcp", f.Addr().String())
+			if err != nil {
+				t.Fatal(err)
+			}
+			t.Cleanup(func() { nc.Close() })
+			nc.SetDeadline(time.Now().Add(20 * time.Second))
+			if got, err := io.ReadAll(nc); err != nil || string(got) != want {
+				t.Errorf("%v: %q, %v; want %q", phase, got, err, want)
+			}
+		})
 	}
 }
--- a/internal/frontend/dns/front_test.go
+++ b/internal/frontend/dns/server_test.go
@@ -19,7 +19,7 @@
 	"hillknot/internal/testutil/parsertest"
 )
 
-func TestParse(t *testing.T) {
+func TestQueryParser(t *testing.T) {
 	gen := func(t *rapid.T) []byte {
 		m := new(dns.Msg)
 		m.SetQuestion(rapid.StringMatching(`([a-zA-Z0-9-]{1,20}\.){1,4}`).Draw(t, "name"), rapid.Uint16().Draw(t, "type"))
@@ -53,11 +53,11 @@
 	return len(buf)
 }
 
-// site is a front on loopback with a core whose clock the test sets.
+// site is a server on loopback with a core whose clock the test sets.
 type site struct {
 	t    *testing.T
 	core *core.Core
-	f    *Front
+	f    *Server
 	mu   sync.Mutex
 	now  time.Duration
 }
@@ -153,10 +153,10 @@
 			out = append(out, a.A.String())
 		}
 	}
-	return
+	return out
 }
 
-func TestAnswers(t *testing.T) {
+func TestAnswersByQueryType(t *testing.T) {
 	s := start(t, 2)
 	if r := s.ask("udp", question(name, dns.TypeA)); r.Rcode != dns.RcodeServerFailure {
 		t.Errorf("before any list: %v, want SERVFAIL", r)
@@ -207,13 +207,13 @@
 	nc.SetDeadline(time.Now().Add(10 * time.Second))
 	nc.Write([]byte{1, 2, 1, 0, 0, 1, 0, 0, 0, 0, 0, 0, 63, 'x'})
 	buf := make([]byte, 100)
-	if n, err := nc.Read(buf); err != nil || n != headLen || buf[3]&0xf != dns.RcodeFormatError || binary.BigEndian.Uint16(buf) != 0x102 {
+	if n, err := nc.Read(buf); err != nil || n != headerLen || buf[3]&0xf != dns.RcodeFormatError || binary.BigEndian.Uint16(buf) != 0x102 {
 		t.Errorf("malformed: %x, %v", buf[:n], err)
 	}
 }
 
 // An answer over the resolver's size is cut and marked, and whole over TCP.
-func TestTruncated(t *testing.T) {
+func TestTruncatedOverUDP(t *testing.T) {
 	s := start(t, 16)
 	var hosts []core.EndpointUpdate
 	for i := range 16 {
@@ -229,7 +229,7 @@
 }
 
 // The same subnet gets the same answer, whatever resolver asks, and the whole range is used.
-func TestSubnets(t *testing.T) {
+func TestAnswersFollowClientSubnets(t *testing.T) {
 	s := start(t, 1)
 	s.members(true, host(1, balancer.InService), host(2, balancer.InService), host(3, balancer.InService))
 	seen := map[string]bool{}
@@ -252,7 +252,7 @@
 
 // A freshly started page cache must not be handed to every resolver at once: it enters by its rising share and
 // within its budget, which every answer uses up for the TTL and what resolvers keep it beyond.
-func TestStartedCacheEntersSlowly(t *testing.T) {
+func TestSlowStartOverDNS(t *testing.T) {
 	s := start(t, 1)
 	s.members(true, host(1, balancer.InService), host(2, balancer.InService))
 	named := func(from byte) (n int) {
@@ -263,7 +263,7 @@
 				}
 			}
 		}
-		return
+		return n
 	}
 	if n := named(1); n != 0 {
 		t.Fatalf("%d answers name a page cache that isn't listed", n)
@@ -282,8 +282,8 @@
 	}
 }
 
-// A hub or cache that is lost as the answer is made is not named: the decision is made again.
-func TestLostMidAnswer(t *testing.T) {
+// an endpoint that is lost as the answer is made is not named: the decision is made again.
+func TestEndpointLostWhileResolving(t *testing.T) {
 	s := start(t, 1)
 	s.members(true, host(1, balancer.InService), host(2, balancer.InService))
 	got := make(chan core.QueryResult, 1)
@@ -329,7 +329,7 @@
 }
 
 // Stub resolvers never reach a drained page cache after 250 ms plus the TTL, however their queries lie.
-func TestDrainedIsNeverReached(t *testing.T) {
+func TestDrainedEndpointIsNotNamed(t *testing.T) {
 	s := start(t, 1)
 	s.members(true, host(1, balancer.InService), host(2, balancer.InService), host(3, balancer.InService))
 	stubs := make([]stub, 40)
@@ -339,7 +339,7 @@
 				n++
 			}
 		}
-		return
+		return n
 	}
 	if reached() == 0 {
 		t.Fatal("no stub was ever sent to the page cache that will drain")
--- a/internal/frontend/msgpackrpc/front_test.go
+++ b/internal/frontend/msgpackrpc/server_test.go
@@ -16,26 +16,28 @@
 	"hillknot/internal/netio"
 )
 
-// desk is a core that hands what it gets to the test.
-type desk struct {
-	posts    chan func()
-	got      chan core.Request
-	withdrew chan balancer.RequestID
-	ids      balancer.RequestID
-	counted  atomic.Int64 // answers that the front worded
-	phase    atomic.Int64
-	leave    atomic.Int64
+// fakeCore hands what the front end submits to the test.
+type fakeCore struct {
+	posts     chan func()
+	submitted chan core.Request
+	cancelled chan balancer.RequestID
+	ids       balancer.RequestID
+	counted   atomic.Int64 // answers that the front worded
+	phase     atomic.Int64
+	leave     atomic.Int64
 }
 
-func (d *desk) Post(f func())                               { d.posts <- f }
-func (d *desk) NewID() balancer.RequestID                   { d.ids++; return d.ids }
-func (d *desk) EarliestArrival() time.Duration              { return 0 }
-func (d *desk) AbortRequest(balancer.RequestID)             {}
-func (d *desk) Submit(_ balancer.RequestID, q core.Request) { d.got <- q }
-func (d *desk) CancelRequest(id balancer.RequestID)         { d.withdrew <- id }
-func (d *desk) CountAnswer(string, core.Verdict)            { d.counted.Add(1) }
-func (d *desk) Snapshot() *core.Snapshot                    { return &core.Snapshot{Phase: core.Phase(d.phase.Load())} }
-func (d *desk) DrainStage() core.DrainStage                 { return core.DrainStage(d.leave.Load()) }
+func (d *fakeCore) Post(f func())                               { d.posts <- f }
+func (d *fakeCore) NewID() balancer.RequestID                   { d.ids++; return d.ids }
+func (d *fakeCore) EarliestArrival() time.Duration              { return 0 }
+func (d *fakeCore) AbortRequest(balancer.RequestID)             {}
+func (d *fakeCore) Submit(_ balancer.RequestID, q core.Request) { d.submitted <- q }
+func (d *fakeCore) CancelRequest(id balancer.RequestID)         { d.cancelled <- id }
+func (d *fakeCore) CountAnswer(string, core.Verdict)            { d.counted.Add(1) }
+func (d *fakeCore) Snapshot() *core.Snapshot {
+	return &core.Snapshot{Phase: core.Phase(d.phase.Load())}
+}
+func (d *fakeCore) DrainStage() core.DrainStage { return core.DrainStage(d.leave.Load()) }
 
 type client struct {
 	t   *testing.T
@@ -43,9 +45,9 @@
 	dec *msgpack.Decoder
 }
 
-func open(t *testing.T) (*desk, func() *client) {
+func open(t *testing.T) (*fakeCore, func() *client) {
 	t.Helper()
-	d := &desk{posts: make(chan func(), 100), got: make(chan core.Request, 100), withdrew: make(chan balancer.RequestID, 100)}
+	d := &fakeCore{posts: make(chan func(), 100), submitted: make(chan core.Request, 100), cancelled: make(chan balancer.RequestID, 100)}
 	d.phase.Store(int64(core.Serving))
 	lim := config.Limits{ClientConns: 10, OpenPerConn: 2, Message: 1 << 16, WriteBody: 1 << 10, Faults: 2,
 		Client: config.Conn{Pending: 1 << 20, Read: time.Minute, Write: time.Minute, Idle: time.Minute, Silent: 10 * time.Second}}
@@ -105,11 +107,11 @@
 	return word, fields, v[3]
 }
 
-func TestCalls(t *testing.T) {
+func TestRequestsAndResponses(t *testing.T) {
 	d, dial := open(t)
 	c := dial()
 	c.call(1, "page")
-	q := <-d.got
+	q := <-d.submitted
 	if !q.Retry || q.Object != 0x7f3a9c21e0b4d655 || q.Part != 3 || q.Group != 17 || q.Timeout != 1500*time.Millisecond ||
 		q.ETag != "4be0" || q.IdempotencyKey != "0de5" || string(q.Body) != "body" {
 		t.Errorf("request %+v", q)
@@ -119,13 +121,13 @@
 		t.Errorf("error %q", w)
 	}
 	c.call(2, "page")
-	q = <-d.got
+	q = <-d.submitted
 	d.Post(func() { q.Reply(core.Answer{Verdict: core.Rejected, RetryAfter: 400 * time.Millisecond}) })
 	if w, f, _ := c.answer(2); w != "Throttled" || f["later"] != "400" {
 		t.Errorf("refused: %q %v", w, f)
 	}
 	c.call(3, "page")
-	q = <-d.got
+	q = <-d.submitted
 	d.Post(func() { q.Reply(core.Answer{Verdict: core.NotModified}) })
 	if _, _, res := c.answer(3); res.([]any)[1].(map[string]any)["ok304"] != "1" || len(res.([]any)[0].([]byte)) != 0 {
 		t.Errorf("unchanged: %v", res)
@@ -155,17 +157,17 @@
 		t.Errorf("third open request: %q", w)
 	}
 	c.send(2, "cancel", []any{1})
-	if id := <-d.withdrew; id != 1 {
-		t.Errorf("withdrew %d", id)
+	if id := <-d.cancelled; id != 1 {
+		t.Errorf("cancelled %d", id)
 	}
 	c.nc.Close()
-	if id := <-d.withdrew; id != 2 {
-		t.Errorf("withdrew %d", id)
+	if id := <-d.cancelled; id != 2 {
+		t.Errorf("cancelled %d", id)
 	}
 }
 
 // A malformed message closes its connection and no other.
-func TestMalformed(t *testing.T) {
+func TestMalformedMessageClosesItsConnection(t *testing.T) {
 	d, dial := open(t)
 	bad, good := dial(), dial()
 	bad.nc.Write([]byte{0xc1, 0xff})
@@ -173,11 +175,11 @@
 		t.Errorf("read %d, %v; want the end", n, err)
 	}
 	good.call(1, "page")
-	<-d.got
+	<-d.submitted
 }
 
 // What is out of range is never passed on, and a client that goes on sending such calls is cut off.
-func TestOutOfRange(t *testing.T) {
+func TestOutOfRangeFieldsAreRejected(t *testing.T) {
 	d, dial := open(t)
 	good := map[string]string{"txn": "9b1f03aa5c7e2d41", "limit": "3000", "item": "7f3a9c21e0b4d655", "nth": "3", "batch": "17"}
 	for name, bad := range map[string][]string{"limit": {"3001", "NaN", "-1", "0x10", "1e3", "", "99999999999999999999"},
@@ -205,25 +207,25 @@
 	if _, err := c.dec.DecodeSlice(); err == nil {
 		t.Error("still answered")
 	}
-	if len(d.got) != 0 {
-		t.Errorf("%d requests were passed on", len(d.got))
+	if len(d.submitted) != 0 {
+		t.Errorf("%d requests were passed on", len(d.submitted))
 	}
 }
 
 // A router that leaves its clients says that it is not ready, and closes a connection right behind the answer after
 // which it owes nothing, and what idles.
-func TestLeaving(t *testing.T) {
+func TestDraining(t *testing.T) {
 	d, dial := open(t)
 	c, idle, other := dial(), dial(), dial()
 	other.call(1, "page") // owes an answer, and so stays
-	q := <-d.got
+	q := <-d.submitted
 	idle.send(0, 1, "health", []any{map[string]string{}})
 	if _, _, res := idle.answer(1); res.([]any)[0] != true {
 		t.Errorf("health: %v", res)
 	}
 	c.call(1, "page")
 	c.call(2, "page")
-	first, second := <-d.got, <-d.got
+	first, second := <-d.submitted, <-d.submitted
 	d.phase.Store(int64(core.Standby))
 	d.leave.Store(int64(core.CloseAfterResponse))
 	d.Post(func() { first.Reply(core.Answer{Verdict: core.Served}) })
@@ -246,7 +248,7 @@
 }
 
 // Refusals and errors that the front words by itself count, each once.
-func TestCounted(t *testing.T) {
+func TestAnswersOfTheFrontEndCount(t *testing.T) {
 	d, dial := open(t)
 	c := dial()
 	c.send(0, 1, "what", []any{map[string]string{}})
@@ -262,18 +264,18 @@
 
 // Where the memory for answers is used up, a client is told that its request failed; the connection, with all else on
 // it, goes on, and the answer counts as what it was.
-func TestNoMemoryForAnAnswer(t *testing.T) {
+func TestResponseOverTheMemoryBudget(t *testing.T) {
 	d, dial := open(t)
 	c := dial()
 	c.call(1, "page")
-	q := <-d.got
+	q := <-d.submitted
 	told := make(chan core.Verdict, 1)
 	d.Post(func() { told <- q.Reply(core.Answer{Verdict: core.Served, Body: make([]byte, 1<<23)}) })
 	if w, _, _ := c.answer(1); w != "Failed" || <-told != core.Failed {
 		t.Errorf("error %q", w)
 	}
 	c.call(2, "page")
-	q = <-d.got
+	q = <-d.submitted
 	d.Post(func() { told <- q.Reply(core.Answer{Verdict: core.Served, Body: []byte("x")}) })
 	if w, _, _ := c.answer(2); w != "" || <-told != core.Served {
 		t.Errorf("after it: error %q", w)
@@ -282,13 +284,13 @@
 
 // A request that was read as its connection ended, and comes to the core behind the news of the end, is not submitted: nobody
 // could withdraw it, and it would be sent on for a client that has gone.
-func TestRequestBehindTheEnd(t *testing.T) {
-	d := &desk{posts: make(chan func(), 10), got: make(chan core.Request, 10)}
-	c := &conn{f: &Front{core: d, lim: config.Limits{OpenPerConn: 2}, budget: netio.NewBudget(1 << 20)}, open: map[uint64]balancer.RequestID{}}
+func TestRequestAfterTheCloseIsNotSubmitted(t *testing.T) {
+	d := &fakeCore{posts: make(chan func(), 10), submitted: make(chan core.Request, 10)}
+	c := &conn{server: &Server{core: d, limits: config.Limits{OpenPerConn: 2}, budget: netio.NewBudget(1 << 20)}, open: map[uint64]balancer.RequestID{}}
 	c.Closed()
 	(<-d.posts)()
 	c.submit(1, core.Request{}, "")
-	if len(d.got) != 0 {
+	if len(d.submitted) != 0 {
 		t.Error("submitted")
 	}
 }
