--- a/internal/frontend/dns/golden_test.go
+++ b/internal/frontend/dns/golden_test.go
@@ -14,9 +14,9 @@
 // Resolvers keep answers, with the labels of members in them, past a restart of the router. The queries of testdata/golden are
 // made by hand in the form of RFC 1035, 6891 and 7871, and the answers were written at commit 86ccf0f.
 //
-// What reaches the bytes: no name of a type or field, but the text labelStart, the hash core.EndpointIDOf, and what Front.key hashes.
+// What reaches the bytes: no name of a type or field, but the text labelPrefix, the hash core.EndpointIDOf, and what clientKey hashes.
 func TestGoldenAnswers(t *testing.T) {
-	f := &Front{cfg: config.DNS{Names: []string{name}, TTL: 5 * time.Second}}
+	server := &Server{cfg: config.DNS{Names: []string{name}, TTL: 5 * time.Second}}
 	members := []*core.Endpoint{{ID: "edge-7", Addr: "127.1.0.7:7001"}, {ID: "edge-8", Addr: "[2001:db8::8]:7002"}}
 	srv := query{id: 0x1234, flags: bitRecursion, name: name, qtype: typeSRV, qclass: classIN, edns: true, size: largestUDP,
 		subnet: netip.MustParsePrefix("10.1.2.0/24"), hasSubnet: true}
@@ -31,14 +31,17 @@
 			if !ok || err != nil || !reflect.DeepEqual(got, q) {
 				t.Fatalf("read as %+v, %v; want %+v", got, err, q)
 			}
-			f.answer(got, q.name, q.size, core.QueryResult{Endpoints: members}, func(b []byte) { golden.Same(t, name+"-answer.hex", b) })
-			f.answer(got, q.name, q.size, core.QueryResult{}, func(b []byte) { golden.Same(t, name+"-none.hex", b) })
+			x := exchange{server: server, query: got, zone: q.name, size: q.size}
+			x.send = func(b []byte) { golden.Same(t, name+"-answer.hex", b) }
+			x.reply(core.QueryResult{Endpoints: members})
+			x.send = func(b []byte) { golden.Same(t, name+"-none.hex", b) }
+			x.reply(core.QueryResult{})
 		})
 	}
 	for i, m := range members {
 		if l := label(m); l != []string{"m-f1d7aab4352bc67c", "m-f1d7b1b4352bd261"}[i] {
 			t.Errorf("label %q of %q", l, m.ID)
-		} else if n, ok := labelled(l); !ok || n != core.EndpointIDOf(m.ID) {
+		} else if n, ok := parseLabel(l); !ok || n != core.EndpointIDOf(m.ID) {
 			t.Errorf("%q names %x", l, n)
 		}
 	}
