--- a/cmd/hillknot/cluster.go
+++ b/cmd/hillknot/cluster.go
@@ -95,17 +95,25 @@
 }
 
 func openPrepaidCredit(cfg *config.Config, c *core.Core, m *membership.Members) (*prepaidcredit.Extension, error) {
-	f := cfg.Fleet
-	set := credit.Defaults(cfg.Name, f.State.Process, "")
-	set.PacingHorizon, set.WithdrawalWindow, set.MaxResponseBytes, set.Prices = f.Credit.Rest, f.Credit.Chunk, cfg.Limits.Object, map[string]credit.Price{}
-	for class, p := range f.Credit.Prices {
-		set.Prices[class] = credit.Price{PerRequest: micro(p.Each), PerMegabyte: micro(p.PerMB), Weight: p.Worth}
+	block := cfg.Fleet.Credit
+	settings := credit.Defaults(cfg.Name, cfg.Fleet.State.Process, "")
+	settings.PacingHorizon = block.Rest
+	settings.WithdrawalWindow = block.Chunk
+	settings.MaxResponseBytes = cfg.Limits.Object
+	settings.Prices = map[string]credit.Price{}
+	for class, price := range block.Prices {
+		settings.Prices[class] = credit.Price{
+			PerRequest:  millionths(price.Each),
+			PerMegabyte: millionths(price.PerMB),
+			Weight:      price.Worth,
+		}
 	}
-	return prepaidcredit.Open(c, f.Ledger, set, prepaidcredit.Settings{TopUpFile: f.Credit.Topups, AllowUnnamed: f.Credit.Unnamed}, m)
+	extension := prepaidcredit.Settings{TopUpFile: block.Topups, AllowUnnamed: block.Unnamed}
+	return prepaidcredit.Open(c, cfg.Fleet.Ledger, settings, extension, m)
 }
 
-// micro is an amount of credits in millionths.
-func micro(credits float64) int64 { return int64(math.Round(credits * 1e6)) }
+// millionths returns an amount of credits in millionths.
+func millionths(credits float64) int64 { return int64(math.Round(credits * 1e6)) }
 
 func failoverSettings(cfg *config.Config) failover.Settings {
 	f := cfg.Fleet
--- a/internal/credit/identity.go
+++ b/internal/credit/identity.go
@@ -43,8 +43,8 @@
 	}
 }
 
-// recover sets the state by the record, which was restored from the store, or is new.
-func (i *identity) recover(settings Settings) error {
+// restoreState sets the state by the record, which was restored from the store, or is new.
+func (i *identity) restoreState(settings Settings) error {
 	if i.record.LedgerID != settings.LedgerID || i.record.Router != settings.Router {
 		return fmt.Errorf("the ledger is %q of %q, not %q of %q",
 			i.record.LedgerID, i.record.Router, settings.LedgerID, settings.Router)
--- a/internal/credit/identity_test.go
+++ b/internal/credit/identity_test.go
@@ -41,7 +41,7 @@
 	settings := Defaults("r1", 1, "ledger")
 	i := newIdentity(settings)
 	i.record.Confirmed = true
-	if err := i.recover(settings); err != nil || i.state != identityConfirmed {
+	if err := i.restoreState(settings); err != nil || i.state != identityConfirmed {
 		t.Errorf("state %d, %v", i.state, err)
 	}
 	for name, record := range map[string]identityRecord{
@@ -50,7 +50,7 @@
 	} {
 		i := newIdentity(settings)
 		i.record = record
-		if err := i.recover(settings); err == nil {
+		if err := i.restoreState(settings); err == nil {
 			t.Errorf("%s: recovered", name)
 		}
 	}
--- a/internal/credit/ledger.go
+++ b/internal/credit/ledger.go
@@ -20,7 +20,7 @@
 
 	messenger *messaging.Messenger
 	unsettled map[uint64]sentMessage // messages without an acknowledgement yet, by their number
-	peers     peers
+	peers     peerTable
 	transfers map[string]*transfer // by receiving router
 	received  map[string]uint64    // by the sending ledger's ID: the sequence number of the latest transfer received
 
@@ -49,7 +49,7 @@
 		writes:    writeQueue{changed: map[string]struct{}{}},
 		messenger: messaging.New(messaging.Defaults(settings.Router, settings.Incarnation)),
 		unsettled: map[uint64]sentMessage{},
-		peers:     peers{reports: map[string]*peerReport{}},
+		peers:     peerTable{reports: map[string]*peerReport{}},
 		transfers: map[string]*transfer{},
 		received:  map[string]uint64{},
 	}
@@ -58,7 +58,7 @@
 			return nil, fmt.Errorf("credit: ledger line %q: %w", record.Key, err)
 		}
 	}
-	if err := l.identity.recover(settings); err != nil {
+	if err := l.identity.restoreState(settings); err != nil {
 		return nil, fmt.Errorf("credit: %w", err)
 	}
 	l.writes.change(nil, kindIdentity)
--- a/internal/credit/peers.go
+++ b/internal/credit/peers.go
@@ -17,8 +17,8 @@
 	reportLifetime = 5 * time.Second
 )
 
-// peers is what is known of the other routers. It guides pacing and requests; no guarantee rests on it.
-type peers struct {
+// peerTable is what is known of the other routers. It guides pacing and requests; no guarantee rests on it.
+type peerTable struct {
 	alive        []string // in order
 	reports      map[string]*peerReport
 	nextReceiver int // index into alive: who is reported to next
@@ -34,7 +34,7 @@
 func (r *peerReport) recent(now time.Duration) bool { return now-r.receivedAt < reportLifetime }
 
 // balance returns how much other routers have lately reported that they hold of an account.
-func (p *peers) balance(now time.Duration, account string) int64 {
+func (p *peerTable) balance(now time.Duration, account string) int64 {
 	sum := int64(0)
 	for _, report := range p.reports {
 		if report.recent(now) {
@@ -45,7 +45,7 @@
 }
 
 // spendingRate returns how much other routers have lately reported that they spend of an account a second.
-func (p *peers) spendingRate(now time.Duration, account string) float64 {
+func (p *peerTable) spendingRate(now time.Duration, account string) float64 {
 	sum := 0.0
 	for _, name := range slices.Sorted(maps.Keys(p.reports)) { // in order: the sum of floats depends on it
 		if report := p.reports[name]; report.recent(now) {
@@ -56,7 +56,7 @@
 }
 
 // richest returns the router that is alive and has reported the most of an account; empty if none has any.
-func (p *peers) richest(now time.Duration, account string) string {
+func (p *peerTable) richest(now time.Duration, account string) string {
 	best, most := "", int64(0)
 	for _, name := range p.alive {
 		report := p.reports[name]
