--- /dev/null
+++ b/internal/discovery/connection.go
@@ -0,0 +1,108 @@
+package discovery
+
+import (
+	"strconv"
+	"time"
+
+	"hillknot/internal/clock"
+	"hillknot/internal/logging"
+	"hillknot/internal/netio"
+)
+
+// connection is one connection to the discovery service. It implements netio.Handler.
+type connection struct {
+	watcher  *Watcher
+	conn     *netio.Conn
+	pacer    pacer
+	response response
+	parser   eventParser
+	received chan struct{} // holds a value when something has come since it was last read
+	closed   chan struct{}
+
+	caughtUp bool // all that the service had sent was read at least once; Watcher.mu guards it
+}
+
+// connect opens a connection to the service at an address.
+func (w *Watcher) connect(address string) (*connection, error) {
+	c := &connection{
+		watcher:  w,
+		pacer:    pacer{interval: w.limits.JournalPace},
+		received: make(chan struct{}, 1),
+		closed:   make(chan struct{}),
+	}
+	c.response = newResponse(w.limits.JournalLine, c.receive)
+	budget := netio.NewBudget(2 * w.limits.JournalLine)
+	_, err := netio.Dial(address, w.limits.Connect, w.limits.Journal, budget, func(conn *netio.Conn) netio.Handler {
+		c.conn = conn
+		return c
+	})
+	if err != nil {
+		return nil, err
+	}
+	return c, nil
+}
+
+// appendWatchRequest appends the HTTP request for the events that follow a position.
+func appendWatchRequest(b []byte, address string, position int64) []byte {
+	b = append(b, "GET /journal HTTP/1.1\r\nHost: "...)
+	b = append(b, address...)
+	b = append(b, "\r\nAccept: text/event-stream\r\nConnection: close\r\nLast-Event-ID: "...)
+	b = strconv.AppendInt(b, position, 10)
+	return append(b, "\r\n\r\n"...)
+}
+
+// Consume implements netio.Handler.
+func (c *connection) Consume(buf []byte) (used, want int, err error) {
+	select {
+	case c.received <- struct{}{}:
+	default: // the one before has not been seen yet
+	}
+	c.pacer.pause()
+	readAt := clock.Now()
+	complete := !c.conn.HasUnreadInputBeyond(len(buf))
+	used, err = c.response.consume(buf)
+	if err != nil {
+		log.Warn("discovery stream unreadable", logging.KeyError, err)
+	}
+	if complete && used == len(buf) && c.response.events.atBoundary() {
+		c.watcher.noteCaughtUp(c, readAt)
+	}
+	return used, 0, err
+}
+
+// Closed implements netio.Handler.
+func (c *connection) Closed() { close(c.closed) }
+
+// receive takes the data of an event that has come under an id, which is its position.
+func (c *connection) receive(id, data []byte) error {
+	e, parseErr := c.parser.parse(data)
+	if position, err := strconv.ParseInt(string(id), 10, 64); err == nil {
+		e.position = position
+	}
+	return c.watcher.receive(e, parseErr)
+}
+
+// maxBurst is how many reads in quick succession are consumed without a pause.
+const maxBurst = 16
+
+// pacer has what comes in quick succession be consumed together: a release publishes thousands of changes, and each by
+// itself would wake the whole router. What comes after a pause is consumed at once.
+type pacer struct {
+	interval time.Duration // between two reads of a long burst
+	last     time.Duration // when something was consumed last
+	burst    int           // reads in quick succession so far
+}
+
+// pause waits until the next input may be consumed.
+func (p *pacer) pause() {
+	elapsed := clock.Now() - p.last
+	switch {
+	case elapsed >= p.interval:
+		p.burst = 0
+	case p.burst < maxBurst:
+		p.burst++
+	default:
+		time.Sleep(p.interval - elapsed)
+	}
+	p.last = clock.Now()
+}
--- a/internal/discovery/event.go
+++ b/internal/discovery/event.go
@@ -10,96 +10,146 @@
 	"hillknot/internal/jsonfields"
 )
 
-// Event is one event of the journal: a list of members, or changes to it, or a purge.
-type Event struct {
-	Pos   int64
-	List  bool
-	Full  bool
-	Hosts []core.EndpointUpdate
-
-	Purge         bool
-	ByGroup       bool
-	Object, Group uint64
-	Stamp         clock.Stamp   // of the purge
-	At            time.Duration // when that was, on the core's clock
+// event is one event of the service's log.
+type event struct {
+	position  int64
+	kind      eventKind
+	endpoints endpointList // of eventEndpoints
+	purge     purge        // of eventPurge
 }
 
-// apply hands the event to the core.
-func (e Event) apply(c EventHandler) {
+// eventKind is what an event is about.
+type eventKind uint8
+
+const (
+	eventEmpty     eventKind = iota // nothing that concerns a router
+	eventEndpoints                  // the list of endpoints, or changes to it
+	eventPurge                      // cached copies that are outdated
+)
+
+// endpointList is the list of endpoints, or changes to it.
+type endpointList struct {
+	complete bool // endpoints that are not named are removed
+	updates  []core.EndpointUpdate
+}
+
+// purge is the invalidation of the cached copies of an object, or of all objects of a group.
+type purge struct {
+	scope purgeScope
+	key   uint64        // the object or the group
+	stamp clock.Stamp   // when the service published it
+	at    time.Duration // when that was, on the core's clock
+}
+
+type purgeScope uint8
+
+const (
+	purgeObject purgeScope = iota
+	purgeGroup
+)
+
+// apply hands the event to the handler.
+func (e *event) apply(handler EventHandler) {
 	switch {
-	case e.List && e.Full:
-		c.ReplaceEndpoints(e.Hosts)
-	case e.List:
-		c.UpdateEndpoints(e.Hosts)
-	case e.Purge && e.ByGroup:
-		c.PurgeGroup(e.Group, e.At)
-	case e.Purge:
-		c.PurgeObject(e.Object, e.At)
+	case e.kind == eventEndpoints && e.endpoints.complete:
+		handler.ReplaceEndpoints(e.endpoints.updates)
+	case e.kind == eventEndpoints:
+		handler.UpdateEndpoints(e.endpoints.updates)
+	case e.kind == eventPurge && e.purge.scope == purgeGroup:
+		handler.PurgeGroup(e.purge.key, e.purge.at)
+	case e.kind == eventPurge:
+		handler.PurgeObject(e.purge.key, e.purge.at)
 	}
 }
 
-// date turns the stamps of an event that arrived at now into times of the core's clock, once and for all. Earliest bounds
-// those of changes: the journal did not hold them by then. A whole list also tells of starts that are long past.
-func (e *Event) date(now, wall, earliest time.Duration) {
-	if e.Full {
+// setTimes turns the stamps of an event that arrived at now, with the own wall clock at wall, into times of the core's
+// clock, once and for all. Changes are no older than earliest, the latest moment at which the service had not published
+// them yet. A complete list also tells of starts that are long past.
+func (e *event) setTimes(now, wall, earliest time.Duration) {
+	if e.endpoints.complete {
 		earliest = 0
 	}
-	for i := range e.Hosts {
-		if h := &e.Hosts[i]; h.StartStamp != 0 {
-			h.StartedAt = h.StartStamp.Date(now, wall, earliest)
+	for i := range e.endpoints.updates {
+		if update := &e.endpoints.updates[i]; update.StartStamp != 0 {
+			update.StartedAt = update.StartStamp.Date(now, wall, earliest)
 		}
 	}
-	if e.Purge {
-		e.At = e.Stamp.Date(now, wall, earliest)
+	if e.kind == eventPurge {
+		e.purge.at = e.purge.stamp.Date(now, wall, earliest)
 	}
 }
 
-// known reads the events of the start; the last position comes with them.
-func known(o jsonfields.Object) (evs []Event, last int64, err error) {
-	for _, e := range o.Objects("entries") {
-		evs = append(evs, read(e))
+// parseStart reads the events that the configuration of a router brings. It returns them with the position of the
+// latest.
+func parseStart(o jsonfields.Object) (events []event, last int64, err error) {
+	for _, entry := range o.Objects("entries") {
+		events = append(events, readEvent(entry))
 	}
 	last = o.Int("pos", 0)
-	return evs, last, o.Err()
+	return events, last, o.Err()
 }
 
-var states = map[string]balancer.EndpointState{"ready": balancer.InService, "draining": balancer.Draining, "gone": balancer.Removed}
-
-func read(o jsonfields.Object) Event {
-	e := Event{Pos: o.Int("pos", 0), List: o.Has("hosts"), Purge: o.Has("expire")}
-	if e.List {
-		l := o.Object("hosts")
-		e.Full = l.Flag("reset")
-		for _, h := range l.Objects("instances") {
-			e.Hosts = append(e.Hosts, readHost(h))
-		}
+// readEvent reads an event. What is wrong with it is told by the Err of its object.
+func readEvent(o jsonfields.Object) event {
+	e := event{position: o.Int("pos", 0)}
+	if o.Has("hosts") {
+		e.kind, e.endpoints = eventEndpoints, readEndpointList(o.Object("hosts"))
 	}
-	if e.Purge {
-		p := o.Object("expire")
-		p.Must("stamp")
-		e.Stamp = clock.Stamp(p.Span("stamp", time.Millisecond, 0))
-		if e.ByGroup = !p.Has("name"); e.ByGroup {
-			p.Must("set")
-			e.Group = uint64(p.Count("set", 0, 0))
-		} else {
-			n, err := strconv.ParseUint(p.Text("name", ""), 16, 64)
-			if err != nil {
-				p.Fail("name", "is no object")
-			}
-			e.Object = n
+	if o.Has("expire") {
+		e.purge = readPurge(o.Object("expire"))
+		if e.kind == eventEmpty {
+			e.kind = eventPurge
 		}
 	}
 	return e
 }
 
-// readHost reads a line of the list.
-func readHost(h jsonfields.Object) core.EndpointUpdate {
-	h.Must("instanceId", "lifecycle")
-	state, ok := states[h.Text("lifecycle", "")]
+func readEndpointList(o jsonfields.Object) endpointList {
+	list := endpointList{complete: o.Flag("reset")}
+	for _, instance := range o.Objects("instances") {
+		list.updates = append(list.updates, readEndpoint(instance))
+	}
+	return list
+}
+
+func readPurge(o jsonfields.Object) purge {
+	o.Must("stamp")
+	p := purge{stamp: clock.Stamp(o.Span("stamp", time.Millisecond, 0))}
+	if !o.Has("name") {
+		o.Must("set")
+		p.scope, p.key = purgeGroup, uint64(o.Count("set", 0, 0))
+		return p
+	}
+	object, err := strconv.ParseUint(o.Text("name", ""), 16, 64)
+	if err != nil {
+		o.Fail("name", "is no object")
+	}
+	p.scope, p.key = purgeObject, object
+	return p
+}
+
+// endpointStates are the states of endpoints, by their words on the wire.
+var endpointStates = map[string]balancer.EndpointState{
+	"ready":    balancer.InService,
+	"draining": balancer.Draining,
+	"gone":     balancer.Removed,
+}
+
+// readEndpoint reads one instance of a list.
+func readEndpoint(o jsonfields.Object) core.EndpointUpdate {
+	o.Must("instanceId", "lifecycle")
+	state, ok := endpointStates[o.Text("lifecycle", "")]
 	if !ok {
-		h.Fail("lifecycle", "is no state that is known")
+		o.Fail("lifecycle", "is no state that is known")
+	}
+	return core.EndpointUpdate{
+		ID:         o.Text("instanceId", ""),
+		Addr:       o.Text("hostPort", ""),
+		Kind:       o.Text("machineType", ""),
+		Zone:       o.Text("zone", ""),
+		Cell:       int(o.Int("cell", 0)),
+		Weight:     o.Number("weight", 1),
+		State:      state,
+		StartStamp: clock.Stamp(o.Span("startedAtMs", time.Millisecond, 0)),
 	}
-	return core.EndpointUpdate{ID: h.Text("instanceId", ""), Addr: h.Text("hostPort", ""),
-		Kind: h.Text("machineType", ""), Zone: h.Text("zone", ""), Cell: int(h.Int("cell", 0)),
-		Weight: h.Number("weight", 1), State: state, StartStamp: clock.Stamp(h.Span("startedAtMs", time.Millisecond, 0))}
 }
--- a/internal/discovery/golden_test.go
+++ b/internal/discovery/golden_test.go
@@ -18,25 +18,29 @@
 	"hillknot/internal/testutil/golden"
 )
 
-// The journal is the operators' and does not change with this code: the files of testdata/golden are in its form, as commit
-// 86ccf0f reads it.
+// The journal is the operators' and does not change with this code: the files of testdata/golden are in its form, as
+// commit 86ccf0f reads it.
 //
-// What has to stay in the code: no name of a type or field, but the keys of known, read and readHost ("entries", "pos", "hosts",
-// "reset", "instances", "instanceId", "hostPort", "machineType", "zone", "cell", "weight", "lifecycle", "startedAtMs", "expire",
-// "stamp", "name", "set"), the words of states ("ready", "draining", "gone"), the text instancesKey, and the request line of
-// Client.call.
+// What has to stay in the code: no name of a type or field, but the keys of parseStart, readEvent, readEndpointList,
+// readPurge and readEndpoint ("entries", "pos", "hosts", "reset", "instances", "instanceId", "hostPort", "machineType",
+// "zone", "cell", "weight", "lifecycle", "startedAtMs", "expire", "stamp", "name", "set"), the words of endpointStates
+// ("ready", "draining", "gone"), the text instancesKey, and the request of appendWatchRequest.
 
 // goldenEvents are the events of the stream.
-var goldenEvents = []Event{
-	{Pos: 41, List: true, Full: true, Hosts: []core.EndpointUpdate{
-		{ID: "edge-7", Addr: "127.0.0.1:7001", Kind: "box", Zone: "west", Cell: 3, Weight: 1.5, State: balancer.InService, StartStamp: clock.Stamp(1_700_000_000_123 * time.Millisecond)},
-		{ID: `odd "}],[{`, Addr: "127.0.0.1:7002", Kind: "mid", Zone: "north", Cell: 4, Weight: 2.5, State: balancer.Draining, StartStamp: clock.Stamp(5 * time.Millisecond)},
-		{ID: "least", Weight: 1, State: balancer.Removed}}},
-	{Pos: 42, List: true, Hosts: []core.EndpointUpdate{{ID: "edge-8", Addr: "127.0.0.1:7003", Kind: "box", Zone: "west", Cell: 5, Weight: 0.25, State: balancer.Draining,
-		StartStamp: clock.Stamp(6 * time.Millisecond)}}},
-	{Pos: 43, Purge: true, Object: 0xfedcba9876543210, Stamp: clock.Stamp(1_700_000_000_456 * time.Millisecond)},
-	{Pos: 44, Purge: true, ByGroup: true, Group: 200, Stamp: clock.Stamp(7 * time.Millisecond)},
-	{Pos: 45},
+var goldenEvents = []event{
+	{position: 41, kind: eventEndpoints, endpoints: endpointList{complete: true, updates: []core.EndpointUpdate{
+		{ID: "edge-7", Addr: "127.0.0.1:7001", Kind: "box", Zone: "west", Cell: 3, Weight: 1.5, State: balancer.InService,
+			StartStamp: clock.Stamp(1_700_000_000_123 * time.Millisecond)},
+		{ID: `odd "}],[{`, Addr: "127.0.0.1:7002", Kind: "mid", Zone: "north", Cell: 4, Weight: 2.5, State: balancer.Draining,
+			StartStamp: clock.Stamp(5 * time.Millisecond)},
+		{ID: "least", Weight: 1, State: balancer.Removed}}}},
+	{position: 42, kind: eventEndpoints, endpoints: endpointList{updates: []core.EndpointUpdate{{
+		ID: "edge-8", Addr: "127.0.0.1:7003", Kind: "box", Zone: "west", Cell: 5, Weight: 0.25, State: balancer.Draining,
+		StartStamp: clock.Stamp(6 * time.Millisecond)}}}},
+	{position: 43, kind: eventPurge, purge: purge{scope: purgeObject, key: 0xfedcba9876543210,
+		stamp: clock.Stamp(1_700_000_000_456 * time.Millisecond)}},
+	{position: 44, kind: eventPurge, purge: purge{scope: purgeGroup, key: 200, stamp: clock.Stamp(7 * time.Millisecond)}},
+	{position: 45},
 }
 
 // An HTTP answer with the stream, cut anywhere, gives the events.
@@ -44,25 +48,26 @@
 	for _, name := range []string{"stream.hex", "stream-chunked.hex"} {
 		for _, size := range []int{1 << 20, 1, 7} {
 			t.Run(fmt.Sprint(name, " in pieces of ", size), func(t *testing.T) {
-				var got []Event
+				var got []event
 				var ids []string
-				p := &parser{}
-				s := stream{max: 1 << 16, event: func(id, data []byte) error {
+				p := &eventParser{}
+				s := newResponse(1<<16, func(id, data []byte) error {
 					e, err := p.parse(data)
 					got, ids = append(got, e), append(ids, string(id))
 					return err
-				}}
+				})
 				var buf []byte
 				for rest := golden.Read(t, name); len(rest) > 0; {
 					n := min(size, len(rest))
 					buf, rest = append(buf, rest[:n]...), rest[n:]
-					used, err := s.take(buf)
+					used, err := s.consume(buf)
 					if err != nil {
 						t.Fatal(err)
 					}
 					buf = buf[used:]
 				}
-				if !reflect.DeepEqual(got, goldenEvents) || !reflect.DeepEqual(ids, []string{"41", "42", "43", "44", "45"}) || !s.between() {
+				wantIDs := []string{"41", "42", "43", "44", "45"}
+				if !reflect.DeepEqual(got, goldenEvents) || !reflect.DeepEqual(ids, wantIDs) || !s.events.atBoundary() {
 					t.Errorf("read %q as %+v, want %+v", ids, got, goldenEvents)
 				}
 			})
@@ -73,16 +78,17 @@
 // A list that is too long to be parsed whole reads the same, and so do the events of a router's configuration.
 func TestGoldenEvents(t *testing.T) {
 	text := golden.Read(t, "list-long.json")
-	if len(text) <= wholeMost {
+	if len(text) <= maxSinglePass {
 		t.Fatalf("%d bytes are parsed whole", len(text))
 	}
-	e, err := new(parser).parse(text)
-	if err != nil || e.Pos != 46 || !e.List || !e.Full || len(e.Hosts) != 120 {
-		t.Fatalf("read %d hosts at %d, %v", len(e.Hosts), e.Pos, err)
+	e, err := new(eventParser).parse(text)
+	if err != nil || e.position != 46 || e.kind != eventEndpoints || !e.endpoints.complete || len(e.endpoints.updates) != 120 {
+		t.Fatalf("read %d hosts at %d, %v", len(e.endpoints.updates), e.position, err)
 	}
-	for i, h := range e.Hosts {
-		if want := (core.EndpointUpdate{ID: "edge-" + strconv.Itoa(i), Addr: "127.0.0.1:" + strconv.Itoa(7000+i), Kind: "box", Zone: "west", Cell: i, Weight: float64(i) + 0.5,
-			StartStamp: clock.Stamp(time.Duration(1_700_000_000_000+i) * time.Millisecond)}); h != want {
+	for i, h := range e.endpoints.updates {
+		want := core.EndpointUpdate{ID: "edge-" + strconv.Itoa(i), Addr: "127.0.0.1:" + strconv.Itoa(7000+i), Kind: "box", Zone: "west",
+			Cell: i, Weight: float64(i) + 0.5, StartStamp: clock.Stamp(time.Duration(1_700_000_000_000+i) * time.Millisecond)}
+		if h != want {
 			t.Errorf("host %+v, want %+v", h, want)
 		}
 	}
@@ -90,18 +96,18 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	evs, last, err := known(jsonfields.Of(v))
+	evs, last, err := parseStart(jsonfields.Of(v))
 	if err != nil || last != 45 || !reflect.DeepEqual(evs, goldenEvents) {
 		t.Errorf("read %+v up to %d, %v; want %+v", evs, last, err, goldenEvents)
 	}
 }
 
 // A key or a word that is not the journal's is an error: none was renamed.
-func TestGoldenUnknown(t *testing.T) {
+func TestGoldenUnparseStart(t *testing.T) {
 	for _, name := range []string{"instanceId", "lifecycle", "stamp"} {
 		var errs []error
 		for _, text := range strings.Split(string(golden.Read(t, "events.txt")), "\n") {
-			_, err := new(parser).parse([]byte(strings.Replace(text, `"`+name+`"`, `"renamed"`, 1)))
+			_, err := new(eventParser).parse([]byte(strings.Replace(text, `"`+name+`"`, `"renamed"`, 1)))
 			errs = append(errs, err)
 		}
 		if errors.Join(errs...) == nil {
--- /dev/null
+++ b/internal/discovery/helpers_test.go
@@ -0,0 +1,92 @@
+package discovery
+
+import (
+	"io"
+	"net"
+	"testing"
+	"time"
+
+	"github.com/valyala/fastjson"
+
+	"hillknot/internal/config"
+	"hillknot/internal/jsonfields"
+)
+
+// responseHeader is the start of a response of the discovery service, up to its last header.
+const responseHeader = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n"
+
+// testLimits are the limits of a watcher that connects again after so long.
+func testLimits(retry time.Duration) config.Limits {
+	return config.Limits{
+		Connect:          10 * time.Second,
+		JournalLine:      1 << 16,
+		JournalQuiet:     time.Minute,
+		JournalRetry:     retry,
+		JournalRetryMost: retry,
+		Journal:          config.Conn{Pending: 1 << 16, Read: time.Minute, Write: time.Minute},
+	}
+}
+
+func parseObject(t *testing.T, text string) jsonfields.Object {
+	t.Helper()
+	v, err := fastjson.Parse(text)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return jsonfields.Of(v)
+}
+
+// startWatcher runs a new watcher until the test ends. It must be called after the service is set up, so that it ends
+// before that does.
+func startWatcher(t *testing.T, handler EventHandler, address string, limits config.Limits, start jsonfields.Object) *Watcher {
+	t.Helper()
+	w, err := New(handler, address, limits, start)
+	if err != nil {
+		t.Fatal(err)
+	}
+	run(t, w)
+	return w
+}
+
+// run runs a watcher until the test ends.
+func run(t *testing.T, w *Watcher) {
+	t.Helper()
+	stop, done := make(chan struct{}), make(chan struct{})
+	go func() {
+		defer close(done)
+		w.Run(stop)
+	}()
+	t.Cleanup(func() {
+		close(stop)
+		<-done
+	})
+}
+
+// listen returns a listener for a service that the test plays.
+func listen(t *testing.T) net.Listener {
+	t.Helper()
+	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = ln.Close() })
+	return ln
+}
+
+// acceptWatch accepts the watcher's connection.
+func acceptWatch(t *testing.T, ln net.Listener) net.Conn {
+	t.Helper()
+	conn, err := ln.Accept()
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = conn.Close() })
+	return conn
+}
+
+func send(t *testing.T, conn net.Conn, text string) {
+	t.Helper()
+	if _, err := io.WriteString(conn, text); err != nil {
+		t.Fatal(err)
+	}
+}
--- a/internal/discovery/parse.go
+++ b/internal/discovery/parse.go
@@ -1,124 +1,67 @@
 package discovery
 
 import (
-	"bytes"
-	"errors"
-
 	"github.com/valyala/fastjson"
 
 	"hillknot/internal/jsonfields"
 )
 
-// parser reads events from their JSON text. Its memory is used again for the next one, so that changes of the list, which come
-// by thousands in a release, cost little. The zero value is ready.
-type parser struct{ json fastjson.Parser }
+// eventParser reads events from their JSON text. Its memory is used again for the next one, so that changes of the
+// list, which come by thousands in a release, cost little. The zero value is ready.
+type eventParser struct{ json fastjson.Parser }
 
-// wholeMost is how many bytes of an event are parsed in one go. A longer one is a list of a large fleet: its lines are
-// parsed one by one, as all at once would take ten times the memory of the text.
-const wholeMost = 16 << 10
+// maxSinglePass is how many bytes of an event are parsed at once. A longer one is a list of a large cluster: its
+// instances are parsed one by one, as all at once would take ten times the memory of the text.
+const maxSinglePass = 16 << 10
 
 // parse reads one event. Nothing of the text is kept.
-func (p *parser) parse(text []byte) (Event, error) {
-	if len(text) > wholeMost {
-		if around, lines, ok := cutInstances(text); ok {
-			return p.parseLines(around, lines)
+func (p *eventParser) parse(text []byte) (event, error) {
+	if len(text) > maxSinglePass {
+		if envelope, instances, ok := splitInstances(text); ok {
+			return p.parseInstances(envelope, instances)
 		}
-		p = &parser{} // memory for a long event is not kept
+		p = &eventParser{} // memory for a long event is not kept
 	}
 	o, err := p.object(text)
 	if err != nil {
-		return Event{}, err
+		return event{}, err
 	}
-	e := read(o)
+	e := readEvent(o)
 	return e, o.Err()
 }
 
-// parseLines reads an event whose instances were cut out.
-func (p *parser) parseLines(around, lines []byte) (Event, error) {
-	o, err := p.object(around)
+// parseInstances reads an event whose instances were cut out.
+func (p *eventParser) parseInstances(envelope, instances []byte) (event, error) {
+	o, err := p.object(envelope)
 	if err != nil {
-		return Event{}, err
+		return event{}, err
 	}
-	e := read(o)
+	e := readEvent(o)
 	if err := o.Err(); err != nil {
-		return Event{}, err
+		return event{}, err
 	}
-	for len(lines) > 0 {
-		line, rest, err := cutObject(lines)
+	for len(instances) > 0 {
+		text, rest, err := cutObject(instances)
 		if err != nil {
-			return Event{}, err
+			return event{}, err
 		}
-		host, err := p.object(line)
+		instance, err := p.object(text)
 		if err != nil {
-			return Event{}, err
+			return event{}, err
 		}
-		e.Hosts = append(e.Hosts, readHost(host))
-		if err := host.Err(); err != nil {
-			return Event{}, err
+		e.endpoints.updates = append(e.endpoints.updates, readEndpoint(instance))
+		if err := instance.Err(); err != nil {
+			return event{}, err
 		}
-		lines = rest
+		instances = rest
 	}
 	return e, nil
 }
 
-func (p *parser) object(text []byte) (jsonfields.Object, error) {
+func (p *eventParser) object(text []byte) (jsonfields.Object, error) {
 	v, err := p.json.ParseBytes(text)
 	if err != nil {
 		return jsonfields.Object{}, err
 	}
 	return jsonfields.Of(v), nil
 }
-
-var (
-	instancesKey = []byte(`"instances":[`)
-	errCutList   = errors.New("the list of instances is cut")
-)
-
-// cutInstances cuts the lines of a list out of an event: around is the event without them. It knows the form that journals
-// write, with nothing between key and list; what else there is must be parsed whole.
-func cutInstances(text []byte) (around, lines []byte, ok bool) {
-	at := bytes.Index(text, instancesKey)
-	if at < 0 {
-		return nil, nil, false
-	}
-	begin := at + len(instancesKey)
-	end := bytes.LastIndexByte(text, ']')
-	if end < begin || bytes.Contains(text[:at], []byte(`\"`)) || bytes.ContainsAny(text[end:], `"[{`) {
-		return nil, nil, false
-	}
-	return append(bytes.Clone(text[:begin]), text[end:]...), bytes.TrimSpace(text[begin:end]), true
-}
-
-// cutObject cuts the first object off a list of objects, with the comma behind it.
-func cutObject(list []byte) (object, rest []byte, err error) {
-	depth, quoted := 0, false
-	for i := 0; i < len(list); i++ {
-		switch c := list[i]; {
-		case quoted && c == '\\':
-			i++ // what follows is a part of the string
-		case c == '"':
-			quoted = !quoted
-		case quoted:
-		case c == '{':
-			depth++
-		case c == '}':
-			if depth--; depth == 0 {
-				rest, err := behindComma(list[i+1:])
-				return list[:i+1], rest, err
-			}
-		}
-	}
-	return nil, nil, errCutList
-}
-
-func behindComma(list []byte) ([]byte, error) {
-	list = bytes.TrimSpace(list)
-	if len(list) == 0 {
-		return nil, nil
-	}
-	rest := bytes.TrimSpace(list[1:])
-	if list[0] != ',' || len(rest) == 0 {
-		return nil, errCutList
-	}
-	return rest, nil
-}
--- a/internal/discovery/parse_test.go
+++ b/internal/discovery/parse_test.go
@@ -5,10 +5,14 @@
 	"fmt"
 	"math/rand/v2"
 	"reflect"
+	"strings"
 	"testing"
+	"time"
 
 	"github.com/valyala/fastjson"
 
+	"hillknot/balancer"
+	"hillknot/internal/clock"
 	"hillknot/internal/jsonfields"
 )
 
@@ -18,8 +22,15 @@
 	odd := []string{"a", `b"c`, `}{`, `],[`, `\`, `\"`, "ö", `"instances":[`}
 	var list []map[string]any
 	for i := range hosts {
-		list = append(list, map[string]any{"instanceId": fmt.Sprint(odd[rnd.IntN(len(odd))], i), "hostPort": "127.0.0.1:1", "zone": odd[rnd.IntN(len(odd))],
-			"machineType": "box", "lifecycle": []string{"ready", "draining", "gone"}[rnd.IntN(3)], "weight": rnd.Float64(), "startedAtMs": rnd.IntN(100)})
+		list = append(list, map[string]any{
+			"instanceId":  fmt.Sprint(odd[rnd.IntN(len(odd))], i),
+			"hostPort":    "127.0.0.1:1",
+			"zone":        odd[rnd.IntN(len(odd))],
+			"machineType": "box",
+			"lifecycle":   []string{"ready", "draining", "gone"}[rnd.IntN(3)],
+			"weight":      rnd.Float64(),
+			"startedAtMs": rnd.IntN(100),
+		})
 	}
 	lines, err := json.Marshal(list)
 	if err != nil {
@@ -28,24 +39,24 @@
 	return fmt.Appendf(nil, `{"pos":%d,"hosts":{"generation":7,"reset":true,"instances":%s}}`, hosts, lines)
 }
 
-// A long list that is parsed line by line is the same as one that is parsed whole.
-func TestLongListLineByLine(t *testing.T) {
-	p := &parser{}
+// A long list that is parsed one instance at a time is the same as one that is parsed at once.
+func TestParseLongListByInstance(t *testing.T) {
+	p := &eventParser{}
 	for seed := range uint64(20) {
 		text := largeEvent(t, rand.New(rand.NewPCG(seed, 3)), 300)
-		if _, _, ok := cutInstances(text); !ok {
-			t.Fatal("not parsed line by line")
+		if _, _, ok := splitInstances(text); !ok {
+			t.Fatal("not parsed by instance")
 		}
 		got, err := p.parse(text)
-		want := read(jsonfields.Of(fastjson.MustParseBytes(text)))
+		want := readEvent(jsonfields.Of(fastjson.MustParseBytes(text)))
 		if err != nil || !reflect.DeepEqual(got, want) {
 			t.Fatalf("seed %d: %v\n%.300s\nwant\n%.300s", seed, err, fmt.Sprint(got), fmt.Sprint(want))
 		}
 	}
 }
 
-// A long list that is cut, or damaged anywhere, is an error or reads as it does whole; nothing panics.
-func TestLongListDamaged(t *testing.T) {
+// A long list that is cut, or damaged anywhere, is an error or reads as it does when parsed at once; nothing panics.
+func TestParseDamagedLongList(t *testing.T) {
 	rnd := rand.New(rand.NewPCG(1, 4))
 	text := largeEvent(t, rnd, 300)
 	for range 2000 {
@@ -55,18 +66,45 @@
 		} else {
 			bad[rnd.IntN(len(bad))] = `"{}[],:\x`[rnd.IntN(9)]
 		}
-		got, err := new(parser).parse(bad)
-		v, wholeErr := fastjson.ParseBytes(bad)
-		if wholeErr != nil {
+		got, err := new(eventParser).parse(bad)
+		v, singlePassErr := fastjson.ParseBytes(bad)
+		if singlePassErr != nil {
 			if err == nil {
-				t.Fatalf("read, though it is no JSON: %v", wholeErr)
+				t.Fatalf("read, though it is no JSON: %v", singlePassErr)
 			}
 			continue
 		}
 		o := jsonfields.Of(v)
-		want := read(o)
+		want := readEvent(o)
 		if (err == nil) != (o.Err() == nil) || err == nil && !reflect.DeepEqual(got, want) {
-			t.Fatalf("%v, whole: %v", err, o.Err())
+			t.Fatalf("%v, at once: %v", err, o.Err())
+		}
+	}
+}
+
+func TestParseEvent(t *testing.T) {
+	e, err := new(eventParser).parse([]byte(`{"pos":41,"hosts":{"generation":7,"reset":true,"instances":[{"instanceId":"s-00c41f7a",
+		"hostPort":"10.1.0.9:7001","zone":"east","machineType":"std","cell":2,"lifecycle":"draining","weight":4,"startedAtMs":5}]}}`))
+	if err != nil || !e.endpoints.complete || len(e.endpoints.updates) != 1 {
+		t.Fatalf("event %+v, error %v", e, err)
+	}
+	if u := e.endpoints.updates[0]; u.ID != "s-00c41f7a" || u.State != balancer.Draining ||
+		u.StartStamp != clock.Stamp(5*time.Millisecond) || u.Cell != 2 {
+		t.Errorf("endpoint %+v", u)
+	}
+	e, err = new(eventParser).parse([]byte(`{"pos":43,"expire":{"set":17,"stamp":1764576000480}}`))
+	if err != nil || e.kind != eventPurge || e.purge.scope != purgeGroup || e.purge.key != 17 ||
+		e.purge.stamp != clock.Stamp(1764576000480*time.Millisecond) {
+		t.Errorf("event %+v, error %v", e, err)
+	}
+	for text, want := range map[string]string{
+		`{"pos":1,"hosts":{"instances":[{"instanceId":"a","lifecycle":"odd"}]}}`: "hosts.instances[0].lifecycle",
+		`{"pos":1,"expire":{"name":"xyz","stamp":1}}`:                            "expire.name",
+		`{"pos":1,"expire":{"set":1}}`:                                           "expire.stamp",
+		`{"pos":"x"}`:                                                            "pos",
+	} {
+		if _, err := new(eventParser).parse([]byte(text)); err == nil || !strings.Contains(err.Error(), want) {
+			t.Errorf("%s: error %v, want %q named", text, err, want)
 		}
 	}
 }
--- /dev/null
+++ b/internal/discovery/response.go
@@ -0,0 +1,141 @@
+package discovery
+
+import (
+	"bytes"
+	"errors"
+	"fmt"
+	"strconv"
+)
+
+var (
+	errMalformedResponse = errors.New("malformed HTTP response")
+	errLineTooLong       = errors.New("line over the limit")
+)
+
+// statusError is a status of an HTTP response that is not 200.
+type statusError string
+
+func (e statusError) Error() string { return fmt.Sprintf("HTTP status %q", string(e)) }
+
+// response reads an HTTP/1.1 response whose body is an event stream, in chunks or up to the end of the connection. It
+// is fed what comes in, cut anywhere.
+type response struct {
+	maxLine   int // bytes of the header, and of a line of the body
+	state     responseState
+	chunkLeft int // bytes left of this chunk, with its line end; 0: a chunk size follows
+	events    eventStream
+}
+
+type responseState uint8
+
+const (
+	readingHeader responseState = iota
+	readingPlainBody
+	readingChunks
+)
+
+const (
+	crlf = "\r\n"
+
+	maxChunkHeader = 64 // bytes of a chunk size with its extensions
+	maxChunkBits   = 30 // of a chunk size
+)
+
+// newResponse returns a reader that hands each event to receive.
+func newResponse(maxLine int, receive func(id, data []byte) error) response {
+	return response{maxLine: maxLine, events: eventStream{maxLine: maxLine, receive: receive}}
+}
+
+// consume reads what it can and returns how many bytes that was.
+func (r *response) consume(buf []byte) (int, error) {
+	used := 0
+	if r.state == readingHeader {
+		n, err := r.readHeader(buf)
+		if err != nil || n == 0 {
+			return 0, err
+		}
+		used = n
+	}
+	if r.state == readingPlainBody {
+		return len(buf), r.events.feed(buf[used:])
+	}
+	for used < len(buf) {
+		n, err := r.readChunkPart(buf[used:])
+		used += n
+		if err != nil || n == 0 {
+			return used, err
+		}
+	}
+	return used, nil
+}
+
+// readHeader reads the status line and the headers. It returns 0 where they are not complete yet.
+func (r *response) readHeader(buf []byte) (int, error) {
+	end := bytes.Index(buf, []byte(crlf+crlf))
+	if end < 0 {
+		if len(buf) > r.maxLine {
+			return 0, errLineTooLong
+		}
+		return 0, nil
+	}
+	status, headers, _ := bytes.Cut(buf[:end], []byte(crlf))
+	if err := checkStatus(status); err != nil {
+		return 0, err
+	}
+	r.state = readingPlainBody
+	for line := range bytes.SplitSeq(headers, []byte(crlf)) {
+		name, value, _ := bytes.Cut(line, []byte(":"))
+		if !bytes.EqualFold(name, []byte("Transfer-Encoding")) {
+			continue
+		}
+		r.state = readingPlainBody
+		if bytes.EqualFold(bytes.TrimSpace(value), []byte("chunked")) {
+			r.state = readingChunks
+		}
+	}
+	return end + len(crlf+crlf), nil
+}
+
+// checkStatus returns an error unless the status line is that of a successful response.
+func checkStatus(line []byte) error {
+	fields := bytes.Fields(line)
+	if len(fields) < 2 || !bytes.HasPrefix(fields[0], []byte("HTTP/1.")) {
+		return errMalformedResponse
+	}
+	if string(fields[1]) != "200" {
+		return statusError(fields[1])
+	}
+	return nil
+}
+
+// readChunkPart reads a chunk's size, or what has come of its data, and returns how many bytes that was; 0 where the
+// size is not complete yet.
+func (r *response) readChunkPart(buf []byte) (int, error) {
+	if r.chunkLeft == 0 {
+		return r.readChunkSize(buf)
+	}
+	n := min(len(buf), r.chunkLeft)
+	r.chunkLeft -= n
+	data := buf[:n]
+	if r.chunkLeft < len(crlf) { // the last bytes are the chunk's line end
+		data = data[:max(n-(len(crlf)-r.chunkLeft), 0)]
+	}
+	return n, r.events.feed(data)
+}
+
+func (r *response) readChunkSize(buf []byte) (int, error) {
+	end := bytes.IndexByte(buf, '\n')
+	if end < 0 {
+		if len(buf) > maxChunkHeader {
+			return 0, errMalformedResponse
+		}
+		return 0, nil
+	}
+	digits, _, _ := bytes.Cut(bytes.TrimSpace(buf[:end]), []byte(";"))
+	size, err := strconv.ParseUint(string(digits), 16, maxChunkBits)
+	if err != nil || size == 0 { // 0 ends the response: the service must be called again
+		return 0, errMalformedResponse
+	}
+	r.chunkLeft = int(size) + len(crlf)
+	return end + 1, nil
+}
--- /dev/null
+++ b/internal/discovery/watcher_test.go
@@ -0,0 +1,136 @@
+package discovery
+
+import (
+	"fmt"
+	"net/http"
+	"net/http/httptest"
+	"testing"
+	"time"
+
+	"hillknot/internal/core"
+	"hillknot/internal/jsonfields"
+)
+
+// recorder records what events tell.
+type recorder struct{ events chan string }
+
+func newRecorder() *recorder { return &recorder{events: make(chan string, 100)} }
+
+func (r *recorder) PostWatchEvent(f func())                       { f() }
+func (r *recorder) ReplaceEndpoints(all []core.EndpointUpdate)    { r.record(true, all) }
+func (r *recorder) UpdateEndpoints(changed []core.EndpointUpdate) { r.record(false, changed) }
+
+func (r *recorder) record(complete bool, endpoints []core.EndpointUpdate) {
+	for _, e := range endpoints {
+		r.events <- fmt.Sprint(complete, " ", e.ID)
+	}
+}
+
+func (r *recorder) PurgeObject(object uint64, _ time.Duration) {
+	r.events <- fmt.Sprint(false, " ", object, " ", 0)
+}
+
+func (r *recorder) PurgeGroup(group uint64, _ time.Duration) {
+	r.events <- fmt.Sprint(true, " ", 0, " ", group)
+}
+
+// serve runs a discovery service until the test ends, and returns its address.
+func serve(t *testing.T, handler http.HandlerFunc) string {
+	t.Helper()
+	server := httptest.NewServer(handler)
+	t.Cleanup(server.Close)
+	return server.Listener.Addr().String()
+}
+
+// The watcher connects again when the connection ends, from the latest event on, and delivers none twice.
+func TestWatcherResumesAfterLatestEvent(t *testing.T) {
+	requests := make(chan string, 100)
+	address := serve(t, func(w http.ResponseWriter, r *http.Request) {
+		last := r.Header.Get("Last-Event-ID")
+		requests <- r.URL.Path + " " + last
+		if last == "4" {
+			<-r.Context().Done()
+			return
+		}
+		fmt.Fprint(w, ": hi\n\nid: 1\ndata: {\"pos\":1,\"expire\":{\"set\":1,\"stamp\":5}}\n\n"+
+			"id: 3\ndata: {\"pos\":3,\"hosts\":{\"instances\":[{\"instanceId\":\"c\",\"lifecycle\":\"gone\"}]}}\n\n"+
+			"id: 4\ndata: {\"pos\":4,\"expire\":{\"name\":\"0a\",\"stamp\":5}}\n\n")
+	})
+	start := parseObject(t, `{"pos":2,"entries":[
+		{"pos":1,"hosts":{"instances":[{"instanceId":"a","lifecycle":"ready"}]}},
+		{"pos":2,"hosts":{"instances":[{"instanceId":"b","lifecycle":"ready"}]}}]}`)
+	handler := newRecorder()
+	startWatcher(t, handler, address, testLimits(time.Millisecond), start)
+	for _, want := range []string{"true a", "false b", "false c", "false 10 0"} {
+		if got := <-handler.events; got != want {
+			t.Errorf("got %q, want %q", got, want)
+		}
+	}
+	for _, want := range []string{"/journal 2", "/journal 4"} {
+		if got := <-requests; got != want {
+			t.Errorf("requested %q, want %q", got, want)
+		}
+	}
+}
+
+func expect(t *testing.T, c <-chan string, want string) {
+	t.Helper()
+	select {
+	case got := <-c:
+		if got != want {
+			t.Errorf("got %q, want %q", got, want)
+		}
+	case <-time.After(20 * time.Second):
+		t.Fatalf("no %q", want)
+	}
+}
+
+// A service that has moved is connected to at its new address at once, from the latest event on, though the old one
+// stays open and goes on sending; what both send is delivered once.
+func TestWatcherFollowsNewAddress(t *testing.T) {
+	requests := make(chan string, 100)
+	serveEvents := func(name string, last int) string {
+		return serve(t, func(w http.ResponseWriter, r *http.Request) {
+			requests <- name + " " + r.Header.Get("Last-Event-ID")
+			for p := 1; p <= last; p++ {
+				fmt.Fprintf(w, "id: %d\ndata: {\"pos\":%d,\"expire\":{\"set\":%d,\"stamp\":5}}\n\n", p, p, p)
+			}
+			w.(http.Flusher).Flush()
+			<-r.Context().Done()
+		})
+	}
+	before, after := serveEvents("old", 2), serveEvents("new", 3)
+	handler := newRecorder()
+	w := startWatcher(t, handler, before, testLimits(time.Minute), jsonfields.Object{})
+	expect(t, requests, "old 0")
+	expect(t, handler.events, "true 0 1")
+	expect(t, handler.events, "true 0 2")
+	w.SetAddress(after)
+	expect(t, requests, "new 2")
+	expect(t, handler.events, "true 0 3")
+}
+
+// Until the first bytes of the service are read there may be events: a router that was stopped as it connected must not
+// take what it knows for all that there is.
+func TestWatcherHasBacklogUntilServiceIsRead(t *testing.T) {
+	ln := listen(t)
+	w, err := New(newRecorder(), ln.Addr().String(), testLimits(time.Millisecond), jsonfields.Object{})
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !w.HasBacklog() {
+		t.Error("no backlog before the first connection")
+	}
+	run(t, w)
+	conn := acceptWatch(t, ln)
+	time.Sleep(20 * time.Millisecond)
+	if !w.HasBacklog() {
+		t.Error("no backlog on a connection on which nothing has come")
+	}
+	send(t, conn, responseHeader+"\r\n: here\n\n")
+	for end := time.Now().Add(20 * time.Second); w.HasBacklog(); time.Sleep(time.Millisecond) {
+		if time.Now().After(end) {
+			t.Fatal("still a backlog, and all is read")
+		}
+	}
+}
