--- a/cmd/hillknot/replacement.go
+++ b/cmd/hillknot/replacement.go
@@ -59,7 +59,7 @@
 // waitForPredecessor takes the whole of the limits once the predecessor has ended.
 func (r *replacement) waitForPredecessor(p *handover.Predecessor, stop <-chan struct{}) {
 	select {
-	case <-p.Gone:
+	case <-p.Ended():
 		log.Info("predecessor ended")
 		r.setPredecessor(false)
 	case <-stop:
@@ -80,7 +80,7 @@
 func (r *replacement) State() handover.State {
 	exported := make(chan handover.State, 1)
 	r.core.Post(func() {
-		exported <- handover.State{Pos: r.watcher.Position(), Memory: r.core.ExportMemory()}
+		exported <- handover.State{DiscoveryPosition: r.watcher.Position(), Memory: r.core.ExportMemory()}
 	})
 	timeout := time.NewTimer(r.limits.HandoverWait / 2)
 	defer timeout.Stop()
@@ -92,8 +92,9 @@
 	}
 }
 
-// Beside implements handover.Process.
-func (r *replacement) Beside(present, ready bool) {
+// SuccessorChanged implements handover.Process.
+func (r *replacement) SuccessorChanged(stage handover.SuccessorStage) {
+	present, ready := stage != handover.NoSuccessor, stage == handover.SuccessorReady
 	log.Info("successor changed", "present", present, "ready", ready)
 	r.mu.Lock()
 	r.hasSuccessor, r.successorReady = present, ready
--- a/internal/handover/golden_test.go
+++ b/internal/handover/golden_test.go
@@ -19,7 +19,7 @@
 // loads {Rate, Peak, Fleet, At}, objects {Object, Part, Seen, OkAt, Copied, Held, Work}. The place in Memory.Loads is the number of
 // a role of package balancer, whose order counts too.
 
-var goldenState = State{Pos: 4_100_000_000, Memory: balancer.Memory{LinkRoom: 2.5, Floor: 7,
+var goldenState = State{DiscoveryPosition: 4_100_000_000, Memory: balancer.Memory{LinkRoom: 2.5, Floor: 7,
 	Purges: []balancer.PurgeMemory{{ByGroup: true, Name: 11, At: 9}, {Name: 1<<64 - 1, At: 10}},
 	Members: []balancer.MemberMemory{{Node: 1<<64 - 2, Start: 3, Saved: 0.25, Misses: 0.5, Fails: 2, Bad: true, Trial: 4, Doubted: 5, Doubt: 0.75},
 		{Node: 12, Start: 13, Saved: 0.125, Misses: 0.375, Fails: 14, Trial: 15, Doubted: 16, Doubt: 0.625}},
@@ -44,18 +44,18 @@
 }
 
 func TestGoldenMessages(t *testing.T) {
-	for name, c := range map[string]struct{ word, body string }{
-		"take.txt":  {wordTake, ""},
-		"at.txt":    {wordAt, "4100000000"},
-		"ready.txt": {wordReady, ""},
-		"state.txt": {wordState, string(encode(goldenState))},
+	for name, c := range map[string]struct{ kind, body string }{
+		"take.txt":  {kindTake, ""},
+		"at.txt":    {kindAt, "4100000000"},
+		"ready.txt": {kindReady, ""},
+		"state.txt": {kindState, string(encode(goldenState))},
 	} {
 		t.Run(name, func(t *testing.T) {
-			golden.Same(t, name, appendMessage(nil, c.word, []byte(c.body)))
+			golden.Same(t, name, appendMessage(nil, c.kind, []byte(c.body)))
 			text := golden.Read(t, name)
-			m, n, _, err := parse(text, math.MaxInt32)
-			if err != nil || n != len(text) || string(m.word) != c.word || m.version != 2 || string(m.body) != c.body {
-				t.Errorf("read as %q %d %q, %d bytes, %v", m.word, m.version, m.body, n, err)
+			m, progress, err := parseMessage(text, math.MaxInt32)
+			if err != nil || progress.consumed != len(text) || string(m.kind) != c.kind || m.version != 2 || string(m.body) != c.body {
+				t.Errorf("read as %q %d %q, %d bytes, %v", m.kind, m.version, m.body, progress.consumed, err)
 			}
 		})
 	}
@@ -64,25 +64,22 @@
 // A predecessor's answers of this version are taken; those of another version are refused, on both sides, as nothing may be taken
 // over from it.
 func TestGoldenVersions(t *testing.T) {
-	predecessor := func() *Predecessor {
-		return &Predecessor{lim: lim, Gone: make(chan struct{}), states: make(chan []byte, 1), at: make(chan []byte, 1)}
-	}
-	p := predecessor()
+	p := newPredecessor(lim)
 	text := append(golden.Read(t, "at.txt"), golden.Read(t, "state.txt")...)
-	if used, _, err := p.Consume(text); err != nil || used != len(text) || string(<-p.at) != "4100000000" {
+	if used, _, err := p.Consume(text); err != nil || used != len(text) || string(<-p.positions) != "4100000000" {
 		t.Errorf("%d of %d bytes taken, %v", used, len(text), err)
 	}
 	if s, err := decode(<-p.states); err != nil || !reflect.DeepEqual(s, goldenState) {
 		t.Errorf("state %+v, %v", s, err)
 	}
 	for _, other := range []string{"AT 1 2\n41", "AT 3 2\n41", "STATE 1 2\n{}"} {
-		if _, _, err := predecessor().Consume([]byte(other)); !errors.Is(err, errBad) {
-			t.Errorf("%q: %v, want %v", other, err, errBad)
+		if _, _, err := newPredecessor(lim).Consume([]byte(other)); !errors.Is(err, errMalformed) {
+			t.Errorf("%q: %v, want %v", other, err, errMalformed)
 		}
 	}
 	for _, other := range []string{"TAKE 1 0\n", "TAKE 3 0\n"} {
-		if _, _, err := (&successor{}).Consume([]byte(other)); !errors.Is(err, errBad) {
-			t.Errorf("%q: %v, want %v", other, err, errBad)
+		if _, _, err := (&successor{}).Consume([]byte(other)); !errors.Is(err, errMalformed) {
+			t.Errorf("%q: %v, want %v", other, err, errMalformed)
 		}
 	}
 }
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -16,35 +16,40 @@
 )
 
 var lim = config.Limits{HandoverConns: 4, HandoverState: 1 << 16, HandoverWait: 20 * time.Second,
-	Handover: config.Conn{Pending: 1 << 17, Read: 20 * time.Second, Whole: 20 * time.Second, Write: 20 * time.Second, Idle: time.Hour, Silent: time.Hour}}
-
-var some = State{Pos: 41, Memory: balancer.Memory{LinkRoom: 2.5, Floor: 7, Purges: []balancer.PurgeMemory{{ByGroup: true, Name: 1<<64 - 1, At: 9}},
-	Members: []balancer.MemberMemory{{Node: 1<<64 - 2, Start: 3, Saved: 0.25, Misses: 0.5, Fails: 2, Bad: true, Trial: 4, Doubted: 5, Doubt: 0.75}},
-	Loads:   []balancer.LoadMemory{{Rate: 1, Peak: 2, Fleet: 3, At: 4}}, Classes: []balancer.ClassMemory{{Name: `a"b`, Work: 0.125}},
+	Handover: config.Conn{Pending: 1 << 17, Read: 20 * time.Second, Whole: 20 * time.Second, Write: 20 * time.Second,
+		Idle: time.Hour, Silent: time.Hour}}
+
+var some = State{DiscoveryPosition: 41, Memory: balancer.Memory{LinkRoom: 2.5, Floor: 7,
+	Purges: []balancer.PurgeMemory{{ByGroup: true, Name: 1<<64 - 1, At: 9}},
+	Members: []balancer.MemberMemory{{Node: 1<<64 - 2, Start: 3, Saved: 0.25, Misses: 0.5, Fails: 2, Bad: true, Trial: 4,
+		Doubted: 5, Doubt: 0.75}},
+	Loads:   []balancer.LoadMemory{{Rate: 1, Peak: 2, Fleet: 3, At: 4}},
+	Classes: []balancer.ClassMemory{{Name: `a"b`, Work: 0.125}},
 	Objects: []balancer.ObjectMemory{{Object: 1 << 63, Part: 2, Seen: 3, OkAt: 4, Copied: 5, Held: true, Work: 0.5}}}}
 
-// owner is a process that may be followed.
-type owner struct{ beside chan [2]bool }
+// owner is a process that a successor may take over from.
+type owner struct{ stages chan SuccessorStage }
 
-func (o *owner) DiscoveryPosition() int64  { return some.Pos }
-func (o *owner) State() State              { return some }
-func (o *owner) Beside(beside, after bool) { o.beside <- [2]bool{beside, after} }
+func (o *owner) DiscoveryPosition() int64              { return some.DiscoveryPosition }
+func (o *owner) State() State                          { return some }
+func (o *owner) SuccessorChanged(stage SuccessorStage) { o.stages <- stage }
 
-func (o *owner) told(t *testing.T, beside, after bool) {
+// expectStage waits for the next change of stage.
+func (o *owner) expectStage(t *testing.T, want SuccessorStage) {
 	t.Helper()
 	select {
-	case got := <-o.beside:
-		if got != [2]bool{beside, after} {
-			t.Errorf("told of beside, after %v; want %t, %t", got, beside, after)
+	case got := <-o.stages:
+		if got != want {
+			t.Errorf("notified of stage %d, want %d", got, want)
 		}
 	case <-time.After(20 * time.Second):
-		t.Fatal("told nothing")
+		t.Fatal("not notified")
 	}
 }
 
-func give(t *testing.T) (*owner, string) {
+func listen(t *testing.T) (*owner, string) {
 	t.Helper()
-	o, path := &owner{beside: make(chan [2]bool, 10)}, filepath.Join(t.TempDir(), "s")
+	o, path := &owner{stages: make(chan SuccessorStage, 10)}, filepath.Join(t.TempDir(), "s")
 	g, err := ListenForSuccessor(path, o, lim)
 	if err != nil {
 		t.Fatal(err)
@@ -65,36 +70,36 @@
 
 // The old process knows of the new one from the call on, and that it is followed before the new one has the state.
 func TestFollow(t *testing.T) {
-	o, path := give(t)
+	o, path := listen(t)
 	p := find(t, path)
-	o.told(t, true, false)
-	if p.DiscoveryPosition != some.Pos {
+	o.expectStage(t, SuccessorStarting)
+	if p.DiscoveryPosition != some.DiscoveryPosition {
 		t.Errorf("position %d", p.DiscoveryPosition)
 	}
 	s, err := p.AnnounceReady()
 	if err != nil || !reflect.DeepEqual(s, some) {
 		t.Errorf("state %+v, %v; want %+v", s, err, some)
 	}
-	o.told(t, true, true)
+	o.expectStage(t, SuccessorReady)
 }
 
 // A successor that dies leaves the old one as it was: it can be followed again, also where the dead one had taken
 // its place at the path.
 func TestSuccessorDies(t *testing.T) {
-	o, path := give(t)
+	o, path := listen(t)
 	p := find(t, path)
-	o.told(t, true, false)
+	o.expectStage(t, SuccessorStarting)
 	if _, err := p.AnnounceReady(); err != nil {
 		t.Fatal(err)
 	}
-	o.told(t, true, true)
-	next, err := ListenForSuccessor(path, &owner{beside: make(chan [2]bool, 10)}, lim)
+	o.expectStage(t, SuccessorReady)
+	next, err := ListenForSuccessor(path, &owner{stages: make(chan SuccessorStage, 10)}, lim)
 	if err != nil {
 		t.Fatal(err)
 	}
 	next.Close()
 	p.Close()
-	o.told(t, false, false)
+	o.expectStage(t, NoSuccessor)
 	for end := time.Now().Add(20 * time.Second); ; time.Sleep(time.Millisecond) {
 		if p := FindPredecessor(path, lim); p != nil {
 			p.Close()
@@ -104,12 +109,12 @@
 			t.Fatal("can't be followed again")
 		}
 	}
-	o.told(t, true, false)
+	o.expectStage(t, SuccessorStarting)
 }
 
 // The old process ends: the new one sees it.
 func TestPredecessorEnds(t *testing.T) {
-	o := &owner{beside: make(chan [2]bool, 10)}
+	o := &owner{stages: make(chan SuccessorStage, 10)}
 	path := filepath.Join(t.TempDir(), "s")
 	g, err := ListenForSuccessor(path, o, lim)
 	if err != nil {
@@ -118,7 +123,7 @@
 	p := find(t, path)
 	g.Close()
 	select {
-	case <-p.Gone:
+	case <-p.Ended():
 	case <-time.After(20 * time.Second):
 		t.Fatal("not seen")
 	}
@@ -162,7 +167,7 @@
 
 // Another version, or anything else, ends the connection; nobody is told of a successor.
 func TestOtherVersion(t *testing.T) {
-	o, path := give(t)
+	o, path := listen(t)
 	for _, text := range []string{"TAKE 1 0\n", "TAKE 3 0\n", "READY 2 0\n", "TAKE 2 5\nhello", "GET / HTTP/1.1\r\n\r\n"} {
 		nc, err := net.Dial("unix", path)
 		if err != nil {
@@ -175,8 +180,8 @@
 		}
 		nc.Close()
 	}
-	if len(o.beside) != 0 {
-		t.Errorf("told %v", <-o.beside)
+	if len(o.stages) != 0 {
+		t.Errorf("told %v", <-o.stages)
 	}
 }
 
@@ -184,8 +189,8 @@
 	parsertest.Run(t, func(t *rapid.T) []byte {
 		return appendMessage(nil, rapid.StringMatching("[A-Z]{1,8}").Draw(t, "word"), rapid.SliceOfN(rapid.Byte(), 0, 200).Draw(t, "body"))
 	}, func(buf []byte) (int, int, error) {
-		_, n, want, err := parse(buf, 200)
-		return n, want, err
+		_, progress, err := parseMessage(buf, 200)
+		return progress.consumed, progress.needed, err
 	})
 	// A state in which bytes are bent is an error or a state, and no panic.
 	parsertest.Garbage(t, func(*rapid.T) []byte { return encode(some) }, func(buf []byte) (int, int, error) {
--- /dev/null
+++ b/internal/handover/predecessor.go
@@ -0,0 +1,128 @@
+package handover
+
+import (
+	"fmt"
+	"strconv"
+	"time"
+
+	"hillknot/internal/config"
+	"hillknot/internal/logging"
+	"hillknot/internal/netio"
+)
+
+// Predecessor is the process that this one takes over from: the successor's end of the connection.
+type Predecessor struct {
+	// DiscoveryPosition is how far the predecessor had followed the event log of discovery as this process
+	// connected.
+	DiscoveryPosition int64
+
+	conn      *netio.Conn
+	limits    config.Limits
+	ended     chan struct{} // closed as the connection ends
+	positions chan []byte   // the answer to TAKE, once
+	states    chan []byte   // the answer to READY, once
+}
+
+// FindPredecessor connects to the process that listens on a path. It returns nil where there is none, or it does
+// not answer in time: that is no error. The caller closes the connection.
+func FindPredecessor(path string, limits config.Limits) *Predecessor {
+	p := newPredecessor(limits)
+	budget := netio.NewBudget(2 * limits.HandoverState)
+	handler := func(*netio.Conn) netio.Handler { return p }
+	conn, err := netio.Dial(path, limits.HandoverWait, limits.Handover, budget, handler)
+	if err != nil {
+		log.Debug("no predecessor", logging.KeyError, err)
+		return nil
+	}
+	p.conn = conn
+	text, err := p.request(kindTake, p.positions)
+	if err == nil {
+		p.DiscoveryPosition, err = strconv.ParseInt(string(text), 10, 64)
+	}
+	if err != nil {
+		log.Warn("predecessor handshake failed", logging.KeyError, err)
+		conn.Close()
+		return nil
+	}
+	return p
+}
+
+func newPredecessor(limits config.Limits) *Predecessor {
+	return &Predecessor{limits: limits, ended: make(chan struct{}),
+		positions: make(chan []byte, 1), states: make(chan []byte, 1)}
+}
+
+// Ended returns a channel that is closed as the predecessor ends.
+func (p *Predecessor) Ended() <-chan struct{} { return p.ended }
+
+// AnnounceReady tells the predecessor that this process takes clients from now on, and returns the state to go on
+// from. After an error the predecessor may have been told all the same.
+func (p *Predecessor) AnnounceReady() (State, error) {
+	text, err := p.request(kindReady, p.states)
+	if err != nil {
+		return State{}, err
+	}
+	s, err := decode(text)
+	if err != nil {
+		return State{}, fmt.Errorf("state: %w", err)
+	}
+	return s, nil
+}
+
+// Close ends the connection, which tells the predecessor that this process does not take over.
+func (p *Predecessor) Close() { p.conn.Close() }
+
+// request sends a message and waits for its answer.
+func (p *Predecessor) request(kind string, answer <-chan []byte) ([]byte, error) {
+	if err := p.conn.Send(appendMessage(nil, kind, nil)); err != nil {
+		return nil, err
+	}
+	timer := time.NewTimer(p.limits.HandoverWait)
+	defer timer.Stop()
+	select {
+	case text := <-answer:
+		return text, nil
+	case <-p.ended:
+	case <-timer.C:
+	}
+	return nil, fmt.Errorf("%s: %w", kind, ErrPredecessorUnavailable)
+}
+
+// Consume implements netio.Handler.
+func (p *Predecessor) Consume(buf []byte) (used, want int, err error) {
+	for {
+		m, progress, err := parseMessage(buf[used:], p.limits.HandoverState)
+		if err != nil || progress.consumed == 0 {
+			return used, progress.needed, err
+		}
+		used += progress.consumed
+		if err := p.handle(m); err != nil {
+			return used, 0, err
+		}
+	}
+}
+
+// handle passes an answer on to the request that waits for it.
+func (p *Predecessor) handle(m message) error {
+	if m.version != version {
+		return errMalformed
+	}
+	var answers chan<- []byte
+	switch string(m.kind) {
+	case kindAt:
+		answers = p.positions
+	case kindState:
+		answers = p.states
+	default:
+		return errMalformed
+	}
+	select {
+	case answers <- append([]byte(nil), m.body...):
+		return nil
+	default: // it was answered before
+		return errMalformed
+	}
+}
+
+// Closed implements netio.Handler.
+func (p *Predecessor) Closed() { close(p.ended) }
--- /dev/null
+++ b/internal/handover/successor.go
@@ -0,0 +1,63 @@
+package handover
+
+import (
+	"fmt"
+	"strconv"
+
+	"hillknot/internal/netio"
+)
+
+// successor is the predecessor's end of the connection to a successor. Netio calls its methods one after the other.
+type successor struct {
+	listener *SuccessorListener
+	conn     *netio.Conn
+	stage    SuccessorStage
+}
+
+// Consume implements netio.Handler.
+func (s *successor) Consume(buf []byte) (used, want int, err error) {
+	for {
+		m, progress, err := parseMessage(buf[used:], 0)
+		if err != nil || progress.consumed == 0 {
+			return used, progress.needed, err
+		}
+		used += progress.consumed
+		if err := s.handle(m); err != nil {
+			return used, 0, err
+		}
+	}
+}
+
+// handle acts on a message and answers it. A successor sends TAKE, then READY, each once.
+func (s *successor) handle(m message) error {
+	switch {
+	case m.version != version:
+		return fmt.Errorf("version %d: %w", m.version, errMalformed)
+	case string(m.kind) == kindTake && s.stage == NoSuccessor:
+		s.stage = SuccessorStarting
+		s.listener.count(1, 0)
+		position := s.listener.process.DiscoveryPosition()
+		return s.conn.Send(appendMessage(nil, kindAt, strconv.AppendInt(nil, position, 10)))
+	case string(m.kind) == kindReady && s.stage == SuccessorStarting:
+		s.stage = SuccessorReady
+		state := encode(s.listener.process.State())
+		if len(state) > s.listener.limits.HandoverState {
+			state = nil // the successor can't read that, and goes on without a state
+		}
+		s.listener.count(0, 1)
+		return s.conn.Send(appendMessage(nil, kindState, state))
+	}
+	return errMalformed
+}
+
+// Closed implements netio.Handler: the successor has ended. One that was ready had taken our place on the path,
+// which is ours again.
+func (s *successor) Closed() {
+	switch s.stage {
+	case SuccessorStarting:
+		s.listener.count(-1, 0)
+	case SuccessorReady:
+		s.listener.count(-1, -1)
+		s.listener.reopen()
+	}
+}
