--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -69,7 +69,7 @@
 }
 
 // The old process knows of the new one from the call on, and that it is followed before the new one has the state.
-func TestFollow(t *testing.T) {
+func TestSuccessorTakesOverState(t *testing.T) {
 	o, path := listen(t)
 	p := find(t, path)
 	o.expectStage(t, SuccessorStarting)
@@ -85,7 +85,7 @@
 
 // A successor that dies leaves the old one as it was: it can be followed again, also where the dead one had taken
 // its place at the path.
-func TestSuccessorDies(t *testing.T) {
+func TestSuccessorThatEndsCanBeReplaced(t *testing.T) {
 	o, path := listen(t)
 	p := find(t, path)
 	o.expectStage(t, SuccessorStarting)
@@ -113,7 +113,7 @@
 }
 
 // The old process ends: the new one sees it.
-func TestPredecessorEnds(t *testing.T) {
+func TestSuccessorIsNotifiedOfPredecessorsEnd(t *testing.T) {
 	o := &owner{stages: make(chan SuccessorStage, 10)}
 	path := filepath.Join(t.TempDir(), "s")
 	g, err := ListenForSuccessor(path, o, lim)
@@ -133,7 +133,7 @@
 }
 
 // Nobody there, a path left behind, a file of another kind, and one who listens and says nothing: no predecessor.
-func TestNobody(t *testing.T) {
+func TestFindsNoPredecessor(t *testing.T) {
 	dir := t.TempDir()
 	stale := filepath.Join(dir, "stale")
 	ln, err := net.ListenUnix("unix", &net.UnixAddr{Name: stale, Net: "unix"})
@@ -166,7 +166,7 @@
 }
 
 // Another version, or anything else, ends the connection; nobody is told of a successor.
-func TestOtherVersion(t *testing.T) {
+func TestOtherVersionIsRejected(t *testing.T) {
 	o, path := listen(t)
 	for _, text := range []string{"TAKE 1 0\n", "TAKE 3 0\n", "READY 2 0\n", "TAKE 2 5\nhello", "GET / HTTP/1.1\r\n\r\n"} {
 		nc, err := net.Dial("unix", path)
@@ -185,7 +185,7 @@
 	}
 }
 
-func TestParser(t *testing.T) {
+func TestMessageParser(t *testing.T) {
 	parsertest.Run(t, func(t *rapid.T) []byte {
 		return appendMessage(nil, rapid.StringMatching("[A-Z]{1,8}").Draw(t, "word"), rapid.SliceOfN(rapid.Byte(), 0, 200).Draw(t, "body"))
 	}, func(buf []byte) (int, int, error) {
--- a/internal/netio/accept_test.go
+++ b/internal/netio/accept_test.go
@@ -1,6 +1,7 @@
 package netio
 
 import (
+	"net"
 	"sync/atomic"
 	"syscall"
 	"testing"
@@ -26,12 +27,12 @@
 	return calls
 }
 
-// However accept fails, and for however long: the connections that are open are served meanwhile, the poller does not spin, and
-// who waits to be accepted is served once that goes well again.
-func TestAcceptFails(t *testing.T) {
+// However accept fails, and for however long: open connections are served meanwhile, the poller does not spin, and
+// peers that wait to be accepted are served once accept succeeds again.
+func TestServesThroughAcceptErrors(t *testing.T) {
 	const span, most = 400 * time.Millisecond, 100 // calls
-	for _, errno := range acceptErrors {
-		s, err := Listen("127.0.0.1:0", 100, lim, NewBudget(1<<20), func(c *Conn) Handler { return echo{c} })
+	for _, errno := range acceptErrors {           // not as subtests: a server that closes while it is paused disturbs the next one
+		s, err := Listen("127.0.0.1:0", 100, lim, NewBudget(1<<20), newEcho)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -46,3 +47,55 @@
 		}
 	}
 }
+
+// Two servers on one socket, as two processes that inherited it: one stops accepting, and what it had goes on. New
+// connections come to the other, and none is rejected.
+func TestInheritedListenerIsShared(t *testing.T) {
+	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { ln.Close() })
+	var servers [2]*Server
+	for i := range servers {
+		servers[i], err = ListenInherited(dup(t, ln), 100, lim, NewBudget(1<<20), newEcho)
+		if err != nil {
+			t.Fatal(err)
+		}
+	}
+	t.Cleanup(servers[1].Close)
+	go servers[0].Serve()
+	old := dial(t, ln.Addr().String())
+	echoed(t, old)
+	go servers[1].Serve()
+	servers[0].StopAccepting()
+	for range 20 {
+		exchange(t, ln.Addr().String())
+	}
+	if n := servers[0].OpenConns(); n != 1 {
+		t.Errorf("%d connections at the one that stopped", n)
+	}
+	echoed(t, old)
+	servers[0].Close()
+	exchange(t, ln.Addr().String())
+}
+
+// dup returns a descriptor of a listener, as a process inherits one.
+func dup(t *testing.T, ln net.Listener) int {
+	t.Helper()
+	raw, err := ln.(*net.TCPListener).SyscallConn()
+	if err != nil {
+		t.Fatal(err)
+	}
+	fd := -1
+	if err := raw.Control(func(p uintptr) { fd, err = syscall.Dup(int(p)) }); err != nil || fd < 0 {
+		t.Fatal(err)
+	}
+	return fd
+}
+
+func TestListenInheritedRejectsClosedDescriptor(t *testing.T) {
+	if _, err := ListenInherited(1<<20, 1, lim, NewBudget(1), newEcho); err == nil {
+		t.Error("a descriptor that is not open was taken")
+	}
+}
--- /dev/null
+++ b/internal/netio/evict_test.go
@@ -0,0 +1,72 @@
+package netio
+
+import (
+	"testing"
+	"time"
+)
+
+// Peers that connect and send nothing, or stay after a reply, make room for new ones; not those with a pending
+// reply.
+func TestEvictionMakesRoomForNewPeers(t *testing.T) {
+	accepted := make(chan *Conn, 100)
+	s := serve(t, 8, lim, func(c *Conn) Handler { accepted <- c; return echo{c} })
+	owed := dial(t, s.Addr().String())
+	(<-accepted).AddPendingReplies(1)
+	for range 100 {
+		dial(t, s.Addr().String())
+		<-accepted
+	}
+	exchange(t, s.Addr().String())
+	echoed(t, owed)
+}
+
+// A client that takes its time to write a request keeps its place while a crowd connects, says nothing or idles;
+// one that has stopped half way gives way last.
+func TestSlowWriterIsEvictedLast(t *testing.T) {
+	short := lim
+	short.Silent = time.Second // silent for an eighth of it gives way
+	s := serve(t, 8, short, newLines)
+	slow, idle := dial(t, s.Addr().String()), dial(t, s.Addr().String())
+	echoed(t, idle)
+	if _, err := slow.Write([]byte("h")); err != nil {
+		t.Fatal(err)
+	}
+	time.Sleep(short.Silent / 4)
+	for range 50 {
+		dial(t, s.Addr().String())
+	}
+	exchange(t, s.Addr().String())
+	expectClosed(t, idle)
+	if _, err := slow.Write([]byte("i\n")); err != nil {
+		t.Fatal(err)
+	}
+	if n, err := slow.Read(make([]byte, 3)); n == 0 {
+		t.Errorf("the slow writer gets no answer: %v", err)
+	}
+}
+
+// Idle connections over a lower limit close; those with a pending reply and those that are writing stay.
+func TestSetMaxConnsClosesIdleConnections(t *testing.T) {
+	conns := make(chan *Conn, 10)
+	s := serve(t, 10, lim, func(c *Conn) Handler { conns <- c; return newLines(c) })
+	owed, half := dial(t, s.Addr().String()), dial(t, s.Addr().String())
+	(<-conns).AddPendingReplies(1)
+	half.Write([]byte("h"))
+	for range 6 {
+		echoed(t, dial(t, s.Addr().String()))
+	}
+	for c := <-conns; c.input.partialSince.Load() == 0; time.Sleep(time.Millisecond) { // until the half message has come in
+	}
+	s.SetMaxConns(1)
+	for end := time.Now().Add(20 * time.Second); s.OpenConns() > 2; time.Sleep(time.Millisecond) {
+		s.SetMaxConns(1) // a connection may not be done with its echo yet though the client has read it, and rests only then
+		if time.Now().After(end) {
+			t.Fatalf("%d connections", s.OpenConns())
+		}
+	}
+	echoed(t, owed)
+	half.Write([]byte("i\n"))
+	if n, err := half.Read(make([]byte, 3)); n == 0 {
+		t.Errorf("the one that was writing: %v", err)
+	}
+}
--- /dev/null
+++ b/internal/netio/helpers_test.go
@@ -0,0 +1,143 @@
+package netio
+
+import (
+	"io"
+	"net"
+	"testing"
+	"time"
+
+	"hillknot/internal/config"
+)
+
+// lim are the limits of most tests.
+var lim = config.Conn{Pending: 1 << 20, Read: 10 * time.Second, Write: 10 * time.Second, Idle: time.Minute, Silent: time.Minute}
+
+// echo is a handler that sends back what comes.
+type echo struct{ c *Conn }
+
+func (e echo) Consume(buf []byte) (int, int, error) {
+	return len(buf), 0, e.c.Send(append([]byte(nil), buf...))
+}
+func (e echo) Closed() {}
+
+func newEcho(c *Conn) Handler { return echo{c} }
+
+// serve starts a server on loopback, which closes as the test ends.
+func serve(t *testing.T, maxConns int, limits config.Conn, newHandler func(*Conn) Handler) *Server {
+	t.Helper()
+	s, err := Listen("127.0.0.1:0", maxConns, limits, NewBudget(1<<25), newHandler)
+	if err != nil {
+		t.Fatal(err)
+	}
+	go s.Serve()
+	t.Cleanup(s.Close)
+	return s
+}
+
+// dial connects to a server as a client does.
+func dial(t *testing.T, addr string) net.Conn {
+	t.Helper()
+	c, err := net.DialTimeout("tcp", addr, 10*time.Second)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { c.Close() })
+	c.SetDeadline(time.Now().Add(20 * time.Second))
+	return c
+}
+
+// exchange connects, and sends a line and reads its echo.
+func exchange(t *testing.T, addr string) {
+	t.Helper()
+	echoed(t, dial(t, addr))
+}
+
+// echoed sends a line and reads its echo.
+func echoed(t *testing.T, c net.Conn) {
+	t.Helper()
+	buf := make([]byte, 3)
+	if _, err := c.Write([]byte("hi\n")); err != nil {
+		t.Fatal(err)
+	}
+	if n, err := c.Read(buf); n == 0 || err != nil {
+		t.Fatalf("echo of %d bytes: %v", n, err)
+	}
+}
+
+// expectClosed waits until the server closes the connection.
+func expectClosed(t *testing.T, c net.Conn) {
+	t.Helper()
+	_, err := c.Read(make([]byte, 1))
+	if e, timeout := err.(net.Error); err == nil || timeout && e.Timeout() {
+		t.Errorf("still open: %v", err)
+	}
+}
+
+// lines is an echo of complete lines.
+type lines struct{ echo }
+
+func newLines(c *Conn) Handler { return lines{echo{c}} }
+
+func (l lines) Consume(buf []byte) (int, int, error) {
+	if buf[len(buf)-1] != '\n' {
+		return 0, 0, nil
+	}
+	return l.echo.Consume(buf)
+}
+
+// gated is a handler that consumes lines, each when the test lets it, and records what it was handed.
+type gated struct {
+	c        *Conn
+	received chan string
+	release  chan bool
+	closed   chan bool
+}
+
+func (g *gated) Consume(buf []byte) (int, int, error) {
+	if buf[len(buf)-1] != '\n' {
+		return 0, 0, nil
+	}
+	g.received <- string(buf)
+	<-g.release
+	return len(buf), 0, nil
+}
+
+func (g *gated) Closed() { close(g.closed) }
+
+// gatedPair starts a server with one connection of a client, and returns the two ends of it.
+func gatedPair(t *testing.T, limits config.Conn) (*Server, net.Conn, *gated) {
+	t.Helper()
+	made := make(chan *gated, 1)
+	s := serve(t, 100, limits, func(c *Conn) Handler {
+		g := &gated{c: c, received: make(chan string, 10), release: make(chan bool), closed: make(chan bool)}
+		made <- g
+		return g
+	})
+	nc, g := dial(t, s.Addr().String()), <-made
+	for ok := false; !ok; _, ok = s.conns.Load(g.c) { // until it is set up
+		time.Sleep(time.Millisecond)
+	}
+	return s, nc, g
+}
+
+// lingering returns limits with a lingering close.
+func lingering() config.Conn {
+	l := lim
+	l.Linger = 10 * time.Second
+	return l
+}
+
+// expectThenEnd reads what the peer has sent up to its end, which must be no reset.
+func expectThenEnd(t *testing.T, nc net.Conn, want string) {
+	t.Helper()
+	if got, err := io.ReadAll(nc); err != nil || string(got) != want {
+		t.Errorf("read %d bytes, %.40q, %v; want %d, %.40q, and the end", len(got), got, err, len(want), want)
+	}
+}
+
+func write(t *testing.T, nc net.Conn, text string) {
+	t.Helper()
+	if _, err := nc.Write([]byte(text)); err != nil {
+		t.Fatal(err)
+	}
+}
--- a/internal/netio/state_test.go
+++ b/internal/netio/state_test.go
@@ -50,7 +50,7 @@
 // Close waits for Serve, also where it comes as Serve begins.
 func TestCloseWaitsForServe(t *testing.T) {
 	for range 200 {
-		s, err := Listen("127.0.0.1:0", 10, lim, NewBudget(1<<20), func(c *Conn) Handler { return echo{c} })
+		s, err := Listen("127.0.0.1:0", 10, lim, NewBudget(1<<20), newEcho)
 		if err != nil {
 			t.Fatal(err)
 		}
