--- a/client/client_test.go
+++ b/client/client_test.go
@@ -16,8 +16,8 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// script plays a router that is ready and does as told with all else.
-func script(t testing.TB, handle func(*fakes.Peer, rpc.Message)) *fakes.Router {
+// readyRouter starts a router that takes clients and handles all other messages as the test says.
+func readyRouter(t testing.TB, handle func(*fakes.Peer, rpc.Message)) *fakes.Router {
 	t.Helper()
 	r, err := fakes.NewReadyRouter("127.0.0.1:0", handle)
 	if err != nil {
@@ -27,14 +27,15 @@
 	return r
 }
 
-func start(t testing.TB, change func(*policy.Settings), routers ...string) *Client {
+// newClient returns a client that is closed when the test ends, after which none of its goroutines may be left.
+func newClient(t testing.TB, change func(*policy.Settings), routers ...string) *Client {
 	t.Helper()
-	set := policy.Defaults()
-	set.Seed = 1
+	settings := policy.Defaults()
+	settings.Seed = 1
 	if change != nil {
-		change(&set)
+		change(&settings)
 	}
-	c, err := New(Config{Routers: routers, Policy: &set})
+	c, err := New(Config{Routers: routers, Policy: &settings})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -48,41 +49,57 @@
 	return c
 }
 
-func TestServed(t *testing.T) {
+func TestDoReturnsTheResponse(t *testing.T) {
 	body := bytes.Repeat([]byte("score"), 40_000)
-	r := script(t, func(p *fakes.Peer, m rpc.Message) {
+	r := readyRouter(t, func(p *fakes.Peer, m rpc.Message) {
 		if string(m.Fields.CachedTag) == "tag" {
 			p.Raw(rpc.AppendBodyResponse(nil, m.ID, nil, rpc.Field{Name: rpc.FieldNotModified, Value: "1"}))
 			return
 		}
 		p.Serve(m.ID, body)
 	})
-	c := start(t, nil, r.Addr())
-	got, err := c.Do(context.Background(), Request{Class: "full-score", Item: 7})
-	if err != nil || !bytes.Equal(got.Body, body) || got.Tries != 1 || got.Router != r.Addr() {
-		t.Errorf("%d bytes, %d tries, %v", len(got.Body), got.Tries, err)
-	}
-	var to bytes.Buffer
-	got, err = c.Do(context.Background(), Request{Class: "full-score", Item: 7, To: &to})
-	if err != nil || !bytes.Equal(to.Bytes(), body) || got.Size != len(body) || got.Body != nil {
-		t.Errorf("streamed %d bytes of %d, %v", to.Len(), got.Size, err)
-	}
-	got, err = c.Do(context.Background(), Request{Class: "part-page", Have: "tag"})
-	if err != nil || !got.Unchanged {
-		t.Errorf("%+v, %v", got, err)
-	}
-	if _, err = c.Do(context.Background(), Request{Class: "nothing"}); !errors.Is(err, ErrRequest) {
-		t.Error(err)
-	}
+	c := newClient(t, nil, r.Addr())
+	ctx := context.Background()
+
+	t.Run("body", func(t *testing.T) {
+		got, err := c.Do(ctx, Request{Class: "full-score", Item: 7})
+		if err != nil || !bytes.Equal(got.Body, body) || got.Tries != 1 || got.Router != r.Addr() {
+			t.Errorf("%d bytes, %d tries, %v", len(got.Body), got.Tries, err)
+		}
+	})
+	t.Run("streamed", func(t *testing.T) {
+		var to bytes.Buffer
+		got, err := c.Do(ctx, Request{Class: "full-score", Item: 7, To: &to})
+		if err != nil || !bytes.Equal(to.Bytes(), body) || got.Size != len(body) || got.Body != nil {
+			t.Errorf("streamed %d bytes of %d, %v", to.Len(), got.Size, err)
+		}
+	})
+	t.Run("unchanged", func(t *testing.T) {
+		got, err := c.Do(ctx, Request{Class: "part-page", Have: "tag"})
+		if err != nil || !got.Unchanged {
+			t.Errorf("%+v, %v", got, err)
+		}
+	})
+	t.Run("unknown class", func(t *testing.T) {
+		if _, err := c.Do(ctx, Request{Class: "nothing"}); !errors.Is(err, ErrRequest) {
+			t.Error(err)
+		}
+	})
 }
 
 func BenchmarkDo(b *testing.B) {
-	r := script(b, func(p *fakes.Peer, m rpc.Message) { p.Serve(m.ID, nil) })
-	for _, conns := range []int{1, 8} {
-		b.Run(map[int]string{1: "one connection", 8: "eight connections"}[conns], func(b *testing.B) {
-			c := start(b, func(s *policy.Settings) { s.ConnsPerRouter = conns }, r.Addr())
+	r := readyRouter(b, func(p *fakes.Peer, m rpc.Message) { p.Serve(m.ID, nil) })
+	for _, bench := range []struct {
+		name  string
+		conns int
+	}{
+		{"one connection", 1},
+		{"eight connections", 8},
+	} {
+		b.Run(bench.name, func(b *testing.B) {
+			c := newClient(b, func(s *policy.Settings) { s.ConnsPerRouter = bench.conns }, r.Addr())
 			b.ReportAllocs()
-			b.SetParallelism(4 * conns)
+			b.SetParallelism(4 * bench.conns)
 			b.RunParallel(func(pb *testing.PB) {
 				for pb.Next() {
 					if _, err := c.Do(context.Background(), Request{Class: "part-page", Item: 1}); err != nil {
--- a/client/example_test.go
+++ b/client/example_test.go
@@ -11,7 +11,7 @@
 	"hillknot/internal/testutil/fakes"
 )
 
-// router plays a router that serves pages, and is too busy for orders.
+// router starts a router that serves pages, and rejects orders with a Retry-After.
 func router() *fakes.Router {
 	r, err := fakes.NewReadyRouter("127.0.0.1:0", func(p *fakes.Peer, m rpc.Message) {
 		if string(m.Method) == "new-arrange" {
@@ -35,12 +35,17 @@
 		return
 	}
 	defer c.Close(context.Background())
-	resp, err := c.Do(context.Background(), client.Request{Class: "part-page", Item: 0x7f3a9c21e0b4d655, Part: 3, Limit: time.Second})
+	resp, err := c.Do(context.Background(), client.Request{
+		Class: "part-page",
+		Item:  0x7f3a9c21e0b4d655,
+		Part:  3,
+		Limit: time.Second,
+	})
 	fmt.Printf("%s, %d try, %v\n", resp.Body, resp.Tries, err)
 	// Output: a page, 1 try, <nil>
 }
 
-// An order that was refused never ran; one that may have run must not be sent again unseen.
+// An order that was rejected never ran. One that may have run must not be sent again before its state is known.
 func ExampleError() {
 	r := router()
 	defer r.Close()
@@ -50,11 +55,16 @@
 		return
 	}
 	defer c.Close(context.Background())
-	_, err = c.Do(context.Background(), client.Request{Class: "new-arrange", Item: 1, Body: []byte("in F"), Limit: time.Second})
+	_, err = c.Do(context.Background(), client.Request{
+		Class: "new-arrange",
+		Item:  1,
+		Body:  []byte("in F"),
+		Limit: time.Second,
+	})
 	var e *client.Error
 	switch {
 	case errors.Is(err, client.ErrMayHaveRun):
-		fmt.Println("look first whether it took effect")
+		fmt.Println("find out first whether it took effect")
 	case errors.Is(err, client.ErrRefused) && errors.As(err, &e):
 		fmt.Println("not run; to come back later:", e.Wait > time.Second)
 	default:
--- /dev/null
+++ b/client/health_test.go
@@ -0,0 +1,63 @@
+package client
+
+import (
+	"context"
+	"errors"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"hillknot/client/policy"
+	"hillknot/internal/rpc"
+	"hillknot/internal/testutil/fakes"
+)
+
+// One router accepts connections and says nothing, one takes no clients, and the third is closed and started again:
+// calls are served by the third alone.
+func TestCallsGoToTheOneReadyRouter(t *testing.T) {
+	silent, err := fakes.NewRouter("127.0.0.1:0", func(*fakes.Peer, rpc.Message) {})
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(silent.Close)
+	var callsAtDraining atomic.Int64
+	draining, err := fakes.NewRouter("127.0.0.1:0", func(p *fakes.Peer, m rpc.Message) {
+		if string(m.Method) != healthMethod {
+			callsAtDraining.Add(1)
+		}
+		p.Health(m.ID, false)
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(draining.Close)
+	serve := func(p *fakes.Peer, m rpc.Message) { p.Serve(m.ID, nil) }
+	ready := readyRouter(t, serve)
+	addr := ready.Addr()
+	ctx := context.Background()
+
+	c := newClient(t, func(s *policy.Settings) { s.Reconnect = 200 * time.Millisecond },
+		silent.Addr(), draining.Addr(), addr)
+	if _, err := c.Do(ctx, Request{Class: "full-score"}); err != nil {
+		t.Error(err)
+	}
+	ready.Close()
+	_, err = c.Do(ctx, Request{Class: "full-score", Limit: 100 * time.Millisecond})
+	if err == nil || errors.Is(err, ErrMayHaveRun) {
+		t.Errorf("with all routers away: %v", err)
+	}
+	restarted, err := fakes.NewReadyRouter(addr, serve)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(restarted.Close)
+	if _, err := c.Do(ctx, Request{Class: "full-score"}); err != nil {
+		t.Error(err)
+	}
+	if s := c.Stats(); s.Drains == 0 || callsAtDraining.Load() != 0 {
+		t.Errorf("%+v; %d calls at a router that takes none", s, callsAtDraining.Load())
+	}
+	if errs := c.Health(t.Context()); errs[2] != nil || errs[1] != ErrNotReady {
+		t.Errorf("health %v", errs)
+	}
+}
--- a/client/policy/policy_test.go
+++ b/client/policy/policy_test.go
@@ -11,8 +11,8 @@
 	_ "hillknot/internal/testutil/parsertest" // sets rapid's seed
 )
 
-// Whatever happens, each call ends once and in time, no call that is not idempotent is sent again once it may have run,
-// and nothing is left behind. The same events lead to the same actions.
+// Whatever happens, each call ends once and in time, no call that is not idempotent is sent again once it may have
+// run, and nothing is left behind. The same events lead to the same actions.
 func TestInvariantsHoldForRandomEvents(t *testing.T) {
 	if err := flag.Set("rapid.checks", "1000"); err != nil {
 		t.Fatal(err)
--- a/client/policy/retry_test.go
+++ b/client/policy/retry_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// A call that is not idempotent is sent again after a rejection, or where not a byte was written; never after anything
-// else.
+// A call that is not idempotent is sent again after a rejection, or where not a byte was written; never after
+// anything else.
 func TestUnsafeCallIsRetriedOnlyIfItDidNotRun(t *testing.T) {
 	none := breakage(-1)
 	for name, test := range map[string]struct {
@@ -42,7 +42,8 @@
 	}
 }
 
-// A call that crosses a router's close of an idle connection is sent again at once; only an idempotent one, and only once.
+// A call that crosses a router's close of an idle connection is sent again at once; only an idempotent one, and
+// only once.
 func TestCallThatCrossedACloseIsSentAgain(t *testing.T) {
 	for name, idempotent := range map[string]bool{"idempotent": true, "not idempotent": false} {
 		t.Run(name, func(t *testing.T) {
--- a/client/policy/simulation_test.go
+++ b/client/policy/simulation_test.go
@@ -10,8 +10,8 @@
 
 const ms = time.Millisecond
 
-// simulation plays routers and the network to a policy, in virtual time, and checks each action: that calls go only where
-// they may, that a retry is marked, that each call ends once and in time.
+// simulation plays routers and the network to a policy, in virtual time, and checks each action: that calls go only
+// where they may, that a retry is marked, that each call ends once and in time.
 type simulation struct {
 	t        rapid.TB
 	policy   *Policy
