--- a/internal/core/clustermetrics.go
+++ b/internal/core/clustermetrics.go
@@ -7,7 +7,7 @@
 	Peers           int      // other routers that are alive
 	DroppedMessages uint64   // messages to them that were dropped, as too many waited
 	Ejected         []string // endpoints that every router avoids but the one that probes them
-	Verdicts        uint64   // ejections so far
+	Ejections       uint64   // ejections so far
 	Counters        []ClusterCounter
 	Budgets         []state.Holding
 }
@@ -26,7 +26,7 @@
 		DroppedMessages: s.peers.DroppedMessages(),
 		Budgets:         s.state.Holdings(now),
 	}
-	m.Ejected, m.Verdicts = s.state.Verdicts(now)
+	m.Ejected, m.Ejections = s.state.Verdicts(now)
 	for _, key := range s.state.Counts() {
 		m.Counters = append(m.Counters, ClusterCounter{key, s.state.Total(key)})
 	}
--- a/internal/frontend/admin/metrics.go
+++ b/internal/frontend/admin/metrics.go
@@ -51,7 +51,7 @@
 func appendClusterMetrics(b []byte, f *core.ClusterMetrics) []byte {
 	b = fmt.Appendf(appendHeader(b, "fleet_others", "Routers alive beside this one.", "gauge"), "app_fleet_others %d\n", f.Peers)
 	b = fmt.Appendf(appendHeader(b, "fleet_lost", "Letters to other routers dropped, as too many waited.", "counter"), "app_fleet_lost %d\n", f.DroppedMessages)
-	b = fmt.Appendf(appendHeader(b, "fleet_verdicts", "Verdicts on page caches so far.", "counter"), "app_fleet_verdicts %d\n", f.Verdicts)
+	b = fmt.Appendf(appendHeader(b, "fleet_verdicts", "Verdicts on page caches so far.", "counter"), "app_fleet_verdicts %d\n", f.Ejections)
 	b = appendHeader(b, "fleet_sick", "Page caches that the routers agree to be sick.", "gauge")
 	for _, node := range f.Ejected {
 		b = fmt.Appendf(b, "app_fleet_sick{cache=%s} 1\n", strconv.Quote(node))
