--- a/client/policy/action.go
+++ b/client/policy/action.go
@@ -39,5 +39,5 @@
 	return actions
 }
 
-// request appends an action to those that Actions returns.
-func (p *Policy) request(action Action) { p.actions = append(p.actions, action) }
+// emit appends an action to those that Actions returns.
+func (p *Policy) emit(action Action) { p.actions = append(p.actions, action) }
--- a/client/policy/call.go
+++ b/client/policy/call.go
@@ -105,7 +105,7 @@
 		return
 	}
 	if call.state == callInFlight {
-		p.request(Action{Kind: ActionCancel, Conn: call.latest.conn, Call: call})
+		p.emit(Action{Kind: ActionCancel, Conn: call.latest.conn, Call: call})
 		if call.latest.written {
 			call.retry.mayHaveRun = true
 		} else {
@@ -141,7 +141,7 @@
 	p.stopTimer(&call.timer)
 	outcome.MayHaveRun = call.retry.mayHaveRun && outcome.Verdict != Served
 	outcome.Attempts = call.attempts
-	p.request(Action{Kind: ActionFinish, Call: call, Outcome: outcome})
+	p.emit(Action{Kind: ActionFinish, Call: call, Outcome: outcome})
 }
 
 // setCallTimer sets a call's timer to its deadline, or to the end of its delay where that comes first.
--- a/client/policy/conn.go
+++ b/client/policy/conn.go
@@ -107,7 +107,7 @@
 	r.conns = append(r.conns, conn)
 	p.counts.Dials++
 	p.setTimer(&conn.timer, p.now+p.settings.DialWait)
-	p.request(Action{Kind: ActionDial, Conn: conn, Router: r.index})
+	p.emit(Action{Kind: ActionDial, Conn: conn, Router: r.index})
 }
 
 // Connected reports that a connection is up. Its first health check must be answered before it gets calls.
@@ -150,7 +150,7 @@
 		return
 	}
 	p.removeConn(conn)
-	p.request(Action{Kind: ActionClose, Conn: conn, Router: conn.router.index})
+	p.emit(Action{Kind: ActionClose, Conn: conn, Router: conn.router.index})
 }
 
 func (p *Policy) removeConn(conn *Conn) {
--- a/client/policy/dispatch.go
+++ b/client/policy/dispatch.go
@@ -24,15 +24,15 @@
 		p.finish(call, Outcome{Verdict: verdict, Local: verdict == Refused, RetryAfter: at - p.now})
 	case rejecting:
 		call.delayedUntil = at
-		p.hold(call, callDelayed)
+		p.wait(call, callDelayed)
 	default:
 		p.queue = append(p.queue, call)
-		p.hold(call, callQueued)
+		p.wait(call, callQueued)
 	}
 }
 
-// hold keeps a call in a state in which it is with no router.
-func (p *Policy) hold(call *Call, state callState) {
+// wait keeps a call in a state in which it is with no router.
+func (p *Policy) wait(call *Call, state callState) {
 	if !call.neverSent && call.attempts == 0 {
 		call.neverSent = true
 		p.waiting++
@@ -63,7 +63,7 @@
 	}
 	p.setCallTimer(call)
 	p.reviewConn(conn)
-	p.request(Action{Kind: ActionSend, Call: call, Conn: conn, Router: conn.router.index, Retry: isRetry})
+	p.emit(Action{Kind: ActionSend, Call: call, Conn: conn, Router: conn.router.index, Retry: isRetry})
 }
 
 // detach takes a call off its connection.
--- a/client/policy/health.go
+++ b/client/policy/health.go
@@ -5,7 +5,7 @@
 // checkHealth asks a router whether it takes clients.
 func (p *Policy) checkHealth(conn *Conn) {
 	conn.health = healthCheck{pendingSince: p.now, lastSent: p.now}
-	p.request(Action{Kind: ActionCheckHealth, Conn: conn, Router: conn.router.index})
+	p.emit(Action{Kind: ActionCheckHealth, Conn: conn, Router: conn.router.index})
 	p.setConnTimer(conn)
 }
 
