--- a/balancer/balancer_test.go
+++ b/balancer/balancer_test.go
@@ -33,19 +33,19 @@
 
 // rig drives one balancer by hand.
 type rig struct {
-	t   *testing.T
-	b   *Balancer
-	now time.Duration
-	id  RequestID
+	t        *testing.T
+	balancer *Balancer
+	now      time.Duration
+	lastID   RequestID
 }
 
-func node(id EndpointID, kind, zone string) Endpoint {
+func listedEndpoint(id EndpointID, kind, zone string) Endpoint {
 	return Endpoint{ID: id, Kind: kind, Zone: zone, Weight: 1}
 }
 
-func fleet() []Endpoint {
-	return []Endpoint{node(1, "box", "edge"), node(2, "box", "edge"), node(3, "box", "edge"), node(9, "box", "elsewhere"),
-		node(11, "mid", "hub"), node(12, "mid", "hub"), node(13, "mid", "hub"), node(20, "store", "hub")}
+func fleetList() []Endpoint {
+	return []Endpoint{listedEndpoint(1, "box", "edge"), listedEndpoint(2, "box", "edge"), listedEndpoint(3, "box", "edge"), listedEndpoint(9, "box", "elsewhere"),
+		listedEndpoint(11, "mid", "hub"), listedEndpoint(12, "mid", "hub"), listedEndpoint(13, "mid", "hub"), listedEndpoint(20, "store", "hub")}
 }
 
 func newRig(t *testing.T, s Settings, list []Endpoint) *rig {
@@ -54,14 +54,16 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &rig{t: t, b: b, now: 100 * sec}
-	r.do(EndpointUpdate{Complete: true, Endpoints: list})
+	r := &rig{t: t, balancer: b, now: 100 * sec}
+	r.handle(EndpointUpdate{Complete: true, Endpoints: list})
 	return r
 }
 
-func (r *rig) do(ev Event) []Action { return append([]Action(nil), r.b.Handle(r.now, ev)...) }
+func (r *rig) handle(ev Event) []Action {
+	return append([]Action(nil), r.balancer.Handle(r.now, ev)...)
+}
 
-func gets(as []Action) (g []SendAttempt) {
+func sentAttempts(as []Action) (g []SendAttempt) {
 	for _, a := range as {
 		if x, ok := a.(SendAttempt); ok {
 			g = append(g, x)
@@ -71,24 +73,24 @@
 }
 
 // ask sends a request and returns its first attempt; the zero Get if there was none.
-func (r *rig) ask(class string, object uint64) SendAttempt {
-	r.id++
-	g := gets(r.do(Request{ID: r.id, Class: class, Object: object, Group: object % 8, Remaining: 3 * sec, SizeKB: 100}))
+func (r *rig) request(class string, object uint64) SendAttempt {
+	r.lastID++
+	g := sentAttempts(r.handle(Request{ID: r.lastID, Class: class, Object: object, Group: object % 8, Remaining: 3 * sec, SizeKB: 100}))
 	if len(g) == 0 {
 		return SendAttempt{}
 	}
 	return g[0]
 }
 
-func (r *rig) end(g SendAttempt, n int, st Status, note Detail) []Action {
-	return r.do(Outcome{ID: g.ID, Attempt: n, Endpoint: g.Endpoint, Status: st, Answered: st == OK, Detail: note, Elapsed: 50 * ms})
+func (r *rig) finish(g SendAttempt, n int, st Status, note Detail) []Action {
+	return r.handle(Outcome{ID: g.ID, Attempt: n, Endpoint: g.Endpoint, Status: st, Answered: st == OK, Detail: note, Elapsed: 50 * ms})
 }
 
 // wait lets time pass with the timer running.
-func (r *rig) wait(d time.Duration) (as []Action) {
+func (r *rig) advance(d time.Duration) (as []Action) {
 	for until := r.now + d; r.now < until; {
 		r.now += scanInterval
-		as = append(as, r.do(Timer{Token: scanToken})...)
+		as = append(as, r.handle(Timer{Token: scanToken})...)
 	}
 	return as
 }
@@ -148,14 +150,14 @@
 
 // Every router, of every version, must name the same nodes.
 func TestHashIsPinned(t *testing.T) {
-	r := newRig(t, site(), fleet())
+	r := newRig(t, site(), fleetList())
 	got := ""
 	for o := uint64(1); o <= 12; o++ {
-		g := r.ask("page", o)
+		g := r.request("page", o)
 		q := &request{Request: Request{Object: o}}
-		_, second := r.b.homeParents(q)
+		_, second := r.balancer.homeParents(q)
 		got += fmt.Sprintf("%d<%d,%d ", g.Endpoint, g.Source, second.id)
-		r.end(g, 0, OK, Hit)
+		r.finish(g, 0, OK, Hit)
 	}
 	const want = "1<13,12 1<13,12 1<11,13 3<11,12 3<11,12 3<11,12 2<13,12 1<11,12 1<11,12 3<11,13 3<13,11 3<12,13 "
 	if got != want {
@@ -163,73 +165,73 @@
 	}
 }
 
-func TestHomeIsSharedByAllLocations(t *testing.T) {
+func TestHomeIsTheSameInAllZones(t *testing.T) {
 	s := site()
 	s.Topology.Zones = append(s.Topology.Zones, "elsewhere")
-	a := newRig(t, s, fleet())
+	a := newRig(t, s, fleetList())
 	s.Topology.Zone = "elsewhere"
-	b := newRig(t, s, fleet())
+	b := newRig(t, s, fleetList())
 	for o := uint64(1); o < 50; o++ {
-		ga, gb := a.ask("page", o), b.ask("page", o)
+		ga, gb := a.request("page", o), b.request("page", o)
 		if ga.Source != gb.Source || gb.Endpoint != 9 || ga.Endpoint == 9 {
 			t.Fatalf("object %d: %+v and %+v", o, ga, gb)
 		}
-		a.end(ga, 0, OK, Hit)
-		b.end(gb, 0, OK, Hit)
+		a.finish(ga, 0, OK, Hit)
+		b.finish(gb, 0, OK, Hit)
 	}
 }
 
-func TestWarmingNamesTheSecondHome(t *testing.T) {
-	r := newRig(t, site(), fleet())
-	g := r.ask("page", 5)
-	r.end(g, 0, OK, Filled)
+func TestFillIsReplicatedToSecondHome(t *testing.T) {
+	r := newRig(t, site(), fleetList())
+	g := r.request("page", 5)
+	r.finish(g, 0, OK, Filled)
 	r.now += replicationInterval / 2
-	if early := r.ask("page", 5); early.Source != g.Source {
+	if early := r.request("page", 5); early.Source != g.Source {
 		t.Errorf("warmed before the interval was over")
 	} else {
-		r.end(early, 0, OK, Hit)
+		r.finish(early, 0, OK, Hit)
 	}
 	r.now += replicationInterval
-	warm := r.ask("page", 5)
+	warm := r.request("page", 5)
 	if warm.Source == g.Source || warm.Source < 11 || warm.Source > 13 {
 		t.Errorf("source %d after the interval, home is %d", warm.Source, g.Source)
 	}
-	r.end(warm, 0, OK, Filled)
-	if again := r.ask("page", 5); again.Source != g.Source {
+	r.finish(warm, 0, OK, Filled)
+	if again := r.request("page", 5); again.Source != g.Source {
 		t.Errorf("the copy did not start the interval anew")
 	}
 }
 
 // Only what the home holds is copied: a fill that went through to the origin warms nobody.
-func TestNoWarmingOfWhatTheHomeLacks(t *testing.T) {
-	r := newRig(t, site(), fleet())
-	g := r.ask("page", 5)
-	r.end(g, 0, OK, FilledByOrigin)
+func TestNoReplicationOfWhatTheHomeLacks(t *testing.T) {
+	r := newRig(t, site(), fleetList())
+	g := r.request("page", 5)
+	r.finish(g, 0, OK, FilledByOrigin)
 	r.now += 2 * replicationInterval
-	if g2 := r.ask("page", 5); g2.Source != g.Source {
+	if g2 := r.request("page", 5); g2.Source != g.Source {
 		t.Errorf("source %d, want the home %d", g2.Source, g.Source)
 	}
 }
 
 func TestWithoutParentsTheOriginFills(t *testing.T) {
-	r := newRig(t, site(), append(fleet()[:3:3], node(20, "store", "hub")))
-	if g := r.ask("page", 5); g.Source != 20 || g.Endpoint > 3 {
+	r := newRig(t, site(), append(fleetList()[:3:3], listedEndpoint(20, "store", "hub")))
+	if g := r.request("page", 5); g.Source != 20 || g.Endpoint > 3 {
 		t.Errorf("%+v", g)
 	}
 }
 
-func TestShareRises(t *testing.T) {
-	list := fleet()
+func TestRangeRisesAfterStart(t *testing.T) {
+	list := fleetList()
 	list[0].StartedAt = 100*sec - rangeRampTime/2
 	r := newRig(t, site(), list)
 	all, mine := 0, 0
 	for o := uint64(0); o < 400; o++ {
 		key := mix(o)
-		m := r.b.endpoints.byID[1]
-		if b := r.b.pick(&request{Request: Request{Object: o}, class: newClass(Class{})}, key, r.b.endpoints.caches, saltCache, m); b != nil &&
-			r.b.score(key, m, saltCache) > r.b.score(key, b, saltCache) {
+		m := r.balancer.endpoints.byID[1]
+		if b := r.balancer.pick(&request{Request: Request{Object: o}, class: newClass(Class{})}, key, r.balancer.endpoints.caches, saltCache, m); b != nil &&
+			r.balancer.score(key, m, saltCache) > r.balancer.score(key, b, saltCache) {
 			all++
-			if r.b.inOwnRange(key, m) {
+			if r.balancer.inOwnRange(key, m) {
 				mine++
 			}
 		}
@@ -240,8 +242,8 @@
 }
 
 // A location's caches or a hub's parents that come back all at once are not pushed over.
-func TestColdBudget(t *testing.T) {
-	list := fleet()
+func TestSlowStartBudget(t *testing.T) {
+	list := fleetList()
 	for i := range list[:3] {
 		list[i].StartedAt = 99 * sec
 	}
@@ -249,11 +251,11 @@
 	spent := map[EndpointID]float64{}
 	for i := range uint64(600) { // 300 a second of 0.2 s: far more than three cold caches carry
 		r.now += 3 * ms
-		for _, g := range gets(r.do(Request{ID: RequestID(i), Class: "page", Object: i, Remaining: 3 * sec})) {
+		for _, g := range sentAttempts(r.handle(Request{ID: RequestID(i), Class: "page", Object: i, Remaining: 3 * sec})) {
 			spent[g.Endpoint] += initialServiceTime.Seconds()
 		}
 	}
-	usual := r.b.classes.serviceTime(r.b.load[roleClient].peak) / 2 / 3 // nothing served was seen yet
+	usual := r.balancer.classes.serviceTime(r.balancer.load[roleClient].peak) / 2 / 3 // nothing served was seen yet
 	share := 0.2 + 0.8*2.8/15
 	for id := EndpointID(1); id <= 3; id++ {
 		if most := 2 * share * 3 * usual; spent[id] > most {
@@ -263,160 +265,160 @@
 }
 
 // Clients that try again and again must not widen the budget of a cold cache.
-func TestColdBudgetIgnoresRetries(t *testing.T) {
-	r := newRig(t, site(), fleet())
+func TestSlowStartBudgetIgnoresClientRetries(t *testing.T) {
+	r := newRig(t, site(), fleetList())
 	for o := range uint64(100) {
 		r.now += 200 * ms
-		r.end(r.ask("page", o), 0, OK, Hit)
+		r.finish(r.request("page", o), 0, OK, Hit)
 	}
-	before := r.b.classes.serviceTime(r.b.load[roleCache].peak)
+	before := r.balancer.classes.serviceTime(r.balancer.load[roleCache].peak)
 	for o := range uint64(3000) {
 		r.now += ms
-		r.ask("page", o)
+		r.request("page", o)
 	}
-	if after := r.b.classes.serviceTime(r.b.load[roleCache].peak); after > before {
+	if after := r.balancer.classes.serviceTime(r.balancer.load[roleCache].peak); after > before {
 		t.Errorf("usual load %.2f after a storm of tries, %.2f before", after, before)
 	}
 }
 
 // With part of the fleet lost, the usual load of one member must not seem larger.
-func TestColdBudgetCountsTheLost(t *testing.T) {
-	r := newRig(t, site(), fleet())
-	before := r.b.endpoints.peakCapacity[roleCache]
-	r.do(EndpointUpdate{Endpoints: []Endpoint{{ID: 1, Kind: "box", Zone: "edge", State: Removed}, {ID: 2, Kind: "box", Zone: "edge", State: Removed}}})
-	if after := r.b.endpoints.peakCapacity[roleCache]; after != before || len(r.b.endpoints.caches) != 1 {
-		t.Errorf("fleet %v after the loss, %v before, %d listed", after, before, len(r.b.endpoints.caches))
+func TestSlowStartBudgetCountsLostCapacity(t *testing.T) {
+	r := newRig(t, site(), fleetList())
+	before := r.balancer.endpoints.peakCapacity[roleCache]
+	r.handle(EndpointUpdate{Endpoints: []Endpoint{{ID: 1, Kind: "box", Zone: "edge", State: Removed}, {ID: 2, Kind: "box", Zone: "edge", State: Removed}}})
+	if after := r.balancer.endpoints.peakCapacity[roleCache]; after != before || len(r.balancer.endpoints.caches) != 1 {
+		t.Errorf("fleet %v after the loss, %v before, %d listed", after, before, len(r.balancer.endpoints.caches))
 	}
 }
 
-func TestDrainsAreKept(t *testing.T) {
-	r := newRig(t, site(), fleet())
+func TestDrainingEndpointsGetNothing(t *testing.T) {
+	r := newRig(t, site(), fleetList())
 	for _, id := range []EndpointID{1, 11} {
 		kind, zone := "box", "edge"
 		if id == 11 {
 			kind, zone = "mid", "hub"
 		}
-		r.do(EndpointUpdate{Endpoints: []Endpoint{{ID: id, Kind: kind, Zone: zone, State: Draining}}})
+		r.handle(EndpointUpdate{Endpoints: []Endpoint{{ID: id, Kind: kind, Zone: zone, State: Draining}}})
 	}
 	for o := uint64(0); o < 60; o++ {
-		g := r.ask("page", o)
+		g := r.request("page", o)
 		if g.Endpoint == 1 || g.Source == 11 || g.Endpoint == 0 {
 			t.Fatalf("%+v", g)
 		}
-		r.end(g, 0, OK, Hit)
+		r.finish(g, 0, OK, Hit)
 	}
 }
 
-func TestPurgeBarsOlderCopies(t *testing.T) {
+func TestPurgeRulesOutOlderCopies(t *testing.T) {
 	for name, p := range map[string]Purge{
 		"object": {Object: 5, Age: 100 * ms}, "group": {ByGroup: true, Group: 5, Age: 100 * ms},
 	} {
-		r := newRig(t, site(), fleet())
-		r.do(p)
-		g := r.ask("page", 5)
+		r := newRig(t, site(), fleetList())
+		r.handle(p)
+		g := r.request("page", 5)
 		if g.MaxAge <= 0 || g.MaxAge >= 100*ms {
 			t.Errorf("%s: age %v for a purge 100 ms ago", name, g.MaxAge)
 		}
 		r.now += sec
-		r.end(g, 0, ConnectFailed, NoDetail)
-		if again := r.ask("page", 5); again.MaxAge >= 1100*ms || again.MaxAge <= 0 {
+		r.finish(g, 0, ConnectFailed, NoDetail)
+		if again := r.request("page", 5); again.MaxAge >= 1100*ms || again.MaxAge <= 0 {
 			t.Errorf("%s: age %v a second later", name, again.MaxAge)
 		}
-		if other := r.ask("page", 6); other.MaxAge != 0 {
+		if other := r.request("page", 6); other.MaxAge != 0 {
 			t.Errorf("%s: another object was barred", name)
 		}
 	}
-	r := newRig(t, site(), fleet()) // told at the very moment: 0 would mean any age
-	r.do(Purge{Object: 5})
-	if g := r.ask("page", 5); g.MaxAge <= 0 {
+	r := newRig(t, site(), fleetList()) // told at the very moment: 0 would mean any age
+	r.handle(Purge{Object: 5})
+	if g := r.request("page", 5); g.MaxAge <= 0 {
 		t.Errorf("age %v", g.MaxAge)
 	}
-	r = newRig(t, site(), fleet()) // more purges than the table holds
+	r = newRig(t, site(), fleetList()) // more purges than the table holds
 	for o := range uint64(maxPurges + 10) {
-		r.do(Purge{Object: o})
+		r.handle(Purge{Object: o})
 	}
-	if g := r.ask("page", maxPurges+5); g.MaxAge <= 0 {
+	if g := r.request("page", maxPurges+5); g.MaxAge <= 0 {
 		t.Errorf("a purge was forgotten")
 	}
 }
 
-func TestEffects(t *testing.T) {
-	r := newRig(t, site(), fleet())
-	g := r.ask("once", 1)
+func TestRetriesByIdempotency(t *testing.T) {
+	r := newRig(t, site(), fleetList())
+	g := r.request("once", 1)
 	if g.Endpoint != 20 || g.CachePriority != 0 {
 		t.Errorf("a write goes straight to the origin and keeps nothing: %+v", g)
 	}
-	as := r.end(g, 0, Reset, NoDetail)
+	as := r.finish(g, 0, Reset, NoDetail)
 	if _, ok := as[0].(Fail); !ok {
 		t.Errorf("after an unsafe attempt that may have run: %v", as)
 	}
-	g = r.ask("once", 1)
-	if as = r.end(g, 0, ConnectFailed, NoDetail); len(gets(as)) != 1 {
+	g = r.request("once", 1)
+	if as = r.finish(g, 0, ConnectFailed, NoDetail); len(sentAttempts(as)) != 1 {
 		t.Errorf("after one that never ran: %v", as)
 	}
-	g = r.ask("pay", 1)
-	if as = r.end(g, 0, Reset, NoDetail); len(gets(as)) != 1 {
+	g = r.request("pay", 1)
+	if as = r.finish(g, 0, Reset, NoDetail); len(sentAttempts(as)) != 1 {
 		t.Errorf("keyed, within its window: %v", as)
 	}
-	g = r.ask("pay", 1)
+	g = r.request("pay", 1)
 	r.now += 2500 * ms
-	if as = r.end(g, 0, Reset, NoDetail); len(gets(as)) != 0 {
+	if as = r.finish(g, 0, Reset, NoDetail); len(sentAttempts(as)) != 0 {
 		t.Errorf("keyed, after its window: %v", as)
 	}
 }
 
 // A repeat goes only to a cache of the group that drops it, also of a class that is read: another group would run it again.
-func TestRepeatWithinItsGroup(t *testing.T) {
-	set, list := site(), fleet()
+func TestRetryStaysInDedupScope(t *testing.T) {
+	set, list := site(), fleetList()
 	set.Classes = append(set.Classes, Class{Name: "read", LatencyObjective: 600 * ms, Deadline: 3 * sec, Idempotency: IdempotentByKey, DedupWindow: 2 * sec})
 	for i := range list {
 		list[i].Cell = i % 2 // the caches of the location are in cells 0, 1 and 0
 	}
 	for object := range uint64(40) {
 		r := newRig(t, set, list)
-		g := r.ask("read", object)
-		for _, again := range gets(r.end(g, 0, Reset, NoDetail)) {
-			if r.b.endpoints.byID[again.Endpoint].cell != r.b.endpoints.byID[g.Endpoint].cell {
-				t.Errorf("object %d: first at cell %d, then at another", object, r.b.endpoints.byID[g.Endpoint].cell)
+		g := r.request("read", object)
+		for _, again := range sentAttempts(r.finish(g, 0, Reset, NoDetail)) {
+			if r.balancer.endpoints.byID[again.Endpoint].cell != r.balancer.endpoints.byID[g.Endpoint].cell {
+				t.Errorf("object %d: first at cell %d, then at another", object, r.balancer.endpoints.byID[g.Endpoint].cell)
 			}
 		}
 	}
 }
 
 // A cache that hangs is left long before any time-out, and what waited there moves.
-func TestSilentCache(t *testing.T) {
-	r := newRig(t, site(), fleet())
+func TestSilentCacheIsEjected(t *testing.T) {
+	r := newRig(t, site(), fleetList())
 	var stuck []SendAttempt
 	for o := uint64(0); len(stuck) < 4; o++ {
-		g := r.ask("page", o)
+		g := r.request("page", o)
 		if g.Endpoint == 1 {
 			stuck = append(stuck, g)
 		} else {
-			r.end(g, 0, OK, Hit)
+			r.finish(g, 0, OK, Hit)
 		}
 	}
 	cancelled := 0
-	for _, a := range r.wait(1200 * ms) {
+	for _, a := range r.advance(1200 * ms) {
 		if _, ok := a.(CancelAttempt); ok {
 			cancelled++
 		}
 	}
-	if !r.b.endpoints.byID[1].health.ejected || cancelled == 0 {
-		t.Fatalf("bad %v, %d attempts called off", r.b.endpoints.byID[1].health.ejected, cancelled)
+	if !r.balancer.endpoints.byID[1].health.ejected || cancelled == 0 {
+		t.Fatalf("bad %v, %d attempts called off", r.balancer.endpoints.byID[1].health.ejected, cancelled)
 	}
-	if g := gets(r.end(stuck[0], 0, Cancelled, NoDetail)); len(g) != 1 || g[0].Endpoint == 1 {
+	if g := sentAttempts(r.finish(stuck[0], 0, Cancelled, NoDetail)); len(g) != 1 || g[0].Endpoint == 1 {
 		t.Errorf("the stuck request went to %v", g)
 	}
 }
 
 // A short stall makes nobody flee.
-func TestShortStall(t *testing.T) {
-	r := newRig(t, site(), fleet())
+func TestShortStallEjectsNobody(t *testing.T) {
+	r := newRig(t, site(), fleetList())
 	for o := range uint64(30) {
-		r.ask("page", o)
+		r.request("page", o)
 	}
-	r.wait(300 * ms)
-	for _, m := range r.b.endpoints.caches {
+	r.advance(300 * ms)
+	for _, m := range r.balancer.endpoints.caches {
 		if m.health.ejected {
 			t.Errorf("cache %d was shunned after 300 ms", m.id)
 		}
@@ -424,54 +426,54 @@
 }
 
 // A source that fails behind several caches must not count against them; the second home stands in.
-func TestSourceTakesTheBlame(t *testing.T) {
-	r := newRig(t, site(), fleet())
-	home := r.ask("page", 5)
-	r.end(home, 0, Rejected, SourceUnreachable)
-	for o := uint64(100); !r.b.endpoints.byID[home.Source].health.ejected; o++ {
+func TestFailedSourceIsEjectedNotItsCaches(t *testing.T) {
+	r := newRig(t, site(), fleetList())
+	home := r.request("page", 5)
+	r.finish(home, 0, Rejected, SourceUnreachable)
+	for o := uint64(100); !r.balancer.endpoints.byID[home.Source].health.ejected; o++ {
 		if o > 400 {
 			t.Fatal("a source that fails every fill was never shunned")
 		}
-		if g := r.ask("page", o); g.Source == home.Source {
-			r.end(g, 0, Rejected, SourceUnreachable)
+		if g := r.request("page", o); g.Source == home.Source {
+			r.finish(g, 0, Rejected, SourceUnreachable)
 		} else {
-			r.end(g, 0, OK, Filled)
+			r.finish(g, 0, OK, Filled)
 		}
 	}
-	for _, m := range r.b.endpoints.caches {
-		if m.health.ejected || r.b.healthScore(m) < 1 {
+	for _, m := range r.balancer.endpoints.caches {
+		if m.health.ejected || r.balancer.healthScore(m) < 1 {
 			t.Errorf("cache %d took the blame", m.id)
 		}
 	}
-	r.wait(5 * sec)
-	r.b.endpoints.byID[home.Source].health.nextProbe = r.now + sec
-	if g := r.ask("page", 5); g.Source == home.Source || g.Source < 11 || g.Source > 13 {
+	r.advance(5 * sec)
+	r.balancer.endpoints.byID[home.Source].health.nextProbe = r.now + sec
+	if g := r.request("page", 5); g.Source == home.Source || g.Source < 11 || g.Source > 13 {
 		t.Errorf("source %d, the home %d is bad", g.Source, home.Source)
 	}
 }
 
 // A burst of misses does not fill the link: over its bound requests only look, then wait, then are refused.
-func TestLinkBound(t *testing.T) {
-	r := newRig(t, site(), fleet())
+func TestLinkLimitBoundsFills(t *testing.T) {
+	r := newRig(t, site(), fleetList())
 	fills, looks := 0, 0
 	for o := range uint64(200) {
-		g := r.ask("page", o)
+		g := r.request("page", o)
 		switch {
 		case g.Endpoint == 0:
 		case g.Source == g.Endpoint:
 			looks++
-			r.end(g, 0, Miss, NoDetail)
+			r.finish(g, 0, Miss, NoDetail)
 		case g.Source > 10:
 			fills++
-			r.b.link.inFlight += 1 - r.b.requests.byID[g.ID].attempts[0].fillProbability
-			r.b.requests.byID[g.ID].attempts[0].fillProbability = 1
+			r.balancer.link.inFlight += 1 - r.balancer.requests.byID[g.ID].attempts[0].fillProbability
+			r.balancer.requests.byID[g.ID].attempts[0].fillProbability = 1
 		}
 	}
 	if looks == 0 || float64(fills) > defaultLimit+1 {
 		t.Errorf("%d fills under way, %d looks", fills, looks)
 	}
 	refused := 0
-	for _, a := range r.wait(sec) {
+	for _, a := range r.advance(sec) {
 		if _, ok := a.(Reject); ok {
 			refused++
 		}
@@ -482,11 +484,11 @@
 }
 
 // A hot object spills to the next score before its cache is far above the others.
-func TestHotObjectSpills(t *testing.T) {
-	r := newRig(t, site(), fleet())
+func TestHotObjectSpillsOver(t *testing.T) {
+	r := newRig(t, site(), fleetList())
 	at := map[EndpointID]int{}
 	for range 9 {
-		at[r.ask("page", 5).Endpoint]++
+		at[r.request("page", 5).Endpoint]++
 	}
 	if len(at) < 2 {
 		t.Errorf("all attempts at %v", at)
@@ -494,45 +496,45 @@
 }
 
 // A try shorter than the scan is answered in its time.
-func TestShortTryIsAnswered(t *testing.T) {
-	r := newRig(t, site(), fleet())
-	for _, m := range r.b.endpoints.caches {
+func TestShortDeadlineIsMet(t *testing.T) {
+	r := newRig(t, site(), fleetList())
+	for _, m := range r.balancer.endpoints.caches {
 		m.concurrencyLimit = 0
 	}
-	as := r.do(Request{ID: 7, Class: "page", Object: 1, Remaining: 10 * ms})
-	if _, ok := as[0].(Reject); !ok && len(gets(as)) == 0 {
+	as := r.handle(Request{ID: 7, Class: "page", Object: 1, Remaining: 10 * ms})
+	if _, ok := as[0].(Reject); !ok && len(sentAttempts(as)) == 0 {
 		t.Errorf("held beyond its time: %v", as)
 	}
 }
 
-func TestOddInput(t *testing.T) {
+func TestUnknownIDsAreIgnored(t *testing.T) {
 	r := newRig(t, site(), nil)
-	r.do(Outcome{ID: 99, Endpoint: 5})
-	r.do(ClientAborted{ID: 99})
-	r.do(ResponseStarted{ID: 99})
-	r.do(EndpointUpdate{Failed: true})
-	r.do(EndpointUpdate{Complete: true, Endpoints: []Endpoint{{ID: 4, Kind: "strange", Zone: "edge"}}})
-	if as := r.do(Request{ID: 1, Class: "unheard of", Remaining: sec}); len(as) == 0 {
+	r.handle(Outcome{ID: 99, Endpoint: 5})
+	r.handle(ClientAborted{ID: 99})
+	r.handle(ResponseStarted{ID: 99})
+	r.handle(EndpointUpdate{Failed: true})
+	r.handle(EndpointUpdate{Complete: true, Endpoints: []Endpoint{{ID: 4, Kind: "strange", Zone: "edge"}}})
+	if as := r.handle(Request{ID: 1, Class: "unheard of", Remaining: sec}); len(as) == 0 {
 		t.Errorf("no decision")
 	}
 }
 
 // Under overload what costs little for its worth goes first.
-func TestCheapGoesFirst(t *testing.T) {
+func TestQueueServesCheapestFirst(t *testing.T) {
 	s := site()
 	s.Capabilities.DirectAttempts = false
-	r := newRig(t, s, fleet())
-	for _, m := range r.b.endpoints.caches {
+	r := newRig(t, s, fleetList())
+	for _, m := range r.balancer.endpoints.caches {
 		m.concurrencyLimit = 0
 	}
 	for i, kb := range []float64{300, 100, 200} {
-		r.do(Request{ID: RequestID(i + 1), Class: "page", Object: uint64(i), Remaining: 3 * sec, SizeKB: kb})
+		r.handle(Request{ID: RequestID(i + 1), Class: "page", Object: uint64(i), Remaining: 3 * sec, SizeKB: kb})
 	}
-	for _, m := range r.b.endpoints.caches {
+	for _, m := range r.balancer.endpoints.caches {
 		m.concurrencyLimit = 9
 	}
 	got := ""
-	for _, g := range gets(r.wait(scanInterval)) {
+	for _, g := range sentAttempts(r.advance(scanInterval)) {
 		got += fmt.Sprint(g.ID)
 	}
 	if got != "231" {
@@ -541,29 +543,29 @@
 }
 
 // Where nothing is told of fills, a refusal from afar counts against the source, a quick one against nobody.
-func TestSlowRefusalIsTheSources(t *testing.T) {
-	r := newRig(t, site(), fleet())
-	first := r.ask("page", 5)
-	as := r.do(Outcome{ID: first.ID, Endpoint: first.Endpoint, Status: Rejected, Elapsed: 200 * ms})
-	if g := gets(as); len(g) != 1 || g[0].Endpoint != first.Endpoint || g[0].Source == first.Source {
+func TestLateRejectionIsTheSources(t *testing.T) {
+	r := newRig(t, site(), fleetList())
+	first := r.request("page", 5)
+	as := r.handle(Outcome{ID: first.ID, Endpoint: first.Endpoint, Status: Rejected, Elapsed: 200 * ms})
+	if g := sentAttempts(as); len(g) != 1 || g[0].Endpoint != first.Endpoint || g[0].Source == first.Source {
 		t.Fatalf("after the first refusal: %v, it was %v", g, first)
 	}
-	for o := uint64(100); o < 400 && !r.b.endpoints.byID[first.Source].health.ejected; o++ {
-		if g := r.ask("page", o); g.Source == first.Source {
-			r.do(Outcome{ID: g.ID, Endpoint: g.Endpoint, Status: Rejected, Elapsed: 200 * ms})
+	for o := uint64(100); o < 400 && !r.balancer.endpoints.byID[first.Source].health.ejected; o++ {
+		if g := r.request("page", o); g.Source == first.Source {
+			r.handle(Outcome{ID: g.ID, Endpoint: g.Endpoint, Status: Rejected, Elapsed: 200 * ms})
 		} else {
-			r.end(g, 0, OK, Filled)
+			r.finish(g, 0, OK, Filled)
 		}
 	}
-	if !r.b.endpoints.byID[first.Source].health.ejected || r.b.endpoints.byID[first.Endpoint].health.ejected {
-		t.Errorf("source bad %v, cache bad %v", r.b.endpoints.byID[first.Source].health.ejected, r.b.endpoints.byID[first.Endpoint].health.ejected)
+	if !r.balancer.endpoints.byID[first.Source].health.ejected || r.balancer.endpoints.byID[first.Endpoint].health.ejected {
+		t.Errorf("source bad %v, cache bad %v", r.balancer.endpoints.byID[first.Source].health.ejected, r.balancer.endpoints.byID[first.Endpoint].health.ejected)
 	}
-	q := newRig(t, site(), fleet())
+	q := newRig(t, site(), fleetList())
 	for range ejectAfterFailures {
-		g := q.ask("page", 5)
-		q.do(Outcome{ID: g.ID, Endpoint: g.Endpoint, Status: Rejected, Elapsed: ms})
+		g := q.request("page", 5)
+		q.handle(Outcome{ID: g.ID, Endpoint: g.Endpoint, Status: Rejected, Elapsed: ms})
 	}
-	for _, m := range q.b.endpoints.byID {
+	for _, m := range q.balancer.endpoints.byID {
 		if m.health.ejected {
 			t.Errorf("member %d was shunned for being full", m.id)
 		}
--- a/balancer/endpoints_test.go
+++ b/balancer/endpoints_test.go
@@ -9,35 +9,35 @@
 )
 
 // rebuilt is what the list came to when it was rebuilt at each change: members by id, and the most that was in service.
-type rebuilt struct {
-	members map[EndpointID]Endpoint
-	starts  map[EndpointID]time.Duration
-	fleet   [4]float64
+type referenceList struct {
+	endpoints    map[EndpointID]Endpoint
+	startedAt    map[EndpointID]time.Duration
+	peakCapacity [4]float64
 }
 
 // take applies an event, and rebuilds all that follows from the list.
-func (l *rebuilt) take(b *Balancer, ev EndpointUpdate) (caches, parents, origins []EndpointID, targets int) {
+func (l *referenceList) apply(b *Balancer, ev EndpointUpdate) (caches, parents, origins []EndpointID, targets int) {
 	if ev.Complete {
-		clear(l.members)
+		clear(l.endpoints)
 	}
 	for _, e := range ev.Endpoints {
-		l.members[e.ID] = e
-		l.starts[e.ID] = max(l.starts[e.ID], e.StartedAt)
+		l.endpoints[e.ID] = e
+		l.startedAt[e.ID] = max(l.startedAt[e.ID], e.StartedAt)
 		if e.State == Removed {
-			delete(l.members, e.ID)
+			delete(l.endpoints, e.ID)
 		}
 	}
-	for id := range l.starts { // a member that has left is forgotten, its start too
-		if _, listed := l.members[id]; !listed {
-			delete(l.starts, id)
+	for id := range l.startedAt { // a member that has left is forgotten, its start too
+		if _, listed := l.endpoints[id]; !listed {
+			delete(l.startedAt, id)
 		}
 	}
 	var fleet [4]float64
-	for _, id := range slices.Sorted(keys(l.members)) {
-		e := l.members[id]
+	for _, id := range slices.Sorted(endpointIDs(l.endpoints)) {
+		e := l.endpoints[id]
 		ro := b.roleOf(e)
-		m := &endpoint{role: ro, startedAt: l.starts[id], weight: e.Weight}
-		if e.State == InService && (l.fleet[ro] == 0 || !b.isWarmingUp(m)) && (ro != roleCache || e.Zone == b.settings.Topology.Zone) {
+		m := &endpoint{role: ro, startedAt: l.startedAt[id], weight: e.Weight}
+		if e.State == InService && (l.peakCapacity[ro] == 0 || !b.isWarmingUp(m)) && (ro != roleCache || e.Zone == b.settings.Topology.Zone) {
 			fleet[ro] += b.capacityOf(m)
 		}
 		switch {
@@ -53,12 +53,12 @@
 		}
 	}
 	for ro := range fleet {
-		l.fleet[ro] = max(l.fleet[ro], fleet[ro])
+		l.peakCapacity[ro] = max(l.peakCapacity[ro], fleet[ro])
 	}
 	return caches, parents, origins, targets
 }
 
-func keys(m map[EndpointID]Endpoint) func(func(EndpointID) bool) {
+func endpointIDs(m map[EndpointID]Endpoint) func(func(EndpointID) bool) {
 	return func(yield func(EndpointID) bool) {
 		for id := range m {
 			if !yield(id) {
@@ -68,7 +68,7 @@
 	}
 }
 
-func ids(list []*endpoint) (out []EndpointID) {
+func idsOf(list []*endpoint) (out []EndpointID) {
 	for _, m := range list {
 		out = append(out, m.id)
 	}
@@ -76,7 +76,7 @@
 }
 
 // However the list changes, changing it in place comes to the same as rebuilding it.
-func TestListChangedInPlace(t *testing.T) {
+func TestEndpointListChangesInPlace(t *testing.T) {
 	for seed := range uint64(40) {
 		rnd := rand.New(rand.NewPCG(seed, 1))
 		s := site()
@@ -85,7 +85,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		ref := &rebuilt{members: map[EndpointID]Endpoint{}, starts: map[EndpointID]time.Duration{}}
+		ref := &referenceList{endpoints: map[EndpointID]Endpoint{}, startedAt: map[EndpointID]time.Duration{}}
 		now := 1000 * time.Hour
 		for step := range 300 {
 			now += time.Duration(rnd.IntN(2000)) * time.Millisecond
@@ -94,9 +94,9 @@
 				ev.Endpoints = append(ev.Endpoints, randomEntry(rnd, now))
 			}
 			b.Handle(now, ev)
-			caches, parents, origins, targets := ref.take(b, ev)
-			got := fmt.Sprint(ids(b.endpoints.caches), ids(b.endpoints.parents), ids(b.endpoints.origins), b.endpoints.peakCapacity, b.endpoints.cachesListed)
-			want := fmt.Sprint(caches, parents, origins, ref.fleet, targets)
+			caches, parents, origins, targets := ref.apply(b, ev)
+			got := fmt.Sprint(idsOf(b.endpoints.caches), idsOf(b.endpoints.parents), idsOf(b.endpoints.origins), b.endpoints.peakCapacity, b.endpoints.cachesListed)
+			want := fmt.Sprint(caches, parents, origins, ref.peakCapacity, targets)
 			if got != want {
 				t.Fatalf("seed %d, step %d:\n%s, want\n%s", seed, step, got, want)
 			}
@@ -108,8 +108,8 @@
 					t.Fatalf("seed %d, step %d: the limit of %d is out of date", seed, step, m.id)
 				}
 			}
-			if len(b.endpoints.byID) != len(ref.members) {
-				t.Fatalf("seed %d, step %d: %d members are held, and %d are listed", seed, step, len(b.endpoints.byID), len(ref.members))
+			if len(b.endpoints.byID) != len(ref.endpoints) {
+				t.Fatalf("seed %d, step %d: %d members are held, and %d are listed", seed, step, len(b.endpoints.byID), len(ref.endpoints))
 			}
 		}
 	}
@@ -129,7 +129,7 @@
 }
 
 // listed returns a balancer with so many page caches in its location, and one event that changes one of them.
-func listed(tb testing.TB, size int) (*Balancer, func()) {
+func balancerWithCaches(tb testing.TB, size int) (*Balancer, func()) {
 	tb.Helper()
 	b, err := New(site())
 	if err != nil {
@@ -156,9 +156,9 @@
 }
 
 // A change of one member costs the same number of allocations however many are listed, and they are few.
-func TestChangeCostsWhatHasChanged(t *testing.T) {
+func TestListChangeCostIsConstant(t *testing.T) {
 	for _, size := range []int{200, 3200} {
-		_, change := listed(t, size)
+		_, change := balancerWithCaches(t, size)
 		change() // the first of all
 		if n := testing.AllocsPerRun(600, change); n > 4 {
 			t.Errorf("%d members: %.1f allocations for one change, want at most 4", size, n)
@@ -169,7 +169,7 @@
 func BenchmarkListChange(b *testing.B) {
 	for _, size := range []int{200, 800, 3200} {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
-			_, change := listed(b, size)
+			_, change := balancerWithCaches(b, size)
 			for b.Loop() {
 				change()
 			}
@@ -180,7 +180,7 @@
 func BenchmarkDecision(b *testing.B) {
 	for _, size := range []int{200, 800, 3200} {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
-			m, _ := listed(b, size)
+			m, _ := balancerWithCaches(b, size)
 			now, id := 1001*time.Hour, RequestID(0)
 			for b.Loop() {
 				id++
--- a/balancer/troubles_test.go
+++ b/balancer/faults_test.go
@@ -6,27 +6,27 @@
 )
 
 // fail ends what is sent to a node in the given way until the balancer avoids it.
-func (r *rig) fail(id EndpointID, st Status) {
+func (r *rig) failUntilEjected(id EndpointID, st Status) {
 	r.t.Helper()
-	for o := uint64(1000); !r.b.endpoints.byID[id].health.ejected; o++ {
+	for o := uint64(1000); !r.balancer.endpoints.byID[id].health.ejected; o++ {
 		if o > 1200 {
 			r.t.Fatalf("node %d was never shunned", id)
 		}
 		r.now += ms
-		if g := r.ask("page", o); g.Endpoint == id {
-			r.end(g, 0, st, NoDetail)
+		if g := r.request("page", o); g.Endpoint == id {
+			r.finish(g, 0, st, NoDetail)
 		} else if g.Endpoint != 0 {
-			r.end(g, 0, OK, Hit)
+			r.finish(g, 0, OK, Hit)
 		}
 	}
 }
 
 // A connection that breaks ends all attempts on it at once: one spoilt answer must not make its cache bad.
 func TestBrokenConnectionCountsOnce(t *testing.T) {
-	r := newRig(t, site(), fleet())
+	r := newRig(t, site(), fleetList())
 	var out []SendAttempt
 	for o := range uint64(24) {
-		if g := r.ask("page", o); g.Endpoint == 1 {
+		if g := r.request("page", o); g.Endpoint == 1 {
 			out = append(out, g)
 		}
 	}
@@ -34,38 +34,38 @@
 		t.Fatalf("only %d attempts at the cache", len(out))
 	}
 	for _, g := range out {
-		r.end(g, 0, Reset, NoDetail)
+		r.finish(g, 0, Reset, NoDetail)
 	}
-	if m := r.b.endpoints.byID[1]; m.health.ejected || m.health.consecutiveFailures != 1 {
+	if m := r.balancer.endpoints.byID[1]; m.health.ejected || m.health.consecutiveFailures != 1 {
 		t.Errorf("%d failures, bad: %v; want one", m.health.consecutiveFailures, m.health.ejected)
 	}
 }
 
 // A crashed cache is left after a few failures, though the list still names it (a late list), is tried about
 // once a second, and gets its work back when it answers.
-func TestCrashAndColdReturn(t *testing.T) {
-	r := newRig(t, site(), fleet())
-	r.fail(1, ConnectFailed)
+func TestCrashedCacheIsProbedAndRecovers(t *testing.T) {
+	r := newRig(t, site(), fleetList())
+	r.failUntilEjected(1, ConnectFailed)
 	for o := range uint64(40) {
-		if g := r.ask("page", o); g.Endpoint == 1 {
+		if g := r.request("page", o); g.Endpoint == 1 {
 			t.Fatalf("sent to the dead cache")
 		} else {
-			r.end(g, 0, OK, Hit)
+			r.finish(g, 0, OK, Hit)
 		}
 	}
 	r.now += 5 * sec
 	trials := 0
 	for o := range uint64(40) {
-		g := r.ask("page", o)
+		g := r.request("page", o)
 		if g.Endpoint == 1 {
 			trials++
 			r.now += ms
-			r.end(g, 0, OK, Filled)
+			r.finish(g, 0, OK, Filled)
 			break
 		}
-		r.end(g, 0, OK, Hit)
+		r.finish(g, 0, OK, Hit)
 	}
-	m := r.b.endpoints.byID[1]
+	m := r.balancer.endpoints.byID[1]
 	if trials != 1 || m.health.ejected {
 		t.Errorf("%d trials, back as %+v", trials, m)
 	}
@@ -73,16 +73,16 @@
 
 // With all caches of the location lost, requests pass them by, within the link; when the caches are
 // back the ordinary path is too.
-func TestLocationLostAndBack(t *testing.T) {
-	r := newRig(t, site(), fleet())
-	gone := fleet()[:3]
+func TestZoneLostAndBack(t *testing.T) {
+	r := newRig(t, site(), fleetList())
+	gone := fleetList()[:3]
 	for i := range gone {
 		gone[i].State = Removed
 	}
-	r.do(EndpointUpdate{Endpoints: gone})
+	r.handle(EndpointUpdate{Endpoints: gone})
 	passed := 0
 	for o := range uint64(100) {
-		if g := r.ask("page", o); g.Endpoint >= 11 && g.Source == 20 {
+		if g := r.request("page", o); g.Endpoint >= 11 && g.Source == 20 {
 			passed++
 		} else if g.Endpoint != 0 {
 			t.Fatalf("%+v", g)
@@ -92,38 +92,38 @@
 		t.Errorf("%d passed the caches by", passed)
 	}
 	r.now += 60 * sec
-	back := fleet()[:3]
+	back := fleetList()[:3]
 	for i := range back {
 		back[i].StartedAt = r.now - 30*sec
 	}
-	r.do(EndpointUpdate{Endpoints: back})
-	r.b.link.inFlight = 0
-	if g := r.ask("page", 500); g.Endpoint < 1 || g.Endpoint > 3 {
+	r.handle(EndpointUpdate{Endpoints: back})
+	r.balancer.link.inFlight = 0
+	if g := r.request("page", 500); g.Endpoint < 1 || g.Endpoint > 3 {
 		t.Errorf("after the return: %+v", g)
 	}
 }
 
 // A rolling deploy: nothing for what drains, a rising part for its successor.
 func TestRollingDeploy(t *testing.T) {
-	r := newRig(t, site(), fleet())
+	r := newRig(t, site(), fleetList())
 	for o := range uint64(100) { // some usual load
 		r.now += 100 * ms
-		r.end(r.ask("page", o), 0, OK, Hit)
+		r.finish(r.request("page", o), 0, OK, Hit)
 	}
-	old, fresh := node(1, "box", "edge"), node(4, "box", "edge")
+	old, fresh := listedEndpoint(1, "box", "edge"), listedEndpoint(4, "box", "edge")
 	old.State, fresh.StartedAt = Draining, r.now
-	r.do(EndpointUpdate{Endpoints: []Endpoint{old, fresh}})
+	r.handle(EndpointUpdate{Endpoints: []Endpoint{old, fresh}})
 	part := func() (n int) {
 		for o := range uint64(200) {
 			r.now += 5 * ms
-			g := r.ask("page", o)
+			g := r.request("page", o)
 			if g.Endpoint == 1 {
 				t.Fatalf("sent to what drains")
 			}
 			if g.Endpoint == 4 {
 				n++
 			}
-			r.end(g, 0, OK, Hit)
+			r.finish(g, 0, OK, Hit)
 		}
 		return n
 	}
@@ -135,83 +135,83 @@
 }
 
 // A scan washes nothing out: what is seen once stays at the lowest rank.
-func TestScanStaysLow(t *testing.T) {
-	r := newRig(t, site(), fleet())
+func TestScanDoesNotEvictPopularObjects(t *testing.T) {
+	r := newRig(t, site(), fleetList())
 	for n, want := range []int{1, 2, 2} {
-		g := r.ask("page", 5)
+		g := r.request("page", 5)
 		if g.CachePriority != want {
 			t.Errorf("request %d: rank %d, want %d", n, g.CachePriority, want)
 		}
-		r.end(g, 0, OK, Hit)
+		r.finish(g, 0, OK, Hit)
 	}
 }
 
 // A mass purge of all groups bars every old copy at once.
 func TestMassPurge(t *testing.T) {
-	r := newRig(t, site(), fleet())
+	r := newRig(t, site(), fleetList())
 	for g := range uint64(8) {
-		r.do(Purge{ByGroup: true, Group: g, Age: 50 * ms})
+		r.handle(Purge{ByGroup: true, Group: g, Age: 50 * ms})
 	}
 	for o := range uint64(40) {
-		g := r.ask("page", o)
+		g := r.request("page", o)
 		if g.MaxAge <= 0 || g.MaxAge >= 50*ms {
 			t.Fatalf("object %d: age %v", o, g.MaxAge)
 		}
-		r.end(g, 0, OK, Filled)
+		r.finish(g, 0, OK, Filled)
 	}
 }
 
 // Near the start of the clock a purge may lie before its zero.
-func TestPurgeBeforeTheClock(t *testing.T) {
+func TestPurgeBeforeClockStart(t *testing.T) {
 	b, err := New(site())
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &rig{t: t, b: b, now: 20 * ms}
-	r.do(EndpointUpdate{Complete: true, Endpoints: fleet()})
-	r.do(Purge{Object: 5, Age: 80 * ms})
-	if g := r.ask("page", 5); g.MaxAge <= 0 || g.MaxAge > 100*ms {
+	r := &rig{t: t, balancer: b, now: 20 * ms}
+	r.handle(EndpointUpdate{Complete: true, Endpoints: fleetList()})
+	r.handle(Purge{Object: 5, Age: 80 * ms})
+	if g := r.request("page", 5); g.MaxAge <= 0 || g.MaxAge > 100*ms {
 		t.Errorf("age %v", g.MaxAge)
 	}
 }
 
 // Slow fills, from an origin or a link, take room from fills; quick hits leave the caches theirs.
-func TestSlowFillsShrinkTheLink(t *testing.T) {
-	r := newRig(t, site(), fleet())
-	room, limit := r.b.link.limit, r.b.endpoints.byID[1].concurrencyLimit
+func TestSlowFillsLowerTheLinkLimit(t *testing.T) {
+	r := newRig(t, site(), fleetList())
+	room, limit := r.balancer.link.limit, r.balancer.endpoints.byID[1].concurrencyLimit
 	for o := range uint64(30) {
-		g := r.ask("page", o)
+		g := r.request("page", o)
 		r.now += sec
-		r.do(Outcome{ID: g.ID, Endpoint: g.Endpoint, Status: OK, Answered: true, Detail: Filled, Elapsed: sec})
+		r.handle(Outcome{ID: g.ID, Endpoint: g.Endpoint, Status: OK, Answered: true, Detail: Filled, Elapsed: sec})
 	}
-	if r.b.link.limit >= room || r.b.endpoints.byID[1].concurrencyLimit != limit {
-		t.Errorf("link %.1f of %.1f, cache %.1f of %.1f", r.b.link.limit, room, r.b.endpoints.byID[1].concurrencyLimit, limit)
+	if r.balancer.link.limit >= room || r.balancer.endpoints.byID[1].concurrencyLimit != limit {
+		t.Errorf("link %.1f of %.1f, cache %.1f of %.1f", r.balancer.link.limit, room, r.balancer.endpoints.byID[1].concurrencyLimit, limit)
 	}
 }
 
 // Two at once: a cache is dead and so is a home; the request still gets away.
-func TestTwoTroublesAtOnce(t *testing.T) {
-	r := newRig(t, site(), fleet())
-	home := r.ask("page", 5)
-	r.end(home, 0, OK, Filled)
-	r.fail(home.Endpoint, Reset)
-	h := r.b.endpoints.byID[home.Source]
+func TestTwoFaultsAtOnce(t *testing.T) {
+	r := newRig(t, site(), fleetList())
+	home := r.request("page", 5)
+	r.finish(home, 0, OK, Filled)
+	r.failUntilEjected(home.Endpoint, Reset)
+	h := r.balancer.endpoints.byID[home.Source]
 	h.health.ejected, h.health.nextProbe = true, r.now+time.Minute
-	g := r.ask("page", 5)
+	g := r.request("page", 5)
 	if g.Endpoint == home.Endpoint || g.Source == home.Source || g.Endpoint == 0 {
 		t.Errorf("%+v, the lost are %d and %d", g, home.Endpoint, home.Source)
 	}
 }
 
 // While the living caches are full, requests wait rather than run into the dead one.
-func TestDeadCacheIsNoWayOut(t *testing.T) {
+func TestEjectedCacheTakesNoOverflow(t *testing.T) {
 	s := site()
 	s.Capabilities.DirectAttempts = false
-	r := newRig(t, s, fleet())
-	r.fail(1, ConnectFailed)
-	r.b.endpoints.byID[2].concurrencyLimit, r.b.endpoints.byID[3].concurrencyLimit = 0, 0
+	r := newRig(t, s, fleetList())
+	r.failUntilEjected(1, ConnectFailed)
+	r.balancer.endpoints.byID[2].concurrencyLimit, r.balancer.endpoints.byID[3].concurrencyLimit = 0, 0
 	for o := range uint64(30) {
-		if g := r.ask("page", o); g.Endpoint != 0 {
+		if g := r.request("page", o); g.Endpoint != 0 {
 			t.Fatalf("%+v", g)
 		}
 	}
@@ -219,24 +219,24 @@
 
 // A lost hub: the parents left take the fills at once; those that return get a part that rises.
 func TestHubLostAndBack(t *testing.T) {
-	r := newRig(t, site(), fleet())
+	r := newRig(t, site(), fleetList())
 	for o := range uint64(200) { // some usual load of fills
 		r.now += 50 * ms
-		r.end(r.ask("page", o), 0, OK, Filled)
+		r.finish(r.request("page", o), 0, OK, Filled)
 	}
-	lost := []Endpoint{node(11, "mid", "hub"), node(12, "mid", "hub")}
+	lost := []Endpoint{listedEndpoint(11, "mid", "hub"), listedEndpoint(12, "mid", "hub")}
 	for i := range lost {
 		lost[i].State = Removed
 	}
-	r.do(EndpointUpdate{Endpoints: lost})
+	r.handle(EndpointUpdate{Endpoints: lost})
 	part := func() (n int) {
 		for o := range uint64(200) {
 			r.now += 5 * ms
-			g := r.ask("page", 1000+o)
+			g := r.request("page", 1000+o)
 			if g.Source == 11 || g.Source == 12 {
 				n++
 			}
-			r.end(g, 0, OK, Hit)
+			r.finish(g, 0, OK, Hit)
 		}
 		return n
 	}
@@ -246,7 +246,7 @@
 	for i := range lost {
 		lost[i].State, lost[i].StartedAt = InService, r.now
 	}
-	r.do(EndpointUpdate{Endpoints: lost})
+	r.handle(EndpointUpdate{Endpoints: lost})
 	early := part()
 	r.now += 20 * sec
 	if late := part(); early >= late/2 || late < 80 {
@@ -255,19 +255,19 @@
 }
 
 // late answers a request after the given time, however long the balancer's clock must move for it.
-func (r *rig) late(g SendAttempt, took time.Duration, note Detail) {
+func (r *rig) finishAfter(g SendAttempt, took time.Duration, note Detail) {
 	r.now += took
 	waited := time.Duration(0)
 	if note == FilledByOrigin {
 		waited = took
 	}
-	r.do(Outcome{ID: g.ID, Endpoint: g.Endpoint, Status: OK, Answered: true, Detail: note, Elapsed: took, SourceWait: waited})
+	r.handle(Outcome{ID: g.ID, Endpoint: g.Endpoint, Status: OK, Answered: true, Detail: note, Elapsed: took, SourceWait: waited})
 }
 
 // share counts how many of 300 objects a member owns.
-func (r *rig) share(id EndpointID) (n int) {
+func (r *rig) rangeOf(id EndpointID) (n int) {
 	for o := range uint64(300) {
-		if r.b.inOwnRange(o, r.b.endpoints.byID[id]) {
+		if r.balancer.inOwnRange(o, r.balancer.endpoints.byID[id]) {
 			n++
 		}
 	}
@@ -276,44 +276,44 @@
 
 // A cache that grows slower and slower while it still answers keeps ever less of its range (ageing), and has
 // all of it back when it answers quickly.
-func TestAgeingCacheLosesRange(t *testing.T) {
-	r := newRig(t, site(), fleet())
-	for o := uint64(0); o < 500 && r.b.healthScore(r.b.endpoints.byID[1]) > 0.1; o++ {
-		if g := r.ask("page", o); g.Endpoint == 1 {
-			r.late(g, 900*ms, Hit)
+func TestAgingCacheLosesRange(t *testing.T) {
+	r := newRig(t, site(), fleetList())
+	for o := uint64(0); o < 500 && r.balancer.healthScore(r.balancer.endpoints.byID[1]) > 0.1; o++ {
+		if g := r.request("page", o); g.Endpoint == 1 {
+			r.finishAfter(g, 900*ms, Hit)
 		} else {
-			r.late(g, 100*ms, Hit)
+			r.finishAfter(g, 100*ms, Hit)
 		}
 	}
-	if r.b.endpoints.byID[1].health.ejected {
+	if r.balancer.endpoints.byID[1].health.ejected {
 		t.Error("slow is not dead")
 	}
-	if n := r.share(1); n > 90 || n == 0 {
+	if n := r.rangeOf(1); n > 90 || n == 0 {
 		t.Errorf("slow, and owns %d of 300 objects", n)
 	}
 	for o := range uint64(300) {
-		r.late(r.ask("page", o), 100*ms, Hit)
+		r.finishAfter(r.request("page", o), 100*ms, Hit)
 	}
-	if n := r.share(1); n < 270 {
+	if n := r.rangeOf(1); n < 270 {
 		t.Errorf("quick again, and owns %d of 300 objects", n)
 	}
 }
 
 // A parent whose fills are slow while its peers' are quick loses range to the second homes, and no cache does.
 func TestSlowParentLosesRange(t *testing.T) {
-	r := newRig(t, site(), fleet())
-	for o := uint64(0); o < 500 && r.b.healthScore(r.b.endpoints.byID[11]) > 0.1; o++ {
-		if g := r.ask("page", o); g.Source == 11 {
-			r.late(g, 900*ms, Filled)
+	r := newRig(t, site(), fleetList())
+	for o := uint64(0); o < 500 && r.balancer.healthScore(r.balancer.endpoints.byID[11]) > 0.1; o++ {
+		if g := r.request("page", o); g.Source == 11 {
+			r.finishAfter(g, 900*ms, Filled)
 		} else {
-			r.late(g, 100*ms, Filled)
+			r.finishAfter(g, 100*ms, Filled)
 		}
 	}
-	if n := r.share(11); n > 90 || n == 0 {
+	if n := r.rangeOf(11); n > 90 || n == 0 {
 		t.Errorf("slow, and owns %d of 300 objects", n)
 	}
-	for _, m := range r.b.endpoints.caches {
-		if r.b.healthScore(m) < 1 {
+	for _, m := range r.balancer.endpoints.caches {
+		if r.balancer.healthScore(m) < 1 {
 			t.Errorf("cache %d took the blame", m.id)
 		}
 	}
@@ -322,32 +322,32 @@
 // A parent behind which half the fills break, while the caches' answers name no cause, loses range to the second
 // homes: the second deployment's fast errors came so, from one upper cache through every edge box.
 func TestFailingParentLosesRange(t *testing.T) {
-	r := newRig(t, site(), fleet())
-	for o := uint64(0); o < 500 && r.b.healthScore(r.b.endpoints.byID[11]) > 0.1; o++ {
-		g := r.ask("page", o)
+	r := newRig(t, site(), fleetList())
+	for o := uint64(0); o < 500 && r.balancer.healthScore(r.balancer.endpoints.byID[11]) > 0.1; o++ {
+		g := r.request("page", o)
 		if r.now += 10 * ms; g.Source == 11 && o%2 == 0 {
-			r.end(g, 0, Error, NoDetail)
-			r.end(r.ask("page", o), 1, OK, Filled) // the client's retry is served elsewhere
+			r.finish(g, 0, Error, NoDetail)
+			r.finish(r.request("page", o), 1, OK, Filled) // the client's retry is served elsewhere
 		} else {
-			r.late(g, 100*ms, Filled)
+			r.finishAfter(g, 100*ms, Filled)
 		}
 	}
-	if n := r.share(11); n > 90 || n == 0 {
+	if n := r.rangeOf(11); n > 90 || n == 0 {
 		t.Errorf("failing, and owns %d of 300 objects", n)
 	}
 }
 
 // What slows all caches alike, as overload does, moves nobody's range.
-func TestAllSlowMovesNothing(t *testing.T) {
-	r := newRig(t, site(), fleet())
+func TestOverloadOfAllMovesNoRange(t *testing.T) {
+	r := newRig(t, site(), fleetList())
 	for o := range uint64(40) {
-		if g := r.ask("page", o); g.Endpoint != 0 {
-			r.late(g, 900*ms, Hit)
+		if g := r.request("page", o); g.Endpoint != 0 {
+			r.finishAfter(g, 900*ms, Hit)
 		}
 	}
-	for _, m := range r.b.endpoints.caches {
-		if !r.b.inOwnRange(7, m) && !r.b.inOwnRange(8, m) && !r.b.inOwnRange(9, m) {
-			t.Errorf("cache %d lost its range with trust %.2f", m.id, r.b.healthScore(m))
+	for _, m := range r.balancer.endpoints.caches {
+		if !r.balancer.inOwnRange(7, m) && !r.balancer.inOwnRange(8, m) && !r.balancer.inOwnRange(9, m) {
+			t.Errorf("cache %d lost its range with trust %.2f", m.id, r.balancer.healthScore(m))
 		}
 	}
 }
@@ -355,27 +355,27 @@
 // While fills by way of the origin are slow, most objects are filled only from what their home holds; what it
 // lacks is not asked of the origin, but for a few objects that show when it is well again.
 func TestSlowOriginIsSpared(t *testing.T) {
-	r := newRig(t, site(), fleet())
-	for o := uint64(0); o < 500 && r.b.healthScore(r.b.endpoints.origin) > 0.1; o++ {
-		if g := r.ask("page", o); g.Endpoint != 0 {
-			r.late(g, 900*ms, FilledByOrigin)
+	r := newRig(t, site(), fleetList())
+	for o := uint64(0); o < 500 && r.balancer.healthScore(r.balancer.endpoints.origin) > 0.1; o++ {
+		if g := r.request("page", o); g.Endpoint != 0 {
+			r.finishAfter(g, 900*ms, FilledByOrigin)
 		}
 	}
 	held := 0
 	for o := uint64(900); o < 1000; o++ {
-		g := r.ask("page", o)
+		g := r.request("page", o)
 		if g.CachedOnly {
 			held++
 			for n, next := 0, []SendAttempt{g}; len(next) > 0; n++ {
 				if next[0].Source == 20 {
 					t.Fatalf("object %d went to the slow origin", o)
 				}
-				next = gets(r.end(next[0], n, Miss, SourceMiss))
+				next = sentAttempts(r.finish(next[0], n, Miss, SourceMiss))
 			}
 		} else if g.Endpoint != 0 {
-			r.end(g, 0, OK, Hit)
+			r.finish(g, 0, OK, Hit)
 		}
-		r.wait(scanInterval)
+		r.advance(scanInterval)
 	}
 	if held < 40 || held > 99 {
 		t.Errorf("%d of 100 objects only as held", held)
@@ -383,16 +383,16 @@
 }
 
 // With many directors beside, each may still have two attempts at a cache, so that chance alone moves nothing.
-func TestLimitHasAFloor(t *testing.T) {
+func TestCacheLimitHasAFloor(t *testing.T) {
 	for beside, want := range map[int]float64{1: 12, 4: 3, 20: 2, 200: 2} {
 		s := site()
 		s.Topology.RoutersPerZone = []int{0, beside}
-		r := newRig(t, s, fleet())
-		if got := r.b.endpoints.caches[0].concurrencyLimit; got != want {
+		r := newRig(t, s, fleetList())
+		if got := r.balancer.endpoints.caches[0].concurrencyLimit; got != want {
 			t.Errorf("%d directors: limit %.1f, want %.1f", beside, got, want)
 		}
-		if r.b.link.limit < minLimit {
-			t.Errorf("%d directors: %.1f on the link", beside, r.b.link.limit)
+		if r.balancer.link.limit < minLimit {
+			t.Errorf("%d directors: %.1f on the link", beside, r.balancer.link.limit)
 		}
 	}
 }
@@ -400,14 +400,14 @@
 // Many directors that each see little share one cold cache and one cold parent. Nobody tells them of the
 // others, and still the sum stays within the rule in every window, while both get work well before they are
 // warm.
-func TestManyDirectorsOverOneColdMember(t *testing.T) {
+func TestManyRoutersWarmUpOneEndpoint(t *testing.T) {
 	const directors = 60
 	for _, cold := range []EndpointID{1, 11} {
 		s := site()
 		s.Topology.RoutersPerZone = []int{0, directors}
 		var rigs []*rig
 		for range directors {
-			rigs = append(rigs, newRig(t, s, fleet()))
+			rigs = append(rigs, newRig(t, s, fleetList()))
 		}
 		type sent struct{ at, work float64 }
 		var all []sent
@@ -418,22 +418,22 @@
 			now += 500 * ms / directors
 			r := rigs[step%directors]
 			r.now = now
-			if step%directors == 0 && now >= told && r.b.endpoints.byID[cold].startedAt == 0 {
+			if step%directors == 0 && now >= told && r.balancer.endpoints.byID[cold].startedAt == 0 {
 				for _, x := range rigs {
 					x.now = now
-					e := fleet()[0]
+					e := fleetList()[0]
 					if cold == 11 {
-						e = fleet()[4]
+						e = fleetList()[4]
 					}
 					e.StartedAt = now
-					x.do(EndpointUpdate{Endpoints: []Endpoint{e}})
+					x.handle(EndpointUpdate{Endpoints: []Endpoint{e}})
 				}
 			}
-			g := r.ask("page", uint64(step)*2654435761>>8)
+			g := r.request("page", uint64(step)*2654435761>>8)
 			if g.Endpoint == 0 {
 				continue
 			}
-			work, kind := r.b.classes.byName["page"].serviceTime, Hit
+			work, kind := r.balancer.classes.byName["page"].serviceTime, Hit
 			fill := step%3 == 0
 			if fill && g.Source != g.Endpoint {
 				kind = Filled
@@ -445,9 +445,9 @@
 				all = append(all, sent{(now - told).Seconds(), work})
 			}
 			if g.Source == g.Endpoint && fill {
-				r.end(g, 0, Miss, NoDetail)
+				r.finish(g, 0, Miss, NoDetail)
 			} else {
-				r.end(g, 0, OK, kind)
+				r.finish(g, 0, OK, kind)
 			}
 		}
 		rule, early := s.CacheSlowStart, 0.0
@@ -475,26 +475,26 @@
 }
 
 // What a slow origin owes is not called off: there is no other, so the work would be lost and asked for again.
-func TestSlowOriginIsNotAskedTwice(t *testing.T) {
-	list := append(fleet()[:3], fleet()[7]) // no parents
+func TestSlowOriginIsNotRetried(t *testing.T) {
+	list := append(fleetList()[:3], fleetList()[7]) // no parents
 	r := newRig(t, site(), list)
 	for o := range uint64(6) {
-		if g := r.ask("page", o); g.Source != 20 && g.Source != g.Endpoint {
+		if g := r.request("page", o); g.Source != 20 && g.Source != g.Endpoint {
 			t.Fatalf("source %d without parents", g.Source)
 		}
 	}
 	for range 80 {
 		r.now += scanInterval
-		for _, m := range r.b.endpoints.caches {
+		for _, m := range r.balancer.endpoints.caches {
 			m.health.lastResponse = r.now // the caches answer others
 		}
-		for _, a := range r.do(Timer{Token: scanToken}) {
+		for _, a := range r.handle(Timer{Token: scanToken}) {
 			if c, ok := a.(CancelAttempt); ok {
 				t.Fatalf("called off: %+v", c)
 			}
 		}
 	}
-	if !r.b.endpoints.origin.health.ejected {
+	if !r.balancer.endpoints.origin.health.ejected {
 		t.Error("the test did not make the origin silent")
 	}
 }
--- a/balancer/handover_test.go
+++ b/balancer/handover_test.go
@@ -7,79 +7,79 @@
 )
 
 // learned is a module that has seen a bad cache, a purge, a cold start and some objects.
-func learned(t *testing.T) *rig {
-	r := newRig(t, site(), fleet())
-	r.fail(1, ConnectFailed)
-	fresh := node(4, "box", "edge")
+func rigWithHistory(t *testing.T) *rig {
+	r := newRig(t, site(), fleetList())
+	r.failUntilEjected(1, ConnectFailed)
+	fresh := listedEndpoint(4, "box", "edge")
 	fresh.StartedAt = r.now
-	r.do(EndpointUpdate{Endpoints: []Endpoint{fresh}})
+	r.handle(EndpointUpdate{Endpoints: []Endpoint{fresh}})
 	for o := range uint64(40) { // less than a second: the bad cache is not tried again yet
 		r.now += 20 * ms
-		if g := r.ask("page", o); g.Endpoint != 0 {
-			r.end(g, 0, OK, Hit)
+		if g := r.request("page", o); g.Endpoint != 0 {
+			r.finish(g, 0, OK, Hit)
 		}
 	}
-	r.do(Purge{Object: 7})
+	r.handle(Purge{Object: 7})
 	return r
 }
 
 // A successor goes on from what its predecessor knew: it shuns the same cache, bars the same copies, and knows the
 // objects. What is left of a cold cache's budget is handed over once.
 func TestHandOver(t *testing.T) {
-	old, later := learned(t), learned(t)
-	if old.b.endpoints.byID[4].warmUp.budget <= 0 {
+	old, later := rigWithHistory(t), rigWithHistory(t)
+	if old.balancer.endpoints.byID[4].warmUp.budget <= 0 {
 		t.Fatal("nothing of the cold budget to hand over")
 	}
-	spare := old.b.endpoints.byID[4].warmUp.budget
-	m := old.b.HandOver()
-	if other := later.b.HandOver(); !reflect.DeepEqual(m, other) {
+	spare := old.balancer.endpoints.byID[4].warmUp.budget
+	m := old.balancer.HandOver()
+	if other := later.balancer.HandOver(); !reflect.DeepEqual(m, other) {
 		t.Error("alike modules hand over different things")
 	}
-	if len(m.Objects) == 0 || old.b.endpoints.byID[4].warmUp.budget != 0 {
-		t.Errorf("%d objects; %v of the cold budget kept", len(m.Objects), old.b.endpoints.byID[4].warmUp.budget)
+	if len(m.Objects) == 0 || old.balancer.endpoints.byID[4].warmUp.budget != 0 {
+		t.Errorf("%d objects; %v of the cold budget kept", len(m.Objects), old.balancer.endpoints.byID[4].warmUp.budget)
 	}
-	r := newRig(t, site(), fleet())
+	r := newRig(t, site(), fleetList())
 	r.now = old.now
-	fresh := node(4, "box", "edge")
-	fresh.StartedAt = old.b.endpoints.byID[4].startedAt
-	r.do(EndpointUpdate{Endpoints: []Endpoint{fresh}})
-	r.b.TakeOver(r.now, m)
-	if s := r.b.endpoints.byID[4].warmUp.budget; s != spare {
+	fresh := listedEndpoint(4, "box", "edge")
+	fresh.StartedAt = old.balancer.endpoints.byID[4].startedAt
+	r.handle(EndpointUpdate{Endpoints: []Endpoint{fresh}})
+	r.balancer.TakeOver(r.now, m)
+	if s := r.balancer.endpoints.byID[4].warmUp.budget; s != spare {
 		t.Errorf("saved for the cold cache: %v, want %v", s, spare)
 	}
-	if _, avoided := r.b.CacheCounts(); avoided != 1 || !r.b.endpoints.byID[1].health.ejected {
+	if _, avoided := r.balancer.CacheCounts(); avoided != 1 || !r.balancer.endpoints.byID[1].health.ejected {
 		t.Errorf("%d avoided; want the one that the predecessor held to be bad", avoided)
 	}
-	if p := (objectKey{3, 0}); r.b.objects.young[p] == nil || r.b.objects.young[p].servedAt == 0 {
+	if p := (objectKey{3, 0}); r.balancer.objects.young[p] == nil || r.balancer.objects.young[p].servedAt == 0 {
 		t.Error("an object served lately is not known")
 	}
 	r.now += 10 * ms
-	if g := r.ask("page", 7); g.MaxAge <= 0 || g.MaxAge > 10*ms {
+	if g := r.request("page", 7); g.MaxAge <= 0 || g.MaxAge > 10*ms {
 		t.Errorf("oldest copy of a purged object: %v", g.MaxAge)
 	}
 }
 
 // Figures that make no sense, from a predecessor that has gone wrong, are cut; a cold start since is not undone.
-func TestTakeOverNonsense(t *testing.T) {
-	r := newRig(t, site(), fleet())
+func TestTakeOverBoundsNonsense(t *testing.T) {
+	r := newRig(t, site(), fleetList())
 	inf := math.Inf(1)
-	fresh := node(4, "box", "edge")
+	fresh := listedEndpoint(4, "box", "edge")
 	fresh.StartedAt = r.now
-	r.do(EndpointUpdate{Endpoints: []Endpoint{fresh}})
-	r.b.TakeOver(r.now, Memory{LinkRoom: -inf, Floor: -1, Loads: make([]LoadMemory, 9), Purges: []PurgeMemory{{At: math.MaxInt64}},
+	r.handle(EndpointUpdate{Endpoints: []Endpoint{fresh}})
+	r.balancer.TakeOver(r.now, Memory{LinkRoom: -inf, Floor: -1, Loads: make([]LoadMemory, 9), Purges: []PurgeMemory{{At: math.MaxInt64}},
 		Classes: []ClassMemory{{Name: "page", Work: -1}, {Name: "what", Work: 1}}, Objects: make([]ObjectMemory, 2*handedObjects),
 		Members: []MemberMemory{{Node: 1, Saved: -1, Misses: inf, Doubt: 7, Doubted: math.MaxInt64, Trial: math.MaxInt64, Bad: true},
 			{Node: 4, Saved: 1e9}, {Node: 99}}})
-	if m := r.b.endpoints.byID[4]; m.warmUp.budget != 0 {
+	if m := r.balancer.endpoints.byID[4]; m.warmUp.budget != 0 {
 		t.Errorf("%v saved from before the start", m.warmUp.budget)
 	}
 	for o := range uint64(50) {
 		r.now += 50 * ms
-		if g := r.ask("page", o); g.Endpoint != 0 {
-			r.end(g, 0, OK, Hit)
+		if g := r.request("page", o); g.Endpoint != 0 {
+			r.finish(g, 0, OK, Hit)
 		}
 	}
-	if m := r.b.endpoints.byID[1]; m.health.ejected {
+	if m := r.balancer.endpoints.byID[1]; m.health.ejected {
 		t.Error("a trial time out of reach keeps the cache out for good")
 	}
 }
--- a/balancer/resolve_test.go
+++ b/balancer/resolve_test.go
@@ -7,8 +7,8 @@
 )
 
 // named returns the members that a resolver is told, and whether it was refused.
-func (r *rig) named(ev Resolve) (nodes []EndpointID, refused bool) {
-	for _, a := range r.do(ev) {
+func (r *rig) resolve(ev Resolve) (nodes []EndpointID, refused bool) {
+	for _, a := range r.handle(ev) {
 		switch a := a.(type) {
 		case ResolveAnswer:
 			nodes = a.Endpoints
@@ -21,11 +21,11 @@
 
 // Resolvers' answers follow the rules of requests: the same hash, no other location, nobody who drains.
 func TestResolve(t *testing.T) {
-	r := newRig(t, site(), fleet())
+	r := newRig(t, site(), fleetList())
 	seen := map[EndpointID]int{}
 	for key := range uint64(60) {
-		first, _ := r.named(Resolve{ID: 1, Key: key, MaxEndpoints: 2, Load: 0.01, TTL: sec})
-		again, _ := r.named(Resolve{ID: 2, Key: key, MaxEndpoints: 2, Load: 0.01, TTL: sec})
+		first, _ := r.resolve(Resolve{ID: 1, Key: key, MaxEndpoints: 2, Load: 0.01, TTL: sec})
+		again, _ := r.resolve(Resolve{ID: 2, Key: key, MaxEndpoints: 2, Load: 0.01, TTL: sec})
 		if len(first) != 2 || first[0] == first[1] || !reflect.DeepEqual(first, again) {
 			t.Fatalf("key %d: %v, then %v", key, first, again)
 		}
@@ -34,33 +34,33 @@
 	if len(seen) != 3 || seen[9] > 0 || seen[11] > 0 {
 		t.Errorf("named %v, want the three caches of the own location", seen)
 	}
-	drained := node(2, "box", "edge")
+	drained := listedEndpoint(2, "box", "edge")
 	drained.State = Draining
-	r.do(EndpointUpdate{Endpoints: []Endpoint{drained}})
+	r.handle(EndpointUpdate{Endpoints: []Endpoint{drained}})
 	for key := range uint64(60) {
-		if got, _ := r.named(Resolve{ID: 3, Key: key, MaxEndpoints: 3}); len(got) != 2 || got[0] == 2 || got[1] == 2 {
+		if got, _ := r.resolve(Resolve{ID: 3, Key: key, MaxEndpoints: 3}); len(got) != 2 || got[0] == 2 || got[1] == 2 {
 			t.Errorf("key %d: %v after 2 drains", key, got)
 		}
 	}
-	if got, refused := r.named(Resolve{ID: 4, MaxEndpoints: 1, OnlyEndpoint: 2}); got != nil || refused {
+	if got, refused := r.resolve(Resolve{ID: 4, MaxEndpoints: 1, OnlyEndpoint: 2}); got != nil || refused {
 		t.Errorf("only the drained one: %v, refused %v; want none", got, refused)
 	}
 }
 
 // A resolver's load stands for as long as it may keep the answer: a cold cache is named to a few only, and to
 // more once they let go of it.
-func TestResolveKeepsColdBudget(t *testing.T) {
-	start := node(1, "box", "edge")
-	r := newRig(t, site(), []Endpoint{start, node(11, "mid", "hub"), node(20, "store", "hub")})
+func TestResolveKeepsSlowStartBudget(t *testing.T) {
+	start := listedEndpoint(1, "box", "edge")
+	r := newRig(t, site(), []Endpoint{start, listedEndpoint(11, "mid", "hub"), listedEndpoint(20, "store", "hub")})
 	for range 50 { // a usual load, while it is warm
-		r.end(r.ask("page", 7), 0, OK, Hit)
+		r.finish(r.request("page", 7), 0, OK, Hit)
 		r.now += 20 * ms
 	}
 	start.StartedAt = r.now
-	r.do(EndpointUpdate{Endpoints: []Endpoint{start}})
+	r.handle(EndpointUpdate{Endpoints: []Endpoint{start}})
 	ask := func() (told int) {
 		for key := range uint64(200) {
-			if nodes, _ := r.named(Resolve{ID: 5, Key: key, MaxEndpoints: 1, Load: 0.01, TTL: 3 * sec}); nodes != nil {
+			if nodes, _ := r.resolve(Resolve{ID: 5, Key: key, MaxEndpoints: 1, Load: 0.01, TTL: 3 * sec}); nodes != nil {
 				told++
 			}
 		}
@@ -74,31 +74,31 @@
 	if later := ask(); later < first {
 		t.Errorf("%d resolvers were told after the first let go, %d at first", later, first)
 	}
-	if _, refused := r.named(Resolve{ID: 6, MaxEndpoints: 1, Load: 0.01, TTL: sec}); !refused {
+	if _, refused := r.resolve(Resolve{ID: 6, MaxEndpoints: 1, Load: 0.01, TTL: sec}); !refused {
 		t.Error("no refusal with the budget used up")
 	}
 }
 
 // What comes in together gives what it would have given one by one.
 func TestHandleBatch(t *testing.T) {
-	one, all := newRig(t, site(), fleet()), newRig(t, site(), fleet())
+	one, all := newRig(t, site(), fleetList()), newRig(t, site(), fleetList())
 	var evs []Event
 	var want []Action
 	for i := range 20 {
 		ev := Request{ID: RequestID(i + 1), Class: "page", Object: uint64(i % 5), Remaining: 3 * sec, SizeKB: 100}
-		evs, want = append(evs, ev), append(want, one.do(ev)...)
+		evs, want = append(evs, ev), append(want, one.handle(ev)...)
 	}
-	if got := append([]Action(nil), all.b.Handle(all.now, evs...)...); !reflect.DeepEqual(got, want) {
+	if got := append([]Action(nil), all.balancer.Handle(all.now, evs...)...); !reflect.DeepEqual(got, want) {
 		t.Errorf("got %v, want %v", got, want)
 	}
 }
 
 // A refusal comes at once and says how long to stay away.
-func TestRefusalTellsWait(t *testing.T) {
+func TestRejectHasRetryAfter(t *testing.T) {
 	s := site()
 	s.MaxRetryAfter = 500 * time.Millisecond
 	r := newRig(t, s, nil)
-	as := r.do(Request{ID: 1, Class: "page", Remaining: 3 * sec})
+	as := r.handle(Request{ID: 1, Class: "page", Remaining: 3 * sec})
 	if len(as) == 0 || as[0] != (Reject{ID: 1, RetryAfter: s.MaxRetryAfter}) {
 		t.Errorf("actions %v", as)
 	}
--- a/balancer/rules_test.go
+++ b/balancer/rules_test.go
@@ -6,214 +6,312 @@
 	"time"
 )
 
-// What a site's rules allow after being told of a drain, and after a client's deadline.
+// What a site's rules allow after a drain is listed, and after a client's deadline.
 const drainGrace, answerSlack = 500 * ms, 8 * ms
 
-// TestRulesUnderRandomEvents drives random but legal events and asserts the rules on every action, in turn for the
-// test site and for the shapes of both deployments: no figure of one may hold the rules by luck.
+// TestRulesUnderRandomEvents drives random but legal events and asserts the rules on every action, for the test site and
+// for the shapes of both deployments: the rules must not hold by luck of one deployment's values.
 func TestRulesUnderRandomEvents(t *testing.T) {
-	for _, d := range []deployment{{site(), fleet(), []string{"page", "page", "page", "news", "pay", "once"}}, scores(), episodes()} {
+	testSite := deployment{site(), fleetList(), []string{"page", "page", "page", "news", "pay", "once"}}
+	for _, d := range []deployment{testSite, scores(), episodes()} {
 		for seed := range uint64(30) {
-			rules(t, seed, d)
+			newRulesRun(t, seed, d).play()
 		}
 	}
 }
 
 // deployment is what the module is given: settings, a list, and the mix of classes asked for.
 type deployment struct {
-	s     Settings
-	list  []Endpoint
-	names []string
+	settings Settings
+	list     []Endpoint
+	mix      []string
 }
 
 // scores has the first deployment's shape: an unsafe class beside two safe ones, three zones, six attempts.
 func scores() deployment {
 	s := site()
-	s.Topology.Zone, s.Topology.Zones, s.Topology.RoutersPerZone, s.MaxAttempts = "coastal", []string{"upper", "coastal", "river"}, []int{0, 3, 0}, 6
+	s.Topology.Zone, s.Topology.Zones = "coastal", []string{"upper", "coastal", "river"}
+	s.Topology.RoutersPerZone, s.MaxAttempts = []int{0, 3, 0}, 6
 	s.Classes = []Class{
 		{Name: "score", LatencyObjective: 400 * ms, ObjectiveStretch: 2, Deadline: 5 * sec, Idempotency: Idempotent, Weight: 2},
 		{Name: "page", LatencyObjective: 250 * ms, ObjectiveStretch: 2, Deadline: 3 * sec, Idempotency: Idempotent, Weight: 1},
 		{Name: "arrange", LatencyObjective: 700 * ms, Deadline: 3 * sec, Idempotency: NotIdempotent, Weight: 3, Write: true},
 	}
-	list := []Endpoint{node(11, "mid", "upper"), node(12, "mid", "river"), node(20, "store", "upper"), node(1, "box", "coastal"),
-		node(2, "box", "coastal"), node(3, "box", "coastal"), node(4, "box", "coastal"), node(5, "box", "coastal")}
+	list := []Endpoint{
+		listedEndpoint(11, "mid", "upper"), listedEndpoint(12, "mid", "river"), listedEndpoint(20, "store", "upper"),
+		listedEndpoint(1, "box", "coastal"), listedEndpoint(2, "box", "coastal"), listedEndpoint(3, "box", "coastal"),
+		listedEndpoint(4, "box", "coastal"), listedEndpoint(5, "box", "coastal"),
+	}
 	return deployment{s, list, []string{"score", "score", "page", "page", "arrange"}}
 }
 
 // episodes has the second's: parts that wait 6 s, assets fresh for 8 s, a listen event that must never run twice.
 func episodes() deployment {
 	s := site()
-	s.Topology.Zone, s.Topology.Zones, s.Topology.RoutersPerZone, s.MaxAttempts = "west", []string{"north", "west", "south"}, []int{0, 4, 0}, 8
+	s.Topology.Zone, s.Topology.Zones = "west", []string{"north", "west", "south"}
+	s.Topology.RoutersPerZone, s.MaxAttempts = []int{0, 4, 0}, 8
 	s.Classes = []Class{
 		{Name: "part", LatencyObjective: 600 * ms, ObjectiveStretch: 2, Deadline: 6 * sec, Idempotency: Idempotent, Weight: 2},
-		{Name: "asset", LatencyObjective: 300 * ms, ObjectiveStretch: 2, Deadline: 2500 * ms, Idempotency: Idempotent, Weight: 1, FreshnessLifetime: 8 * sec},
+		{Name: "asset", LatencyObjective: 300 * ms, ObjectiveStretch: 2, Deadline: 2500 * ms, Idempotency: Idempotent,
+			Weight: 1, FreshnessLifetime: 8 * sec},
 		{Name: "listen", LatencyObjective: 800 * ms, Deadline: 3 * sec, Idempotency: NotIdempotent, Weight: 3, Write: true},
 	}
-	list := []Endpoint{node(11, "mid", "north"), node(12, "mid", "west"), node(13, "mid", "south"), node(20, "store", "west"),
-		node(1, "box", "west"), node(2, "box", "west"), node(9, "box", "north")}
+	list := []Endpoint{
+		listedEndpoint(11, "mid", "north"), listedEndpoint(12, "mid", "west"), listedEndpoint(13, "mid", "south"),
+		listedEndpoint(20, "store", "west"), listedEndpoint(1, "box", "west"), listedEndpoint(2, "box", "west"),
+		listedEndpoint(9, "box", "north"),
+	}
 	return deployment{s, list, []string{"part", "part", "part", "part", "asset", "asset", "asset", "listen"}}
 }
 
-type try struct {
-	class  *Class
-	object uint64
-	end    time.Duration
-	out    map[int]SendAttempt
-	sent   int
-	mayRan []time.Duration // sends that may have run
-	final  int
+// rulesRun drives one balancer with random but legal events, and checks each of its actions against the rules.
+type rulesRun struct {
+	*rig
+	seed     uint64
+	rnd      *rand.Rand
+	settings Settings
+	list     []Endpoint
+	mix      []string // classes, as often as clients ask for them
+	classes  map[string]*Class
+
+	requests  map[RequestID]*trackedRequest
+	inOrder   []RequestID
+	drainedAt map[EndpointID]time.Duration // when an endpoint was listed as draining or removed
+	purgedAt  map[uint64]time.Duration     // by object
+	timerAt   time.Duration                // -1: none is set
+}
+
+// trackedRequest is what the checker knows of a request.
+type trackedRequest struct {
+	class      *Class
+	object     uint64
+	deadline   time.Duration
+	inFlight   map[int]SendAttempt
+	sent       int
+	mayHaveRun []time.Duration // when attempts that may have run have ended
+	answers    int
 }
 
-func rules(t *testing.T, seed uint64, d deployment) {
-	rnd := rand.New(rand.NewPCG(seed, 7))
-	s := d.s
+func newRulesRun(t *testing.T, seed uint64, d deployment) *rulesRun {
+	t.Helper()
+	s := d.settings
 	s.Capabilities.Hedging, s.Capabilities.CoalesceFills = seed%2 == 0, seed%3 != 0
-	classes := map[string]*Class{}
+	run := &rulesRun{
+		rig: newRig(t, s, d.list), seed: seed, rnd: rand.New(rand.NewPCG(seed, 7)), settings: s, list: d.list, mix: d.mix,
+		classes: map[string]*Class{}, requests: map[RequestID]*trackedRequest{},
+		drainedAt: map[EndpointID]time.Duration{}, purgedAt: map[uint64]time.Duration{}, timerAt: -1,
+	}
 	for i := range s.Classes {
-		classes[s.Classes[i].Name] = &s.Classes[i]
-	}
-	names, list := d.names, d.list
-	r := newRig(t, s, list)
-	tries := map[RequestID]*try{}
-	var ids []RequestID
-	barred := map[EndpointID]time.Duration{} // told draining or gone
-	purged := map[uint64]time.Duration{}
-	timer := time.Duration(-1)
-	apply := func(as []Action) {
-		for _, a := range as {
-			switch a := a.(type) {
-			case SendAttempt:
-				q := tries[a.ID]
-				if q == nil || q.final > 0 {
-					t.Fatalf("seed %d: attempt for a request that is over: %+v", seed, a)
-				}
-				if len(q.out) > 0 && (!s.Capabilities.Hedging || q.class.Idempotency != Idempotent) {
-					t.Fatalf("seed %d: second attempt in flight: %+v", seed, a)
-				}
-				for _, at := range q.mayRan {
-					if q.class.Idempotency == NotIdempotent || q.class.Idempotency == IdempotentByKey && r.now-at > q.class.DedupWindow {
-						t.Fatalf("seed %d: effect twice: %+v", seed, a)
-					}
-				}
-				for _, id := range []EndpointID{a.Endpoint, a.Source} {
-					if at, ok := barred[id]; ok && r.now-at > drainGrace {
-						t.Fatalf("seed %d: sent to drained %d", seed, id)
-					}
-				}
-				if at, ok := purged[q.object]; ok && r.now-at < s.PurgeWindow && !q.class.Write {
-					if a.MaxAge <= 0 || r.now-a.MaxAge < at {
-						t.Fatalf("seed %d: age %v for a purge %v ago", seed, a.MaxAge, r.now-at)
-					}
-				}
-				q.out[q.sent] = a
-				q.sent++
-				if q.sent > s.MaxAttempts {
-					t.Fatalf("seed %d: %d attempts", seed, q.sent)
-				}
-			case Reject, Fail:
-				var id RequestID
-				if f, ok := a.(Fail); ok {
-					id = f.ID
-				} else {
-					id = a.(Reject).ID
-				}
-				q := tries[id]
-				if q == nil || q.final > 0 {
-					t.Fatalf("seed %d: a second final answer for %d", seed, id)
-				}
-				if _, refused := a.(Reject); refused && len(q.mayRan) > 0 && q.class.Idempotency == NotIdempotent {
-					t.Fatalf("seed %d: refused what may have run", seed)
-				}
-				q.final++
-			case SetTimer:
-				timer = r.now + a.Delay
-			}
+		run.classes[s.Classes[i].Name] = &s.Classes[i]
+	}
+	return run
+}
+
+// play runs some seconds of random events.
+func (run *rulesRun) play() {
+	for step := range 3000 {
+		run.now += time.Duration(run.rnd.IntN(4)) * ms
+		if run.timerAt >= 0 && run.now >= run.timerAt {
+			run.timerAt = -1
+			run.apply(run.handle(Timer{Token: scanToken}))
+		}
+		switch kind := run.rnd.IntN(20); {
+		case kind < 7:
+			run.sendRequest(RequestID(step + 1))
+		case kind < 16 && len(run.inOrder) > 0:
+			run.endRandomAttempt()
+		case kind == 16:
+			run.purge()
+		case kind == 17:
+			run.changeList()
+		}
+		for _, id := range run.inOrder {
+			run.endOverdue(id)
+			run.checkNotLost(id)
 		}
 	}
-	finish := func(id RequestID, n int, st Status) {
-		q := tries[id]
-		g := q.out[n]
-		delete(q.out, n)
-		if !st.NeverRan() {
-			q.mayRan = append(q.mayRan, r.now)
+}
+
+// ---- Events ----
+
+func (run *rulesRun) sendRequest(id RequestID) {
+	class := run.mix[run.rnd.IntN(len(run.mix))]
+	remaining := time.Duration(20+run.rnd.IntN(int(run.classes[class].Deadline/ms))) * ms
+	object := uint64(run.rnd.IntN(60))
+	run.requests[id] = &trackedRequest{class: run.classes[class], object: object, deadline: run.now + remaining,
+		inFlight: map[int]SendAttempt{}}
+	run.inOrder = append(run.inOrder, id)
+	run.apply(run.handle(Request{ID: id, Class: class, Object: object, Group: object % 8, Remaining: remaining,
+		SizeKB: float64(run.rnd.IntN(400))}))
+}
+
+// endRandomAttempt ends the first attempt of any request.
+func (run *rulesRun) endRandomAttempt() {
+	id := run.inOrder[run.rnd.IntN(len(run.inOrder))]
+	for n := range 8 {
+		if _, ok := run.requests[id].inFlight[n]; ok {
+			run.end(id, n, Status(run.rnd.IntN(9)))
+			return
 		}
-		settled := st == OK || q.final > 0
-		if st == OK && q.final == 0 {
-			q.final++
+	}
+}
+
+func (run *rulesRun) end(id RequestID, n int, status Status) {
+	q := run.requests[id]
+	sent := q.inFlight[n]
+	delete(q.inFlight, n)
+	if !status.NeverRan() {
+		q.mayHaveRun = append(q.mayHaveRun, run.now)
+	}
+	answered := status == OK || q.answers > 0
+	if status == OK && q.answers == 0 {
+		q.answers++
+	}
+	run.apply(run.handle(Outcome{ID: id, Attempt: n, Endpoint: sent.Endpoint, Status: status,
+		Elapsed: time.Duration(run.rnd.IntN(300)) * ms, Answered: answered, Detail: Detail(run.rnd.IntN(11))}))
+}
+
+func (run *rulesRun) purge() {
+	object := uint64(run.rnd.IntN(60))
+	age := time.Duration(run.rnd.IntN(300)) * ms
+	if run.rnd.IntN(4) > 0 {
+		run.purgedAt[object] = max(run.purgedAt[object], run.now-age)
+		run.apply(run.handle(Purge{Object: object, Age: age}))
+		return
+	}
+	for member := object % 8; member < 60; member += 8 {
+		run.purgedAt[member] = max(run.purgedAt[member], run.now-age)
+	}
+	run.apply(run.handle(Purge{ByGroup: true, Group: object % 8, Age: age}))
+}
+
+// changeList drains, removes or restarts one endpoint.
+func (run *rulesRun) changeList() {
+	e := run.list[run.rnd.IntN(len(run.list))]
+	e.State = EndpointState(run.rnd.IntN(3))
+	if e.State == InService {
+		e.StartedAt = run.now - time.Duration(run.rnd.IntN(20000))*ms
+		delete(run.drainedAt, e.ID)
+	} else if _, listed := run.drainedAt[e.ID]; !listed {
+		run.drainedAt[e.ID] = run.now
+	}
+	run.apply(run.handle(EndpointUpdate{Endpoints: []Endpoint{e}}))
+}
+
+// endOverdue ends a request's attempts at the client's deadline, as the router does.
+func (run *rulesRun) endOverdue(id RequestID) {
+	q := run.requests[id]
+	for n := range 8 {
+		if _, ok := q.inFlight[n]; ok && run.now >= q.deadline {
+			run.end(id, n, TimedOut)
 		}
-		apply(r.do(Outcome{ID: id, Attempt: n, Endpoint: g.Endpoint, Status: st, Elapsed: time.Duration(rnd.IntN(300)) * ms,
-			Answered: settled, Detail: Detail(rnd.IntN(11))}))
 	}
-	for step := range 3000 {
-		r.now += time.Duration(rnd.IntN(4)) * ms
-		if timer >= 0 && r.now >= timer {
-			timer = -1
-			apply(r.do(Timer{Token: scanToken}))
+}
+
+// ---- Rules ----
+
+func (run *rulesRun) apply(actions []Action) {
+	for _, a := range actions {
+		switch a := a.(type) {
+		case SendAttempt:
+			run.checkAttempt(a)
+		case Reject:
+			run.checkRejection(a.ID)
+			run.checkFinalAnswer(a.ID)
+		case Fail:
+			run.checkFinalAnswer(a.ID)
+		case SetTimer:
+			run.timerAt = run.now + a.Delay
 		}
-		switch k := rnd.IntN(20); {
-		case k < 7:
-			id := RequestID(step + 1)
-			c := names[rnd.IntN(len(names))]
-			left := time.Duration(20+rnd.IntN(int(classes[c].Deadline/ms))) * ms
-			o := uint64(rnd.IntN(60))
-			tries[id] = &try{class: classes[c], object: o, end: r.now + left, out: map[int]SendAttempt{}}
-			ids = append(ids, id)
-			apply(r.do(Request{ID: id, Class: c, Object: o, Group: o % 8, Remaining: left, SizeKB: float64(rnd.IntN(400))}))
-		case k < 16 && len(ids) > 0:
-			id := ids[rnd.IntN(len(ids))]
-			for n := range 8 {
-				if _, ok := tries[id].out[n]; ok {
-					finish(id, n, Status(rnd.IntN(9)))
-					break
-				}
-			}
-		case k == 16:
-			o := uint64(rnd.IntN(60))
-			ago := time.Duration(rnd.IntN(300)) * ms
-			if rnd.IntN(4) == 0 {
-				for x := o % 8; x < 60; x += 8 {
-					purged[x] = max(purged[x], r.now-ago)
-				}
-				apply(r.do(Purge{ByGroup: true, Group: o % 8, Age: ago}))
-			} else {
-				purged[o] = max(purged[o], r.now-ago)
-				apply(r.do(Purge{Object: o, Age: ago}))
-			}
-		case k == 17:
-			e := list[rnd.IntN(len(list))]
-			e.State = EndpointState(rnd.IntN(3))
-			if e.State == InService {
-				e.StartedAt = r.now - time.Duration(rnd.IntN(20000))*ms
-				delete(barred, e.ID)
-			} else if _, told := barred[e.ID]; !told {
-				barred[e.ID] = r.now
-			}
-			apply(r.do(EndpointUpdate{Endpoints: []Endpoint{e}}))
+	}
+}
+
+func (run *rulesRun) checkAttempt(a SendAttempt) {
+	q := run.requests[a.ID]
+	if q == nil || q.answers > 0 {
+		run.t.Fatalf("seed %d: attempt for a request that is over: %+v", run.seed, a)
+	}
+	run.checkHedging(q, a)
+	run.checkIdempotency(q, a)
+	run.checkDrained(a)
+	run.checkPurged(q, a)
+	q.inFlight[q.sent] = a
+	q.sent++
+	if q.sent > run.settings.MaxAttempts {
+		run.t.Fatalf("seed %d: %d attempts", run.seed, q.sent)
+	}
+}
+
+// checkHedging: only idempotent requests are hedged, where the settings allow it.
+func (run *rulesRun) checkHedging(q *trackedRequest, a SendAttempt) {
+	if len(q.inFlight) > 0 && (!run.settings.Capabilities.Hedging || q.class.Idempotency != Idempotent) {
+		run.t.Fatalf("seed %d: second attempt in flight: %+v", run.seed, a)
+	}
+}
+
+// checkIdempotency: no request takes effect twice.
+func (run *rulesRun) checkIdempotency(q *trackedRequest, a SendAttempt) {
+	for _, at := range q.mayHaveRun {
+		outOfWindow := q.class.Idempotency == IdempotentByKey && run.now-at > q.class.DedupWindow
+		if q.class.Idempotency == NotIdempotent || outOfWindow {
+			run.t.Fatalf("seed %d: effect twice: %+v", run.seed, a)
 		}
-		for _, id := range ids { // the wire ends attempts at the client's deadline
-			q := tries[id]
-			for n := range 8 {
-				if _, ok := q.out[n]; ok && r.now >= q.end {
-					finish(id, n, TimedOut)
-				}
-			}
-			if q.final == 0 && r.now > q.end+answerSlack {
-				t.Fatalf("seed %d: request %d lost", seed, id)
-			}
+	}
+}
+
+// checkDrained: nothing is sent to an endpoint that is draining or removed.
+func (run *rulesRun) checkDrained(a SendAttempt) {
+	for _, id := range []EndpointID{a.Endpoint, a.Source} {
+		if at, ok := run.drainedAt[id]; ok && run.now-at > drainGrace {
+			run.t.Fatalf("seed %d: sent to drained %d", run.seed, id)
 		}
 	}
 }
 
+// checkPurged: no copy from before a purge is served.
+func (run *rulesRun) checkPurged(q *trackedRequest, a SendAttempt) {
+	at, ok := run.purgedAt[q.object]
+	if !ok || run.now-at >= run.settings.PurgeWindow || q.class.Write {
+		return
+	}
+	if a.MaxAge <= 0 || run.now-a.MaxAge < at {
+		run.t.Fatalf("seed %d: age %v for a purge %v ago", run.seed, a.MaxAge, run.now-at)
+	}
+}
+
+// checkFinalAnswer: a request gets one final answer.
+func (run *rulesRun) checkFinalAnswer(id RequestID) {
+	q := run.requests[id]
+	if q == nil || q.answers > 0 {
+		run.t.Fatalf("seed %d: a second final answer for %d", run.seed, id)
+	}
+	q.answers++
+}
+
+// checkRejection: what may have run is not rejected, as a rejection invites a retry.
+func (run *rulesRun) checkRejection(id RequestID) {
+	if q := run.requests[id]; q != nil && len(q.mayHaveRun) > 0 && q.class.Idempotency == NotIdempotent {
+		run.t.Fatalf("seed %d: rejected what may have run", run.seed)
+	}
+}
+
+// checkNotLost: a request is answered by the client's deadline.
+func (run *rulesRun) checkNotLost(id RequestID) {
+	if q := run.requests[id]; q.answers == 0 && run.now > q.deadline+answerSlack {
+		run.t.Fatalf("seed %d: request %d lost", run.seed, id)
+	}
+}
+
 // The same events give the same actions.
-func TestDeterminism(t *testing.T) {
+func TestSameEventsGiveSameActions(t *testing.T) {
 	play := func() (n int) {
-		r := newRig(t, site(), fleet())
+		r := newRig(t, site(), fleetList())
 		for o := range uint64(300) {
 			r.now += ms
-			g := r.ask("page", o%40)
+			g := r.request("page", o%40)
 			n = n*31 + int(g.Endpoint)*7 + int(g.Source)
 			if o%3 == 0 && g.Endpoint != 0 {
-				r.end(g, 0, Status(o%9), NoDetail)
+				r.finish(g, 0, Status(o%9), NoDetail)
 			}
 		}
 		return n
--- a/balancer/cold_test.go
+++ b/balancer/slowstart_test.go
@@ -12,25 +12,25 @@
 )
 
 // A trial of the rule on cold members: many routers that know nothing of each other, and what all of them send together.
-type trial struct {
-	what     string        // starts: "cache", "parent", or all of them, or "caches and routers" of a location
-	routers  int           // in locations of 30 at most, with 4 caches each
-	load     float64       // part of what warm caches can do that is asked for
-	capacity float64       // calls a second that a warm cache can do
-	took     time.Duration // the sending time of a call; 200 ms is what a router supposes before it has seen any
-	uneven   bool          // a fifth of the routers see most of the traffic
-	seed     uint64
+type slowStartTrial struct {
+	restarted   string        // starts: "cache", "parent", or all of them, or "caches and routers" of a location
+	routers     int           // in locations of 30 at most, with 4 caches each
+	load        float64       // part of what warm caches can do that is asked for
+	capacity    float64       // calls a second that a warm cache can do
+	serviceTime time.Duration // the sending time of a call; 200 ms is what a router supposes before it has seen any
+	uneven      bool          // a fifth of the routers see most of the traffic
+	seed        uint64
 }
 
 const (
-	trialFrom = 100 * sec
-	trialCold = 120 * sec // somebody starts then
-	trialEnd  = 140 * sec
-	store     = 9
+	trialStart   = 100 * sec
+	trialRestart = 120 * sec // somebody starts then
+	trialEnd     = 140 * sec
+	storeID      = 9
 )
 
 // fleet is the list, and the settings of a router in the first location; parents have the ids from 10, caches those from 100.
-func (c trial) fleet() (s Settings, list []Endpoint) {
+func (c slowStartTrial) fleet() (s Settings, list []Endpoint) {
 	s = site()
 	s.Capabilities.DirectAttempts, s.Capabilities.CoalesceFills, s.Topology.Zones, s.Topology.RoutersPerZone = false, false, []string{"hub"}, []int{0}
 	s.CacheSlowStart = SlowStartRule{InitialCapacity: 0.2, WarmUpTime: 15 * sec, OverloadFactor: 3, OverloadWindow: 2 * sec}
@@ -40,18 +40,18 @@
 		s.Topology.Zones = append(s.Topology.Zones, fmt.Sprint("e", p))
 		s.Topology.RoutersPerZone = append(s.Topology.RoutersPerZone, (c.routers-p+places-1)/places)
 		for i := range 4 {
-			list = append(list, node(EndpointID(100*(p+1)+i), "box", s.Topology.Zones[p+1]))
+			list = append(list, listedEndpoint(EndpointID(100*(p+1)+i), "box", s.Topology.Zones[p+1]))
 		}
 	}
 	for i := range max(2, places/2) {
-		list = append(list, node(EndpointID(10+i), "mid", "hub"))
+		list = append(list, listedEndpoint(EndpointID(10+i), "mid", "hub"))
 	}
-	return s, append(list, node(store, "store", "hub"))
+	return s, append(list, listedEndpoint(storeID, "store", "hub"))
 }
 
 // starts tells whether a member is one of those that start.
-func (c trial) starts(e Endpoint) bool {
-	switch c.what {
+func (c slowStartTrial) starts(e Endpoint) bool {
+	switch c.restarted {
 	case "cache":
 		return e.ID == 100
 	case "parent":
@@ -78,10 +78,10 @@
 
 func (m *capacity) takes(now time.Duration, known bool) bool {
 	rate := m.warm
-	if m.cold && now >= trialCold {
-		rate *= m.share(now - trialCold)
+	if m.cold && now >= trialRestart {
+		rate *= m.share(now - trialRestart)
 		if known {
-			m.calls = append(m.calls, now-trialCold)
+			m.calls = append(m.calls, now-trialRestart)
 		}
 	}
 	m.room = min(m.room+rate*(now-m.filled).Seconds(), max(1, rate/2))
@@ -108,14 +108,14 @@
 }
 
 // play returns the worst of all cold members.
-func (c trial) play(t *testing.T) (worst float64) {
+func (c slowStartTrial) play(t *testing.T) (worst float64) {
 	t.Helper()
 	rnd := rand.New(rand.NewPCG(c.seed, 17))
 	s, list := c.fleet()
 	places := len(s.Topology.Zones) - 1
 	members, parents := map[EndpointID]*capacity{}, max(2, places/2)
 	for _, e := range list {
-		m := &capacity{rule: s.CacheSlowStart, warm: c.capacity, cold: c.starts(e), filled: trialFrom}
+		m := &capacity{rule: s.CacheSlowStart, warm: c.capacity, cold: c.starts(e), filled: trialStart}
 		if e.Kind == "mid" { // a third of all calls are filled
 			m.rule, m.warm = s.ParentSlowStart, c.capacity*float64(4*places)/3/float64(parents)*1.4
 		}
@@ -125,7 +125,7 @@
 	started := slices.Clone(list)
 	for i, e := range started {
 		if c.starts(e) {
-			started[i].StartedAt = trialCold
+			started[i].StartedAt = trialRestart
 		}
 	}
 	start := func(i int, now time.Duration, list []Endpoint) {
@@ -133,15 +133,15 @@
 		own.Topology.Zone = s.Topology.Zones[1+i%places]
 		rigs[i] = newRig(t, own, nil)
 		rigs[i].now = now
-		rigs[i].do(EndpointUpdate{Complete: true, Endpoints: list})
+		rigs[i].handle(EndpointUpdate{Complete: true, Endpoints: list})
 	}
 	for i := range rigs {
-		start(i, trialFrom, list)
-		told[i] = trialCold + time.Duration(rnd.Int64N(int64(400*ms))) // each at a time of its own
+		start(i, trialStart, list)
+		told[i] = trialRestart + time.Duration(rnd.Int64N(int64(400*ms))) // each at a time of its own
 	}
 	known := make([]bool, c.routers)
 	total := c.load * c.capacity * float64(4*places)
-	for now := trialFrom; now < trialEnd; now += time.Duration(rnd.ExpFloat64() / total * float64(sec)) {
+	for now := trialStart; now < trialEnd; now += time.Duration(rnd.ExpFloat64() / total * float64(sec)) {
 		i := rnd.IntN(c.routers)
 		for c.uneven && i/places%5 > 0 && i >= places && rnd.IntN(8) > 0 {
 			i = rnd.IntN(c.routers)
@@ -150,37 +150,37 @@
 			switch {
 			case known[j] || now < told[j]:
 				continue
-			case c.what == "caches and routers" && j%places == 0:
+			case c.restarted == "caches and routers" && j%places == 0:
 				start(j, now, started)
 			default:
 				rigs[j].now = now
-				rigs[j].do(EndpointUpdate{Complete: true, Endpoints: started})
+				rigs[j].handle(EndpointUpdate{Complete: true, Endpoints: started})
 			}
 			known[j] = true
 		}
 		r := rigs[i]
 		r.now = now
-		r.id++
+		r.lastID++
 		class := []string{"page", "page", "news"}[rnd.IntN(3)]
 		object := rnd.Uint64() >> 8
-		asked := gets(r.do(Request{ID: r.id, Class: class, Object: object, Group: object % 8, Remaining: 3 * sec}))
+		asked := sentAttempts(r.handle(Request{ID: r.lastID, Class: class, Object: object, Group: object % 8, Remaining: 3 * sec}))
 		for len(asked) > 0 { // also of requests that waited
 			g := asked[0]
 			asked = asked[1:]
-			fill := rnd.IntN(3) == 0 || members[g.Endpoint].cold && now >= trialCold && now < trialCold+10*sec
+			fill := rnd.IntN(3) == 0 || members[g.Endpoint].cold && now >= trialRestart && now < trialRestart+10*sec
 			status, note := OK, Hit
 			switch {
 			case !members[g.Endpoint].takes(now, known[i]):
 				status, note = Rejected, NoDetail
 			case fill && g.Source == g.Endpoint:
 				status, note = Miss, NoDetail
-			case fill && g.Source != store && !members[g.Source].takes(now, known[i]):
+			case fill && g.Source != storeID && !members[g.Source].takes(now, known[i]):
 				status, note = Rejected, SourceRejected
 			case fill:
 				note = Filled
 			}
-			asked = append(asked, gets(r.do(Outcome{ID: g.ID, Attempt: g.Attempt, Endpoint: g.Endpoint, Status: status, Answered: status == OK,
-				Detail: note, Elapsed: c.took}))...)
+			asked = append(asked, sentAttempts(r.handle(Outcome{ID: g.ID, Attempt: g.Attempt, Endpoint: g.Endpoint, Status: status, Answered: status == OK,
+				Detail: note, Elapsed: c.serviceTime}))...)
 		}
 	}
 	for _, m := range members {
@@ -189,13 +189,13 @@
 	return worst
 }
 
-var coldTable = flag.Bool("cold", false, "play all trials of cold members and print them as a table")
+var printTrials = flag.Bool("cold", false, "play all trials of cold members and print them as a table")
 
 // Without a word between them, all routers together send a cold page cache or parent no more than the rule allows and
 // chance excuses, be they one or three hundred, alike or not, and whatever they supposed of a call's work at their start.
-func TestColdSum(t *testing.T) {
+func TestSlowStartOfManyRouters(t *testing.T) {
 	loads, capacities, times := []float64{0.95}, []float64{2, 20}, []time.Duration{50 * ms}
-	if *coldTable {
+	if *printTrials {
 		loads, capacities, times = []float64{0.6, 0.95}, []float64{2, 6, 20, 80}, []time.Duration{50 * ms, 200 * ms, 600 * ms}
 	}
 	for _, load := range loads {
@@ -206,14 +206,14 @@
 					for _, uneven := range []bool{false, true} {
 						worst := 0.0
 						for _, per := range capacities {
-							worst = max(worst, trial{what, routers, load, per, took, uneven, 1}.play(t))
+							worst = max(worst, slowStartTrial{what, routers, load, per, took, uneven, 1}.play(t))
 						}
 						if row += fmt.Sprintf(" | %.2f", worst); worst > 1 {
 							t.Errorf("%s: %d routers, load %.2f, uneven %v: %.2f of what is allowed", what, routers, load, uneven, worst)
 						}
 					}
 				}
-				if *coldTable {
+				if *printTrials {
 					t.Log(strings.TrimSpace(row) + " |")
 				}
 			}
