--- a/internal/cluster/failover/claim.go
+++ b/internal/cluster/failover/claim.go
@@ -14,10 +14,10 @@
 	order     Order
 	deadline  time.Duration // when the client gives up
 	startedAt time.Duration
-	requested bool            // the other routers were asked
-	retryAt   time.Duration   // when those without a final reply are asked again
-	replies   map[string]word // by router; "" is this one
-	pending   map[string]bool // routers that were asked and have not replied
+	requested bool             // the other routers were asked
+	retryAt   time.Duration    // when those without a final reply are asked again
+	replies   map[string]reply // by router; "" is this one
+	pending   map[string]bool  // routers that were asked and have not replied
 }
 
 // Reasons of MayHaveRunError. docs/errors.md and tests have them.
@@ -34,9 +34,9 @@
 	c.counters.Claims++
 	claim := &openClaim{
 		order:     order,
-		deadline:  now + order.Left,
+		deadline:  now + order.TimeLeft,
 		startedAt: now,
-		replies:   map[string]word{},
+		replies:   map[string]reply{},
 		pending:   map[string]bool{},
 	}
 	c.claims[id] = claim
@@ -51,22 +51,22 @@
 func (c *Coordinator) CancelClaim(id uint64) { delete(c.claims, id) }
 
 // claimReply is what this router itself knows of an order that is claimed.
-func (c *Coordinator) claimReply(now time.Duration, order Order, w waiter) word {
+func (c *Coordinator) claimReply(now time.Duration, order Order, w waiter) reply {
 	own, r := c.owned.orders[order.Txn], c.stored.records[order.Txn]
 	if own != nil && (r == nil || !own.state.ended() || own.outcome.Kind != NeverRan) {
 		if own.order.Digest != order.Digest {
-			return word{Say: sayMay} // whoever asks does not know the order, and learns nothing
+			return reply{Kind: replyMayHaveRun} // whoever asks does not know the order, and learns nothing
 		}
 		return c.ownedOrderReply(own, w)
 	}
 	if r != nil {
 		if r.contents != contentsReserved && (r.contents != contentsComplete || r.order.Digest != order.Digest) {
-			return word{Say: sayMay}
+			return reply{Kind: replyMayHaveRun}
 		}
 		return c.recordReply(now, r, w)
 	}
 	if r = c.newRecord(now, order.Txn); r == nil {
-		return word{Say: sayUnknown}
+		return reply{Kind: replyUnknown}
 	}
 	r.reserveFor(w)
 	return c.unknownReply(now)
@@ -74,28 +74,28 @@
 
 // ownedOrderReply is what a claimant is told of an order of this router's own. An order that never ran, and that no replica
 // knows, is given to the claimant by this reply.
-func (c *Coordinator) ownedOrderReply(o *ownedOrder, w waiter) word {
+func (c *Coordinator) ownedOrderReply(o *ownedOrder, w waiter) reply {
 	if !o.state.ended() {
 		return addWaiter(&o.waiters, w)
 	}
 	switch o.outcome.Kind {
 	case Served, Failed:
-		return word{Say: sayOutcome, Outcome: o.outcome}
+		return reply{Kind: replyOutcome, Outcome: o.outcome}
 	case MayHaveRun:
 		if o.state.sent() {
-			return word{Say: sayMay}
+			return reply{Kind: replyMayHaveRun}
 		}
-		return word{Say: sayElsewhere}
+		return reply{Kind: replyElsewhere}
 	}
 	replicaDecides := o.replication.exposure != exposedToNone
 	givenToAnother := o.givenTo != (Incarnation{}) && o.givenTo != w.Incarnation
 	if replicaDecides || givenToAnother {
-		return word{Say: sayElsewhere}
+		return reply{Kind: replyElsewhere}
 	}
 	o.givenTo = w.Incarnation
 	c.counters.OrdersGiven++
 	c.trace(eventGiven, o.order.Txn, w.Name)
-	return word{Say: sayRun}
+	return reply{Kind: replyRun}
 }
 
 // receiveClaim answers a claimant.
@@ -105,9 +105,9 @@
 }
 
 // updateClaimant tells a claimant that waits what is known of its order now.
-func (c *Coordinator) updateClaimant(now time.Duration, txn string, w waiter, update word) {
+func (c *Coordinator) updateClaimant(now time.Duration, txn string, w waiter, update reply) {
 	if w.Name != c.settings.Self {
-		m := message{Kind: kindNews, Txn: txn, Claim: w.claim, Word: update}
+		m := message{Kind: messageClaimUpdate, Txn: txn, Claim: w.claim, Update: update}
 		// A claimant that can't be reached asks again by itself.
 		_ = c.send(now, w.Name, m, now+c.settings.MaxClientWait, request{})
 		return
@@ -115,22 +115,22 @@
 	if claim := c.claims[w.claim]; claim != nil {
 		claim.replies[""] = update
 		c.decideClaim(now, w.claim, claim)
-	} else if update.Say == sayRun {
+	} else if update.Kind == replyRun {
 		c.returnOrder(now, txn)
 	}
 }
 
 // receiveClaimUpdate takes what a router that was asked before tells now.
 func (c *Coordinator) receiveClaimUpdate(now time.Duration, delivery messaging.Delivery, m message) {
-	c.reply(delivery, word{Say: sayHeld})
+	c.reply(delivery, reply{Kind: replyAcknowledged})
 	claim := c.claims[m.Claim]
 	if claim == nil || claim.order.Txn != m.Txn {
-		if m.Word.Say == sayRun && c.owned.orders[m.Txn] == nil {
+		if m.Update.Kind == replyRun && c.owned.orders[m.Txn] == nil {
 			c.returnOrderTo(now, m.Txn, delivery.From)
 		}
 		return
 	}
-	claim.replies[delivery.From] = m.Word
+	claim.replies[delivery.From] = m.Update
 	c.decideClaim(now, m.Claim, claim)
 }
 
@@ -145,15 +145,15 @@
 // returnOrderTo returns an order to the router that gave it to a claim whose client no longer waits. A router that can't be
 // reached holds the order as given, which is safe.
 func (c *Coordinator) returnOrderTo(now time.Duration, txn, router string) {
-	m := message{Kind: kindTell, Txn: txn, Step: stepEnded, Outcome: Outcome{Kind: NeverRan}}
+	m := message{Kind: messageStep, Txn: txn, Step: stepEnded, Outcome: Outcome{Kind: NeverRan}}
 	_ = c.send(now, router, m, now+c.settings.Retention, request{step: stepEnded})
 }
 
 // receiveClaimReply takes the reply to a question, or the failure to get one.
-func (c *Coordinator) receiveClaimReply(now time.Duration, req request, err error, w word) {
+func (c *Coordinator) receiveClaimReply(now time.Duration, req request, err error, answer reply) {
 	claim := c.claims[req.claim]
 	if claim == nil || claim.order.Txn != req.txn {
-		if w.Say == sayRun && c.owned.orders[req.txn] == nil { // else the order was begun here
+		if answer.Kind == replyRun && c.owned.orders[req.txn] == nil { // else the order was begun here
 			c.returnOrderTo(now, req.txn, req.to)
 		}
 		return
@@ -161,7 +161,7 @@
 	delete(claim.pending, req.to)
 	switch {
 	case err == nil:
-		claim.replies[req.to] = w
+		claim.replies[req.to] = answer
 	case errors.As(err, new(messaging.ProcessReplacedError)): // its new process has not been asked yet
 		c.requestReply(now, req.claim, claim, req.to)
 	}
@@ -169,13 +169,13 @@
 }
 
 // strongestReply returns the strongest of the replies, and how many routers are certain that they know nothing.
-func (claim *openClaim) strongestReply() (strongest word, certainUnknown int) {
+func (claim *openClaim) strongestReply() (strongest reply, certainUnknown int) {
 	for _, router := range slices.Sorted(maps.Keys(claim.replies)) {
-		w := claim.replies[router]
-		if w.Say > strongest.Say {
-			strongest = w
+		answer := claim.replies[router]
+		if answer.Kind > strongest.Kind {
+			strongest = answer
 		}
-		if w.Say == sayUnknown && w.Sure {
+		if answer.Kind == replyUnknown && answer.Certain {
 			certainUnknown++
 		}
 	}
@@ -185,15 +185,15 @@
 // decideClaim acts on the strongest reply once it is strong enough, or once all have replied or their time is over.
 func (c *Coordinator) decideClaim(now time.Duration, id uint64, claim *openClaim) {
 	strongest, certainUnknown := claim.strongestReply()
-	switch strongest.Say {
-	case sayRun:
+	switch strongest.Kind {
+	case replyRun:
 		c.beginClaim(now, id, claim)
 		return
-	case sayOutcome:
+	case replyOutcome:
 		c.counters.ClaimsAnswered++
 		c.settleClaim(id, strongest.Outcome, nil)
 		return
-	case sayUnknown:
+	case replyUnknown:
 		// If all routers but the lost owner are certain, no replica ever held the order, so it was never sent.
 		if c.settings.Strict && certainUnknown >= c.settings.ClusterSize-1 {
 			c.counters.ClaimsOfUnsent++
@@ -201,7 +201,7 @@
 			return
 		}
 	}
-	betterExpected := strongest.Say == sayWait || strongest.Say == sayElsewhere
+	betterExpected := strongest.Kind == replyPending || strongest.Kind == replyElsewhere
 	if !claim.requested || betterExpected && now >= claim.retryAt {
 		c.requestReplies(now, id, claim)
 	}
@@ -210,7 +210,7 @@
 		return
 	}
 	reason := reasonUnreachable
-	if strongest.Say == sayMay {
+	if strongest.Kind == replyMayHaveRun {
 		reason = reasonBeingSent
 	}
 	c.settleAsMayHaveRun(id, reason)
@@ -220,7 +220,7 @@
 func (c *Coordinator) requestReplies(now time.Duration, id uint64, claim *openClaim) {
 	claim.requested, claim.retryAt = true, now+c.settings.ClaimTimeout
 	for _, p := range c.peers {
-		final := claim.replies[p.Name].Say == sayMay || claim.replies[p.Name].Say == sayUnknown
+		final := claim.replies[p.Name].Kind == replyMayHaveRun || claim.replies[p.Name].Kind == replyUnknown
 		if !final && !claim.pending[p.Name] {
 			c.requestReply(now, id, claim, p.Name)
 		}
@@ -232,7 +232,7 @@
 
 func (c *Coordinator) requestReply(now time.Duration, id uint64, claim *openClaim, router string) {
 	txn := claim.order.Txn
-	m := message{Kind: kindClaim, Txn: txn, Claim: id, Order: Order{Txn: txn, Digest: claim.order.Digest}}
+	m := message{Kind: messageClaim, Txn: txn, Claim: id, Order: Order{Txn: txn, Digest: claim.order.Digest}}
 	until := min(claim.deadline, now+claimTimeouts*c.settings.ClaimTimeout)
 	if err := c.send(now, router, m, until, request{claim: id, txn: txn}); err == nil {
 		claim.pending[router] = true
@@ -255,7 +255,7 @@
 		return
 	}
 	c.trace(eventClaimBegun, order.Txn, "")
-	order.Left = claim.deadline - now
+	order.TimeLeft = claim.deadline - now
 	c.act(Action{Kind: ActionBeginClaim, ClaimID: id, Txn: order.Txn, Order: order})
 }
 
--- a/internal/cluster/failover/coordinator.go
+++ b/internal/cluster/failover/coordinator.go
@@ -89,19 +89,19 @@
 func (c *Coordinator) Receive(now time.Duration, data []byte) {
 	for _, delivery := range c.messenger.Receive(now, data) {
 		var m message
-		if err := cbor.Unmarshal(delivery.Body, &m); err != nil || !m.sane() {
-			c.reply(delivery, word{Say: sayBad})
+		if err := cbor.Unmarshal(delivery.Body, &m); err != nil || !m.valid() {
+			c.reply(delivery, reply{Kind: replyInvalid})
 			continue
 		}
 		switch m.Kind {
-		case kindTell:
+		case messageStep:
 			c.receiveStep(now, delivery, m)
-		case kindClaim:
+		case messageClaim:
 			c.receiveClaim(now, delivery, m)
-		case kindNews:
+		case messageClaimUpdate:
 			c.receiveClaimUpdate(now, delivery, m)
 		default:
-			c.reply(delivery, word{Say: sayBad})
+			c.reply(delivery, reply{Kind: replyInvalid})
 		}
 	}
 	c.receiveReplies(now)
@@ -155,26 +155,29 @@
 		if !ok {
 			continue
 		}
-		var w word
+		var answer reply
 		if done.Err == nil {
-			if err := cbor.Unmarshal(done.Reply, &w); err != nil || !w.sane() {
-				w = word{Say: sayBad}
+			if err := cbor.Unmarshal(done.Reply, &answer); err != nil || !answer.valid() {
+				answer = reply{Kind: replyInvalid}
 			}
 		}
 		if r.claim != 0 {
-			c.receiveClaimReply(now, r, done.Err, w)
+			c.receiveClaimReply(now, r, done.Err, answer)
 		} else {
-			c.receiveReplicaReply(now, r, done.Err, w)
+			c.receiveReplicaReply(now, r, done.Err, answer)
 		}
 	}
 }
 
-func (c *Coordinator) reply(delivery messaging.Delivery, w word) {
-	if body, err := cbor.Marshal(&w); err == nil { // it can't fail for this type
+func (c *Coordinator) reply(delivery messaging.Delivery, answer reply) {
+	if body, err := cbor.Marshal(&answer); err == nil { // it can't fail for this type
 		c.messenger.Acknowledge(delivery, body)
 	}
 }
 
+// replicaDuty and the owner's name are hashed with the names of the peers into the choice of the replica.
+const replicaDuty = "keeper of "
+
 // bestReplica returns the router that is to hold this router's orders: the one with the highest score, first of those in
 // another place; those that are excluded don't count. It returns "" if there is none.
 func (c *Coordinator) bestReplica(excluded []string) string {
@@ -186,7 +189,7 @@
 			}
 		}
 		if len(names) > 0 {
-			return placement.First("keeper of "+c.settings.Self, names)
+			return placement.First(replicaDuty+c.settings.Self, names)
 		}
 	}
 	return ""
--- a/internal/cluster/failover/errors.go
+++ b/internal/cluster/failover/errors.go
@@ -34,7 +34,7 @@
 	return "Raise records at all routers, at some 1 kB of memory each, or lower keep_ms."
 }
 
-// LeaseLostError says that the keeper holds this router to have been lost: another may have the order.
+// LeaseLostError says that the replica takes this router for lost: another router may have the order.
 type LeaseLostError struct{ Replica string }
 
 func (e LeaseLostError) Error() string {
@@ -46,7 +46,7 @@
 	return "Find out why this router stood still or was cut off for longer than lease_ms; if that is usual, raise it."
 }
 
-// NotReleasedError says that a keeper did not say in time that it lets go of an order: it may still run it.
+// NotReleasedError says that a replica did not release an order in time: it may still run it.
 type NotReleasedError struct{ Replica string }
 
 func (e NotReleasedError) Error() string {
@@ -58,17 +58,18 @@
 	return "Look at the router that kept it: it is down or cut off. The client was told that the order may have run."
 }
 
-// MayHaveRunError says that an order was claimed of which nobody can tell what became: it may have run.
+// MayHaveRunError says that nobody can tell what became of an order that was claimed.
 type MayHaveRunError struct{ Reason string }
 
 func (e MayHaveRunError) Error() string { return "the order may have run: " + e.Reason }
 
 // Hint implements operatorhint.Error.
 func (MayHaveRunError) Hint() string {
-	return "Have the client look up what it ordered before it orders again; its router and that one's keeper were lost together, or it was being sent."
+	return "Have the client look up what it ordered before it orders again; " +
+		"its router and that one's keeper were lost together, or it was being sent."
 }
 
-// noReplicaError returns why no replica holds an order: the last one had no room, or none of those that were tried answered.
+// noReplicaError returns why no replica holds an order: the last one had no room, or none that was tried answered.
 func noReplicaError(last error, tried []string) error {
 	var full ReplicaFullError
 	if errors.As(last, &full) {
--- a/internal/cluster/failover/golden_test.go
+++ b/internal/cluster/failover/golden_test.go
@@ -24,22 +24,22 @@
 	goldenDigest = [32]byte{1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16, 17, 18, 19, 20, 21, 22, 23, 24, 25, 26, 27, 28, 29, 30, 31, 32}
 
 	goldenOrder = Order{Txn: "00000000000000a1", Class: "order", Item: "00000000000000b2", Account: "acme", Part: 300, Group: 4,
-		Digest: goldenDigest, Left: 1500 * time.Millisecond, Body: []byte("two seats"), Whole: true}
-	goldenOutcome = Outcome{Kind: NeverRan, Body: []byte("no seats"), Wait: 250 * time.Millisecond}
-	goldenWord    = word{Say: sayRun, Sure: true, Outcome: Outcome{Kind: Served, Body: []byte("seat 12"), Wait: time.Second}}
+		Digest: goldenDigest, TimeLeft: 1500 * time.Millisecond, Body: []byte("two seats"), BodyComplete: true}
+	goldenOutcome = Outcome{Kind: NeverRan, Body: []byte("no seats"), RetryAfter: 250 * time.Millisecond}
+	goldenWord    = reply{Kind: replyRun, Certain: true, Outcome: Outcome{Kind: Served, Body: []byte("seat 12"), RetryAfter: time.Second}}
 )
 
 // message has every field; the others are as the code sends them.
 var goldenMessages = map[string]message{
-	"message.hex": {Kind: kindNews, Txn: "00000000000000c3", Step: stepMay, Session: 70000, Order: goldenOrder, Outcome: goldenOutcome,
-		Claim: 1 << 40, Word: goldenWord},
-	"tell-taken.hex":   {Kind: kindTell, Txn: "a1", Step: stepTaken, Session: 7, Order: goldenOrder},
-	"tell-left.hex":    {Kind: kindTell, Txn: "a1", Step: stepLeft, Session: 7, Order: goldenOrder},
-	"tell-may.hex":     {Kind: kindTell, Txn: "a1", Step: stepMay, Session: 7},
-	"tell-ended.hex":   {Kind: kindTell, Txn: "a1", Step: stepEnded, Session: 7, Outcome: Outcome{Kind: Failed}},
-	"tell-alive.hex":   {Kind: kindTell, Session: 7},
-	"claim.hex":        {Kind: kindClaim, Txn: "a1", Order: Order{Digest: goldenDigest}, Claim: 9},
-	"news-outcome.hex": {Kind: kindNews, Txn: "a1", Claim: 9, Word: word{Say: sayOutcome, Outcome: Outcome{Kind: Served, Body: []byte("seat 12")}}},
+	"message.hex": {Kind: messageClaimUpdate, Txn: "00000000000000c3", Step: stepMaySend, Session: 70000, Order: goldenOrder, Outcome: goldenOutcome,
+		Claim: 1 << 40, Update: goldenWord},
+	"tell-taken.hex":   {Kind: messageStep, Txn: "a1", Step: stepTaken, Session: 7, Order: goldenOrder},
+	"tell-left.hex":    {Kind: messageStep, Txn: "a1", Step: stepTransferable, Session: 7, Order: goldenOrder},
+	"tell-may.hex":     {Kind: messageStep, Txn: "a1", Step: stepMaySend, Session: 7},
+	"tell-ended.hex":   {Kind: messageStep, Txn: "a1", Step: stepEnded, Session: 7, Outcome: Outcome{Kind: Failed}},
+	"tell-alive.hex":   {Kind: messageStep, Session: 7},
+	"claim.hex":        {Kind: messageClaim, Txn: "a1", Order: Order{Digest: goldenDigest}, Claim: 9},
+	"news-outcome.hex": {Kind: messageClaimUpdate, Txn: "a1", Claim: 9, Update: reply{Kind: replyOutcome, Outcome: Outcome{Kind: Served, Body: []byte("seat 12")}}},
 }
 
 func TestGoldenMessages(t *testing.T) {
@@ -52,7 +52,7 @@
 			}
 			golden.Same(t, name, body)
 			var got message
-			if err := cbor.Unmarshal(golden.Read(t, name), &got); err != nil || !reflect.DeepEqual(got, want) || !got.sane() {
+			if err := cbor.Unmarshal(golden.Read(t, name), &got); err != nil || !reflect.DeepEqual(got, want) || !got.valid() {
 				t.Errorf("read as %+v, %v; want %+v", got, err, want)
 			}
 		})
@@ -62,10 +62,10 @@
 // All answers, each with its number: the code of another release takes the number, not the name.
 func TestGoldenWords(t *testing.T) {
 	golden.Nonzero(t, goldenWord)
-	words := map[string]word{"word.hex": goldenWord}
-	for name, s := range map[string]say{"bad": sayBad, "held": sayHeld, "lost": sayLost, "gone": sayGone, "full": sayFull, "unknown": sayUnknown,
-		"elsewhere": sayElsewhere, "may": sayMay, "wait": sayWait, "outcome": sayOutcome, "run": sayRun} {
-		words["word-"+name+".hex"] = word{Say: s}
+	words := map[string]reply{"word.hex": goldenWord}
+	for name, s := range map[string]replyKind{"bad": replyInvalid, "held": replyAcknowledged, "lost": replyLeaseLost, "gone": replyGivenAway, "full": replyFull, "unknown": replyUnknown,
+		"elsewhere": replyElsewhere, "may": replyMayHaveRun, "wait": replyPending, "outcome": replyOutcome, "run": replyRun} {
+		words["word-"+name+".hex"] = reply{Kind: s}
 	}
 	for name, want := range words {
 		t.Run(name, func(t *testing.T) {
@@ -74,7 +74,7 @@
 				t.Fatal(err)
 			}
 			golden.Same(t, name, body)
-			var got word
+			var got reply
 			if err := cbor.Unmarshal(golden.Read(t, name), &got); err != nil || !reflect.DeepEqual(got, want) {
 				t.Errorf("read as %+v, %v; want %+v", got, err, want)
 			}
@@ -84,9 +84,9 @@
 
 // All outcomes, each with its number.
 func TestGoldenOutcomes(t *testing.T) {
-	for name, k := range map[string]Kind{"may-have-run": MayHaveRun, "served": Served, "failed": Failed, "never-ran": NeverRan} {
+	for name, k := range map[string]OutcomeKind{"may-have-run": MayHaveRun, "served": Served, "failed": Failed, "never-ran": NeverRan} {
 		t.Run(name, func(t *testing.T) {
-			want := Outcome{Kind: k, Body: []byte("seat 12"), Wait: 3 * time.Second}
+			want := Outcome{Kind: k, Body: []byte("seat 12"), RetryAfter: 3 * time.Second}
 			name := "outcome-" + name + ".hex"
 			body, err := cbor.Marshal(&want)
 			if err != nil {
--- a/internal/cluster/failover/message.go
+++ b/internal/cluster/failover/message.go
@@ -2,84 +2,97 @@
 
 import "time"
 
-// kind is the kind of a message.
-type kind uint8
+// Routers of different releases exchange these messages. They are CBOR arrays: the order, number and types of their fields and
+// the numbers of the constants are fixed, while names are free.
+
+// messageKind is the kind of a message.
+type messageKind uint8
 
 const (
-	kindNone  kind = iota
-	kindTell       // an owner tells its keeper of an order, or only that it lives
-	kindClaim      // a claimant asks what is known of an order
-	kindNews       // who was asked tells a claimant more
+	messageNone        messageKind = iota
+	messageStep                    // an owner tells its replica of an order, or only that it lives
+	messageClaim                   // a claimant asks what is known of an order
+	messageClaimUpdate             // a router that was asked tells a claimant more
 )
 
-// step is how far an order has come.
+// step is how far an order has come, as its replica is told.
 type step uint8
 
 const (
-	stepNone  step = iota
-	stepTaken      // it waits; nobody but its owner may run it yet
-	stepLeft       // it still waits, and the owner goes to no other keeper: who keeps it may give it away if the owner is lost
-	stepMay        // it may be sent from now on
+	stepNone         step = iota
+	stepTaken             // it waits; nobody but its owner may run it
+	stepTransferable      // it still waits, and its owner uses no other replica: this one may pass it on if the owner is lost
+	stepMaySend           // its owner may send it from now on
 	stepEnded
 )
 
-// message is what a parcel holds.
+// String returns the step's name in events.
+func (s step) String() string {
+	return [...]string{"none", "taken", "left", "may", "ended"}[min(s, stepEnded)]
+}
+
+// message is what one router's coordinator tells another's.
 type message struct {
 	_       struct{} `cbor:",toarray"`
-	Kind    kind
+	Kind    messageKind
 	Txn     string
-	Step    step   // of kindTell; stepNone: the owner only lives
-	Session uint64 // of kindTell
-	Order   Order  // of kindTell where the keeper may not have it; of kindClaim its digest alone
+	Step    step   // of messageStep; stepNone: the owner only lives
+	Session uint64 // of messageStep
+	Order   Order  // of messageStep if the replica may not have it; of messageClaim its digest alone
 	Outcome Outcome
-	Claim   uint64 // of kindClaim and kindNews, the claimant's number
-	Word    word   // of kindNews
+	Claim   uint64 // of messageClaim and messageClaimUpdate: the claimant's number
+	Update  reply  // of messageClaimUpdate
 }
 
-// say is the answer to a message, in rising strength where a claimant hears several.
-type say uint8
+// replyKind is the kind of a reply. The kinds that a claimant may get are in rising strength: the strongest counts.
+type replyKind uint8
 
 const (
-	sayBad       say = iota
-	sayHeld          // the keeper holds it
-	sayLost          // the keeper holds the owner to be lost
-	sayGone          // the keeper has given it away, or will
-	sayFull          // the keeper has no room
-	sayUnknown       // nothing is known of it, and no record of it is taken from now on but the claimant's
-	sayElsewhere     // somebody else knows better
-	sayMay           // it may have run
-	sayWait          // it is known soon, and then told
-	sayOutcome
-	sayRun // it is the claimant's to run
+	replyInvalid      replyKind = iota // the message can't be used
+	replyAcknowledged                  // the replica holds what it was told
+	replyLeaseLost                     // the replica takes the owner for lost
+	replyGivenAway                     // the replica has passed the order on, or will
+	replyFull                          // the replica has no room
+	replyUnknown                       // nothing is known of the order, and no record of it is taken but the claimant's
+	replyElsewhere                     // another router knows more
+	replyMayHaveRun                    // it may have run
+	replyPending                       // its outcome is known soon, and an update follows
+	replyOutcome                       // its outcome is known
+	replyRun                           // it is the claimant's to run
 )
 
-// word answers a message.
-type word struct {
+// reply answers a message.
+type reply struct {
 	_       struct{} `cbor:",toarray"`
-	Say     say
-	Sure    bool // of sayUnknown: nothing was forgotten, and who says it is up for long enough
-	Outcome Outcome
+	Kind    replyKind
+	Certain bool    // of replyUnknown: nothing was forgotten early, and the router has been up for long enough
+	Outcome Outcome // of replyOutcome
 }
 
-const txnMost = 64
+// Bounds of what is accepted in a message, in bytes and time.
+const (
+	maxTxnBytes     = 64
+	maxFieldBytes   = 64
+	maxAccountBytes = 128
+	maxTime         = time.Hour
+)
 
-// sane tells whether a message can be used.
-func (m *message) sane() bool {
-	return len(m.Txn) <= txnMost && m.Step <= stepEnded && m.Outcome.sane() && m.Word.sane() && m.Order.sane() &&
-		(m.Txn != "" || m.Kind == kindTell && m.Step == stepNone)
+// valid tells whether the message can be used.
+func (m *message) valid() bool {
+	onlyLease := m.Kind == messageStep && m.Step == stepNone
+	return len(m.Txn) <= maxTxnBytes && (m.Txn != "" || onlyLease) && m.Step <= stepEnded &&
+		m.Outcome.valid() && m.Update.valid() && m.Order.valid()
 }
 
-func (o *Order) sane() bool {
-	return len(o.Txn) <= txnMost && len(o.Class) <= 64 && len(o.Item) <= 64 && len(o.Account) <= 128 && len(o.Body) <= MaxBodyLimit && o.Left >= 0 && o.Left <= time.Hour
+func (o *Order) valid() bool {
+	return len(o.Txn) <= maxTxnBytes && len(o.Class) <= maxFieldBytes && len(o.Item) <= maxFieldBytes &&
+		len(o.Account) <= maxAccountBytes && len(o.Body) <= MaxBodyLimit && validTime(o.TimeLeft)
 }
 
-func (o *Outcome) sane() bool {
-	return o.Kind <= NeverRan && len(o.Body) <= MaxBodyLimit && o.Wait >= 0 && o.Wait <= time.Hour
+func (o *Outcome) valid() bool {
+	return o.Kind <= NeverRan && len(o.Body) <= MaxBodyLimit && validTime(o.RetryAfter)
 }
 
-func (w *word) sane() bool { return w.Say <= sayRun && w.Outcome.sane() }
+func (r *reply) valid() bool { return r.Kind <= replyRun && r.Outcome.valid() }
 
-// String returns the step's name in events.
-func (s step) String() string {
-	return [...]string{"none", "taken", "left", "may", "ended"}[min(s, stepEnded)]
-}
+func validTime(d time.Duration) bool { return d >= 0 && d <= maxTime }
--- a/internal/cluster/failover/order.go
+++ b/internal/cluster/failover/order.go
@@ -2,41 +2,41 @@
 
 import "time"
 
-// Order is what is to be run once.
+// Order is a request that must run once at most. Its encoding is that of a message: see there.
 type Order struct {
-	_       struct{} `cbor:",toarray"`
-	Txn     string
-	Class   string
-	Item    string
-	Account string
-	Part    uint64
-	Group   uint64
-	Digest  [32]byte      // of all that the client asked for
-	Left    time.Duration // until its client gives up
-	Body    []byte        // where Whole is set
-	Whole   bool          // the body is here: with it another router can run the order without its client
+	_            struct{} `cbor:",toarray"`
+	Txn          string
+	Class        string
+	Item         string
+	Account      string
+	Part         uint64
+	Group        uint64
+	Digest       [32]byte      // of all that the client asked for
+	TimeLeft     time.Duration // until its client gives up
+	Body         []byte        // if BodyComplete
+	BodyComplete bool          // Body is here, so that another router can run the order without its client
 }
 
-// Kind says what became of an order.
-type Kind uint8
+// OutcomeKind says what became of an order.
+type OutcomeKind uint8
 
 // The kinds of outcomes.
 const (
-	MayHaveRun Kind = iota
+	MayHaveRun OutcomeKind = iota
 	Served
-	Failed // and may have run
+	Failed // it may have run
 	NeverRan
 )
 
-// Outcome is what became of an order.
-type Outcome struct {
-	_    struct{} `cbor:",toarray"`
-	Kind Kind
-	Body []byte        // of Served
-	Wait time.Duration // of NeverRan: how long the client was told to stay away
+// String returns the kind's name in events.
+func (k OutcomeKind) String() string {
+	return [...]string{"may have run", "served", "failed", "never ran"}[min(k, NeverRan)]
 }
 
-// String returns the outcome's name in events.
-func (k Kind) String() string {
-	return [...]string{"may have run", "served", "failed", "never ran"}[min(k, NeverRan)]
+// Outcome is what became of an order.
+type Outcome struct {
+	_          struct{} `cbor:",toarray"`
+	Kind       OutcomeKind
+	Body       []byte        // of Served
+	RetryAfter time.Duration // of NeverRan: how long the client is asked to wait before a retry
 }
--- a/internal/cluster/failover/owner.go
+++ b/internal/cluster/failover/owner.go
@@ -19,14 +19,14 @@
 		c.counters.OrdersWithoutReplica++
 		return ReplicaUnreachableError{}
 	}
-	order.Whole = len(order.Body) <= c.settings.MaxBodyBytes
-	if !order.Whole {
+	order.BodyComplete = len(order.Body) <= c.settings.MaxBodyBytes
+	if !order.BodyComplete {
 		order.Body = nil
 	}
 	c.counters.OrdersReplicated++
 	c.owned.orders[order.Txn] = &ownedOrder{
 		order:       order,
-		deadline:    now + order.Left,
+		deadline:    now + order.TimeLeft,
 		state:       orderQueued,
 		replication: replication{target: stepTaken},
 	}
@@ -51,7 +51,7 @@
 		o.replication.restart()
 	}
 	o.state = o.state.after(leaseRequested)
-	o.replication.target = stepMay
+	o.replication.target = stepMaySend
 	c.owned.changed = append(c.owned.changed, txn)
 }
 
--- a/internal/cluster/failover/replica.go
+++ b/internal/cluster/failover/replica.go
@@ -92,33 +92,33 @@
 	}
 	switch {
 	case m.Step == stepEnded:
-		c.reply(delivery, word{Say: c.storeOutcome(now, from, lease, m)})
+		c.reply(delivery, reply{Kind: c.storeOutcome(now, from, lease, m)})
 		return
 	case m.Session <= lease.lostSession:
-		c.reply(delivery, word{Say: sayLost})
+		c.reply(delivery, reply{Kind: replyLeaseLost})
 		return
 	}
 	lease.session = max(lease.session, m.Session)
 	lease.until = now + c.settings.withClockDrift(c.settings.LeaseDuration)
-	answer := sayHeld
+	answer := replyAcknowledged
 	if m.Step != stepNone {
 		answer = c.storeStep(now, from, lease, m)
 	}
-	c.reply(delivery, word{Say: answer})
+	c.reply(delivery, reply{Kind: answer})
 }
 
 // storeStep stores how far an open order has come.
-func (c *Coordinator) storeStep(now time.Duration, from Incarnation, lease *ownerLease, m message) say {
+func (c *Coordinator) storeStep(now time.Duration, from Incarnation, lease *ownerLease, m message) replyKind {
 	state := recordStateOf(m.Step)
 	r := c.stored.records[m.Txn]
 	switch {
 	case r == nil:
 		if m.Order.Txn != m.Txn { // the record that this message builds on is no longer here
-			return sayGone
+			return replyGivenAway
 		}
 		if r = c.newRecord(now, m.Txn); r == nil {
 			c.counters.RecordsRejected++
-			return sayFull
+			return replyFull
 		}
 		c.counters.RecordsStored++
 	case r.owner == from && r.ownerOpen():
@@ -126,57 +126,57 @@
 			r.state, r.session = state, m.Session
 			c.trace(m.Step.String()+eventStepStored, m.Txn, from.Name)
 		}
-		return sayHeld
+		return replyAcknowledged
 	case r.state == recordGiven && r.givenTo.Incarnation == from && m.Order.Txn == m.Txn: // its new owner
 	default:
-		return sayGone
+		return replyGivenAway
 	}
 	r.order, r.contents = m.Order, contentsComplete
 	r.owner, r.session, r.state = from, m.Session, state
-	r.deadline = now + m.Order.Left
+	r.deadline = now + m.Order.TimeLeft
 	r.forgetAt = r.deadline + c.settings.Retention
 	lease.open[m.Txn] = r
 	c.trace(m.Step.String()+eventStepStored, m.Txn, from.Name)
-	return sayHeld
+	return replyAcknowledged
 }
 
 func recordStateOf(s step) recordState {
 	switch s {
-	case stepLeft:
+	case stepTransferable:
 		return recordTransferable
-	case stepMay:
+	case stepMaySend:
 		return recordMaySend
 	}
 	return recordTaken
 }
 
 // storeOutcome stores how an order ended.
-func (c *Coordinator) storeOutcome(now time.Duration, from Incarnation, lease *ownerLease, m message) say {
+func (c *Coordinator) storeOutcome(now time.Duration, from Incarnation, lease *ownerLease, m message) replyKind {
 	r := c.stored.records[m.Txn]
 	switch {
 	case r == nil:
 		if r = c.newRecord(now, m.Txn); r == nil {
 			c.uncertainUntil = now + c.settings.Retention
-			return sayHeld
+			return replyAcknowledged
 		}
 		r.owner = from
 	case r.state == recordGiven && r.givenTo.Incarnation == from && m.Outcome.Kind == NeverRan: // it gives the order back
 		c.endRecord(now, r, m.Outcome)
-		return sayHeld
+		return replyAcknowledged
 	case r.state == recordEnded && r.owner == from:
 		// The owner was taken for lost, and knows better. But an order that was told as may have run must not run later.
 		if r.outcome.Kind == MayHaveRun && m.Outcome.Kind != NeverRan {
 			c.endRecord(now, r, m.Outcome)
 		}
-		return sayHeld
+		return replyAcknowledged
 	case m.Session == 0: // it was given, begun there, and given back by mistake
-		return sayHeld
+		return replyAcknowledged
 	case r.owner != from || !r.ownerOpen():
-		return sayGone
+		return replyGivenAway
 	}
 	delete(lease.open, m.Txn)
 	c.endRecord(now, r, m.Outcome)
-	return sayHeld
+	return replyAcknowledged
 }
 
 // newRecord makes a record. If there are too many, it takes the place of the one that ended first; if none has ended,
@@ -282,12 +282,12 @@
 // runOrphan runs an order without its client, if all of it is here and there is time for it. Else a claim may bring what is
 // missing, or the order never runs.
 func (c *Coordinator) runOrphan(now time.Duration, r *record) {
-	if r.state != recordOrphaned || !r.order.Whole || now >= r.deadline {
+	if r.state != recordOrphaned || !r.order.BodyComplete || now >= r.deadline {
 		return
 	}
 	r.state = recordRunning
 	order := r.order
-	order.Left = r.deadline - now
+	order.TimeLeft = r.deadline - now
 	c.counters.OrdersRun++
 	c.trace(eventRunHere, order.Txn, "")
 	c.act(Action{Kind: ActionRun, Txn: order.Txn, Order: order})
@@ -295,7 +295,7 @@
 
 // recordReply is what a claimant that has shown to know a record's order is told of it. An order that may be passed on is
 // given to the claimant by this reply.
-func (c *Coordinator) recordReply(now time.Duration, r *record, w waiter) word {
+func (c *Coordinator) recordReply(now time.Duration, r *record, w waiter) reply {
 	switch r.state {
 	case recordTaken, recordTransferable, recordMaySend, recordRunning:
 		return addWaiter(&r.waiters, w)
@@ -305,39 +305,39 @@
 	case recordGiven:
 		switch {
 		case r.givenTo != w:
-			return word{Say: sayElsewhere}
+			return reply{Kind: replyElsewhere}
 		case r.contents == contentsReserved:
 			return c.unknownReply(now)
 		}
-		return word{Say: sayRun}
+		return reply{Kind: replyRun}
 	case recordEnded:
 		switch r.outcome.Kind {
 		case MayHaveRun:
-			return word{Say: sayMay}
+			return reply{Kind: replyMayHaveRun}
 		case Served, Failed:
-			return word{Say: sayOutcome, Outcome: r.outcome}
+			return reply{Kind: replyOutcome, Outcome: r.outcome}
 		}
 	}
 	r.giveTo(w)
 	c.counters.OrdersGiven++
 	c.trace(eventGiven, r.order.Txn, w.Name)
-	return word{Say: sayRun}
+	return reply{Kind: replyRun}
 }
 
 // unknownReply says that nothing is known of an order, and whether that is certain.
-func (c *Coordinator) unknownReply(now time.Duration) word {
-	return word{Say: sayUnknown, Sure: c.certain(now)}
+func (c *Coordinator) unknownReply(now time.Duration) reply {
+	return reply{Kind: replyUnknown, Certain: c.certain(now)}
 }
 
 // addWaiter has a claimant wait for what becomes of an order.
-func addWaiter(waiters *[]waiter, w waiter) word {
+func addWaiter(waiters *[]waiter, w waiter) reply {
 	if !slices.Contains(*waiters, w) {
 		if len(*waiters) >= maxWaiters {
-			return word{Say: sayElsewhere}
+			return reply{Kind: replyElsewhere}
 		}
 		*waiters = append(*waiters, w)
 	}
-	return word{Say: sayWait}
+	return reply{Kind: replyPending}
 }
 
 // certain tells whether this router would know of an order if any process of it had held a record of it: all clients from
--- a/internal/cluster/failover/replication.go
+++ b/internal/cluster/failover/replication.go
@@ -39,7 +39,7 @@
 
 // mayBeSent tells whether the order may be written now.
 func (r *replication) mayBeSent(now time.Duration) bool {
-	return r.waived || r.acknowledged == stepMay && r.session != nil && now < r.session.leaseUntil
+	return r.waived || r.acknowledged == stepMaySend && r.session != nil && now < r.session.leaseUntil
 }
 
 // restart has the replica told everything anew.
@@ -48,7 +48,7 @@
 // markSent notes that the replica was told the target.
 func (r *replication) markSent() {
 	r.sent = r.target
-	if r.target == stepLeft {
+	if r.target == stepTransferable {
 		r.exposure = exposedTransfer
 	} else {
 		r.exposure = max(r.exposure, exposedRecord)
@@ -112,36 +112,36 @@
 // stepMessage returns the message for an order's replica, and until when it is worth sending.
 func (c *Coordinator) stepMessage(now time.Duration, txn string, o *ownedOrder) (message, time.Duration) {
 	r := &o.replication
-	m := message{Kind: kindTell, Txn: txn, Step: r.target, Session: r.session.number}
+	m := message{Kind: messageStep, Txn: txn, Step: r.target, Session: r.session.number}
 	until := now + c.settings.ReplicaTimeout
 	switch {
 	case r.target == stepEnded:
 		m.Outcome, until = o.outcome, now+c.settings.Retention
 	case r.acknowledged == stepNone:
 		m.Order = o.order
-		m.Order.Left = max(o.deadline-now, 0)
+		m.Order.TimeLeft = max(o.deadline-now, 0)
 	}
-	if r.target == stepLeft || r.exposure == exposedTransfer { // no other replica can tell what became of it
+	if r.target == stepTransferable || r.exposure == exposedTransfer { // no other replica can tell what became of it
 		until = max(until, o.deadline)
 	}
 	return m, until
 }
 
 // receiveReplicaReply takes a replica's reply to what it was told, or the failure to get one.
-func (c *Coordinator) receiveReplicaReply(now time.Duration, req request, err error, w word) {
-	c.updateSession(now, req, err, w)
+func (c *Coordinator) receiveReplicaReply(now time.Duration, req request, err error, answer reply) {
+	c.updateSession(now, req, err, answer)
 	o := c.owned.orders[req.txn]
 	if req.txn == "" || o == nil || o.replication.session == nil || o.replication.session.number != req.session {
 		return
 	}
 	switch {
 	case req.step == stepEnded:
-		c.receiveRelease(now, req, o, err, w)
+		c.receiveRelease(now, req, o, err, answer)
 	case err != nil:
 		c.replicationFailed(now, req.txn, o, err)
-	case w.Say == sayHeld:
+	case answer.Kind == replyAcknowledged:
 		c.stepAcknowledged(req, o)
-	case w.Say == sayLost || w.Say == sayGone:
+	case answer.Kind == replyLeaseLost || answer.Kind == replyGivenAway:
 		if !o.state.sent() && !o.state.ended() {
 			c.stopOrder(now, req.txn, o, MayHaveRun, LeaseLostError{req.to})
 		}
@@ -157,10 +157,10 @@
 	c.trace(req.step.String()+eventStepAcknowledged, req.txn, req.to)
 	switch {
 	case o.state.ended():
-	case r.acknowledged == stepMay && o.state.leaseRequested():
+	case r.acknowledged == stepMaySend && o.state.leaseRequested():
 		c.grantLease(req.txn, o)
 	case r.acknowledged == stepTaken && r.target == stepTaken: // it has to wait longer than a round trip took
-		r.target = stepLeft
+		r.target = stepTransferable
 		c.owned.changed = append(c.owned.changed, req.txn)
 	}
 }
@@ -208,7 +208,7 @@
 }
 
 // stopOrder ends an order that may not be sent.
-func (c *Coordinator) stopOrder(now time.Duration, txn string, o *ownedOrder, kind Kind, err error) {
+func (c *Coordinator) stopOrder(now time.Duration, txn string, o *ownedOrder, kind OutcomeKind, err error) {
 	if kind == MayHaveRun {
 		c.counters.LeasesLost++
 	}
@@ -219,7 +219,7 @@
 }
 
 // receiveRelease takes a replica's reply to the outcome of an order. A rejected one's client waits for it.
-func (c *Coordinator) receiveRelease(now time.Duration, req request, o *ownedOrder, err error, w word) {
+func (c *Coordinator) receiveRelease(now time.Duration, req request, o *ownedOrder, err error, answer reply) {
 	if !o.state.releasing() {
 		return
 	}
@@ -227,7 +227,7 @@
 	switch {
 	case err != nil:
 		action.Err = NotReleasedError{req.to}
-	case w.Say != sayHeld:
+	case answer.Kind != replyAcknowledged:
 		action.Err = LeaseLostError{req.to}
 	}
 	if action.Err != nil {
--- a/internal/cluster/failover/script_test.go
+++ b/internal/cluster/failover/script_test.go
@@ -119,7 +119,7 @@
 }
 
 // told fails unless the client was told just this, and the order ran so often.
-func (s *scene) told(o *order, want Kind, ran int) {
+func (s *scene) told(o *order, want OutcomeKind, ran int) {
 	s.t.Helper()
 	if len(o.told) != 1 || o.told[0] != want || o.ran != ran {
 		s.t.Errorf("told %v, ran %d times; want %v, %d:\n%s", o.told, o.ran, want, ran, timeline.Sort(s.line).About(o.txn).Draw())
--- a/internal/cluster/failover/session.go
+++ b/internal/cluster/failover/session.go
@@ -52,7 +52,7 @@
 }
 
 // updateSession takes from a replica's reply, or the failure to get one, how its session stands.
-func (c *Coordinator) updateSession(now time.Duration, req request, err error, w word) {
+func (c *Coordinator) updateSession(now time.Duration, req request, err error, answer reply) {
 	session := c.sessionByNumber(req.session)
 	if session == nil {
 		return
@@ -62,9 +62,9 @@
 		if !session.lost {
 			c.replicaLost(now, session)
 		}
-	case w.Say == sayHeld: // the replica got the message after it was sent: the lease counts from there
+	case answer.Kind == replyAcknowledged: // the replica got the message after it was sent: the lease counts from there
 		session.leaseUntil = max(session.leaseUntil, req.sentAt+c.settings.LeaseDuration)
-	case w.Say == sayLost && req.step != stepEnded:
+	case answer.Kind == replyLeaseLost && req.step != stepEnded:
 		c.sessionLost(now, session)
 	}
 }
@@ -122,6 +122,6 @@
 // renewLease tells a replica that this router lives. A failure shows from the next message of its session.
 func (c *Coordinator) renewLease(now time.Duration, session *replicaSession) {
 	session.renewAt = now + c.settings.LeaseDuration/renewalsPerLease
-	m := message{Kind: kindTell, Session: session.number}
+	m := message{Kind: messageStep, Session: session.number}
 	_ = c.send(now, session.replica, m, now+c.settings.LeaseDuration, request{session: session.number})
 }
--- a/internal/cluster/failover/sim_test.go
+++ b/internal/cluster/failover/sim_test.go
@@ -74,7 +74,7 @@
 	process uint64 // of the router
 	conn    int    // try under way
 	done    bool
-	told    []Kind
+	told    []OutcomeKind
 	ran     int
 	mayAt   time.Duration // the keeper told that it may have run
 	claimed int
@@ -237,7 +237,7 @@
 			f.told(j, kind)
 		}
 	case ActionRun:
-		f.take(r, &job{txn: a.Txn, until: now + a.Order.Left}, a.Order)
+		f.take(r, &job{txn: a.Txn, until: now + a.Order.TimeLeft}, a.Order)
 	case ActionBeginClaim, ActionSettleClaim:
 		if j = r.claims[a.ClaimID]; j == nil {
 			return
@@ -340,7 +340,7 @@
 }
 
 // told hands the client its answer, if its connection is still there.
-func (f *fleet) told(j *job, k Kind) {
+func (f *fleet) told(j *job, k OutcomeKind) {
 	if j.o != nil && j.conn == j.o.conn && !j.o.done {
 		f.note(timeline.Event{Node: "client", At: f.now, What: "told " + k.String(), Of: j.txn})
 		j.o.done, j.o.told = true, append(j.o.told, k)
@@ -357,7 +357,7 @@
 }
 
 func ask1(txn string, left time.Duration) Order {
-	return Order{Txn: txn, Class: "order", Digest: [32]byte{1}, Left: left, Body: []byte("body")}
+	return Order{Txn: txn, Class: "order", Digest: [32]byte{1}, TimeLeft: left, Body: []byte("body")}
 }
 
 // client has a client claim what it has lost, or lose patience with one that says nothing.
--- a/internal/cluster/messaging/golden_test.go
+++ b/internal/cluster/messaging/golden_test.go
@@ -18,14 +18,14 @@
 // fields count, and no name does: wire.{From, Process, To, Parcels, Answers, Ask, Echo}, item.{ID, Body}. A struct that loses its
 // field _ with the tag is written as a map of its fields' names. An empty list is written as nil, not as a list of none.
 
-var goldenPackets = map[string]wire{
-	"packet.hex": {From: "r1", Process: 70000, To: 1 << 40, Parcels: []item{{ID: 5, Body: []byte("five")}, {ID: 600, Body: []byte("six hundred")}},
-		Answers: []item{{ID: 7, Body: []byte("yes")}}, Ask: 8, Echo: 9},
-	"parcels.hex": {From: "r1", Process: 11, To: 22, Parcels: []item{{ID: 1, Body: []byte("order")}}},
-	"answers.hex": {From: "r1", Process: 11, To: 22, Answers: []item{{ID: 2, Body: []byte("yes")}}},
-	"ask.hex":     {From: "r1", Process: 11, Ask: 3},
-	"echo.hex":    {From: "r1", Process: 11, To: 22, Echo: 3},
-	"poke.hex":    {From: "r1", Process: 11, To: 22},
+var goldenPackets = map[string]packet{
+	"packet.hex": {From: "r1", Process: 70000, ToProcess: 1 << 40, Messages: []item{{ID: 5, Body: []byte("five")}, {ID: 600, Body: []byte("six hundred")}},
+		Acknowledgements: []item{{ID: 7, Body: []byte("yes")}}, Query: 8, QueryReply: 9},
+	"parcels.hex": {From: "r1", Process: 11, ToProcess: 22, Messages: []item{{ID: 1, Body: []byte("order")}}},
+	"answers.hex": {From: "r1", Process: 11, ToProcess: 22, Acknowledgements: []item{{ID: 2, Body: []byte("yes")}}},
+	"ask.hex":     {From: "r1", Process: 11, Query: 3},
+	"echo.hex":    {From: "r1", Process: 11, ToProcess: 22, QueryReply: 3},
+	"poke.hex":    {From: "r1", Process: 11, ToProcess: 22},
 }
 
 func TestGoldenPackets(t *testing.T) {
@@ -37,7 +37,7 @@
 				t.Fatal(err)
 			}
 			golden.Same(t, name, data)
-			var got wire
+			var got packet
 			if err := cbor.Unmarshal(golden.Read(t, name), &got); err != nil || !reflect.DeepEqual(got, want) {
 				t.Errorf("read as %+v, %v; want %+v", got, err, want)
 			}
--- a/internal/cluster/messaging/messaging.go
+++ b/internal/cluster/messaging/messaging.go
@@ -95,39 +95,39 @@
 // Receive takes a packet and returns the messages in it that came for the first time. A packet that can't be used is
 // ignored.
 func (m *Messenger) Receive(now time.Duration, data []byte) []Delivery {
-	packet, ok := m.decode(data)
+	in, ok := m.decode(data)
 	if !ok {
 		return nil
 	}
-	p := m.peer(now, packet.From)
+	p := m.peer(now, in.From)
 	if p == nil {
 		return nil
 	}
-	if packet.Ask != 0 && len(p.queryReplies) < maxQueryReplies {
-		p.queryReplies = append(p.queryReplies, queryReply{packet.Process, packet.Ask})
+	if in.Query != 0 && len(p.queryReplies) < maxQueryReplies {
+		p.queryReplies = append(p.queryReplies, queryReply{in.Process, in.Query})
 	}
-	m.receiveQueryReply(p, &packet)
-	if packet.Process != p.process {
+	m.receiveQueryReply(p, &in)
+	if in.Process != p.process {
 		m.startQuery(now, p)
 		return nil
 	}
 	p.heardAt = now
-	if packet.To != m.settings.Process {
+	if in.ToProcess != m.settings.Process {
 		p.announce = true
 		return nil
 	}
-	m.receiveAcknowledgements(p, packet.Answers)
-	return m.receiveMessages(p, packet.Parcels)
+	m.receiveAcknowledgements(p, in.Acknowledgements)
+	return m.receiveMessages(p, in.Messages)
 }
 
 // receiveQueryReply learns from the reply to an open query which process of the peer is there.
-func (m *Messenger) receiveQueryReply(p *peer, packet *wire) {
-	if packet.Echo == 0 || packet.Echo != p.query.number || packet.To != m.settings.Process {
+func (m *Messenger) receiveQueryReply(p *peer, in *packet) {
+	if in.QueryReply == 0 || in.QueryReply != p.query.number || in.ToProcess != m.settings.Process {
 		return
 	}
 	p.query.number = 0
-	if p.process != packet.Process {
-		m.replaceProcess(p, packet.Process)
+	if p.process != in.Process {
+		m.replaceProcess(p, in.Process)
 	}
 }
 
--- a/internal/cluster/messaging/packet.go
+++ b/internal/cluster/messaging/packet.go
@@ -6,16 +6,17 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// wire is a packet as it is sent.
-type wire struct {
-	_       struct{} `cbor:",toarray"`
-	From    string
-	Process uint64
-	To      uint64 // the process that the messages are for; 0: not known yet, and there are none
-	Parcels []item // messages
-	Answers []item // acknowledgements of messages of the process To
-	Ask     uint64 // which process is there now? Answered by Echo with the same number
-	Echo    uint64
+// packet is a Packet's content. Routers of different releases exchange it as a CBOR array: the order, number and types of its
+// fields are fixed, while their names are free.
+type packet struct {
+	_                struct{} `cbor:",toarray"`
+	From             string
+	Process          uint64
+	ToProcess        uint64 // that the messages are for; 0: not known yet, and there are none
+	Messages         []item
+	Acknowledgements []item // of messages of ToProcess
+	Query            uint64 // which process is there now? QueryReply answers with the same number
+	QueryReply       uint64
 }
 
 // item is a message, or the acknowledgement of one, with its reply.
@@ -29,25 +30,25 @@
 const maxNameBytes = 128
 
 // decode returns the packet that data holds, or false if it can't be used.
-func (m *Messenger) decode(data []byte) (wire, bool) {
-	var w wire
-	if err := cbor.Unmarshal(data, &w); err != nil {
-		return w, false
+func (m *Messenger) decode(data []byte) (packet, bool) {
+	var in packet
+	if err := cbor.Unmarshal(data, &in); err != nil {
+		return in, false
 	}
-	named := w.From != "" && len(w.From) <= maxNameBytes && w.From != m.settings.Self
-	return w, named && w.Process != 0
+	named := in.From != "" && len(in.From) <= maxNameBytes && in.From != m.settings.Self
+	return in, named && in.Process != 0
 }
 
 // packetWriter puts what is due for one peer into as few packets as it fits.
 type packetWriter struct {
 	messenger *Messenger
 	peer      *peer
-	packet    wire
+	packet    packet
 	size      int // of the items in packet
 	packets   []Packet
 }
 
-// itemOverhead is the size of an item without its body, at most.
+// itemOverhead is about the size of an item without its body.
 const itemOverhead = 12
 
 // reserve counts an item, and begins another packet if it no longer fits into this one. It returns false for an item that is
@@ -64,13 +65,13 @@
 
 func (w *packetWriter) addMessage(it item) {
 	if w.reserve(it) {
-		w.packet.Parcels = append(w.packet.Parcels, it)
+		w.packet.Messages = append(w.packet.Messages, it)
 	}
 }
 
 func (w *packetWriter) addAcknowledgement(it item) {
 	if w.reserve(it) {
-		w.packet.Answers = append(w.packet.Answers, it)
+		w.packet.Acknowledgements = append(w.packet.Acknowledgements, it)
 	}
 }
 
@@ -85,7 +86,7 @@
 
 func (w *packetWriter) begin() {
 	self := w.messenger.settings
-	w.packet = wire{From: self.Self, Process: self.Process, To: w.peer.process}
+	w.packet = packet{From: self.Self, Process: self.Process, ToProcess: w.peer.process}
 	w.size = 0
 }
 
@@ -135,7 +136,7 @@
 	if p.query.number == 0 || now < p.query.sendAt {
 		return false
 	}
-	w.packet.Ask = p.query.number
+	w.packet.Query = p.query.number
 	p.query.sendAt = now + interval
 	return true
 }
@@ -143,7 +144,7 @@
 // writeQueryReplies answers queries, each in a packet of its own: each is for the process that asked.
 func (p *peer) writeQueryReplies(w *packetWriter) {
 	for _, reply := range p.queryReplies {
-		w.packet.To, w.packet.Echo = reply.process, reply.number
+		w.packet.ToProcess, w.packet.QueryReply = reply.process, reply.number
 		w.flush()
 	}
 	p.queryReplies = nil
--- a/internal/extension/orderfailover/golden_test.go
+++ b/internal/extension/orderfailover/golden_test.go
@@ -20,7 +20,7 @@
 	o := order(q, "00000000000000c3", 1500*time.Millisecond)
 	golden.Same(t, "digest.hex", o.Digest[:])
 	want := failover.Order{Txn: "00000000000000c3", Class: "order", Item: "00000000000000b2", Account: "acme", Part: 300, Group: 4, Digest: o.Digest,
-		Left: 1500 * time.Millisecond, Body: []byte("two seats")}
+		TimeLeft: 1500 * time.Millisecond, Body: []byte("two seats")}
 	if !reflect.DeepEqual(o, want) {
 		t.Errorf("order %+v, want %+v", o, want)
 	}
@@ -36,7 +36,7 @@
 		want failover.Outcome
 	}{
 		"served":      {core.Answer{Verdict: core.Served, Body: []byte("seat 12")}, true, failover.Outcome{Kind: failover.Served, Body: []byte("seat 12")}},
-		"refused":     {core.Answer{Verdict: core.Rejected, RetryAfter: time.Second}, false, failover.Outcome{Kind: failover.NeverRan, Wait: time.Second}},
+		"refused":     {core.Answer{Verdict: core.Rejected, RetryAfter: time.Second}, false, failover.Outcome{Kind: failover.NeverRan, RetryAfter: time.Second}},
 		"refused ran": {core.Answer{Verdict: core.Rejected, RetryAfter: time.Second}, true, failover.Outcome{Kind: failover.MayHaveRun}},
 		"failed":      {core.Answer{Verdict: core.Failed}, true, failover.Outcome{Kind: failover.Failed}},
 	} {
--- a/internal/extension/orderfailover/orderfailover.go
+++ b/internal/extension/orderfailover/orderfailover.go
@@ -142,7 +142,7 @@
 	object, _ := strconv.ParseUint(o.Item, 16, 64) // as the router that took it read it
 	slog.Info("order of a lost router is run here", "txn", o.Txn, "class", o.Class)
 	h.core.Submit(h.core.NewID(), core.Request{Txn: o.Txn, ObjectText: o.Item, PartText: strconv.FormatUint(o.Part, 10), Class: o.Class,
-		Object: object, Part: o.Part, Group: o.Group, Account: o.Account, Timeout: o.Left, Body: o.Body, Write: h.writes[o.Class],
+		Object: object, Part: o.Part, Group: o.Group, Account: o.Account, Timeout: o.TimeLeft, Body: o.Body, Write: h.writes[o.Class],
 		Reply: func(a core.Answer) core.Verdict {
 			h.table.Abandon(h.core.LoopTime(), o.Txn) // where it was not taken at all
 			return a.Verdict
@@ -151,7 +151,7 @@
 
 // order is a request as its keeper knows it.
 func order(q *core.Request, txn string, left time.Duration) failover.Order {
-	o := failover.Order{Txn: txn, Class: q.Class, Item: q.ObjectText, Account: q.Account, Part: q.Part, Group: q.Group, Left: left, Body: q.Body}
+	o := failover.Order{Txn: txn, Class: q.Class, Item: q.ObjectText, Account: q.Account, Part: q.Part, Group: q.Group, TimeLeft: left, Body: q.Body}
 	sum := sha256.New()
 	for _, s := range [][]byte{[]byte(q.Class), []byte(q.ObjectText), []byte(q.Account), q.Body} {
 		sum.Write(binary.BigEndian.AppendUint64(nil, uint64(len(s))))
@@ -211,7 +211,7 @@
 	case a.Verdict == core.Served:
 		return failover.Outcome{Kind: failover.Served, Body: a.Body}
 	case a.Verdict == core.Rejected && !ran:
-		return failover.Outcome{Kind: failover.NeverRan, Wait: a.RetryAfter}
+		return failover.Outcome{Kind: failover.NeverRan, RetryAfter: a.RetryAfter}
 	case a.Verdict == core.Failed:
 		return failover.Outcome{Kind: failover.Failed}
 	}
@@ -224,7 +224,7 @@
 	case failover.Served:
 		return core.Answer{Verdict: core.Served, Body: o.Body}
 	case failover.NeverRan:
-		return core.Answer{Verdict: core.Rejected, RetryAfter: o.Wait}
+		return core.Answer{Verdict: core.Rejected, RetryAfter: o.RetryAfter}
 	}
 	return core.Answer{Verdict: core.Failed, Reason: "Failed"}
 }
