--- a/internal/core/api.go
+++ b/internal/core/api.go
@@ -11,7 +11,7 @@
 
 // The verdicts.
 const (
-	Failed      Verdict = iota // it may have run; nothing is promised
+	Failed      Verdict = iota // nothing is promised: it may have run
 	Rejected                   // a retry does no harm
 	Served                     // with the body
 	NotModified                // the copy that the client has is current
@@ -22,11 +22,17 @@
 	Verdict    Verdict
 	Body       []byte        // belongs to the receiver
 	RetryAfter time.Duration // of a rejection: how long the client should wait before it retries
-	Reason     string        // of a failure; of a rejection, where load is not the reason
+	Reason     string        // of a failure, one of the Reason constants; of a rejection, where load is not the reason
 }
 
+// Reasons of a failure that clients are told. Operators' scripts know them.
+const (
+	ReasonFailed     = "Failed"     // it is not known what became of the request
+	ReasonBadRequest = "BadRequest" // the request can't be used, and did not run
+)
+
 // failedAnswer is the answer where nothing is known of what became of a request.
-var failedAnswer = Answer{Verdict: Failed, Reason: "Failed"}
+var failedAnswer = Answer{Verdict: Failed, Reason: ReasonFailed}
 
 // Request is what a front end submits.
 type Request struct {
--- a/internal/core/golden_test.go
+++ b/internal/core/golden_test.go
@@ -11,11 +11,12 @@
 	"hillknot/internal/testutil/golden"
 )
 
-// What routers of different releases share goes by keys, and by ids of members that each derives by itself. The files of
-// testdata/golden were written at commit 86ccf0f.
+// What routers of different releases share goes by keys, and by ids of members that each derives by itself. The
+// files of testdata/golden were written at commit 86ccf0f.
 //
 // What reaches the bytes: no name of a type or field, but the texts of the constants retryBudget ("retries"),
-// warmUpBudgetPrefix ("cold "), hitsPrefix, missesPrefix and errorsPrefix ("hits ", "misses ", "errors "), and the hash of EndpointIDOf. A key that is worded otherwise splits one budget or count in two.
+// warmUpBudgetPrefix ("cold "), hitsPrefix, missesPrefix and errorsPrefix ("hits ", "misses ", "errors "), and the
+// hash of EndpointIDOf. A key that is worded otherwise splits one budget or count in two.
 
 // recordingPeers are a cluster of two routers, and record what is sent.
 type recordingPeers struct{ said []state.Letter }
@@ -72,7 +73,8 @@
 	golden.Same(t, "counts.txt", []byte(p.keys(state.KindCount)))
 }
 
-// All routers derive the same id of a member: the choices that have to agree, and the state that a successor is handed, go by it.
+// All routers derive the same id of a member: the choices that have to agree, and the state that a successor is
+// handed, go by it.
 func TestGoldenNodes(t *testing.T) {
 	var ids []byte
 	for _, name := range []string{"", "a", "edge-7", "ünion", "a name that is longer than any hash"} {
--- a/internal/core/lifecycle.go
+++ b/internal/core/lifecycle.go
@@ -6,7 +6,7 @@
 	"hillknot/internal/config"
 )
 
-// Phase is what the router as a whole is doing. All fronts report the same one.
+// Phase is what the router as a whole is doing. All front ends report the same one.
 type Phase uint8
 
 // The phases.
@@ -24,10 +24,10 @@
 type lifecycleState uint8
 
 const (
-	stateStarting     lifecycleState = iota // until no startBlocker is left
-	stateServing                            // requests are taken, and clients stay
-	stateStandby                            // clients are drained; requests are taken until drain stage RejectNew
-	stateShuttingDown                       // requests are taken as long as any is open
+	stateStarting     lifecycleState = iota // not ready until no startBlocker is left; requests are taken all the same
+	stateServing                            // ready
+	stateStandby                            // not ready; clients are drained, and requests taken until stage RejectNew
+	stateShuttingDown                       // the same where a successor is ready; else requests are taken to the end
 	stateClosed                             // nothing is open, and every request is rejected
 )
 
@@ -46,8 +46,9 @@
 
 // lifecycle is the life cycle of the router:
 //
-//	starting <-> serving <-> standby
-//	    any of these -> shutting down -> closed
+//	starting <-> serving
+//	starting, serving <-> standby
+//	starting, serving, standby -> shutting down -> closed
 //
 // It belongs to the core's goroutine.
 type lifecycle struct {
@@ -73,19 +74,19 @@
 
 // updateStart has the router start or serve by what blocks it. On standby and in shutdown this does not matter.
 func (l *lifecycle) updateStart() {
-	if l.state > stateServing {
-		return
-	}
-	l.state = stateServing
-	if l.blockers != 0 {
+	switch {
+	case l.state == stateStandby || l.shuttingDown():
+	case l.blockers != 0:
 		l.state = stateStarting
+	default:
+		l.state = stateServing
 	}
 }
 
 // enterStandby begins to drain at an operator's request. It reports whether anything changed: a router that is on
 // standby or shutting down stays so.
 func (l *lifecycle) enterStandby(now time.Duration) bool {
-	if l.state >= stateStandby {
+	if l.state == stateStandby || l.shuttingDown() {
 		return false
 	}
 	l.state, l.drainingSince = stateStandby, now
@@ -117,7 +118,9 @@
 	}
 }
 
-func (l *lifecycle) shuttingDown() bool { return l.state >= stateShuttingDown }
+func (l *lifecycle) shuttingDown() bool {
+	return l.state == stateShuttingDown || l.state == stateClosed
+}
 
 // lastAnswer is when what is open must have ended, in a router that shuts down: the platform kills the process soon
 // after.
--- a/internal/core/lifecycle_test.go
+++ b/internal/core/lifecycle_test.go
@@ -104,8 +104,9 @@
 	}
 	h.core.RunOnce()
 	h.submit("page", second)
-	if p, s := h.core.Snapshot().Phase, h.core.DrainStage(); p != Serving || s != NotDraining || len(h.outstanding) != 1 {
-		t.Errorf("active again: phase %v, stage %d, %d attempts", p, s, len(h.outstanding))
+	phase, stage := h.core.Snapshot().Phase, h.core.DrainStage()
+	if phase != Serving || stage != NotDraining || len(h.outstanding) != 1 {
+		t.Errorf("active again: phase %v, stage %d, %d attempts", phase, stage, len(h.outstanding))
 	}
 	h.core.BeginShutdown(h.now)
 	h.core.EnterStandby()
--- a/internal/core/requests.go
+++ b/internal/core/requests.go
@@ -108,7 +108,7 @@
 		c.rejectNew(&q, "no time left", Answer{Verdict: Rejected})
 		return
 	case c.requests.byTxn[q.Txn] != nil: // page caches could not tell the two apart
-		c.rejectNew(&q, "duplicate txn", Answer{Verdict: Failed, Reason: "BadRequest"})
+		c.rejectNew(&q, "duplicate txn", Answer{Verdict: Failed, Reason: ReasonBadRequest})
 		return
 	}
 	r := &request{
--- a/internal/extension/orderfailover/orderfailover.go
+++ b/internal/extension/orderfailover/orderfailover.go
@@ -226,7 +226,7 @@
 	case failover.NeverRan:
 		return core.Answer{Verdict: core.Rejected, RetryAfter: o.RetryAfter}
 	}
-	return core.Answer{Verdict: core.Failed, Reason: "Failed"}
+	return core.Answer{Verdict: core.Failed, Reason: core.ReasonFailed}
 }
 
 func figures(f failover.Stats) []core.Metric {
