--- a/balancer/handover.go
+++ b/balancer/handover.go
@@ -12,73 +12,78 @@
 // handedObjects bounds the objects handed over: those served last.
 const handedObjects = 4096
 
-// Memory is what the module of a router has learned that a successor goes on from. Its times are those of the
-// module's clock where it is made and taken; see Relative and Absolute.
-type Memory struct {
-	LinkRoom float64
-	Floor    time.Duration // copies older than this count as purged
-	Purges   []PurgeMemory
-	Members  []MemberMemory
-	Loads    []LoadMemory // by role
-	Classes  []ClassMemory
-	Objects  []ObjectMemory
+// Snapshot is what a router's module has learned and its successor goes on from. Its times are readings of the module's
+// clock; Relative and Absolute carry them over to another clock. Package handover writes it as rows of numbers.
+type Snapshot struct {
+	LinkLimit  float64
+	PurgeFloor time.Duration // copies older than this count as purged
+	Purges     []PurgeSnapshot
+	Endpoints  []EndpointSnapshot
+	Loads      []LoadSnapshot // by role
+	Classes    []ClassSnapshot
+	Objects    []ObjectSnapshot
 }
 
-// The parts of a Memory.
-type (
-	// PurgeMemory is a purge that may still bar copies.
-	PurgeMemory struct {
-		ByGroup bool
-		Name    uint64
-		At      time.Duration
-	}
-	// MemberMemory is what was seen of a member: its health, and what it may be sent while it is cold.
-	MemberMemory struct {
-		Node           EndpointID
-		Start          time.Duration
-		Saved, Misses  float64
-		Fails          int
-		Bad            bool
-		Trial, Doubted time.Duration
-		Doubt          float64
-	}
-	// LoadMemory is the usual load of a role.
-	LoadMemory struct {
-		Rate, Peak, Fleet float64
-		At                time.Duration
-	}
-	// ClassMemory is the mean sending time of a class.
-	ClassMemory struct {
-		Name string
-		Work float64
-	}
-	// ObjectMemory is what is known of a part of an object.
-	ObjectMemory struct {
-		Object, Part uint64
-		Seen         int
-		OkAt, Copied time.Duration
-		Held         bool
-		Work         float64
-	}
-)
+// PurgeSnapshot is a purge that may still rule out copies.
+type PurgeSnapshot struct {
+	ByGroup  bool
+	ID       uint64 // of the object or the group
+	PurgedAt time.Duration
+}
+
+// EndpointSnapshot is what was seen of an endpoint: its health, and its budget while it is in slow start.
+type EndpointSnapshot struct {
+	ID                  EndpointID
+	StartedAt           time.Duration
+	WarmUpBudget        float64 // in seconds of service time
+	MissRate            float64
+	ConsecutiveFailures int
+	Ejected             bool
+	NextProbe           time.Duration
+	PenalizedAt         time.Duration
+	Penalty             float64 // of the health score
+}
+
+// LoadSnapshot is the usual load of a role, in seconds of service time per second.
+type LoadSnapshot struct {
+	Rate, Peak   float64
+	PeakCapacity float64 // the most capacity that was in service at once
+	UpdatedAt    time.Duration
+}
+
+// ClassSnapshot is the mean service time of a class, in seconds.
+type ClassSnapshot struct {
+	Name        string
+	ServiceTime float64
+}
+
+// ObjectSnapshot is what is known of a part of an object.
+type ObjectSnapshot struct {
+	Object, Part uint64
+	RequestCount int
+	ServedAt     time.Duration
+	ReplicatedAt time.Duration
+	CachedAtHome bool
+	ServiceTime  float64 // in seconds
+}
 
-// HandOver returns what a successor goes on from. The saved budgets of slow start go with it, and are not kept:
+// ExportSnapshot returns what a successor goes on from. The saved budgets of slow start go with it, and are not kept:
 // together the two processes may not send an endpoint in slow start more than one budget.
-func (b *Balancer) HandOver() Memory {
-	m := Memory{LinkRoom: b.link.limit, Floor: b.purges.floor}
+func (b *Balancer) ExportSnapshot() Snapshot {
+	m := Snapshot{LinkLimit: b.link.limit, PurgeFloor: b.purges.floor}
 	for k, at := range b.purges.purgedAt {
-		m.Purges = append(m.Purges, PurgeMemory{k.byGroup, k.id, at})
+		m.Purges = append(m.Purges, PurgeSnapshot{k.byGroup, k.id, at})
 	}
 	for _, e := range b.endpoints.byID {
-		m.Members = append(m.Members, e.handOver())
+		m.Endpoints = append(m.Endpoints, e.handOver())
 		e.warmUp.budget = 0
 	}
 	for of, l := range b.load {
-		m.Loads = append(m.Loads, LoadMemory{Rate: b.classes.serviceTime(l.rate), Peak: b.classes.serviceTime(l.peak),
-			Fleet: b.endpoints.peakCapacity[of], At: l.updatedAt})
+		m.Loads = append(m.Loads, LoadSnapshot{Rate: b.classes.serviceTime(l.rate), Peak: b.classes.serviceTime(l.peak),
+			PeakCapacity: b.endpoints.peakCapacity[of], UpdatedAt: l.updatedAt})
 	}
 	for _, c := range b.classes.byName {
-		m.Classes = append(m.Classes, ClassMemory{c.Name, c.serviceTime})
+		m.Classes = append(m.Classes, ClassSnapshot{c.Name, c.serviceTime})
 	}
 	m.Objects = b.objects.handOver()
 	m.sort()
@@ -86,22 +91,22 @@
 	return m
 }
 
-func (e *endpoint) handOver() MemberMemory {
-	return MemberMemory{
-		Node: e.id, Start: e.startedAt, Saved: e.warmUp.budget, Misses: e.missRate,
-		Fails: e.health.consecutiveFailures, Bad: e.health.ejected, Trial: e.health.nextProbe,
-		Doubted: e.health.penalizedAt, Doubt: e.health.penalty,
+func (e *endpoint) handOver() EndpointSnapshot {
+	return EndpointSnapshot{
+		ID: e.id, StartedAt: e.startedAt, WarmUpBudget: e.warmUp.budget, MissRate: e.missRate,
+		ConsecutiveFailures: e.health.consecutiveFailures, Ejected: e.health.ejected, NextProbe: e.health.nextProbe,
+		PenalizedAt: e.health.penalizedAt, Penalty: e.health.penalty,
 	}
 }
 
 // handOver returns the objects that were served; one that is in both generations is returned twice.
-func (t *objectTable) handOver() []ObjectMemory {
-	var all []ObjectMemory
+func (t *objectTable) handOver() []ObjectSnapshot {
+	var all []ObjectSnapshot
 	for _, generation := range [...]map[objectKey]*object{t.young, t.old} {
 		for k, o := range generation {
 			if o.servedAt > 0 {
-				all = append(all, ObjectMemory{Object: k.object, Part: k.part, Seen: o.requestCount, OkAt: o.servedAt,
-					Copied: o.replicatedAt, Held: o.cachedAtHome, Work: o.serviceTime})
+				all = append(all, ObjectSnapshot{Object: k.object, Part: k.part, RequestCount: o.requestCount, ServedAt: o.servedAt,
+					ReplicatedAt: o.replicatedAt, CachedAtHome: o.cachedAtHome, ServiceTime: o.serviceTime})
 			}
 		}
 	}
@@ -110,68 +115,68 @@
 
 // sort orders what comes from maps, so that modules in the same state return the same, and drops objects that are
 // there twice. The objects served last come first.
-func (m *Memory) sort() {
-	slices.SortFunc(m.Purges, func(x, y PurgeMemory) int {
-		return cmp.Or(cmp.Compare(x.Name, y.Name), cmp.Compare(x.At, y.At))
+func (m *Snapshot) sort() {
+	slices.SortFunc(m.Purges, func(x, y PurgeSnapshot) int {
+		return cmp.Or(cmp.Compare(x.ID, y.ID), cmp.Compare(x.PurgedAt, y.PurgedAt))
 	})
-	slices.SortFunc(m.Members, func(x, y MemberMemory) int { return cmp.Compare(x.Node, y.Node) })
-	slices.SortFunc(m.Classes, func(x, y ClassMemory) int { return cmp.Compare(x.Name, y.Name) })
-	slices.SortFunc(m.Objects, func(x, y ObjectMemory) int {
-		return cmp.Or(cmp.Compare(y.OkAt, x.OkAt), cmp.Compare(x.Object, y.Object), cmp.Compare(x.Part, y.Part))
+	slices.SortFunc(m.Endpoints, func(x, y EndpointSnapshot) int { return cmp.Compare(x.ID, y.ID) })
+	slices.SortFunc(m.Classes, func(x, y ClassSnapshot) int { return cmp.Compare(x.Name, y.Name) })
+	slices.SortFunc(m.Objects, func(x, y ObjectSnapshot) int {
+		return cmp.Or(cmp.Compare(y.ServedAt, x.ServedAt), cmp.Compare(x.Object, y.Object), cmp.Compare(x.Part, y.Part))
 	})
-	m.Objects = slices.CompactFunc(m.Objects, func(x, y ObjectMemory) bool {
+	m.Objects = slices.CompactFunc(m.Objects, func(x, y ObjectSnapshot) bool {
 		return x.Object == y.Object && x.Part == y.Part
 	})
 }
 
-// TakeOver goes on from what a predecessor has handed over. It must be called when the endpoint list is known, and
+// ImportSnapshot goes on from what a predecessor has handed over. It must be called when the endpoint list is known, and
 // before any request. What was handed over of an endpoint that is not listed, or has restarted since, is dropped,
 // and values that make no sense are bounded.
-func (b *Balancer) TakeOver(now time.Duration, m Memory) {
+func (b *Balancer) ImportSnapshot(now time.Duration, m Snapshot) {
 	b.now = now
-	if m.LinkRoom > 0 {
-		b.link.limit = min(max(minLimit, m.LinkRoom), b.link.maxLimit)
+	if m.LinkLimit > 0 {
+		b.link.limit = min(max(minLimit, m.LinkLimit), b.link.maxLimit)
 	}
-	b.purges.floor = max(b.purges.floor, min(m.Floor, now))
+	b.purges.floor = max(b.purges.floor, min(m.PurgeFloor, now))
 	for _, p := range m.Purges {
-		b.purges.record(purgeKey{p.ByGroup, p.Name}, min(p.At, now))
+		b.purges.record(purgeKey{p.ByGroup, p.ID}, min(p.PurgedAt, now))
 	}
-	for _, from := range m.Members {
-		if e := b.endpoints.byID[from.Node]; e != nil && e.startedAt == from.Start {
+	for _, from := range m.Endpoints {
+		if e := b.endpoints.byID[from.ID]; e != nil && e.startedAt == from.StartedAt {
 			b.takeOverEndpoint(e, from)
 		}
 	}
 	for of := range min(len(m.Loads), len(b.load)) {
 		from, l := m.Loads[of], &b.load[of]
-		l.rate[0], l.peak[0], l.updatedAt = max(from.Rate, 0), max(from.Peak, 0), min(from.At, now)
-		b.endpoints.peakCapacity[of] = max(b.endpoints.peakCapacity[of], from.Fleet)
+		l.rate[0], l.peak[0], l.updatedAt = max(from.Rate, 0), max(from.Peak, 0), min(from.UpdatedAt, now)
+		b.endpoints.peakCapacity[of] = max(b.endpoints.peakCapacity[of], from.PeakCapacity)
 	}
 	for _, from := range m.Classes {
-		if c := b.classes.byName[from.Name]; c != nil && from.Work > 0 {
-			c.serviceTime = from.Work
+		if c := b.classes.byName[from.Name]; c != nil && from.ServiceTime > 0 {
+			c.serviceTime = from.ServiceTime
 		}
 	}
 	for _, from := range m.Objects[:min(len(m.Objects), handedObjects)] {
 		b.objects.young[objectKey{from.Object, from.Part}] = &object{
-			requestCount: from.Seen, servedAt: min(from.OkAt, now), replicatedAt: min(from.Copied, now),
-			cachedAtHome: from.Held, serviceTime: max(from.Work, 0),
+			requestCount: from.RequestCount, servedAt: min(from.ServedAt, now), replicatedAt: min(from.ReplicatedAt, now),
+			cachedAtHome: from.CachedAtHome, serviceTime: max(from.ServiceTime, 0),
 		}
 	}
 	b.objects.rotatedAt = now
 	b.updateCacheLimits()
 }
 
-func (b *Balancer) takeOverEndpoint(e *endpoint, from MemberMemory) {
-	e.warmUp.budget, e.warmUp.budgetAt = max(from.Saved, 0), b.now // bounded at its next use
-	e.missRate = unitRange(from.Misses)
-	e.health.penalty, e.health.penalizedAt = unitRange(from.Doubt), min(from.Doubted, b.now)
-	e.health.consecutiveFailures, e.health.nextProbe = from.Fails, min(from.Trial, b.now+probeInterval)
-	b.setEjected(e, from.Bad)
+func (b *Balancer) takeOverEndpoint(e *endpoint, from EndpointSnapshot) {
+	e.warmUp.budget, e.warmUp.budgetAt = max(from.WarmUpBudget, 0), b.now // bounded at its next use
+	e.missRate = unitRange(from.MissRate)
+	e.health.penalty, e.health.penalizedAt = unitRange(from.Penalty), min(from.PenalizedAt, b.now)
+	e.health.consecutiveFailures, e.health.nextProbe = from.ConsecutiveFailures, min(from.NextProbe, b.now+probeInterval)
+	b.setEjected(e, from.Ejected)
 }
 
 // Relative turns all times but the starts of endpoints into spans to now, which are negative in the past, as the
 // clocks of two processes have nothing in common. 0, which means never, stays 0.
-func (m *Memory) Relative(now time.Duration) {
+func (m *Snapshot) Relative(now time.Duration) {
 	m.eachTime(func(at *time.Duration) {
 		if *at != 0 {
 			if *at -= now; *at == 0 {
@@ -182,7 +187,7 @@
 }
 
 // Absolute turns spans to now into times again.
-func (m *Memory) Absolute(now time.Duration) {
+func (m *Snapshot) Absolute(now time.Duration) {
 	m.eachTime(func(at *time.Duration) {
 		if *at != 0 {
 			*at = max(now+min(*at, now), 1) // a span that makes no sense must not overflow
@@ -190,21 +195,21 @@
 	})
 }
 
-func (m *Memory) eachTime(f func(at *time.Duration)) {
-	f(&m.Floor)
+func (m *Snapshot) eachTime(f func(at *time.Duration)) {
+	f(&m.PurgeFloor)
 	for i := range m.Purges {
-		f(&m.Purges[i].At)
+		f(&m.Purges[i].PurgedAt)
 	}
-	for i := range m.Members {
-		f(&m.Members[i].Trial)
-		f(&m.Members[i].Doubted)
+	for i := range m.Endpoints {
+		f(&m.Endpoints[i].NextProbe)
+		f(&m.Endpoints[i].PenalizedAt)
 	}
 	for i := range m.Loads {
-		f(&m.Loads[i].At)
+		f(&m.Loads[i].UpdatedAt)
 	}
 	for i := range m.Objects {
-		f(&m.Objects[i].OkAt)
-		f(&m.Objects[i].Copied)
+		f(&m.Objects[i].ServedAt)
+		f(&m.Objects[i].ReplicatedAt)
 	}
 }
 
--- a/balancer/handover_test.go
+++ b/balancer/handover_test.go
@@ -31,8 +31,8 @@
 		t.Fatal("nothing of the cold budget to hand over")
 	}
 	spare := old.balancer.endpoints.byID[4].warmUp.budget
-	m := old.balancer.HandOver()
-	if other := later.balancer.HandOver(); !reflect.DeepEqual(m, other) {
+	m := old.balancer.ExportSnapshot()
+	if other := later.balancer.ExportSnapshot(); !reflect.DeepEqual(m, other) {
 		t.Error("alike modules hand over different things")
 	}
 	if len(m.Objects) == 0 || old.balancer.endpoints.byID[4].warmUp.budget != 0 {
@@ -43,7 +43,7 @@
 	fresh := listedEndpoint(4, "box", "edge")
 	fresh.StartedAt = old.balancer.endpoints.byID[4].startedAt
 	r.handle(EndpointUpdate{Endpoints: []Endpoint{fresh}})
-	r.balancer.TakeOver(r.now, m)
+	r.balancer.ImportSnapshot(r.now, m)
 	if s := r.balancer.endpoints.byID[4].warmUp.budget; s != spare {
 		t.Errorf("saved for the cold cache: %v, want %v", s, spare)
 	}
@@ -66,10 +66,17 @@
 	fresh := listedEndpoint(4, "box", "edge")
 	fresh.StartedAt = r.now
 	r.handle(EndpointUpdate{Endpoints: []Endpoint{fresh}})
-	r.balancer.TakeOver(r.now, Memory{LinkRoom: -inf, Floor: -1, Loads: make([]LoadMemory, 9), Purges: []PurgeMemory{{At: math.MaxInt64}},
-		Classes: []ClassMemory{{Name: "page", Work: -1}, {Name: "what", Work: 1}}, Objects: make([]ObjectMemory, 2*handedObjects),
-		Members: []MemberMemory{{Node: 1, Saved: -1, Misses: inf, Doubt: 7, Doubted: math.MaxInt64, Trial: math.MaxInt64, Bad: true},
-			{Node: 4, Saved: 1e9}, {Node: 99}}})
+	r.balancer.ImportSnapshot(r.now, Snapshot{
+		LinkLimit: -inf, PurgeFloor: -1, Loads: make([]LoadSnapshot, 9),
+		Purges:  []PurgeSnapshot{{PurgedAt: math.MaxInt64}},
+		Classes: []ClassSnapshot{{Name: "page", ServiceTime: -1}, {Name: "what", ServiceTime: 1}},
+		Objects: make([]ObjectSnapshot, 2*handedObjects),
+		Endpoints: []EndpointSnapshot{
+			{ID: 1, WarmUpBudget: -1, MissRate: inf, Penalty: 7, PenalizedAt: math.MaxInt64, NextProbe: math.MaxInt64,
+				Ejected: true},
+			{ID: 4, WarmUpBudget: 1e9}, {ID: 99},
+		},
+	})
 	if m := r.balancer.endpoints.byID[4]; m.warmUp.budget != 0 {
 		t.Errorf("%v saved from before the start", m.warmUp.budget)
 	}
--- a/cmd/hillknot/replacement.go
+++ b/cmd/hillknot/replacement.go
@@ -48,12 +48,12 @@
 	}
 	done := make(chan struct{})
 	r.core.Post(func() {
-		r.core.ImportMemory(state.Memory)
+		r.core.ImportSnapshot(state.Snapshot)
 		close(done)
 	})
 	<-done
-	memory := state.Memory
-	log.Info("hot restart state imported", "endpoints", len(memory.Members), "purges", len(memory.Purges), "objects", len(memory.Objects))
+	memory := state.Snapshot
+	log.Info("hot restart state imported", "endpoints", len(memory.Endpoints), "purges", len(memory.Purges), "objects", len(memory.Objects))
 }
 
 // waitForPredecessor takes the whole of the limits once the predecessor has ended.
@@ -80,7 +80,7 @@
 func (r *replacement) State() handover.State {
 	exported := make(chan handover.State, 1)
 	r.core.Post(func() {
-		exported <- handover.State{DiscoveryPosition: r.watcher.Position(), Memory: r.core.ExportMemory()}
+		exported <- handover.State{DiscoveryPosition: r.watcher.Position(), Snapshot: r.core.ExportSnapshot()}
 	})
 	timeout := time.NewTimer(r.limits.HandoverWait / 2)
 	defer timeout.Stop()
--- a/internal/core/memory.go
+++ b/internal/core/memory.go
@@ -7,33 +7,33 @@
 	"hillknot/balancer"
 )
 
-// ExportMemory returns what the decision module has learned, for ImportMemory of the successor. Its times are
+// ExportSnapshot returns what the decision module has learned, for ImportSnapshot of the successor. Its times are
 // relative to now; the start of an endpoint is the stamp of the endpoint list, by which both processes know it.
-func (c *Core) ExportMemory() balancer.Memory {
-	memory := c.module.HandOver()
+func (c *Core) ExportSnapshot() balancer.Snapshot {
+	memory := c.module.ExportSnapshot()
 	memory.Relative(c.iteration.now)
-	for i := range memory.Members {
-		learned := &memory.Members[i]
-		learned.Start = 0
-		if e := c.endpoints.byID[learned.Node]; e != nil {
-			learned.Start = time.Duration(e.startStamp)
+	for i := range memory.Endpoints {
+		learned := &memory.Endpoints[i]
+		learned.StartedAt = 0
+		if e := c.endpoints.byID[learned.ID]; e != nil {
+			learned.StartedAt = time.Duration(e.startStamp)
 		}
 	}
 	return memory
 }
 
-// ImportMemory goes on from what the predecessor has learned. Pending events come first, as the endpoint list must
+// ImportSnapshot goes on from what the predecessor has learned. Pending events come first, as the endpoint list must
 // be known. What was learned of an endpoint that has restarted since is dropped.
-func (c *Core) ImportMemory(memory balancer.Memory) {
+func (c *Core) ImportSnapshot(memory balancer.Snapshot) {
 	c.decide()
 	memory.Absolute(c.iteration.now)
-	memory.Members = slices.DeleteFunc(memory.Members, func(learned balancer.MemberMemory) bool {
-		e := c.endpoints.byID[learned.Node]
-		return e == nil || learned.Start != time.Duration(e.startStamp)
+	memory.Endpoints = slices.DeleteFunc(memory.Endpoints, func(learned balancer.EndpointSnapshot) bool {
+		e := c.endpoints.byID[learned.ID]
+		return e == nil || learned.StartedAt != time.Duration(e.startStamp)
 	})
-	for i := range memory.Members {
-		learned := &memory.Members[i]
-		learned.Start = c.endpoints.byID[learned.Node].startedAt
+	for i := range memory.Endpoints {
+		learned := &memory.Endpoints[i]
+		learned.StartedAt = c.endpoints.byID[learned.ID].startedAt
 	}
-	c.module.TakeOver(c.iteration.now, memory)
+	c.module.ImportSnapshot(c.iteration.now, memory)
 }
--- a/internal/handover/golden_test.go
+++ b/internal/handover/golden_test.go
@@ -19,14 +19,18 @@
 // loads {Rate, Peak, Fleet, At}, objects {Object, Part, Seen, OkAt, Copied, Held, Work}. The place in Memory.Loads is the number of
 // a role of package balancer, whose order counts too.
 
-var goldenState = State{DiscoveryPosition: 4_100_000_000, Memory: balancer.Memory{LinkRoom: 2.5, Floor: 7,
-	Purges: []balancer.PurgeMemory{{ByGroup: true, Name: 11, At: 9}, {Name: 1<<64 - 1, At: 10}},
-	Members: []balancer.MemberMemory{{Node: 1<<64 - 2, Start: 3, Saved: 0.25, Misses: 0.5, Fails: 2, Bad: true, Trial: 4, Doubted: 5, Doubt: 0.75},
-		{Node: 12, Start: 13, Saved: 0.125, Misses: 0.375, Fails: 14, Trial: 15, Doubted: 16, Doubt: 0.625}},
-	Loads:   []balancer.LoadMemory{{Rate: 1, Peak: 2, Fleet: 3, At: 4}, {Rate: 1.5, Peak: 2.5, Fleet: 3.5, At: 5}},
-	Classes: []balancer.ClassMemory{{Name: `a"b`, Work: 0.125}, {Name: "page", Work: 0.0625}},
-	Objects: []balancer.ObjectMemory{{Object: 1 << 63, Part: 2, Seen: 3, OkAt: 4, Copied: 5, Held: true, Work: 0.5},
-		{Object: 6, Part: 7, Seen: 8, OkAt: 9, Copied: 10, Work: 0.25}}}}
+var goldenState = State{DiscoveryPosition: 4_100_000_000, Snapshot: balancer.Snapshot{LinkLimit: 2.5, PurgeFloor: 7,
+	Purges: []balancer.PurgeSnapshot{{ByGroup: true, ID: 11, PurgedAt: 9}, {ID: 1<<64 - 1, PurgedAt: 10}},
+	Endpoints: []balancer.EndpointSnapshot{{ID: 1<<64 - 2, StartedAt: 3, WarmUpBudget: 0.25, MissRate: 0.5,
+		ConsecutiveFailures: 2, Ejected: true, NextProbe: 4, PenalizedAt: 5, Penalty: 0.75},
+		{ID: 12, StartedAt: 13, WarmUpBudget: 0.125, MissRate: 0.375,
+			ConsecutiveFailures: 14, NextProbe: 15, PenalizedAt: 16, Penalty: 0.625}},
+	Loads:   []balancer.LoadSnapshot{{Rate: 1, Peak: 2, PeakCapacity: 3, UpdatedAt: 4},
+		{Rate: 1.5, Peak: 2.5, PeakCapacity: 3.5, UpdatedAt: 5}},
+	Classes: []balancer.ClassSnapshot{{Name: `a"b`, ServiceTime: 0.125}, {Name: "page", ServiceTime: 0.0625}},
+	Objects: []balancer.ObjectSnapshot{{Object: 1 << 63, Part: 2, RequestCount: 3, ServedAt: 4, ReplicatedAt: 5,
+		CachedAtHome: true, ServiceTime: 0.5},
+		{Object: 6, Part: 7, RequestCount: 8, ServedAt: 9, ReplicatedAt: 10, ServiceTime: 0.25}}}}
 
 func TestGoldenState(t *testing.T) {
 	for name, want := range map[string]State{"state.json": goldenState, "state-empty.json": {}} {
@@ -39,7 +43,7 @@
 		})
 	}
 	one := goldenState // each kind of row, with every field set
-	one.Memory.Purges, one.Memory.Members, one.Memory.Objects = one.Memory.Purges[:1], one.Memory.Members[:1], one.Memory.Objects[:1]
+	one.Snapshot.Purges, one.Snapshot.Endpoints, one.Snapshot.Objects = one.Snapshot.Purges[:1], one.Snapshot.Endpoints[:1], one.Snapshot.Objects[:1]
 	golden.Nonzero(t, one)
 }
 
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -19,13 +19,15 @@
 	Handover: config.Conn{Pending: 1 << 17, Read: 20 * time.Second, Whole: 20 * time.Second, Write: 20 * time.Second,
 		Idle: time.Hour, Silent: time.Hour}}
 
-var some = State{DiscoveryPosition: 41, Memory: balancer.Memory{LinkRoom: 2.5, Floor: 7,
-	Purges: []balancer.PurgeMemory{{ByGroup: true, Name: 1<<64 - 1, At: 9}},
-	Members: []balancer.MemberMemory{{Node: 1<<64 - 2, Start: 3, Saved: 0.25, Misses: 0.5, Fails: 2, Bad: true, Trial: 4,
-		Doubted: 5, Doubt: 0.75}},
-	Loads:   []balancer.LoadMemory{{Rate: 1, Peak: 2, Fleet: 3, At: 4}},
-	Classes: []balancer.ClassMemory{{Name: `a"b`, Work: 0.125}},
-	Objects: []balancer.ObjectMemory{{Object: 1 << 63, Part: 2, Seen: 3, OkAt: 4, Copied: 5, Held: true, Work: 0.5}}}}
+var some = State{DiscoveryPosition: 41, Snapshot: balancer.Snapshot{LinkLimit: 2.5, PurgeFloor: 7,
+	Purges: []balancer.PurgeSnapshot{{ByGroup: true, ID: 1<<64 - 1, PurgedAt: 9}},
+	Endpoints: []balancer.EndpointSnapshot{{ID: 1<<64 - 2, StartedAt: 3, WarmUpBudget: 0.25, MissRate: 0.5,
+		ConsecutiveFailures: 2, Ejected: true, NextProbe: 4,
+		PenalizedAt: 5, Penalty: 0.75}},
+	Loads:   []balancer.LoadSnapshot{{Rate: 1, Peak: 2, PeakCapacity: 3, UpdatedAt: 4}},
+	Classes: []balancer.ClassSnapshot{{Name: `a"b`, ServiceTime: 0.125}},
+	Objects: []balancer.ObjectSnapshot{{Object: 1 << 63, Part: 2, RequestCount: 3, ServedAt: 4, ReplicatedAt: 5,
+		CachedAtHome: true, ServiceTime: 0.5}}}}
 
 // owner is a process that a successor may take over from.
 type owner struct{ stages chan SuccessorStage }
--- a/internal/handover/state.go
+++ b/internal/handover/state.go
@@ -13,10 +13,10 @@
 // State is what a predecessor hands over.
 type State struct {
 	DiscoveryPosition int64 // in the event log of discovery
-	Memory            balancer.Memory
+	Snapshot            balancer.Snapshot
 }
 
-// A State is written as JSON. The lists of a Memory are rows of whole numbers, one behind the other: ids as they
+// A State is written as JSON. The lists of a Snapshot are rows of whole numbers, one behind the other: ids as they
 // are, times in nanoseconds, shares and seconds in billionths. Processes of other releases read it: the order of
 // the columns stays.
 
@@ -25,13 +25,13 @@
 	var e encoder
 	e.object = e.arena.NewObject()
 	e.integer("pos", s.DiscoveryPosition)
-	e.integer("linkRoom", billionths(s.Memory.LinkRoom))
-	e.integer("floor", int64(s.Memory.Floor))
-	encodeRows(&e, "purges", s.Memory.Purges, purgeRow)
-	encodeRows(&e, "members", s.Memory.Members, memberRow)
-	encodeRows(&e, "loads", s.Memory.Loads, loadRow)
-	encodeRows(&e, "objects", s.Memory.Objects, objectRow)
-	e.classes("classes", s.Memory.Classes)
+	e.integer("linkRoom", billionths(s.Snapshot.LinkLimit))
+	e.integer("floor", int64(s.Snapshot.PurgeFloor))
+	encodeRows(&e, "purges", s.Snapshot.Purges, purgeRow)
+	encodeRows(&e, "members", s.Snapshot.Endpoints, memberRow)
+	encodeRows(&e, "loads", s.Snapshot.Loads, loadRow)
+	encodeRows(&e, "objects", s.Snapshot.Objects, objectRow)
+	e.classes("classes", s.Snapshot.Classes)
 	return e.object.MarshalTo(nil)
 }
 
@@ -47,12 +47,12 @@
 
 func (e *encoder) integer(key string, v int64) { e.object.Set(key, e.number(v)) }
 
-func (e *encoder) classes(key string, classes []balancer.ClassMemory) {
+func (e *encoder) classes(key string, classes []balancer.ClassSnapshot) {
 	list := e.arena.NewArray()
 	for i, c := range classes {
 		class := e.arena.NewObject()
 		class.Set("name", e.arena.NewString(c.Name))
-		class.Set("work", e.number(billionths(c.Work)))
+		class.Set("work", e.number(billionths(c.ServiceTime)))
 		list.SetArrayItem(i, class)
 	}
 	e.object.Set(key, list)
@@ -78,15 +78,15 @@
 	}
 	object := jsonfields.Of(v)
 	s := State{DiscoveryPosition: object.Int("pos", 0)}
-	s.Memory.LinkRoom = fraction(object.Int("linkRoom", 0))
-	s.Memory.Floor = time.Duration(object.Int("floor", 0))
-	s.Memory.Purges = decodeRows(object, "purges", purgeColumns, purgeOf)
-	s.Memory.Members = decodeRows(object, "members", memberColumns, memberOf)
-	s.Memory.Loads = decodeRows(object, "loads", loadColumns, loadOf)
-	s.Memory.Objects = decodeRows(object, "objects", objectColumns, objectOf)
+	s.Snapshot.LinkLimit = fraction(object.Int("linkRoom", 0))
+	s.Snapshot.PurgeFloor = time.Duration(object.Int("floor", 0))
+	s.Snapshot.Purges = decodeRows(object, "purges", purgeColumns, purgeOf)
+	s.Snapshot.Endpoints = decodeRows(object, "members", memberColumns, memberOf)
+	s.Snapshot.Loads = decodeRows(object, "loads", loadColumns, loadOf)
+	s.Snapshot.Objects = decodeRows(object, "objects", objectColumns, objectOf)
 	for _, class := range object.Objects("classes") {
-		s.Memory.Classes = append(s.Memory.Classes,
-			balancer.ClassMemory{Name: class.Text("name", ""), Work: fraction(class.Int("work", 0))})
+		s.Snapshot.Classes = append(s.Snapshot.Classes,
+			balancer.ClassSnapshot{Name: class.Text("name", ""), ServiceTime: fraction(class.Int("work", 0))})
 	}
 	return s, object.Err()
 }
@@ -113,42 +113,43 @@
 	objectColumns = 7
 )
 
-func purgeRow(p balancer.PurgeMemory) []int64 {
-	return []int64{flag(p.ByGroup), int64(p.Name), int64(p.At)}
+func purgeRow(p balancer.PurgeSnapshot) []int64 {
+	return []int64{flag(p.ByGroup), int64(p.ID), int64(p.PurgedAt)}
 }
 
-func purgeOf(row []int64) balancer.PurgeMemory {
-	return balancer.PurgeMemory{ByGroup: row[0] != 0, Name: uint64(row[1]), At: time.Duration(row[2])}
+func purgeOf(row []int64) balancer.PurgeSnapshot {
+	return balancer.PurgeSnapshot{ByGroup: row[0] != 0, ID: uint64(row[1]), PurgedAt: time.Duration(row[2])}
 }
 
-func memberRow(m balancer.MemberMemory) []int64 {
-	return []int64{int64(m.Node), int64(m.Start), billionths(m.Saved), billionths(m.Misses), int64(m.Fails), flag(m.Bad),
-		int64(m.Trial), int64(m.Doubted), billionths(m.Doubt)}
+func memberRow(m balancer.EndpointSnapshot) []int64 {
+	return []int64{int64(m.ID), int64(m.StartedAt), billionths(m.WarmUpBudget), billionths(m.MissRate),
+		int64(m.ConsecutiveFailures), flag(m.Ejected),
+		int64(m.NextProbe), int64(m.PenalizedAt), billionths(m.Penalty)}
 }
 
-func memberOf(row []int64) balancer.MemberMemory {
-	return balancer.MemberMemory{Node: balancer.EndpointID(row[0]), Start: time.Duration(row[1]),
-		Saved: fraction(row[2]), Misses: fraction(row[3]), Fails: int(row[4]), Bad: row[5] != 0,
-		Trial: time.Duration(row[6]), Doubted: time.Duration(row[7]), Doubt: fraction(row[8])}
+func memberOf(row []int64) balancer.EndpointSnapshot {
+	return balancer.EndpointSnapshot{ID: balancer.EndpointID(row[0]), StartedAt: time.Duration(row[1]),
+		WarmUpBudget: fraction(row[2]), MissRate: fraction(row[3]), ConsecutiveFailures: int(row[4]), Ejected: row[5] != 0,
+		NextProbe: time.Duration(row[6]), PenalizedAt: time.Duration(row[7]), Penalty: fraction(row[8])}
 }
 
-func loadRow(l balancer.LoadMemory) []int64 {
-	return []int64{billionths(l.Rate), billionths(l.Peak), billionths(l.Fleet), int64(l.At)}
+func loadRow(l balancer.LoadSnapshot) []int64 {
+	return []int64{billionths(l.Rate), billionths(l.Peak), billionths(l.PeakCapacity), int64(l.UpdatedAt)}
 }
 
-func loadOf(row []int64) balancer.LoadMemory {
-	return balancer.LoadMemory{Rate: fraction(row[0]), Peak: fraction(row[1]), Fleet: fraction(row[2]),
-		At: time.Duration(row[3])}
+func loadOf(row []int64) balancer.LoadSnapshot {
+	return balancer.LoadSnapshot{Rate: fraction(row[0]), Peak: fraction(row[1]), PeakCapacity: fraction(row[2]),
+		UpdatedAt: time.Duration(row[3])}
 }
 
-func objectRow(o balancer.ObjectMemory) []int64 {
-	return []int64{int64(o.Object), int64(o.Part), int64(o.Seen), int64(o.OkAt), int64(o.Copied), flag(o.Held),
-		billionths(o.Work)}
+func objectRow(o balancer.ObjectSnapshot) []int64 {
+	return []int64{int64(o.Object), int64(o.Part), int64(o.RequestCount), int64(o.ServedAt), int64(o.ReplicatedAt), flag(o.CachedAtHome),
+		billionths(o.ServiceTime)}
 }
 
-func objectOf(row []int64) balancer.ObjectMemory {
-	return balancer.ObjectMemory{Object: uint64(row[0]), Part: uint64(row[1]), Seen: int(row[2]),
-		OkAt: time.Duration(row[3]), Copied: time.Duration(row[4]), Held: row[5] != 0, Work: fraction(row[6])}
+func objectOf(row []int64) balancer.ObjectSnapshot {
+	return balancer.ObjectSnapshot{Object: uint64(row[0]), Part: uint64(row[1]), RequestCount: int(row[2]),
+		ServedAt: time.Duration(row[3]), ReplicatedAt: time.Duration(row[4]), CachedAtHome: row[5] != 0, ServiceTime: fraction(row[6])}
 }
 
 func billionths(f float64) int64 { return int64(f * 1e9) }
