--- a/cmd/hillknot/cluster.go
+++ b/cmd/hillknot/cluster.go
@@ -4,9 +4,7 @@
 
 import (
 	"cmp"
-	"context"
 	"errors"
-	"log/slog"
 	"math"
 	"time"
 
@@ -45,8 +43,7 @@
 		})
 	}
 	if cfg.Fleet.Takeover.On {
-		tracing := slog.Default().Enabled(context.Background(), slog.LevelDebug)
-		orders, err := orderfailover.New(c, failoverSettings(cfg), cfg.Settings.Classes, members, tracing)
+		orders, err := orderfailover.New(c, failoverSettings(cfg), cfg.Settings.Classes, members)
 		if err != nil {
 			return nil, err
 		}
--- a/internal/cluster/failover/action.go
+++ b/internal/cluster/failover/action.go
@@ -30,8 +30,8 @@
 	Peer string // the other router, if there is one
 }
 
-// The texts of events. Some are put together: how far an order has come ("taken", "left", "may", "ended") and what was done
-// about it; or an event and an outcome ("ended served").
+// The texts of events. Some are put together: how far an order has come ("taken", "left", "may", "ended") and what
+// was done about it; or an event and an outcome ("ended served").
 const (
 	eventReplicaChosen    = "kept by"      // orders have a replica from now on
 	eventReplicaLost      = "keeper lost"  // the replica does not answer
--- a/internal/cluster/failover/claim.go
+++ b/internal/cluster/failover/claim.go
@@ -28,8 +28,8 @@
 	reasonNoReply     = "nobody knew in its time"
 )
 
-// Claim asks what became of an order whose router a client has lost. The order carries the lost txn, and all else as the
-// client asks for it now. ActionBeginClaim or ActionSettleClaim follows, unless CancelClaim comes before.
+// Claim asks what became of an order whose router a client has lost. The order carries the lost txn, and all else as
+// the client asks for it now. ActionBeginClaim or ActionSettleClaim follows, unless CancelClaim comes before.
 func (c *Coordinator) Claim(now time.Duration, id uint64, order Order) {
 	c.counters.Claims++
 	claim := &openClaim{
@@ -72,8 +72,8 @@
 	return c.unknownReply(now)
 }
 
-// ownedOrderReply is what a claimant is told of an order of this router's own. An order that never ran, and that no replica
-// knows, is given to the claimant by this reply.
+// ownedOrderReply is what a claimant is told of an order of this router's own. An order that never ran, and that no
+// replica knows, is given to the claimant by this reply.
 func (c *Coordinator) ownedOrderReply(o *ownedOrder, w waiter) reply {
 	if !o.state.ended() {
 		return addWaiter(&o.waiters, w)
@@ -142,8 +142,8 @@
 	}
 }
 
-// returnOrderTo returns an order to the router that gave it to a claim whose client no longer waits. A router that can't be
-// reached holds the order as given, which is safe.
+// returnOrderTo returns an order to the router that gave it to a claim whose client no longer waits. A router that
+// can't be reached holds the order as given, which is safe.
 func (c *Coordinator) returnOrderTo(now time.Duration, txn, router string) {
 	m := message{Kind: messageStep, Txn: txn, Step: stepEnded, Outcome: Outcome{Kind: NeverRan}}
 	_ = c.send(now, router, m, now+c.settings.Retention, request{step: stepEnded})
--- a/internal/cluster/failover/coordinator.go
+++ b/internal/cluster/failover/coordinator.go
@@ -1,11 +1,13 @@
-// Package failover decides which router may run an order when the router that took it is lost, so that no order runs twice.
+// Package failover decides which router may run an order when the router that took it is lost, so that no order runs
+// twice.
 //
-// It is a state machine: it does no I/O, reads no clock and draws no random numbers. Each call carries the time, and what is
-// to be done is read with DuePackets and Actions. docs/design/takeover.md says what it guarantees, and why.
+// It is a state machine: it does no I/O, reads no clock and draws no random numbers. Each call carries the time, and
+// what is to be done is read with DuePackets and Actions. docs/design/takeover.md says what it guarantees, and why.
 //
-// A router has three roles here. It is the owner of the orders that its clients send to it, and replicates each to another
-// router before it is sent on. It is the replica of other routers' orders, and passes them on when their owner's lease has
-// expired. And it is the claimant for clients that lost another router and ask what became of their order.
+// A router has three roles here. It is the owner of the orders that its clients send to it, and replicates each to
+// another router before it is sent on. It is the replica of other routers' orders, and passes them on when their
+// owner's lease has expired. And it is the claimant for clients that lost another router and ask what became of their
+// order.
 package failover
 
 import (
@@ -36,8 +38,8 @@
 	peers     []Peer             // alive, in the order of their names
 	startedAt time.Duration      // of the first SetPeers; 0: not yet
 	lastSweep time.Duration      // when what has ended was looked through
-	// Until then something that was forgotten early may still be asked for, so this router can't say for certain that it
-	// knows nothing of an order.
+	// Until then something that was forgotten early may still be asked for, so this router can't say for certain
+	// that it knows nothing of an order.
 	uncertainUntil time.Duration
 
 	owned  ownedOrders
@@ -107,7 +109,8 @@
 	c.receiveReplies(now)
 }
 
-// Tick looks at what has expired. It is due every few milliseconds; a late call, as after a pause of the process, is safe.
+// Tick looks at what has expired. It is due every few milliseconds; a late call, as after a pause of the process, is
+// safe.
 func (c *Coordinator) Tick(now time.Duration) {
 	c.messenger.Tick(now)
 	c.receiveReplies(now)
@@ -131,8 +134,8 @@
 	claim   uint64
 }
 
-// send sends a message to a router, and again until it is acknowledged or a time has come. The reply comes to the role that
-// the request is of.
+// send sends a message to a router, and again until it is acknowledged or a time has come. The reply comes to the
+// role that the request is of.
 func (c *Coordinator) send(now time.Duration, to string, m message, until time.Duration, r request) error {
 	body, err := cbor.Marshal(&m)
 	if err != nil {
@@ -178,13 +181,14 @@
 // replicaDuty and the owner's name are hashed with the names of the peers into the choice of the replica.
 const replicaDuty = "keeper of "
 
-// bestReplica returns the router that is to hold this router's orders: the one with the highest score, first of those in
-// another place; those that are excluded don't count. It returns "" if there is none.
+// bestReplica returns the router that is to hold this router's orders: the one with the highest score, first of those
+// in another place; those that are excluded don't count. It returns "" if there is none.
 func (c *Coordinator) bestReplica(excluded []string) string {
 	for _, samePlace := range []bool{false, true} {
 		var names []string
 		for _, p := range c.peers {
-			if !slices.Contains(excluded, p.Name) && (samePlace || c.settings.Place == "" || p.Place != c.settings.Place) {
+			placeFits := samePlace || c.settings.Place == "" || p.Place != c.settings.Place
+			if placeFits && !slices.Contains(excluded, p.Name) {
 				names = append(names, p.Name)
 			}
 		}
--- a/internal/cluster/failover/message.go
+++ b/internal/cluster/failover/message.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Routers of different releases exchange these messages. They are CBOR arrays: the order, number and types of their fields and
-// the numbers of the constants are fixed, while names are free.
+// Routers of different releases exchange these messages. They are CBOR arrays: the order, number and types of their
+// fields and the numbers of the constants are fixed, while names are free.
 
 // messageKind is the kind of a message.
 type messageKind uint8
@@ -21,7 +21,7 @@
 const (
 	stepNone         step = iota
 	stepTaken             // it waits; nobody but its owner may run it
-	stepTransferable      // it still waits, and its owner uses no other replica: this one may pass it on if the owner is lost
+	stepTransferable      // it waits, and its owner uses no other replica: this one may pass it on
 	stepMaySend           // its owner may send it from now on
 	stepEnded
 )
--- a/internal/cluster/failover/order_state.go
+++ b/internal/cluster/failover/order_state.go
@@ -8,8 +8,8 @@
 	orderLeaseRequested                           // its caller waits for ActionSend
 	orderLeaseGranted                             // its caller got ActionSend; nothing was written yet
 	orderSent                                     // it may have been written
-	orderResendRequested                          // the same, and its caller waits for another ActionSend: the lease had expired
-	orderReleasing                                // rejected unsent; its replica has yet to say that it won't pass it on
+	orderResendRequested                          // the same, and its caller waits for ActionSend again
+	orderReleasing                                // rejected unsent; its replica has yet to release it
 	orderReleasingAfterSend                       // the same, after it was sent to an endpoint that rejected it
 	orderEnded                                    // its outcome is known, and it was never sent
 	orderEndedAfterSend
@@ -29,8 +29,8 @@
 	orderEvents
 )
 
-// orderTransitions is the life cycle of an order: by state and event, the state that follows. Where there is none, the event
-// changes nothing.
+// orderTransitions is the life cycle of an order: by state and event, the state that follows. Where there is none,
+// the event changes nothing.
 var orderTransitions = [orderStates][orderEvents]orderState{
 	orderQueued: {
 		leaseRequested:    orderLeaseRequested,
--- a/internal/cluster/failover/owner.go
+++ b/internal/cluster/failover/owner.go
@@ -12,8 +12,8 @@
 	lastSession uint64                 // the number of the latest
 }
 
-// Replicate takes an order that a client waits for, and has a replica told of it. An error says why it can't be taken; the
-// order never ran then.
+// Replicate takes an order that a client waits for, and has a replica told of it. An error says why it can't be
+// taken; the order never ran then.
 func (c *Coordinator) Replicate(now time.Duration, order Order) error {
 	if c.settings.Strict && c.currentSession(now) == nil {
 		c.counters.OrdersWithoutReplica++
@@ -35,8 +35,8 @@
 	return nil
 }
 
-// RequestLease asks to send an order. ActionSend or ActionStop follows, at once or later; nothing follows if the order ends
-// before.
+// RequestLease asks to send an order. ActionSend or ActionStop follows, at once or later; nothing follows if the
+// order ends before.
 func (c *Coordinator) RequestLease(now time.Duration, txn string) {
 	o := c.owned.orders[txn]
 	if o == nil || o.state.ended() {
@@ -68,8 +68,8 @@
 	return true
 }
 
-// Finish takes the outcome that an order's client is about to be told. If it returns true, the caller waits for ActionRelease
-// or calls StopWaiting before it tells the client: a replica may still pass the order on.
+// Finish takes the outcome that an order's client is about to be told. If it returns true, the caller waits for
+// ActionRelease or calls StopWaiting before it tells the client: a replica may still pass the order on.
 func (c *Coordinator) Finish(now time.Duration, txn string, outcome Outcome) (wait bool) {
 	o := c.owned.orders[txn]
 	if o == nil || o.state.ended() {
--- a/internal/cluster/failover/replica.go
+++ b/internal/cluster/failover/replica.go
@@ -9,7 +9,8 @@
 	"hillknot/internal/cluster/messaging"
 )
 
-// storedRecords is what this router knows as a replica: records of other routers' orders, and the leases of their owners.
+// storedRecords is what this router knows as a replica: records of other routers' orders, and the leases of their
+// owners.
 type storedRecords struct {
 	records map[string]*record // by txn
 	ended   []string           // records that have ended, oldest first
@@ -36,7 +37,7 @@
 const (
 	contentsUnknown  recordContents = iota // only that its owner knows it
 	contentsComplete                       // the owner's order
-	contentsReserved                       // nothing that counts: the txn is set aside for a claimant, and no owner gets it
+	contentsReserved                       // the txn is set aside for a claimant, and no owner gets it
 )
 
 // record is what a replica knows of an order.
@@ -56,6 +57,11 @@
 // ownerOpen tells whether the owner still decides about the order.
 func (r *record) ownerOpen() bool { return r.state <= recordMaySend }
 
+// isGivenTo tells whether a claimant at that process has the order.
+func (r *record) isGivenTo(claimant Incarnation) bool {
+	return r.state == recordGiven && r.givenTo.Incarnation == claimant
+}
+
 // giveTo gives the order, or with contentsReserved only its txn, to a claimant.
 func (r *record) giveTo(w waiter) { r.state, r.givenTo = recordGiven, w }
 
@@ -127,7 +133,7 @@
 			c.trace(m.Step.String()+eventStepStored, m.Txn, from.Name)
 		}
 		return replyAcknowledged
-	case r.state == recordGiven && r.givenTo.Incarnation == from && m.Order.Txn == m.Txn: // its new owner
+	case r.isGivenTo(from) && m.Order.Txn == m.Txn: // its new owner
 	default:
 		return replyGivenAway
 	}
@@ -160,11 +166,12 @@
 			return replyAcknowledged
 		}
 		r.owner = from
-	case r.state == recordGiven && r.givenTo.Incarnation == from && m.Outcome.Kind == NeverRan: // it gives the order back
+	case r.isGivenTo(from) && m.Outcome.Kind == NeverRan: // it gives the order back
 		c.endRecord(now, r, m.Outcome)
 		return replyAcknowledged
 	case r.state == recordEnded && r.owner == from:
-		// The owner was taken for lost, and knows better. But an order that was told as may have run must not run later.
+		// The owner was taken for lost, and knows better. But an order that was told as may have run must not run
+		// later.
 		if r.outcome.Kind == MayHaveRun && m.Outcome.Kind != NeverRan {
 			c.endRecord(now, r, m.Outcome)
 		}
@@ -279,8 +286,8 @@
 	c.updateClaimant(now, r.order.Txn, first, c.recordReply(now, r, first))
 }
 
-// runOrphan runs an order without its client, if all of it is here and there is time for it. Else a claim may bring what is
-// missing, or the order never runs.
+// runOrphan runs an order without its client, if all of it is here and there is time for it. Else a claim may bring
+// what is missing, or the order never runs.
 func (c *Coordinator) runOrphan(now time.Duration, r *record) {
 	if r.state != recordOrphaned || !r.order.BodyComplete || now >= r.deadline {
 		return
@@ -293,8 +300,8 @@
 	c.act(Action{Kind: ActionRun, Txn: order.Txn, Order: order})
 }
 
-// recordReply is what a claimant that has shown to know a record's order is told of it. An order that may be passed on is
-// given to the claimant by this reply.
+// recordReply is what a claimant that has shown to know a record's order is told of it. An order that may be passed
+// on is given to the claimant by this reply.
 func (c *Coordinator) recordReply(now time.Duration, r *record, w waiter) reply {
 	switch r.state {
 	case recordTaken, recordTransferable, recordMaySend, recordRunning:
@@ -340,8 +347,8 @@
 	return reply{Kind: replyPending}
 }
 
-// certain tells whether this router would know of an order if any process of it had held a record of it: all clients from
-// before its start have given up, and nothing was forgotten early.
+// certain tells whether this router would know of an order if any process of it had held a record of it: all clients
+// from before its start have given up, and nothing was forgotten early.
 func (c *Coordinator) certain(now time.Duration) bool {
 	upLongEnough := c.startedAt > 0 && now >= c.startedAt+c.settings.withClockDrift(c.settings.MaxClientWait)
 	return upLongEnough && now >= c.uncertainUntil
--- a/internal/cluster/failover/replication.go
+++ b/internal/cluster/failover/replication.go
@@ -34,7 +34,7 @@
 const (
 	exposedToNone   exposure = iota // no replica was told of it, so this router may give it to a claimant
 	exposedRecord                   // a replica was told, and may not pass it on
-	exposedTransfer                 // a replica was told that it may pass it on: only that replica knows what became of it
+	exposedTransfer                 // a replica was told that it may pass it on: only that one knows more
 )
 
 // mayBeSent tells whether the order may be written now.
--- a/internal/cluster/failover/session.go
+++ b/internal/cluster/failover/session.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// replicaSession is a run of this router's orders at one replica, under one lease. When the replica is lost, or takes this
-// router for lost, another session follows.
+// replicaSession is a run of this router's orders at one replica, under one lease. When the replica is lost, or takes
+// this router for lost, another session follows.
 type replicaSession struct {
 	replica    string
 	number     uint64
@@ -88,7 +88,8 @@
 	}
 }
 
-// sessionLost ends a session whose replica takes this router for lost: what was not sent yet may be another router's by now.
+// sessionLost ends a session whose replica takes this router for lost: what was not sent yet may be another router's
+// by now.
 func (c *Coordinator) sessionLost(now time.Duration, session *replicaSession) {
 	if session.lost {
 		return
--- a/internal/cluster/failover/settings.go
+++ b/internal/cluster/failover/settings.go
@@ -33,8 +33,8 @@
 	maxPlaceName  = 64
 )
 
-// Defaults returns settings for a process of a router in a cluster of that size, whose clients wait for maxClientWait at
-// most.
+// Defaults returns settings for a process of a router in a cluster of that size, whose clients wait for maxClientWait
+// at most.
 func Defaults(self string, process uint64, clusterSize int, maxClientWait time.Duration) Settings {
 	return Settings{
 		Self:           self,
@@ -95,8 +95,8 @@
 	return nil
 }
 
-// withClockDrift returns a time on this router's clock after which d has surely passed on every clock that drifts by no more
-// than ClockDrift.
+// withClockDrift returns a time on this router's clock after which d has surely passed on every clock that drifts by
+// no more than ClockDrift.
 func (s Settings) withClockDrift(d time.Duration) time.Duration {
 	return time.Duration(math.Ceil(float64(d) * (1 + s.ClockDrift) / (1 - s.ClockDrift)))
 }
--- a/internal/cluster/messaging/messaging.go
+++ b/internal/cluster/messaging/messaging.go
@@ -1,9 +1,9 @@
-// Package messaging sends messages to single routers, and repeats each until it is acknowledged. It is a state machine: it
-// decides what is sent and acknowledged when, does no I/O, reads no clock and draws no random numbers.
+// Package messaging sends messages to single routers, and repeats each until it is acknowledged. It is a state
+// machine: it decides what is sent and acknowledged when, does no I/O, reads no clock and draws no random numbers.
 //
-// A message is for one process of a router, which delivers it at most once, however often and late it comes: a message that
-// was delivered before is acknowledged again from memory, and one that is too old to be remembered is ignored. So no late
-// packet can bring anything back.
+// A message is for one process of a router, which delivers it at most once, however often and late it comes: a
+// message that was delivered before is acknowledged again from memory, and one that is too old to be remembered is
+// ignored. So no late packet can bring anything back.
 package messaging
 
 import (
@@ -26,8 +26,8 @@
 	Body    []byte
 }
 
-// Completion is the end of a message that was sent: the peer has acknowledged it with Reply, or Err says why it was given
-// up.
+// Completion is the end of a message that was sent: the peer has acknowledged it with Reply, or Err says why it was
+// given up.
 type Completion struct {
 	ID    uint64
 	To    string
@@ -51,8 +51,8 @@
 	return &Messenger{settings: settings, peers: map[string]*peer{}, inFlight: map[uint64]*peer{}}
 }
 
-// Send has a message sent to a router until that acknowledges it, or a deadline has come. Completions tells its end, under
-// the number that Send returns. The error is a MessageTooLongError or a QueueFullError.
+// Send has a message sent to a router until that acknowledges it, or a deadline has come. Completions tells its end,
+// under the number that Send returns. The error is a MessageTooLongError or a QueueFullError.
 func (m *Messenger) Send(now time.Duration, to string, body []byte, deadline time.Duration) (id uint64, err error) {
 	p := m.peer(now, to)
 	if len(body) > m.settings.MaxMessageBytes {
@@ -145,7 +145,8 @@
 		first, reply := p.inbox.accept(message.ID, m.settings.ReplyMemory)
 		switch {
 		case first:
-			deliveries = append(deliveries, Delivery{From: p.name, Process: p.process, ID: message.ID, Body: message.Body})
+			delivery := Delivery{From: p.name, Process: p.process, ID: message.ID, Body: message.Body}
+			deliveries = append(deliveries, delivery)
 		case reply != nil:
 			p.acknowledgements = append(p.acknowledgements, item{ID: message.ID, Body: reply})
 		}
@@ -153,8 +154,8 @@
 	return deliveries
 }
 
-// Acknowledge tells the sender of a message that it was taken, with a reply of at least one byte. The same reply is sent
-// again if the message comes again.
+// Acknowledge tells the sender of a message that it was taken, with a reply of at least one byte. The same reply is
+// sent again if the message comes again.
 func (m *Messenger) Acknowledge(d Delivery, reply []byte) {
 	p := m.peers[d.From]
 	if p == nil || p.process != d.Process {
--- a/internal/cluster/messaging/packet.go
+++ b/internal/cluster/messaging/packet.go
@@ -6,8 +6,8 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// packet is a Packet's content. Routers of different releases exchange it as a CBOR array: the order, number and types of its
-// fields are fixed, while their names are free.
+// packet is a Packet's content. Routers of different releases exchange it as a CBOR array: the order, number and
+// types of its fields are fixed, while their names are free.
 type packet struct {
 	_                struct{} `cbor:",toarray"`
 	From             string
@@ -51,9 +51,9 @@
 // itemOverhead is about the size of an item without its body.
 const itemOverhead = 12
 
-// reserve counts an item, and begins another packet if it no longer fits into this one. It returns false for an item that is
-// left out: the one that begins another packet. That is a fault of long standing, kept until it is mended on its own: such a
-// message goes out with its next retry, and such an acknowledgement once its message comes again.
+// reserve counts an item, and begins another packet if it no longer fits into this one. It returns false for an item
+// that is left out: the one that begins another packet. That is a fault of long standing, kept until it is mended on
+// its own: such a message goes out with its next retry, and such an acknowledgement once its message comes again.
 func (w *packetWriter) reserve(it item) bool {
 	full := w.size > 0 && w.size+len(it.Body) > w.messenger.settings.MaxPacketBytes
 	if full {
@@ -128,7 +128,8 @@
 	}
 }
 
-// writeQuery writes the open query for the peer's process, if it is due. It gives up a query that nothing waits for any more.
+// writeQuery writes the open query for the peer's process, if it is due. It gives up a query that nothing waits for
+// any more.
 func (p *peer) writeQuery(w *packetWriter, now, interval time.Duration) bool {
 	if len(p.outbox.messages) == 0 && now >= p.query.expiresAt {
 		p.query.number = 0
--- a/internal/cluster/messaging/peer.go
+++ b/internal/cluster/messaging/peer.go
@@ -88,8 +88,8 @@
 	clear(b.replies)
 }
 
-// query asks which process of a peer is there now. Only the reply to an open query tells: a process that has ended can't
-// give it, however late its packets come.
+// query asks which process of a peer is there now. Only the reply to an open query tells: a process that has ended
+// can't give it, however late its packets come.
 type query struct {
 	number    uint64        // 0: no query is open
 	sendAt    time.Duration // when it is sent again
@@ -149,8 +149,8 @@
 	p.query = query{number: m.lastQuery, sendAt: now, expiresAt: now + queryLifetime}
 }
 
-// replaceProcess goes on with another process of a peer. Messages for the one before end with ProcessReplacedError; those
-// that are for no process yet are sent to it at once.
+// replaceProcess goes on with another process of a peer. Messages for the one before end with ProcessReplacedError;
+// those that are for no process yet are sent to it at once.
 func (m *Messenger) replaceProcess(p *peer, process uint64) {
 	for _, out := range slices.Clone(p.outbox.messages) {
 		if out.process == 0 {
--- a/internal/extension/orderfailover/orderfailover.go
+++ b/internal/extension/orderfailover/orderfailover.go
@@ -1,10 +1,9 @@
-// Package orderfailover puts work that outlives its router into the core: it carries out what takeover decides, and hands the
-// core's orders, and the packets of other routers, to it. Only programs built with the tag cluster have it.
+// Package orderfailover ties failover of orders into the core: it carries out what a failover.Coordinator decides,
+// and passes the core's orders and other routers' packets to it. Only programs built with the tag cluster contain it.
 package orderfailover
 
 import (
-	"crypto/sha256"
-	"encoding/binary"
+	"context"
 	"log/slog"
 	"strconv"
 	"time"
@@ -13,238 +12,172 @@
 	"hillknot/internal/cluster/failover"
 	"hillknot/internal/cluster/messaging"
 	"hillknot/internal/core"
+	"hillknot/internal/logging"
 	"hillknot/internal/operatorhint"
 )
 
-// Transport carries packets between routers. No method may block.
+var log = logging.For("failover")
+
+// Transport sends packets to other routers. No method may block.
 type Transport interface {
+	// SendOrderPackets sends packets of the coordinator. Packets may be lost.
 	SendOrderPackets([]messaging.Packet)
-	OrderPeers() []failover.Peer // alive, and of those that keep orders, in the order of their names
+	// OrderPeers returns the other routers that are alive and hold records of orders, in the order of their names.
+	OrderPeers() []failover.Peer
 }
 
-// StepHook, if it is set, is called at each step of an order: for tests that kill the process there.
-var StepHook func(what, txn string)
+// StepHook is called at each step of an order, unless it is nil, with one of the texts of failover.Event. Tests kill
+// the process there.
+var StepHook func(step, txn string)
 
-// beatEvery is how often what has run out is looked for.
-const beatEvery = 20 * time.Millisecond
+// tickInterval is how often the coordinator looks at what has expired.
+const tickInterval = 20 * time.Millisecond
 
-// figuresEvery is how often figures are made anew.
-const figuresEvery = 200 * time.Millisecond
+// metricsInterval is how old metrics may be.
+const metricsInterval = 200 * time.Millisecond
 
-// Extension implements core.OrderFailover. All its methods belong to the core's goroutine.
+// Extension implements core.OrderFailover. All its methods are called on the core's goroutine, and it starts none.
 type Extension struct {
-	core    *core.Core
-	table   *failover.Coordinator
-	carrier Transport
-	writes  map[string]bool // by class
-	trace   bool
-	figures []core.Metric
-	fresh   time.Duration // when figures are to be made
-}
-
-// New returns the hands of a process that has just started, with the classes of its requests. With trace the log has a
-// line for each step of an order.
-func New(c *core.Core, set failover.Settings, classes []balancer.Class, carrier Transport, trace bool) (*Extension, error) {
-	t, err := failover.New(set)
+	core         *core.Core
+	coordinator  *failover.Coordinator
+	transport    Transport
+	writeClasses map[string]bool // classes whose requests write
+	logSteps     bool            // each step of an order is logged, at level debug
+	metrics      []core.Metric
+	metricsDue   time.Duration // when metrics are made anew
+}
+
+// New returns the extension of a process that has just started. It has to know the classes of the core's requests, to
+// run those of lost routers. An error says which setting can't be used.
+func New(
+	c *core.Core, settings failover.Settings, classes []balancer.Class, transport Transport,
+) (*Extension, error) {
+	coordinator, err := failover.New(settings)
 	if err != nil {
 		return nil, err
 	}
-	h := &Extension{core: c, table: t, carrier: carrier, writes: map[string]bool{}, trace: trace}
-	for _, k := range classes {
-		h.writes[k.Name] = k.Write
+	e := &Extension{
+		core:         c,
+		coordinator:  coordinator,
+		transport:    transport,
+		writeClasses: map[string]bool{},
+		logSteps:     log.Enabled(context.Background(), slog.LevelDebug),
+	}
+	for _, class := range classes {
+		e.writeClasses[class.Name] = class.Write
 	}
-	return h, nil
+	return e, nil
 }
 
-// Start begins to keep and take over orders.
-func (h *Extension) Start() {
-	h.core.SetOrderFailover(h)
-	h.beat()
+// Start has the core replicate its orders, and begins to hold other routers'. It ends with the core's goroutine.
+func (e *Extension) Start() {
+	e.core.SetOrderFailover(e)
+	e.tick()
 }
 
-func (h *Extension) beat() {
-	now := h.core.LoopTime()
-	h.table.SetPeers(now, h.carrier.OrderPeers())
-	h.table.Tick(now)
-	h.settle()
-	h.core.Schedule(now+beatEvery, h.beat)
-	if now >= h.fresh {
-		h.fresh = now + figuresEvery
-		h.figures = figures(h.table.Stats())
+func (e *Extension) tick() {
+	now := e.core.LoopTime()
+	e.coordinator.SetPeers(now, e.transport.OrderPeers())
+	e.coordinator.Tick(now)
+	e.carryOutActions()
+	e.core.Schedule(now+tickInterval, e.tick)
+	if now >= e.metricsDue {
+		e.metricsDue = now + metricsInterval
+		e.metrics = metrics(e.coordinator.Stats())
 	}
 }
 
 // Receive takes a packet of another router.
-func (h *Extension) Receive(data []byte) {
-	h.table.Receive(h.core.LoopTime(), data)
-	h.settle()
+func (e *Extension) Receive(data []byte) {
+	e.coordinator.Receive(e.core.LoopTime(), data)
+	e.carryOutActions()
 }
 
 // Flush implements core.OrderFailover.
-func (h *Extension) Flush() {
-	h.steps()
-	if out := h.table.DuePackets(h.core.LoopTime()); len(out) > 0 {
-		h.carrier.SendOrderPackets(out)
+func (e *Extension) Flush() {
+	e.reportSteps()
+	if packets := e.coordinator.DuePackets(e.core.LoopTime()); len(packets) > 0 {
+		e.transport.SendOrderPackets(packets)
 	}
-	h.settle() // what could not be told of ends there
+	e.carryOutActions() // of orders that no replica could be told of
 }
 
-// settle carries out what the table decides, until it decides nothing more.
-func (h *Extension) settle() {
-	for acts := h.table.Actions(); len(acts) > 0; acts = h.table.Actions() {
-		h.steps() // before what follows from them
-		for _, a := range acts {
-			h.act(a)
+// carryOutActions does what the coordinator decides, until it decides nothing more.
+func (e *Extension) carryOutActions() {
+	for actions := e.coordinator.Actions(); len(actions) > 0; actions = e.coordinator.Actions() {
+		e.reportSteps() // before what follows from them
+		for _, action := range actions {
+			e.carryOut(action)
 		}
 	}
-	h.steps()
+	e.reportSteps()
 }
 
-// steps tells the log, and a test, the steps of orders.
-func (h *Extension) steps() {
-	for _, e := range h.table.Events() {
-		if h.trace {
-			slog.Debug("order", "step", e.Step, "txn", e.Txn, "peer", e.Peer)
+// reportSteps logs the steps of orders, and calls StepHook for each.
+func (e *Extension) reportSteps() {
+	for _, event := range e.coordinator.Events() {
+		if e.logSteps {
+			log.Debug("order step",
+				logging.KeyStep, event.Step, logging.KeyRequestID, event.Txn, logging.KeyPeer, event.Peer)
 		}
 		if StepHook != nil {
-			StepHook(e.Step, e.Txn)
+			StepHook(event.Step, event.Txn)
 		}
 	}
 }
 
-func (h *Extension) act(a failover.Action) {
+func (e *Extension) carryOut(a failover.Action) {
 	switch a.Kind {
 	case failover.ActionSend:
-		h.core.LeaseGranted(a.Txn)
+		e.core.LeaseGranted(a.Txn)
 	case failover.ActionStop:
-		h.core.LeaseDenied(a.Txn, a.Outcome.Kind == failover.NeverRan, a.Err)
+		e.core.LeaseDenied(a.Txn, a.Outcome.Kind == failover.NeverRan, a.Err)
 	case failover.ActionRelease:
-		if a.Err != nil {
-			slog.Warn("order not withdrawn", "txn", a.Txn, operatorhint.Attr(a.Err))
-			h.core.OrderNotReleased(a.Txn)
-			return
-		}
-		h.core.OrderReleased(a.Txn)
+		e.releaseOrder(a)
 	case failover.ActionRun:
-		h.run(a.Order)
+		e.runOrder(a.Order)
 	case failover.ActionBeginClaim:
-		h.core.ClaimGranted(balancer.RequestID(a.ClaimID))
+		e.core.ClaimGranted(balancer.RequestID(a.ClaimID))
 	case failover.ActionSettleClaim:
-		if a.Err != nil {
-			slog.Warn("claim without an answer", "txn", a.Txn, operatorhint.Attr(a.Err))
-		}
-		h.core.ClaimAnswered(balancer.RequestID(a.ClaimID), answer(a.Outcome))
-	}
-}
-
-// run runs an order of a router that is lost. Nobody waits for its answer but those who claim it.
-func (h *Extension) run(o failover.Order) {
-	object, _ := strconv.ParseUint(o.Item, 16, 64) // as the router that took it read it
-	slog.Info("order of a lost router is run here", "txn", o.Txn, "class", o.Class)
-	h.core.Submit(h.core.NewID(), core.Request{Txn: o.Txn, ObjectText: o.Item, PartText: strconv.FormatUint(o.Part, 10), Class: o.Class,
-		Object: object, Part: o.Part, Group: o.Group, Account: o.Account, Timeout: o.TimeLeft, Body: o.Body, Write: h.writes[o.Class],
-		Reply: func(a core.Answer) core.Verdict {
-			h.table.Abandon(h.core.LoopTime(), o.Txn) // where it was not taken at all
-			return a.Verdict
-		}})
-}
-
-// order is a request as its keeper knows it.
-func order(q *core.Request, txn string, left time.Duration) failover.Order {
-	o := failover.Order{Txn: txn, Class: q.Class, Item: q.ObjectText, Account: q.Account, Part: q.Part, Group: q.Group, TimeLeft: left, Body: q.Body}
-	sum := sha256.New()
-	for _, s := range [][]byte{[]byte(q.Class), []byte(q.ObjectText), []byte(q.Account), q.Body} {
-		sum.Write(binary.BigEndian.AppendUint64(nil, uint64(len(s))))
-		sum.Write(s)
-	}
-	sum.Write(binary.BigEndian.AppendUint64(binary.BigEndian.AppendUint64(nil, q.Part), q.Group))
-	sum.Sum(o.Digest[:0])
-	return o
-}
-
-// Replicate implements core.OrderFailover.
-func (h *Extension) Replicate(q *core.Request, left time.Duration) error {
-	return h.table.Replicate(h.core.LoopTime(), order(q, q.Txn, left))
-}
-
-// Claim implements core.OrderFailover.
-func (h *Extension) Claim(id balancer.RequestID, q *core.Request, left time.Duration) {
-	h.table.Claim(h.core.LoopTime(), uint64(id), order(q, q.ResumesTxn, left))
-	h.settle()
-}
-
-// CancelClaim implements core.OrderFailover.
-func (h *Extension) CancelClaim(id balancer.RequestID) { h.table.CancelClaim(uint64(id)) }
-
-// RequestLease implements core.OrderFailover.
-func (h *Extension) RequestLease(txn string) {
-	h.table.RequestLease(h.core.LoopTime(), txn)
-	h.settle()
-}
-
-// UseLease implements core.OrderFailover.
-func (h *Extension) UseLease(txn string) bool {
-	yes := h.table.UseLease(h.core.CurrentTime(), txn)
-	h.steps()
-	return yes
-}
-
-// Finish implements core.OrderFailover.
-func (h *Extension) Finish(txn string, a core.Answer, ran bool) (wait bool) {
-	wait = h.table.Finish(h.core.LoopTime(), txn, outcome(a, ran))
-	h.Flush() // the outcome is on its way before the client has it
-	return wait
-}
-
-// StopWaiting implements core.OrderFailover.
-func (h *Extension) StopWaiting(txn string) { h.table.StopWaiting(h.core.LoopTime(), txn) }
-
-// Cancel implements core.OrderFailover.
-func (h *Extension) Cancel(txn string, ran bool) { h.table.Cancel(h.core.LoopTime(), txn, ran) }
-
-// Metrics implements core.OrderFailover.
-func (h *Extension) Metrics() []core.Metric { return h.figures }
-
-// outcome is what an answer tells of its order.
-func outcome(a core.Answer, ran bool) failover.Outcome {
-	switch {
-	case a.Verdict == core.Served:
-		return failover.Outcome{Kind: failover.Served, Body: a.Body}
-	case a.Verdict == core.Rejected && !ran:
-		return failover.Outcome{Kind: failover.NeverRan, RetryAfter: a.RetryAfter}
-	case a.Verdict == core.Failed:
-		return failover.Outcome{Kind: failover.Failed}
+		e.settleClaim(a)
 	}
-	return failover.Outcome{Kind: failover.MayHaveRun}
 }
 
-// answer is what a client is told of an outcome.
-func answer(o failover.Outcome) core.Answer {
-	switch o.Kind {
-	case failover.Served:
-		return core.Answer{Verdict: core.Served, Body: o.Body}
-	case failover.NeverRan:
-		return core.Answer{Verdict: core.Rejected, RetryAfter: o.RetryAfter}
+func (e *Extension) releaseOrder(a failover.Action) {
+	if a.Err != nil {
+		log.Warn("order not released by its replica", logging.KeyRequestID, a.Txn, operatorhint.Attr(a.Err))
+		e.core.OrderNotReleased(a.Txn)
+		return
 	}
-	return core.Answer{Verdict: core.Failed, Reason: core.ReasonFailed}
+	e.core.OrderReleased(a.Txn)
 }
 
-func figures(f failover.Stats) []core.Metric {
-	return []core.Metric{
-		{Name: "hand_orders", Help: "Orders taken and kept by another router.", Value: f.OrdersReplicated, Counter: true},
-		{Name: "hand_unkept", Help: "Orders refused, as no router kept them.", Value: f.OrdersWithoutReplica, Counter: true},
-		{Name: "hand_rights_lost", Help: "Orders given up, as another router may have them.", Value: f.LeasesLost, Counter: true},
-		{Name: "hand_records", Help: "Records taken for other routers.", Value: f.RecordsStored, Counter: true},
-		{Name: "hand_full", Help: "Records turned away for want of room.", Value: f.RecordsRejected, Counter: true},
-		{Name: "hand_owners_lost", Help: "Routers whose orders this one took over.", Value: f.OwnersLost, Counter: true},
-		{Name: "hand_taken_over", Help: "Orders of lost routers.", Value: f.OrdersTakenOver, Counter: true},
-		{Name: "hand_ran", Help: "Orders of lost routers run here without their client.", Value: f.OrdersRun, Counter: true},
-		{Name: "hand_claims", Help: "Claims of clients that lost a router.", Value: f.Claims, Counter: true},
-		{Name: "hand_claims_answered", Help: "Claims answered with what became of the order.", Value: f.ClaimsAnswered, Counter: true},
-		{Name: "hand_given", Help: "Orders of lost routers given to a claimant.", Value: f.OrdersGiven, Counter: true},
-		{Name: "hand_claims_unknown", Help: "Claims of orders that surely never went out.", Value: f.ClaimsOfUnsent, Counter: true},
-		{Name: "hand_claims_may_have_run", Help: "Claims told that the order may have run.", Value: f.ClaimsMayHaveRun, Counter: true},
-		{Name: "hand_kept", Help: "Records held for other routers.", Value: uint64(f.Records)},
-		{Name: "hand_waiting", Help: "Parcels under way to the router to which most are.", Value: uint64(f.MaxQueued)},
+func (e *Extension) settleClaim(a failover.Action) {
+	if a.Err != nil {
+		log.Warn("outcome of claimed order unknown", logging.KeyRequestID, a.Txn, operatorhint.Attr(a.Err))
 	}
+	e.core.ClaimAnswered(balancer.RequestID(a.ClaimID), answer(a.Outcome))
+}
+
+// runOrder runs an order of a lost router. Nobody gets its answer but routers that claim the order.
+func (e *Extension) runOrder(o failover.Order) {
+	log.Info("order of lost router runs here", logging.KeyRequestID, o.Txn, logging.KeyClass, o.Class)
+	object, _ := strconv.ParseUint(o.Item, 16, 64) // a faulty number counts as 0, as at the router that took the order
+	e.core.Submit(e.core.NewID(), core.Request{
+		Txn:        o.Txn,
+		ObjectText: o.Item,
+		PartText:   strconv.FormatUint(o.Part, 10),
+		Class:      o.Class,
+		Object:     object,
+		Part:       o.Part,
+		Group:      o.Group,
+		Account:    o.Account,
+		Timeout:    o.TimeLeft,
+		Body:       o.Body,
+		Write:      e.writeClasses[o.Class],
+		Reply: func(a core.Answer) core.Verdict {
+			e.coordinator.Abandon(e.core.LoopTime(), o.Txn) // it does nothing unless the order was rejected at once
+			return a.Verdict
+		},
+	})
 }
--- /dev/null
+++ b/internal/extension/orderfailover/orders.go
@@ -0,0 +1,53 @@
+package orderfailover
+
+import (
+	"time"
+
+	"hillknot/balancer"
+	"hillknot/internal/core"
+)
+
+// Replicate implements core.OrderFailover.
+func (e *Extension) Replicate(q *core.Request, timeLeft time.Duration) error {
+	return e.coordinator.Replicate(e.core.LoopTime(), order(q, q.Txn, timeLeft))
+}
+
+// Claim implements core.OrderFailover.
+func (e *Extension) Claim(id balancer.RequestID, q *core.Request, timeLeft time.Duration) {
+	e.coordinator.Claim(e.core.LoopTime(), uint64(id), order(q, q.ResumesTxn, timeLeft))
+	e.carryOutActions()
+}
+
+// CancelClaim implements core.OrderFailover.
+func (e *Extension) CancelClaim(id balancer.RequestID) { e.coordinator.CancelClaim(uint64(id)) }
+
+// RequestLease implements core.OrderFailover.
+func (e *Extension) RequestLease(txn string) {
+	e.coordinator.RequestLease(e.core.LoopTime(), txn)
+	e.carryOutActions()
+}
+
+// UseLease implements core.OrderFailover. It reads the clock anew, as the order is written right after.
+func (e *Extension) UseLease(txn string) bool {
+	allowed := e.coordinator.UseLease(e.core.CurrentTime(), txn)
+	e.reportSteps()
+	return allowed
+}
+
+// Finish implements core.OrderFailover. The outcome is on its way to the replica before the client gets it.
+func (e *Extension) Finish(txn string, a core.Answer, mayHaveRun bool) (hold bool) {
+	hold = e.coordinator.Finish(e.core.LoopTime(), txn, outcome(a, mayHaveRun))
+	e.Flush()
+	return hold
+}
+
+// StopWaiting implements core.OrderFailover.
+func (e *Extension) StopWaiting(txn string) { e.coordinator.StopWaiting(e.core.LoopTime(), txn) }
+
+// Cancel implements core.OrderFailover.
+func (e *Extension) Cancel(txn string, mayHaveRun bool) {
+	e.coordinator.Cancel(e.core.LoopTime(), txn, mayHaveRun)
+}
+
+// Metrics implements core.OrderFailover.
+func (e *Extension) Metrics() []core.Metric { return e.metrics }
--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -45,6 +45,7 @@
 	KeyDuration      = "duration"       // how long something took
 	KeyRule          = "rule"           // a rule that is checked at run time
 	KeyFile          = "file"           // the path of a file
+	KeyStep          = "step"           // a step of an order between its routers
 )
 
 // For returns the logger of a component. It may be called before slog.SetDefault: each line goes to the logger that is the
--- a/internal/testutil/timeline/timeline.go
+++ b/internal/testutil/timeline/timeline.go
@@ -62,17 +62,18 @@
 }
 
 // Read reads the events of a node from its log in JSON: the lines whose message is the given one, with the attributes step,
-// txn and peer. What is no such line is passed over.
+// request_id and peer. What is no such line is passed over.
 func Read(node, msg string, log io.Reader) (events []Event, err error) {
 	in := bufio.NewScanner(log)
 	in.Buffer(nil, 1<<20)
 	for in.Scan() {
 		var l struct {
-			Time                 time.Time
-			Msg, Step, Txn, Peer string
+			Time            time.Time
+			Msg, Step, Peer string
+			RequestID       string `json:"request_id"`
 		}
 		if json.Unmarshal(in.Bytes(), &l) == nil && l.Msg == msg {
-			events = append(events, Event{Node: node, At: time.Duration(l.Time.UnixNano()), What: l.Step, Of: l.Txn, Peer: l.Peer})
+			events = append(events, Event{Node: node, At: time.Duration(l.Time.UnixNano()), What: l.Step, Of: l.RequestID, Peer: l.Peer})
 		}
 	}
 	if err := in.Err(); err != nil {
--- a/internal/testutil/timeline/timeline_test.go
+++ b/internal/testutil/timeline/timeline_test.go
@@ -44,9 +44,9 @@
 
 // Lines of a log that are no events are passed over.
 func TestRead(t *testing.T) {
-	const log = "not JSON\n" + `{"time":"2026-12-02T00:00:00.5Z","level":"DEBUG","msg":"order","step":"taken","txn":"t1","peer":""}` + "\n" +
+	const log = "not JSON\n" + `{"time":"2026-12-02T00:00:00.5Z","level":"DEBUG","msg":"order step","step":"taken","request_id":"t1","peer":""}` + "\n" +
 		`{"time":"2026-12-02T00:00:00.6Z","level":"INFO","msg":"members"}` + "\n"
-	events, err := Read("n1", "order", strings.NewReader(log))
+	events, err := Read("n1", "order step", strings.NewReader(log))
 	if err != nil || len(events) != 1 || events[0].String() != "n1 taken t1" {
 		t.Errorf("%v, %v", events, err)
 	}
--- a/loadtest/outlive.go
+++ b/loadtest/outlive.go
@@ -404,7 +404,7 @@
 		if err != nil {
 			return nil, err
 		}
-		more, err := timeline.Read(fmt.Sprintf("lab-%d", i), "order", f)
+		more, err := timeline.Read(fmt.Sprintf("lab-%d", i), "order step", f)
 		_ = f.Close() // it was only read
 		if err != nil {
 			return nil, err
