--- a/balancer/balancer_test.go
+++ b/balancer/balancer_test.go
@@ -104,7 +104,7 @@
 	}
 	// The interface, the state, and what is copied out for others decide nothing.
 	plain := map[string]bool{"doc.go": true, "settings.go": true, "events.go": true, "actions.go": true, "balancer.go": true,
-		"state.go": true, "classes.go": true, "status.go": true, "handover.go": true}
+		"state.go": true, "classes.go": true, "status.go": true, "snapshot.go": true}
 	files, err := filepath.Glob("*.go")
 	if err != nil {
 		t.Fatal(err)
--- a/balancer/doc.go
+++ b/balancer/doc.go
@@ -14,6 +14,6 @@
 // objects.go. Each kind of decision has a file: requests.go (life of a request), routing.go and hashing.go (choice
 // of endpoints), admission.go (concurrency limits), attempts.go (life of an attempt), outcomes.go and health.go
 // (outlier detection), slowstart.go, purges.go, endpoints.go (the endpoint list), and resolve.go (answers to DNS
-// resolvers). Their tuned values are in tuning.go. handover.go copies the state from one process of a router to the
+// resolvers). Their tuned values are in tuning.go. snapshot.go copies the state from one process of a router to the
 // next.
 package balancer
--- a/balancer/handover.go
+++ b/balancer/snapshot.go
@@ -9,11 +9,12 @@
 // What one process of a router hands over to the one that replaces it. Nothing here decides; state is copied out
 // and in.
 
-// handedObjects bounds the objects handed over: those served last.
-const handedObjects = 4096
+// snapshotObjects bounds the objects in a snapshot: those served last.
+const snapshotObjects = 4096
 
-// Snapshot is what a router's module has learned and its successor goes on from. Its times are readings of the module's
-// clock; Relative and Absolute carry them over to another clock. Package handover writes it as rows of numbers.
+// Snapshot is what a router's module has learned and its successor goes on from. Its times are readings of the
+// module's clock; Relative and Absolute carry them over to another clock. Package handover writes it as rows of
+// numbers.
 type Snapshot struct {
 	LinkLimit  float64
 	PurgeFloor time.Duration // copies older than this count as purged
@@ -75,7 +76,7 @@
 		m.Purges = append(m.Purges, PurgeSnapshot{k.byGroup, k.id, at})
 	}
 	for _, e := range b.endpoints.byID {
-		m.Endpoints = append(m.Endpoints, e.handOver())
+		m.Endpoints = append(m.Endpoints, e.snapshot())
 		e.warmUp.budget = 0
 	}
 	for of, l := range b.load {
@@ -85,13 +86,13 @@
 	for _, c := range b.classes.byName {
 		m.Classes = append(m.Classes, ClassSnapshot{c.Name, c.serviceTime})
 	}
-	m.Objects = b.objects.handOver()
+	m.Objects = b.objects.snapshot()
 	m.sort()
-	m.Objects = m.Objects[:min(len(m.Objects), handedObjects)]
+	m.Objects = m.Objects[:min(len(m.Objects), snapshotObjects)]
 	return m
 }
 
-func (e *endpoint) handOver() EndpointSnapshot {
+func (e *endpoint) snapshot() EndpointSnapshot {
 	return EndpointSnapshot{
 		ID: e.id, StartedAt: e.startedAt, WarmUpBudget: e.warmUp.budget, MissRate: e.missRate,
 		ConsecutiveFailures: e.health.consecutiveFailures, Ejected: e.health.ejected, NextProbe: e.health.nextProbe,
@@ -99,20 +100,26 @@
 	}
 }
 
-// handOver returns the objects that were served; one that is in both generations is returned twice.
-func (t *objectTable) handOver() []ObjectSnapshot {
+// snapshot returns the objects that were served; one that is in both generations is returned twice.
+func (t *objectTable) snapshot() []ObjectSnapshot {
 	var all []ObjectSnapshot
 	for _, generation := range [...]map[objectKey]*object{t.young, t.old} {
 		for k, o := range generation {
 			if o.servedAt > 0 {
-				all = append(all, ObjectSnapshot{Object: k.object, Part: k.part, RequestCount: o.requestCount, ServedAt: o.servedAt,
-					ReplicatedAt: o.replicatedAt, CachedAtHome: o.cachedAtHome, ServiceTime: o.serviceTime})
+				all = append(all, o.snapshot(k))
 			}
 		}
 	}
 	return all
 }
 
+func (o *object) snapshot(k objectKey) ObjectSnapshot {
+	return ObjectSnapshot{
+		Object: k.object, Part: k.part, RequestCount: o.requestCount, ServedAt: o.servedAt,
+		ReplicatedAt: o.replicatedAt, CachedAtHome: o.cachedAtHome, ServiceTime: o.serviceTime,
+	}
+}
+
 // sort orders what comes from maps, so that modules in the same state return the same, and drops objects that are
 // there twice. The objects served last come first.
 func (m *Snapshot) sort() {
@@ -129,9 +136,9 @@
 	})
 }
 
-// ImportSnapshot goes on from what a predecessor has handed over. It must be called when the endpoint list is known, and
-// before any request. What was handed over of an endpoint that is not listed, or has restarted since, is dropped,
-// and values that make no sense are bounded.
+// ImportSnapshot goes on from what a predecessor has handed over. It must be called when the endpoint list is
+// known, and before any request. What was handed over of an endpoint that is not listed, or has restarted since, is
+// dropped, and values that make no sense are bounded.
 func (b *Balancer) ImportSnapshot(now time.Duration, m Snapshot) {
 	b.now = now
 	if m.LinkLimit > 0 {
@@ -143,30 +150,40 @@
 	}
 	for _, from := range m.Endpoints {
 		if e := b.endpoints.byID[from.ID]; e != nil && e.startedAt == from.StartedAt {
-			b.takeOverEndpoint(e, from)
+			b.importEndpoint(e, from)
 		}
 	}
 	for of := range min(len(m.Loads), len(b.load)) {
-		from, l := m.Loads[of], &b.load[of]
-		l.rate[0], l.peak[0], l.updatedAt = max(from.Rate, 0), max(from.Peak, 0), min(from.UpdatedAt, now)
-		b.endpoints.peakCapacity[of] = max(b.endpoints.peakCapacity[of], from.PeakCapacity)
+		b.importLoad(role(of), m.Loads[of])
 	}
 	for _, from := range m.Classes {
 		if c := b.classes.byName[from.Name]; c != nil && from.ServiceTime > 0 {
 			c.serviceTime = from.ServiceTime
 		}
 	}
-	for _, from := range m.Objects[:min(len(m.Objects), handedObjects)] {
-		b.objects.young[objectKey{from.Object, from.Part}] = &object{
-			requestCount: from.RequestCount, servedAt: min(from.ServedAt, now), replicatedAt: min(from.ReplicatedAt, now),
-			cachedAtHome: from.CachedAtHome, serviceTime: max(from.ServiceTime, 0),
-		}
+	for _, from := range m.Objects[:min(len(m.Objects), snapshotObjects)] {
+		b.objects.restore(now, from)
 	}
 	b.objects.rotatedAt = now
 	b.updateCacheLimits()
 }
 
-func (b *Balancer) takeOverEndpoint(e *endpoint, from EndpointSnapshot) {
+// importLoad takes over the usual load of a role as a whole: its calls by class are not in a snapshot, so it counts
+// under the class whose calls are seconds of service time.
+func (b *Balancer) importLoad(of role, from LoadSnapshot) {
+	l := &b.load[of]
+	l.rate[0], l.peak[0], l.updatedAt = max(from.Rate, 0), max(from.Peak, 0), min(from.UpdatedAt, b.now)
+	b.endpoints.peakCapacity[of] = max(b.endpoints.peakCapacity[of], from.PeakCapacity)
+}
+
+func (t *objectTable) restore(now time.Duration, from ObjectSnapshot) {
+	t.young[objectKey{from.Object, from.Part}] = &object{
+		requestCount: from.RequestCount, servedAt: min(from.ServedAt, now), replicatedAt: min(from.ReplicatedAt, now),
+		cachedAtHome: from.CachedAtHome, serviceTime: max(from.ServiceTime, 0),
+	}
+}
+
+func (b *Balancer) importEndpoint(e *endpoint, from EndpointSnapshot) {
 	e.warmUp.budget, e.warmUp.budgetAt = max(from.WarmUpBudget, 0), b.now // bounded at its next use
 	e.missRate = unitRange(from.MissRate)
 	e.health.penalty, e.health.penalizedAt = unitRange(from.Penalty), min(from.PenalizedAt, b.now)
--- a/balancer/handover_test.go
+++ b/balancer/snapshot_test.go
@@ -25,7 +25,7 @@
 
 // A successor goes on from what its predecessor knew: it shuns the same cache, bars the same copies, and knows the
 // objects. What is left of a cold cache's budget is handed over once.
-func TestHandOver(t *testing.T) {
+func TestSnapshotCarriesStateOver(t *testing.T) {
 	old, later := rigWithHistory(t), rigWithHistory(t)
 	if old.balancer.endpoints.byID[4].warmUp.budget <= 0 {
 		t.Fatal("nothing of the cold budget to hand over")
@@ -60,7 +60,7 @@
 }
 
 // Figures that make no sense, from a predecessor that has gone wrong, are cut; a cold start since is not undone.
-func TestTakeOverBoundsNonsense(t *testing.T) {
+func TestImportSnapshotBoundsNonsense(t *testing.T) {
 	r := newRig(t, site(), fleetList())
 	inf := math.Inf(1)
 	fresh := listedEndpoint(4, "box", "edge")
@@ -70,7 +70,7 @@
 		LinkLimit: -inf, PurgeFloor: -1, Loads: make([]LoadSnapshot, 9),
 		Purges:  []PurgeSnapshot{{PurgedAt: math.MaxInt64}},
 		Classes: []ClassSnapshot{{Name: "page", ServiceTime: -1}, {Name: "what", ServiceTime: 1}},
-		Objects: make([]ObjectSnapshot, 2*handedObjects),
+		Objects: make([]ObjectSnapshot, 2*snapshotObjects),
 		Endpoints: []EndpointSnapshot{
 			{ID: 1, WarmUpBudget: -1, MissRate: inf, Penalty: 7, PenalizedAt: math.MaxInt64, NextProbe: math.MaxInt64,
 				Ejected: true},
--- a/internal/handover/golden_test.go
+++ b/internal/handover/golden_test.go
@@ -25,7 +25,7 @@
 		ConsecutiveFailures: 2, Ejected: true, NextProbe: 4, PenalizedAt: 5, Penalty: 0.75},
 		{ID: 12, StartedAt: 13, WarmUpBudget: 0.125, MissRate: 0.375,
 			ConsecutiveFailures: 14, NextProbe: 15, PenalizedAt: 16, Penalty: 0.625}},
-	Loads:   []balancer.LoadSnapshot{{Rate: 1, Peak: 2, PeakCapacity: 3, UpdatedAt: 4},
+	Loads: []balancer.LoadSnapshot{{Rate: 1, Peak: 2, PeakCapacity: 3, UpdatedAt: 4},
 		{Rate: 1.5, Peak: 2.5, PeakCapacity: 3.5, UpdatedAt: 5}},
 	Classes: []balancer.ClassSnapshot{{Name: `a"b`, ServiceTime: 0.125}, {Name: "page", ServiceTime: 0.0625}},
 	Objects: []balancer.ObjectSnapshot{{Object: 1 << 63, Part: 2, RequestCount: 3, ServedAt: 4, ReplicatedAt: 5,
--- a/internal/handover/state.go
+++ b/internal/handover/state.go
@@ -13,7 +13,7 @@
 // State is what a predecessor hands over.
 type State struct {
 	DiscoveryPosition int64 // in the event log of discovery
-	Snapshot            balancer.Snapshot
+	Snapshot          balancer.Snapshot
 }
 
 // A State is written as JSON. The lists of a Snapshot are rows of whole numbers, one behind the other: ids as they
