--- a/client/policy/dispatch.go
+++ b/client/policy/dispatch.go
@@ -120,7 +120,7 @@
 }
 
 // PrepareWrite must be called right before a call that ActionSend asked for is written. With ok it counts as
-// written, and limit is how long the router may be told that the client waits. Without ok the call has ended, or
+// written, and limit is the time limit to send to the router with it. Without ok the call has ended, or
 // ends now as too little time is left, and must not be written. Bytes is the size of the write up to and with this
 // call.
 func (p *Policy) PrepareWrite(now time.Duration, call *Call, bytes int) (limit time.Duration, ok bool) {
--- a/client/policy/health.go
+++ b/client/policy/health.go
@@ -42,7 +42,7 @@
 	}
 }
 
-// closeSilent closes a connection whose router did not response a health check.
+// closeSilent closes a connection whose router did not answer a health check.
 func (p *Policy) closeSilent(conn *Conn) {
 	p.counts.Silent++
 	p.closeConn(conn)
--- a/client/policy/outlier.go
+++ b/client/policy/outlier.go
@@ -34,7 +34,7 @@
 	}
 }
 
-// recordOverdue counts that a router did not response within the time that it was told.
+// recordOverdue counts that a router did not answer within the time limit that was sent with the call.
 func (p *Policy) recordOverdue(r *router) {
 	r.recordSuccessRate(0)
 	p.recordFailure(r)
--- a/client/policy/reconnect.go
+++ b/client/policy/reconnect.go
@@ -18,7 +18,7 @@
 	lost          bool // the last connection broke: the next that comes up is a reconnect
 }
 
-// recordConnected takes that a router answered the first health check of a connection.
+// recordConnected records that a router answered the first health check of a connection.
 func (p *Policy) recordConnected(r *router) {
 	r.dial.failures, r.dial.everConnected = 0, true
 	if r.dial.lost {
--- a/client/policy/retry.go
+++ b/client/policy/retry.go
@@ -12,7 +12,7 @@
 		call.retry.claimed = true
 		p.counts.Claims++
 		p.delay(call, 0)
-	case !p.throttle.inactive(p.now) && outcome.Verdict == Refused: // retries would feed the storm
+	case !p.throttle.inactive(p.now) && outcome.Verdict == Refused: // retries would add to the overload
 		p.finish(call, outcome)
 	case !p.budget.take(p.now):
 		p.counts.OutOfBudget++
@@ -55,8 +55,8 @@
 }
 
 // recoverLost handles an attempt that got no response, or none that can be read. An idempotent call that crossed the
-// router's close is sent again once, at once and outside the budget: the router has closed an idle connection, and is
-// not in trouble.
+// router's close is sent again once, at once and outside the budget: the router closed an idle
+// connection, which is no fault.
 func (p *Policy) recoverLost(call *Call, crossedClose bool) {
 	call.retry.mayHaveRun = true
 	call.retry.claiming = p.settings.Claims && !call.idempotent && !call.retry.forbidden
--- a/client/policy/selection.go
+++ b/client/policy/selection.go
@@ -81,7 +81,7 @@
 	return at, Unreachable
 }
 
-// allRejectingUntil says whether all routers that can be reached told their clients to stay away, and when the
+// allRejectingUntil says whether all routers that can be reached have sent a Retry-After that holds, and when the
 // first of them takes calls again.
 func (p *Policy) allRejectingUntil() (at time.Duration, all bool) {
 	for _, r := range p.routers {
--- a/client/policy/throttle.go
+++ b/client/policy/throttle.go
@@ -6,22 +6,22 @@
 )
 
 const (
-	// rampShedShare is the share of calls that is shed when the ramp after a storm begins.
+	// rampShedShare is the share of calls that is shed when the ramp after an overload begins.
 	rampShedShare = 0.8
 
-	// So many accepted responses in a row end a storm: more where routers accepted some calls all along, as two
+	// So many accepted responses in a row end an overload: more where routers accepted some calls all along, as two
 	// accepted ones in a row say little there.
-	stormEndStreak        = 2
-	partialStormEndStreak = 8
+	overloadEndStreak        = 2
+	partialOverloadEndStreak = 8
 
-	// partialStormAccepted is how many accepted responses of a window make a storm a partial one.
-	partialStormAccepted = 2
+	// partialOverloadAccepted is how many accepted responses of a window make an overload a partial one.
+	partialOverloadAccepted = 2
 )
 
-// throttle sheds calls locally while routers reject nearly all of them (a storm): adaptive throttling, as in the
-// Google SRE book, with a probe and a ramp that let it recover within a second. It spares routers the work of
-// rejecting, and the callers' link what comes to nothing. One call at a time is admitted all the same, to see the
-// end of the storm.
+// throttle sheds calls locally while routers reject nearly all of them (an overload): adaptive throttling, as in
+// the Google SRE book, with a probe and a ramp that let it recover within a second. It spares routers the work of
+// rejecting, and the callers' links the calls that would be rejected. One call at a time is admitted all the same,
+// to see the end of the overload.
 type throttle struct {
 	settings  *Settings
 	random    *rand.Rand
@@ -82,12 +82,13 @@
 	t.ended.add(now, 1)
 }
 
-// recordAccepted counts a response that was no rejection, and starts the ramp where it shows that a storm is over.
+// recordAccepted counts a response that was no rejection, and starts the ramp where it shows that an overload is
+// over.
 func (t *throttle) recordAccepted(now time.Duration) {
 	t.streak++
-	inStorm := t.rampStart == 0 && t.shedShare(now) > 0
-	if inStorm && t.streak >= t.streakToEnd(now) {
-		t.forget() // the figures of the storm say nothing of what comes
+	overloaded := t.rampStart == 0 && t.shedShare(now) > 0
+	if overloaded && t.streak >= t.streakToEnd(now) {
+		t.forget() // the figures of the overload say nothing of what comes
 		t.rampStart = now
 	}
 	t.ended.add(now, 1)
@@ -95,8 +96,8 @@
 }
 
 func (t *throttle) streakToEnd(now time.Duration) int {
-	if t.accepted.sum(now) > partialStormAccepted {
-		return partialStormEndStreak
+	if t.accepted.sum(now) > partialOverloadAccepted {
+		return partialOverloadEndStreak
 	}
-	return stormEndStreak
+	return overloadEndStreak
 }
--- a/client/request.go
+++ b/client/request.go
@@ -37,7 +37,8 @@
 // Rewind ends the request with ErrSink.
 type Rewinder interface{ Rewind() error }
 
-// Sizer is a Request.To that is told the size of a body, in bytes, before the first byte of it is written.
+// Sizer is a Request.To whose Size is called with the size of a body, in bytes, before the first byte of it is
+// written.
 type Sizer interface{ Size(bytes int) }
 
 // Response is the response to a request that was served.
--- a/client/response.go
+++ b/client/response.go
@@ -25,7 +25,7 @@
 	c.mu.Unlock()
 }
 
-// beginResponse takes that the body of a response begins, and returns its call; nil where that has ended.
+// beginResponse records that the body of a response begins, and returns its call; nil where the call has ended.
 func (conn *routerConn) beginResponse(id uint64) (*pendingCall, error) {
 	conn.client.mu.Lock()
 	defer conn.client.mu.Unlock()
--- a/client/stream.go
+++ b/client/stream.go
@@ -13,7 +13,7 @@
 
 func (s *responseStream) enabled() bool { return s.progress != nil }
 
-// begin takes that a response begins, which may be another one than before.
+// begin records that a response begins. It may be another one than before: of a retry.
 func (s *responseStream) begin() {
 	s.generation++
 	s.body, s.received = nil, 0
