--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -70,7 +70,8 @@
 	return p
 }
 
-// The old process knows of the new one from the call on, and that it is followed before the new one has the state.
+// The predecessor is notified of its successor as that connects, and that it is ready before the successor has the
+// state.
 func TestSuccessorTakesOverState(t *testing.T) {
 	o, path := listen(t)
 	p := find(t, path)
@@ -85,8 +86,8 @@
 	o.expectStage(t, SuccessorReady)
 }
 
-// A successor that dies leaves the old one as it was: it can be followed again, also where the dead one had taken
-// its place at the path.
+// A successor that dies leaves its predecessor as it was: another successor can connect, also where the dead one
+// had taken the predecessor's place on the path.
 func TestSuccessorThatEndsCanBeReplaced(t *testing.T) {
 	o, path := listen(t)
 	p := find(t, path)
@@ -108,13 +109,33 @@
 			break
 		}
 		if time.Now().After(end) {
-			t.Fatal("can't be followed again")
+			t.Fatal("no other successor can connect")
 		}
 	}
 	o.expectStage(t, SuccessorStarting)
 }
 
-// The old process ends: the new one sees it.
+// Close ends all goroutines of a listener, also where a successor has just ended and the path is being taken back.
+func TestNothingListensAfterClose(t *testing.T) {
+	for range 20 {
+		process, path := &owner{stages: make(chan SuccessorStage, 10)}, filepath.Join(t.TempDir(), "s")
+		l, err := ListenForSuccessor(path, process, lim)
+		if err != nil {
+			t.Fatal(err)
+		}
+		p := find(t, path)
+		if _, err := p.AnnounceReady(); err != nil {
+			t.Fatal(err)
+		}
+		go p.Close()
+		l.Close()
+		if FindPredecessor(path, lim) != nil {
+			t.Fatal("listens after Close")
+		}
+	}
+}
+
+// The successor is notified of its predecessor's end, and gets no state after it.
 func TestSuccessorIsNotifiedOfPredecessorsEnd(t *testing.T) {
 	o := &owner{stages: make(chan SuccessorStage, 10)}
 	path := filepath.Join(t.TempDir(), "s")
@@ -134,7 +155,8 @@
 	}
 }
 
-// Nobody there, a path left behind, a file of another kind, and one who listens and says nothing: no predecessor.
+// No predecessor: nothing at the path, a socket that was left behind, a file of another kind, and a listener that
+// does not answer.
 func TestFindsNoPredecessor(t *testing.T) {
 	dir := t.TempDir()
 	stale := filepath.Join(dir, "stale")
@@ -167,7 +189,7 @@
 	}
 }
 
-// Another version, or anything else, ends the connection; nobody is told of a successor.
+// Another version, or anything else, ends the connection, and the process is not notified of a successor.
 func TestOtherVersionIsRejected(t *testing.T) {
 	o, path := listen(t)
 	for _, text := range []string{"TAKE 1 0\n", "TAKE 3 0\n", "READY 2 0\n", "TAKE 2 5\nhello", "GET / HTTP/1.1\r\n\r\n"} {
@@ -189,7 +211,8 @@
 
 func TestMessageParser(t *testing.T) {
 	parsertest.Run(t, func(t *rapid.T) []byte {
-		return appendMessage(nil, rapid.StringMatching("[A-Z]{1,8}").Draw(t, "word"), rapid.SliceOfN(rapid.Byte(), 0, 200).Draw(t, "body"))
+		kind := rapid.StringMatching("[A-Z]{1,8}").Draw(t, "kind")
+		return appendMessage(nil, kind, rapid.SliceOfN(rapid.Byte(), 0, 200).Draw(t, "body"))
 	}, func(buf []byte) (int, int, error) {
 		_, progress, err := parseMessage(buf, 200)
 		return progress.consumed, progress.needed, err
--- a/internal/netio/accept.go
+++ b/internal/netio/accept.go
@@ -107,7 +107,7 @@
 	tooMany := l.failures.Add(1) >= maxFailures
 	cause := causeOfAcceptError(err)
 	switch cause {
-	case nobodyWaits:
+	case emptyQueue:
 		if before == acceptPaused {
 			return nil
 		}
@@ -116,7 +116,7 @@
 			l.exhausted()
 		}
 	}
-	if !tooMany && (cause == nobodyWaits || cause == connectionFailed) {
+	if !tooMany && (cause == emptyQueue || cause == connectionFailed) {
 		return nil
 	}
 	if l.pausesInRow.Add(1) == 1 {
@@ -131,7 +131,7 @@
 
 const (
 	unknownCause     acceptErrorCause = iota
-	nobodyWaits                       // the queue is empty, or another process was quicker
+	emptyQueue                        // no connection waits, or another process was quicker
 	connectionFailed                  // the connection has failed already, and is out of the queue
 	noResources                       // the process or the machine lacks descriptors or memory
 )
@@ -139,7 +139,7 @@
 func causeOfAcceptError(err error) acceptErrorCause {
 	switch err {
 	case syscall.EAGAIN:
-		return nobodyWaits
+		return emptyQueue
 	case syscall.EINTR, syscall.ECONNABORTED, syscall.EPROTO, syscall.EPERM, syscall.ENETDOWN, syscall.ENOPROTOOPT,
 		syscall.EHOSTDOWN, syscall.ENONET, syscall.EHOSTUNREACH, syscall.EOPNOTSUPP, syscall.ENETUNREACH, syscall.ETIMEDOUT:
 		return connectionFailed
--- a/internal/netio/accept_test.go
+++ b/internal/netio/accept_test.go
@@ -9,8 +9,8 @@
 )
 
 // acceptErrors are the errors that accept(2) documents, but for those of a wrong call.
-var acceptErrors = []syscall.Errno{syscall.EAGAIN, syscall.EINTR, syscall.ECONNABORTED, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS,
-	syscall.ENOMEM, syscall.EPROTO, syscall.EPERM, syscall.ENETDOWN, syscall.ENOPROTOOPT, syscall.EHOSTDOWN, syscall.ENONET,
+var acceptErrors = []syscall.Errno{syscall.EAGAIN, syscall.EINTR, syscall.ECONNABORTED, syscall.EMFILE, syscall.ENFILE,
+	syscall.ENOBUFS, syscall.ENOMEM, syscall.EPROTO, syscall.EPERM, syscall.ENETDOWN, syscall.ENOPROTOOPT, syscall.EHOSTDOWN, syscall.ENONET,
 	syscall.EHOSTUNREACH, syscall.EOPNOTSUPP, syscall.ENETUNREACH, syscall.ETIMEDOUT, syscall.ENOSR, syscall.EIO}
 
 // failFor has accept calls fail for a while, counts them, and then lets them through.
@@ -31,7 +31,8 @@
 // peers that wait to be accepted are served once accept succeeds again.
 func TestServesThroughAcceptErrors(t *testing.T) {
 	const span, most = 400 * time.Millisecond, 100 // calls
-	for _, errno := range acceptErrors {           // not as subtests: a server that closes while it is paused disturbs the next one
+	// Not as subtests: they would close each server at once, and one that closes while it is paused disturbs the next.
+	for _, errno := range acceptErrors {
 		s, err := Listen("127.0.0.1:0", 100, lim, NewBudget(1<<20), newEcho)
 		if err != nil {
 			t.Fatal(err)
--- a/internal/netio/close.go
+++ b/internal/netio/close.go
@@ -71,11 +71,11 @@
 	c.mu.Lock()
 	c.retireWhenIdle = true
 	c.mu.Unlock()
-	c.retireIfAsked()
+	c.retireIfRequested()
 }
 
-// retireIfAsked does what CloseWhenIdle asked for, once nothing is being written or handed on.
-func (c *Conn) retireIfAsked() {
+// retireIfRequested does what CloseWhenIdle requests, once nothing is being written or handed on.
+func (c *Conn) retireIfRequested() {
 	c.mu.Lock()
 	now := c.retireWhenIdle && !c.queue.writing && !c.delivering
 	c.retireWhenIdle = c.retireWhenIdle && !now
--- a/internal/netio/helpers_test.go
+++ b/internal/netio/helpers_test.go
@@ -10,7 +10,8 @@
 )
 
 // lim are the limits of most tests.
-var lim = config.Conn{Pending: 1 << 20, Read: 10 * time.Second, Write: 10 * time.Second, Idle: time.Minute, Silent: time.Minute}
+var lim = config.Conn{Pending: 1 << 20, Read: 10 * time.Second, Write: 10 * time.Second,
+	Idle: time.Minute, Silent: time.Minute}
 
 // echo is a handler that sends back what comes.
 type echo struct{ c *Conn }
--- a/internal/netio/read.go
+++ b/internal/netio/read.go
@@ -25,9 +25,9 @@
 // a message that is not complete. Netpoll calls it in a goroutine of its own while there is input; calls come one
 // after the other.
 func (c *Conn) read(_ context.Context, transport netpoll.Connection) error {
-	reader, want := transport.Reader(), 1
-	for want > 0 {
-		buf, err := c.peek(reader, max(want, reader.Len()))
+	reader, needed := transport.Reader(), 1
+	for needed > 0 {
+		buf, err := c.peek(reader, max(needed, reader.Len()))
 		if err != nil { // closed, over the budget, or the rest did not come in time
 			c.CloseAfterReplies(CloseInputEnded)
 			return nil
@@ -36,21 +36,21 @@
 			c.discard(reader, len(buf))
 			return nil
 		}
-		want = c.deliver(reader, buf)
+		needed = c.deliver(reader, buf)
 	}
 	return nil
 }
 
-// deliver has the handler consume input, and acts on what was asked for meanwhile. It returns how many bytes are to
-// be there for the next call, or 0 where there is nothing to wait for.
+// deliver has the handler consume input, and then takes the steps towards a close that had to wait for it. It
+// returns how many bytes are to be there for the next call, or 0 where there is nothing to wait for.
 func (c *Conn) deliver(reader netpoll.Reader, buf []byte) (next int) {
 	c.lastActive.Store(int64(clock.Now()))
-	used, want, err := c.handler.Consume(buf)
+	used, needed, err := c.handler.Consume(buf)
 	if err == nil {
 		err = reader.Skip(used)
 	}
-	left := len(buf) - used
-	messageBegan := c.endDelivery(used, left, want)
+	remaining := len(buf) - used
+	messageBegan := c.endDelivery(used, remaining, needed)
 	if err != nil {
 		c.failInput()
 		return 0
@@ -60,16 +60,16 @@
 		c.input.consumedOnce.Store(true)
 		_ = reader.Release() // fails only after a close, which the next Peek reports
 	}
-	c.retireIfAsked()
-	if left == 0 && want <= 1 && reader.Len() == 0 {
+	c.retireIfRequested()
+	if remaining == 0 && needed <= 1 && reader.Len() == 0 {
 		_ = c.transport.SetReadTimeout(c.limits.Read)
 		return 0
 	}
 	if c.limits.Whole > 0 { // a peer that sends byte by byte must not hold a message open for good
-		rest := messageBegan + c.limits.Whole - clock.Now()
-		_ = c.transport.SetReadTimeout(max(min(c.limits.Read, rest), time.Millisecond))
+		timeLeft := messageBegan + c.limits.Whole - clock.Now()
+		_ = c.transport.SetReadTimeout(max(min(c.limits.Read, timeLeft), time.Millisecond))
 	}
-	return max(want, left+1)
+	return max(needed, remaining+1)
 }
 
 // failInput closes a connection whose input can't be used. What is pending is answered first.
@@ -101,13 +101,13 @@
 	return c.delivering
 }
 
-// endDelivery notes what the handler made of its input: how many bytes it used and left, and how many it wants to
-// see next. It returns when the message began that is not complete yet, or 0.
-func (c *Conn) endDelivery(used, left, want int) (messageBegan time.Duration) {
+// endDelivery records what the handler made of its input: how many bytes it used, how many remain, and how many it
+// needs for its next call. It returns when the message began that is not complete yet, or 0.
+func (c *Conn) endDelivery(used, remaining, needed int) (messageBegan time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.delivering, c.input.unconsumed = false, left
-	switch partial := left > 0 || want > 1; {
+	c.delivering, c.input.unconsumed = false, remaining
+	switch partial := remaining > 0 || needed > 1; {
 	case !partial:
 		c.input.partialSince.Store(0)
 	case used > 0 || !c.input.isPartial():
--- a/internal/netio/write.go
+++ b/internal/netio/write.go
@@ -51,7 +51,7 @@
 			c.lingerClose()
 		}
 		if len(batch) == 0 {
-			c.retireIfAsked()
+			c.retireIfRequested()
 			return
 		}
 		if err := c.flush(batch...); err != nil {
