--- a/internal/handover/golden_test.go
+++ b/internal/handover/golden_test.go
@@ -10,14 +10,15 @@
 	"hillknot/internal/testutil/golden"
 )
 
-// Processes of different releases follow each other: the new one reads what the old one wrote. The files of testdata/golden were
-// written at commit 86ccf0f.
+// Processes of different releases follow each other: the new one reads what the old one wrote. The files of
+// testdata/golden were written at commit 86ccf0f.
 //
-// What reaches the bytes: no name of a type or field, but the words of the constants (TAKE, AT, READY, STATE), the number version,
-// the keys of encode ("pos", "linkRoom", "floor", "purges", "members", "loads", "objects", "classes", "name", "work") and the order
-// of the numbers in its rows: purges {ByGroup, Name, At}, members {Node, Start, Saved, Misses, Fails, Bad, Trial, Doubted, Doubt},
-// loads {Rate, Peak, Fleet, At}, objects {Object, Part, Seen, OkAt, Copied, Held, Work}. The place in Memory.Loads is the number of
-// a role of package balancer, whose order counts too.
+// What reaches the bytes: no name of a type or field, but the constants kindTake, kindAt, kindReady, kindState and
+// version, the keys of encode ("pos", "linkRoom", "floor", "purges", "members", "loads", "objects", "classes",
+// "name", "work") and the order of the numbers in its rows: purges {ByGroup, ID, PurgedAt}, members {ID, StartedAt,
+// WarmUpBudget, MissRate, ConsecutiveFailures, Ejected, NextProbe, PenalizedAt, Penalty}, loads {Rate, Peak,
+// PeakCapacity, UpdatedAt}, objects {Object, Part, RequestCount, ServedAt, ReplicatedAt, CachedAtHome, ServiceTime}.
+// The place in Snapshot.Loads is the number of a role of package balancer, whose order counts too.
 
 var goldenState = State{DiscoveryPosition: 4_100_000_000, Snapshot: balancer.Snapshot{LinkLimit: 2.5, PurgeFloor: 7,
 	Purges: []balancer.PurgeSnapshot{{ByGroup: true, ID: 11, PurgedAt: 9}, {ID: 1<<64 - 1, PurgedAt: 10}},
@@ -43,7 +44,9 @@
 		})
 	}
 	one := goldenState // each kind of row, with every field set
-	one.Snapshot.Purges, one.Snapshot.Endpoints, one.Snapshot.Objects = one.Snapshot.Purges[:1], one.Snapshot.Endpoints[:1], one.Snapshot.Objects[:1]
+	one.Snapshot.Purges = one.Snapshot.Purges[:1]
+	one.Snapshot.Endpoints = one.Snapshot.Endpoints[:1]
+	one.Snapshot.Objects = one.Snapshot.Objects[:1]
 	golden.Nonzero(t, one)
 }
 
@@ -58,15 +61,16 @@
 			golden.Same(t, name, appendMessage(nil, c.kind, []byte(c.body)))
 			text := golden.Read(t, name)
 			m, progress, err := parseMessage(text, math.MaxInt32)
-			if err != nil || progress.consumed != len(text) || string(m.kind) != c.kind || m.version != 2 || string(m.body) != c.body {
+			if err != nil || progress.consumed != len(text) ||
+				string(m.kind) != c.kind || m.version != 2 || string(m.body) != c.body {
 				t.Errorf("read as %q %d %q, %d bytes, %v", m.kind, m.version, m.body, progress.consumed, err)
 			}
 		})
 	}
 }
 
-// A predecessor's answers of this version are taken; those of another version are refused, on both sides, as nothing may be taken
-// over from it.
+// A predecessor's answers of this version are taken; those of another version are refused, on both sides, as
+// nothing may be taken over from it.
 func TestGoldenVersions(t *testing.T) {
 	p := newPredecessor(lim)
 	text := append(golden.Read(t, "at.txt"), golden.Read(t, "state.txt")...)
--- a/internal/handover/state.go
+++ b/internal/handover/state.go
@@ -28,7 +28,7 @@
 	e.integer("linkRoom", billionths(s.Snapshot.LinkLimit))
 	e.integer("floor", int64(s.Snapshot.PurgeFloor))
 	encodeRows(&e, "purges", s.Snapshot.Purges, purgeRow)
-	encodeRows(&e, "members", s.Snapshot.Endpoints, memberRow)
+	encodeRows(&e, "members", s.Snapshot.Endpoints, endpointRow)
 	encodeRows(&e, "loads", s.Snapshot.Loads, loadRow)
 	encodeRows(&e, "objects", s.Snapshot.Objects, objectRow)
 	e.classes("classes", s.Snapshot.Classes)
@@ -81,7 +81,7 @@
 	s.Snapshot.LinkLimit = fraction(object.Int("linkRoom", 0))
 	s.Snapshot.PurgeFloor = time.Duration(object.Int("floor", 0))
 	s.Snapshot.Purges = decodeRows(object, "purges", purgeColumns, purgeOf)
-	s.Snapshot.Endpoints = decodeRows(object, "members", memberColumns, memberOf)
+	s.Snapshot.Endpoints = decodeRows(object, "members", endpointColumns, endpointOf)
 	s.Snapshot.Loads = decodeRows(object, "loads", loadColumns, loadOf)
 	s.Snapshot.Objects = decodeRows(object, "objects", objectColumns, objectOf)
 	for _, class := range object.Objects("classes") {
@@ -105,12 +105,12 @@
 	return items
 }
 
-// The rows, and how many numbers each has.
+// How many numbers a row has. Its columns are those of the function that writes it.
 const (
-	purgeColumns  = 3
-	memberColumns = 9
-	loadColumns   = 4
-	objectColumns = 7
+	purgeColumns    = 3
+	endpointColumns = 9
+	loadColumns     = 4
+	objectColumns   = 7
 )
 
 func purgeRow(p balancer.PurgeSnapshot) []int64 {
@@ -118,19 +118,33 @@
 }
 
 func purgeOf(row []int64) balancer.PurgeSnapshot {
-	return balancer.PurgeSnapshot{ByGroup: row[0] != 0, ID: uint64(row[1]), PurgedAt: time.Duration(row[2])}
+	return balancer.PurgeSnapshot{
+		ByGroup:  row[0] != 0,
+		ID:       uint64(row[1]),
+		PurgedAt: time.Duration(row[2]),
+	}
 }
 
-func memberRow(m balancer.EndpointSnapshot) []int64 {
-	return []int64{int64(m.ID), int64(m.StartedAt), billionths(m.WarmUpBudget), billionths(m.MissRate),
-		int64(m.ConsecutiveFailures), flag(m.Ejected),
-		int64(m.NextProbe), int64(m.PenalizedAt), billionths(m.Penalty)}
+func endpointRow(e balancer.EndpointSnapshot) []int64 {
+	return []int64{
+		int64(e.ID), int64(e.StartedAt), billionths(e.WarmUpBudget), billionths(e.MissRate),
+		int64(e.ConsecutiveFailures), flag(e.Ejected), int64(e.NextProbe),
+		int64(e.PenalizedAt), billionths(e.Penalty),
+	}
 }
 
-func memberOf(row []int64) balancer.EndpointSnapshot {
-	return balancer.EndpointSnapshot{ID: balancer.EndpointID(row[0]), StartedAt: time.Duration(row[1]),
-		WarmUpBudget: fraction(row[2]), MissRate: fraction(row[3]), ConsecutiveFailures: int(row[4]), Ejected: row[5] != 0,
-		NextProbe: time.Duration(row[6]), PenalizedAt: time.Duration(row[7]), Penalty: fraction(row[8])}
+func endpointOf(row []int64) balancer.EndpointSnapshot {
+	return balancer.EndpointSnapshot{
+		ID:                  balancer.EndpointID(row[0]),
+		StartedAt:           time.Duration(row[1]),
+		WarmUpBudget:        fraction(row[2]),
+		MissRate:            fraction(row[3]),
+		ConsecutiveFailures: int(row[4]),
+		Ejected:             row[5] != 0,
+		NextProbe:           time.Duration(row[6]),
+		PenalizedAt:         time.Duration(row[7]),
+		Penalty:             fraction(row[8]),
+	}
 }
 
 func loadRow(l balancer.LoadSnapshot) []int64 {
@@ -138,18 +152,31 @@
 }
 
 func loadOf(row []int64) balancer.LoadSnapshot {
-	return balancer.LoadSnapshot{Rate: fraction(row[0]), Peak: fraction(row[1]), PeakCapacity: fraction(row[2]),
-		UpdatedAt: time.Duration(row[3])}
+	return balancer.LoadSnapshot{
+		Rate:         fraction(row[0]),
+		Peak:         fraction(row[1]),
+		PeakCapacity: fraction(row[2]),
+		UpdatedAt:    time.Duration(row[3]),
+	}
 }
 
 func objectRow(o balancer.ObjectSnapshot) []int64 {
-	return []int64{int64(o.Object), int64(o.Part), int64(o.RequestCount), int64(o.ServedAt), int64(o.ReplicatedAt), flag(o.CachedAtHome),
-		billionths(o.ServiceTime)}
+	return []int64{
+		int64(o.Object), int64(o.Part), int64(o.RequestCount), int64(o.ServedAt), int64(o.ReplicatedAt),
+		flag(o.CachedAtHome), billionths(o.ServiceTime),
+	}
 }
 
 func objectOf(row []int64) balancer.ObjectSnapshot {
-	return balancer.ObjectSnapshot{Object: uint64(row[0]), Part: uint64(row[1]), RequestCount: int(row[2]),
-		ServedAt: time.Duration(row[3]), ReplicatedAt: time.Duration(row[4]), CachedAtHome: row[5] != 0, ServiceTime: fraction(row[6])}
+	return balancer.ObjectSnapshot{
+		Object:       uint64(row[0]),
+		Part:         uint64(row[1]),
+		RequestCount: int(row[2]),
+		ServedAt:     time.Duration(row[3]),
+		ReplicatedAt: time.Duration(row[4]),
+		CachedAtHome: row[5] != 0,
+		ServiceTime:  fraction(row[6]),
+	}
 }
 
 func billionths(f float64) int64 { return int64(f * 1e9) }
