--- a/cmd/hillknot/orders_test.go
+++ b/cmd/hillknot/orders_test.go
@@ -8,6 +8,7 @@
 	"net"
 	"os"
 	"path/filepath"
+	"runtime"
 	"strings"
 	"sync"
 	"syscall"
@@ -193,6 +194,9 @@
 	if os.Getenv(asRouter) != "" {
 		main()
 	}
+	if err := os.Setenv(asRouter, "1"); err != nil { // for every process that a test starts
+		panic(err)
+	}
 	os.Exit(m.Run())
 }
 
@@ -201,7 +205,6 @@
 // program is the test's own program, which is the router where it is started from this test.
 func program(t *testing.T) string {
 	t.Helper()
-	t.Setenv(asRouter, "1")
 	bin, err := os.Executable()
 	if err != nil {
 		t.Fatal(err)
@@ -209,8 +212,17 @@
 	return bin
 }
 
+// inParallel runs a test beside others that play with router processes of their own. It gives the load that the test
+// drives all processors: a router within the test's process, as earlier tests have, leaves it with one.
+func inParallel(t *testing.T) {
+	t.Helper()
+	t.Parallel()
+	runtime.GOMAXPROCS(runtime.NumCPU())
+}
+
 // Orders run once at most, too, where the router's process is killed under them.
 func TestOrdersWithRoutersKilled(t *testing.T) {
+	inParallel(t)
 	o, err := loadtest.LibraryOrders(program(t), 200*time.Millisecond)
 	if err != nil {
 		t.Fatal(err)
@@ -235,6 +247,7 @@
 // Routers that share budgets spend no more than these together, lose no request and run no order twice, while some are
 // cut off, cut one way, killed and stopped.
 func TestFleetUnderFaults(t *testing.T) {
+	inParallel(t)
 	rows, err := loadtest.Faults(program(t), 5, 3*time.Second, 1, []string{"two cut off from the rest", "one hears, is not heard", "kill and restart", "pause (SIGSTOP)", "keys rotated", "drawn from the seed"})
 	if err != nil {
 		t.Fatal(err)
@@ -248,6 +261,7 @@
 
 // Routers agree that a page cache is sick, that it is well again, and how often it failed.
 func TestFleetAgrees(t *testing.T) {
+	inParallel(t)
 	if err := loadtest.Agree(program(t), 5, 1); err != nil {
 		t.Error(err)
 	}
--- a/cmd/hillknot/outlive_test.go
+++ b/cmd/hillknot/outlive_test.go
@@ -92,6 +92,7 @@
 
 // Orders outlive their routers, once, through kills, stops, cuts and restarts.
 func TestOutlive(t *testing.T) {
+	inParallel(t)
 	o, err := loadtest.NewOutlivers(program(t), 5, true, "", 1)
 	if err != nil {
 		t.Fatal(err)
@@ -115,6 +116,7 @@
 
 // A balance that all routers share is never overspent, while some are cut off, killed and read a top-up late.
 func TestCredit(t *testing.T) {
+	inParallel(t)
 	p, err := loadtest.NewPayers(program(t), 4, map[string]float64{"poor": 50, "rich": 1e5}, 1)
 	if err != nil {
 		t.Fatal(err)
@@ -142,6 +144,7 @@
 // Routers that are restarted one after the other, as of nine a tenth at a time, answer what they took: no order runs twice, no
 // answer contradicts what ran, and nearly nothing is lost, with the journal service down, too.
 func TestRollingRestart(t *testing.T) {
+	inParallel(t)
 	for alone, routers := range map[bool]int{false: 9, true: 3} {
 		r, p, err := loadtest.Roll(program(t), routers, alone, 1)
 		if err != nil {
--- a/loadtest/together.go
+++ b/loadtest/together.go
@@ -15,6 +15,7 @@
 	"slices"
 	"strings"
 	"sync"
+	"sync/atomic"
 	"syscall"
 	"time"
 
@@ -122,10 +123,17 @@
 	keys  string
 	loads []*Load
 	seed  uint64
+
+	rangeIndex byte // of the proxies' addresses; other clusters of the process have other ranges
 }
 
-func doorOf(i int) netip.AddrPort {
-	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 63, byte(os.Getpid()>>8&63 + 1), byte(1 + i)}), uint16(20000+os.Getpid()%20000))
+// clusters counts the clusters of this process: each has a range of addresses of its own.
+var clusters atomic.Uint32
+
+// proxyAddr is the address at which the network that goes wrong stands for a router.
+func (t *Talkers) proxyAddr(router int) netip.AddrPort {
+	pid := os.Getpid()
+	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 63 - t.rangeIndex, byte(pid>>8&63 + 1), byte(1 + router)}), uint16(20000+pid%20000))
 }
 
 // newTalkers makes the network and the keys of a fleet.
@@ -134,7 +142,7 @@
 	if err != nil {
 		return nil, err
 	}
-	t := &Talkers{Net: faultnet.New(seed), seed: seed, keys: filepath.Join(dir, "keys")}
+	t := &Talkers{Net: faultnet.New(seed), seed: seed, keys: filepath.Join(dir, "keys"), rangeIndex: byte(clusters.Add(1) % 32)}
 	if err := t.SetKeys(newKey()); err != nil {
 		t.Close()
 		return nil, err
@@ -178,11 +186,11 @@
 		var peers []string
 		for o := range set.Routers {
 			if o != i {
-				peers = append(peers, fmt.Sprintf("%q", doorOf(o)))
+				peers = append(peers, fmt.Sprintf("%q", t.proxyAddr(o)))
 			}
 		}
 		to := netip.AddrPortFrom(netip.MustParseAddr(ip), 7946)
-		if err := t.Net.Add(doorOf(i), to); err != nil {
+		if err := t.Net.Add(t.proxyAddr(i), to); err != nil {
 			return "# " + err.Error() // without a door it talks to nobody, which the checks find
 		}
 		text := fmt.Sprintf("ops = \"%s:7055\"\n", ip)
@@ -191,7 +199,7 @@
 			return text
 		}
 		return text + fmt.Sprintf("fleet {\n  listen    = %q\n  advertise = %q\n  peers     = [%s]\n  key_file  = %q\n  size      = %d\n%s}\n",
-			to, doorOf(i), strings.Join(peers, ", "), t.keys, set.Routers, block)
+			to, t.proxyAddr(i), strings.Join(peers, ", "), t.keys, set.Routers, block)
 	}
 	t.Fleet, err = StartFleet(bin, set)
 	return err
