--- a/internal/upstream/golden_test.go
+++ b/internal/upstream/golden_test.go
@@ -10,18 +10,24 @@
 	"hillknot/internal/testutil/golden"
 )
 
-// Page caches are the operators', and their form does not change with this code. The files of testdata/golden were written at
-// commit 86ccf0f.
+// Page caches are the operators', and their form does not change with this code. The files of testdata/golden were
+// written at commit 86ccf0f.
 //
-// What reaches the bytes: no name of a type or field, but the texts of appendAsk and appendQuit and the words of statuses, notes
-// and answer.end.
+// What reaches the bytes: no name of a type or field, but the texts of appendRequest and appendCancel and the words of
+// statuses, details, response.result and response.sourceWait.
 func TestGoldenAsks(t *testing.T) {
-	a := &core.Attempt{Request: &core.Request{Txn: "00000000000000a1", Class: "order", ObjectText: "0a", PartText: "3", ETag: "v7", IdempotencyKey: "k1", Body: []byte("two\r\nseats")},
+	a := &core.Attempt{
+		Request: &core.Request{
+			Txn: "00000000000000a1", Class: "order", ObjectText: "0a", PartText: "3", ETag: "v7", IdempotencyKey: "k1",
+			Body: []byte("two\r\nseats"),
+		},
 		Timeout: 900 * time.Millisecond, Source: &core.Endpoint{ID: "mid-1"},
-		Decision: balancer.SendAttempt{CachePriority: 2, MaxAge: 1500 * time.Millisecond, Coalesce: true, CachedOnly: true, Revalidate: true}}
-	golden.Same(t, "ask.hex", appendAsk(nil, a))
-	golden.Same(t, "ask-least.hex", appendAsk(nil, &core.Attempt{Request: &core.Request{Txn: "t", Class: "page", ObjectText: "0a", PartText: "0"}}))
-	golden.Same(t, "quit.hex", appendQuit(nil, "00000000000000a1"))
+		Decision: balancer.SendAttempt{CachePriority: 2, MaxAge: 1500 * time.Millisecond, Coalesce: true, CachedOnly: true, Revalidate: true},
+	}
+	golden.Same(t, "ask.hex", appendRequest(nil, a))
+	least := &core.Attempt{Request: &core.Request{Txn: "t", Class: "page", ObjectText: "0a", PartText: "0"}}
+	golden.Same(t, "ask-least.hex", appendRequest(nil, least))
+	golden.Same(t, "quit.hex", appendCancel(nil, "00000000000000a1"))
 }
 
 // All words and notes of answers, one after the other in one file.
@@ -40,11 +46,12 @@
 		{Status: balancer.Error, Detail: balancer.SourceUnreachable},
 	}
 	for rest := golden.Read(t, "answers.hex"); len(rest) > 0; want = want[1:] {
-		a, n, _, err := parse(rest, 100, 100)
+		r, progress, err := parseResponse(rest, 100, 100)
+		n := progress.consumed
 		if err != nil || n == 0 || len(want) == 0 {
 			t.Fatalf("%q: %d bytes, %v", rest, n, err)
 		}
-		if got, err := a.end(); err != nil || !reflect.DeepEqual(got, want[0]) || string(a.id) != "a1" {
+		if got, err := r.result(); err != nil || !reflect.DeepEqual(got, want[0]) || string(r.txn) != "a1" {
 			t.Errorf("%q read as %+v, %v; want %+v", rest[:n], got, err, want[0])
 		}
 		rest = rest[n:]
