--- a/client/call.go
+++ b/client/call.go
@@ -18,7 +18,7 @@
 	done       chan struct{} // closed once outcome, errorText and response are final
 
 	conn       *routerConn // on which it is in flight, or nil
-	id         uint32      // on that connection
+	requestID  uint32      // on that connection
 	txn        uint64      // transaction id of the latest attempt
 	claimedTxn uint64      // transaction id of the first attempt whose router was lost, which claims name; 0: none
 	stream     responseStream
--- a/client/conn.go
+++ b/client/conn.go
@@ -141,9 +141,9 @@
 // send queues a call under an id of its own. The lock is held.
 func (conn *routerConn) send(call *pendingCall, retry bool) {
 	conn.lastID++
-	call.conn, call.id = conn, conn.lastID
-	conn.calls[call.id] = call
-	conn.enqueue(message{kind: requestMessage, call: call, id: call.id, retry: retry})
+	call.conn, call.requestID = conn, conn.lastID
+	conn.calls[call.requestID] = call
+	conn.enqueue(message{kind: requestMessage, call: call, requestID: call.requestID, retry: retry})
 }
 
 // cancel tells the router that nobody waits for a call any more, or takes it back if it was not written. The lock
@@ -151,14 +151,14 @@
 func (conn *routerConn) cancel(call *pendingCall) {
 	conn.detach(call)
 	if !conn.outbox.remove(call) {
-		conn.enqueue(message{kind: cancelNotice, id: call.id})
+		conn.enqueue(message{kind: cancelNotice, requestID: call.requestID})
 	}
 }
 
 // detach takes a call off the connection: a response to it is ignored. The lock is held.
 func (conn *routerConn) detach(call *pendingCall) {
 	if call.conn == conn {
-		delete(conn.calls, call.id)
+		delete(conn.calls, call.requestID)
 		call.conn = nil
 	}
 }
--- a/client/policy/policy.go
+++ b/client/policy/policy.go
@@ -47,7 +47,7 @@
 		p.routers = append(p.routers, r)
 	}
 	p.budget = retryBudget{
-		share:         settings.RetryShare,
+		ratio:         settings.RetryShare,
 		floor:         settings.RetryFloor,
 		firstAttempts: newSlidingSum(settings.RetryWindow),
 		retries:       newSlidingSum(settings.RetryWindow),
--- a/client/policy/retrybudget.go
+++ b/client/policy/retrybudget.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// retryBudget bounds the retries of all calls together, to a share of the first attempts of a sliding window and a
+// retryBudget bounds the retries of all calls together, to a ratio of the first attempts of a sliding window and a
 // small floor. Without it the retries of all calls would multiply the load on routers that are overloaded already.
 type retryBudget struct {
-	share, floor           float64
+	ratio, floor           float64
 	firstAttempts, retries slidingSum
 }
 
@@ -13,7 +13,7 @@
 
 // take spends one retry; false where the budget has none left.
 func (b *retryBudget) take(now time.Duration) bool {
-	if b.retries.sum(now)+1 > b.floor+b.share*b.firstAttempts.sum(now) {
+	if b.retries.sum(now)+1 > b.floor+b.ratio*b.firstAttempts.sum(now) {
 		return false
 	}
 	b.retries.add(now, 1)
--- a/client/policy/throttle.go
+++ b/client/policy/throttle.go
@@ -6,8 +6,8 @@
 )
 
 const (
-	// rampShedShare is the share of calls that is shed when the ramp after an overload begins.
-	rampShedShare = 0.8
+	// rampShedFraction is the fraction of calls that is shed when the ramp after an overload begins.
+	rampShedFraction = 0.8
 
 	// So many accepted responses in a row end an overload: more where routers accepted some calls all along, as two
 	// accepted ones in a row say little there.
@@ -44,11 +44,11 @@
 	t.accepted = newSlidingSum(t.settings.ThrottleWindow)
 }
 
-// shedShare is the share of new calls that is to be shed now.
-func (t *throttle) shedShare(now time.Duration) float64 {
+// shedFraction is the fraction of new calls that is to be shed now.
+func (t *throttle) shedFraction(now time.Duration) float64 {
 	if t.rampStart > 0 {
 		if now < t.rampStart+t.settings.Ramp {
-			return rampShedShare * (1 - float64(now-t.rampStart)/float64(t.settings.Ramp))
+			return rampShedFraction * (1 - float64(now-t.rampStart)/float64(t.settings.Ramp))
 		}
 		t.rampStart = 0
 	}
@@ -61,8 +61,8 @@
 
 // admit says whether a new call may go on; if not, it is shed.
 func (t *throttle) admit(now time.Duration) bool {
-	share := t.shedShare(now)
-	if share <= 0 || t.random.Float64() >= share {
+	fraction := t.shedFraction(now)
+	if fraction <= 0 || t.random.Float64() >= fraction {
 		return true
 	}
 	if now >= t.lastProbe+t.settings.ProbeEvery {
@@ -74,7 +74,7 @@
 }
 
 // inactive says whether no calls are shed now.
-func (t *throttle) inactive(now time.Duration) bool { return t.shedShare(now) <= 0 }
+func (t *throttle) inactive(now time.Duration) bool { return t.shedFraction(now) <= 0 }
 
 // recordRejected counts a rejection by a router.
 func (t *throttle) recordRejected(now time.Duration) {
@@ -86,7 +86,7 @@
 // over.
 func (t *throttle) recordAccepted(now time.Duration) {
 	t.streak++
-	overloaded := t.rampStart == 0 && t.shedShare(now) > 0
+	overloaded := t.rampStart == 0 && t.shedFraction(now) > 0
 	if overloaded && t.streak >= t.streakToEnd(now) {
 		t.forget() // the figures of the overload say nothing of what comes
 		t.rampStart = now
--- a/client/writer.go
+++ b/client/writer.go
@@ -16,10 +16,10 @@
 
 // message is something to be written to a router.
 type message struct {
-	kind  messageKind
-	call  *pendingCall // of a request
-	id    uint32       // of a request, or of the one that is canceled
-	retry bool         // of a request
+	kind      messageKind
+	call      *pendingCall // of a request
+	requestID uint32       // of a request, or of the one that is canceled
+	retry     bool         // of a request
 }
 
 type messageKind uint8
@@ -39,8 +39,8 @@
 
 // batchedCall is a call in a write.
 type batchedCall struct {
-	id    uint32
-	start int // of its bytes in the batch
+	requestID uint32
+	start     int // of its bytes in the batch
 }
 
 // remove takes back a call that is not in a batch yet; false where it is, or is not in the outbox.
@@ -60,13 +60,13 @@
 	unsent := map[uint32]bool{}
 	for _, m := range o.messages {
 		if m.kind == requestMessage {
-			unsent[m.id] = true
+			unsent[m.requestID] = true
 		}
 	}
 	if failure != nil {
 		for _, batched := range o.batch {
 			if batched.start >= failure.written {
-				unsent[batched.id] = true
+				unsent[batched.requestID] = true
 			}
 		}
 	}
@@ -139,7 +139,7 @@
 		conn.lastID++
 		return rpc.AppendHealthRequest(buf, uint64(conn.lastID))
 	case cancelNotice:
-		return rpc.AppendCancel(buf, uint64(m.id))
+		return rpc.AppendCancel(buf, uint64(m.requestID))
 	default:
 		return conn.appendRequest(buf, m)
 	}
@@ -148,20 +148,20 @@
 // appendRequest appends a request unless its call has ended, or has too little time left.
 func (conn *routerConn) appendRequest(buf []byte, m message) []byte {
 	c, call := conn.client, m.call
-	if conn.calls[m.id] != call {
+	if conn.calls[m.requestID] != call {
 		return buf
 	}
 	limit, ok := c.policy.PrepareWrite(c.now(), call.policyCall, len(buf)+len(call.request.Body)+requestOverhead)
 	if !ok {
 		return buf
 	}
-	conn.outbox.batch = append(conn.outbox.batch, batchedCall{id: m.id, start: len(buf)})
+	conn.outbox.batch = append(conn.outbox.batch, batchedCall{requestID: m.requestID, start: len(buf)})
 	call.txn = c.txns.Uint64()
 	resumes := uint64(0)
 	if call.policyCall.IsClaim() {
 		resumes = call.claimedTxn
 	}
-	return rpc.AppendRequest(buf, uint64(m.id), &rpc.Request{
+	return rpc.AppendRequest(buf, uint64(m.requestID), &rpc.Request{
 		Method:        c.classes.list[call.class].name,
 		Txn:           call.txn,
 		ResumedTxn:    resumes,
