--- a/internal/cluster/failover/golden_test.go
+++ b/internal/cluster/failover/golden_test.go
@@ -10,36 +10,65 @@
 	"hillknot/internal/testutil/golden"
 )
 
-// Routers of different releases exchange these messages: a router that is replaced talks to others that are not yet. The files
-// of testdata/golden were written at commit 86ccf0f.
+// Routers of different releases exchange these messages: a router that is replaced talks to others that are not yet. The
+// files of testdata/golden were written at commit 86ccf0f.
 //
-// What reaches the bytes: message, Order, Outcome and word are CBOR arrays (`cbor:",toarray"`), so that the order, the types and
-// the number of their fields count, and no name does: message.{Kind, Txn, Step, Session, Order, Outcome, Claim, Word},
-// Order.{Txn, Class, Item, Account, Part, Group, Digest, Left, Body, Whole}, Outcome.{Kind, Body, Wait}, word.{Say, Sure,
-// Outcome}. A struct that loses its field _ with the tag is written as a map of its fields' names. Times are nanoseconds. The
-// constants of kind, step, say and Kind are sent as numbers, so their order counts. The duty "keeper of NAME" is
-// hashed into the choice of the keeper; no router relies on another's choice.
+// message, Order, Outcome and reply are CBOR arrays (`cbor:",toarray"`), so that the order, the types and the number of their
+// fields reach the bytes, and no name does: message.{Kind, Txn, Step, Session, Order, Outcome, Claim, Update}, Order.{Txn,
+// Class, Item, Account, Part, Group, Digest, TimeLeft, Body, BodyComplete}, Outcome.{Kind, Body, RetryAfter}, reply.{Kind,
+// Certain, Outcome}. A struct that loses its field _ with the tag is written as a map of its fields' names. Times are
+// nanoseconds. The constants of messageKind, step, replyKind and OutcomeKind are sent as numbers, so their order counts. The
+// duty "keeper of NAME" (replicaDuty) is hashed into the choice of the replica; no router relies on another's choice.
 
 var (
-	goldenDigest = [32]byte{1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16, 17, 18, 19, 20, 21, 22, 23, 24, 25, 26, 27, 28, 29, 30, 31, 32}
-
-	goldenOrder = Order{Txn: "00000000000000a1", Class: "order", Item: "00000000000000b2", Account: "acme", Part: 300, Group: 4,
-		Digest: goldenDigest, TimeLeft: 1500 * time.Millisecond, Body: []byte("two seats"), BodyComplete: true}
+	goldenDigest = [32]byte{
+		1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16,
+		17, 18, 19, 20, 21, 22, 23, 24, 25, 26, 27, 28, 29, 30, 31, 32,
+	}
+	goldenOrder = Order{
+		Txn:          "00000000000000a1",
+		Class:        "order",
+		Item:         "00000000000000b2",
+		Account:      "acme",
+		Part:         300,
+		Group:        4,
+		Digest:       goldenDigest,
+		TimeLeft:     1500 * time.Millisecond,
+		Body:         []byte("two seats"),
+		BodyComplete: true,
+	}
 	goldenOutcome = Outcome{Kind: NeverRan, Body: []byte("no seats"), RetryAfter: 250 * time.Millisecond}
-	goldenWord    = reply{Kind: replyRun, Certain: true, Outcome: Outcome{Kind: Served, Body: []byte("seat 12"), RetryAfter: time.Second}}
+	goldenReply   = reply{
+		Kind:    replyRun,
+		Certain: true,
+		Outcome: Outcome{Kind: Served, Body: []byte("seat 12"), RetryAfter: time.Second},
+	}
 )
 
 // message has every field; the others are as the code sends them.
 var goldenMessages = map[string]message{
-	"message.hex": {Kind: messageClaimUpdate, Txn: "00000000000000c3", Step: stepMaySend, Session: 70000, Order: goldenOrder, Outcome: goldenOutcome,
-		Claim: 1 << 40, Update: goldenWord},
-	"tell-taken.hex":   {Kind: messageStep, Txn: "a1", Step: stepTaken, Session: 7, Order: goldenOrder},
-	"tell-left.hex":    {Kind: messageStep, Txn: "a1", Step: stepTransferable, Session: 7, Order: goldenOrder},
-	"tell-may.hex":     {Kind: messageStep, Txn: "a1", Step: stepMaySend, Session: 7},
-	"tell-ended.hex":   {Kind: messageStep, Txn: "a1", Step: stepEnded, Session: 7, Outcome: Outcome{Kind: Failed}},
-	"tell-alive.hex":   {Kind: messageStep, Session: 7},
-	"claim.hex":        {Kind: messageClaim, Txn: "a1", Order: Order{Digest: goldenDigest}, Claim: 9},
-	"news-outcome.hex": {Kind: messageClaimUpdate, Txn: "a1", Claim: 9, Update: reply{Kind: replyOutcome, Outcome: Outcome{Kind: Served, Body: []byte("seat 12")}}},
+	"message.hex": {
+		Kind:    messageClaimUpdate,
+		Txn:     "00000000000000c3",
+		Step:    stepMaySend,
+		Session: 70000,
+		Order:   goldenOrder,
+		Outcome: goldenOutcome,
+		Claim:   1 << 40,
+		Update:  goldenReply,
+	},
+	"tell-taken.hex": {Kind: messageStep, Txn: "a1", Step: stepTaken, Session: 7, Order: goldenOrder},
+	"tell-left.hex":  {Kind: messageStep, Txn: "a1", Step: stepTransferable, Session: 7, Order: goldenOrder},
+	"tell-may.hex":   {Kind: messageStep, Txn: "a1", Step: stepMaySend, Session: 7},
+	"tell-ended.hex": {Kind: messageStep, Txn: "a1", Step: stepEnded, Session: 7, Outcome: Outcome{Kind: Failed}},
+	"tell-alive.hex": {Kind: messageStep, Session: 7},
+	"claim.hex":      {Kind: messageClaim, Txn: "a1", Order: Order{Digest: goldenDigest}, Claim: 9},
+	"news-outcome.hex": {
+		Kind:   messageClaimUpdate,
+		Txn:    "a1",
+		Claim:  9,
+		Update: reply{Kind: replyOutcome, Outcome: Outcome{Kind: Served, Body: []byte("seat 12")}},
+	},
 }
 
 func TestGoldenMessages(t *testing.T) {
@@ -52,22 +81,34 @@
 			}
 			golden.Same(t, name, body)
 			var got message
-			if err := cbor.Unmarshal(golden.Read(t, name), &got); err != nil || !reflect.DeepEqual(got, want) || !got.valid() {
+			err = cbor.Unmarshal(golden.Read(t, name), &got)
+			if err != nil || !reflect.DeepEqual(got, want) || !got.valid() {
 				t.Errorf("read as %+v, %v; want %+v", got, err, want)
 			}
 		})
 	}
 }
 
-// All answers, each with its number: the code of another release takes the number, not the name.
-func TestGoldenWords(t *testing.T) {
-	golden.Nonzero(t, goldenWord)
-	words := map[string]reply{"word.hex": goldenWord}
-	for name, s := range map[string]replyKind{"bad": replyInvalid, "held": replyAcknowledged, "lost": replyLeaseLost, "gone": replyGivenAway, "full": replyFull, "unknown": replyUnknown,
-		"elsewhere": replyElsewhere, "may": replyMayHaveRun, "wait": replyPending, "outcome": replyOutcome, "run": replyRun} {
-		words["word-"+name+".hex"] = reply{Kind: s}
+// All replies, each with its number: the code of another release takes the number, not the name.
+func TestGoldenReplies(t *testing.T) {
+	golden.Nonzero(t, goldenReply)
+	replies := map[string]reply{"word.hex": goldenReply}
+	for name, kind := range map[string]replyKind{
+		"bad":       replyInvalid,
+		"held":      replyAcknowledged,
+		"lost":      replyLeaseLost,
+		"gone":      replyGivenAway,
+		"full":      replyFull,
+		"unknown":   replyUnknown,
+		"elsewhere": replyElsewhere,
+		"may":       replyMayHaveRun,
+		"wait":      replyPending,
+		"outcome":   replyOutcome,
+		"run":       replyRun,
+	} {
+		replies["word-"+name+".hex"] = reply{Kind: kind}
 	}
-	for name, want := range words {
+	for name, want := range replies {
 		t.Run(name, func(t *testing.T) {
 			body, err := cbor.Marshal(&want)
 			if err != nil {
@@ -84,9 +125,14 @@
 
 // All outcomes, each with its number.
 func TestGoldenOutcomes(t *testing.T) {
-	for name, k := range map[string]OutcomeKind{"may-have-run": MayHaveRun, "served": Served, "failed": Failed, "never-ran": NeverRan} {
+	for name, kind := range map[string]OutcomeKind{
+		"may-have-run": MayHaveRun,
+		"served":       Served,
+		"failed":       Failed,
+		"never-ran":    NeverRan,
+	} {
 		t.Run(name, func(t *testing.T) {
-			want := Outcome{Kind: k, Body: []byte("seat 12"), RetryAfter: 3 * time.Second}
+			want := Outcome{Kind: kind, Body: []byte("seat 12"), RetryAfter: 3 * time.Second}
 			name := "outcome-" + name + ".hex"
 			body, err := cbor.Marshal(&want)
 			if err != nil {
--- a/internal/cluster/messaging/golden_test.go
+++ b/internal/cluster/messaging/golden_test.go
@@ -14,13 +14,21 @@
 // Routers of different releases exchange these packets: a router that is replaced talks to others that are not yet. The files
 // of testdata/golden were written at commit 86ccf0f.
 //
-// What reaches the bytes: wire and item are CBOR arrays (`cbor:",toarray"`), so that the order, the types and the number of their
-// fields count, and no name does: wire.{From, Process, To, Parcels, Answers, Ask, Echo}, item.{ID, Body}. A struct that loses its
-// field _ with the tag is written as a map of its fields' names. An empty list is written as nil, not as a list of none.
+// packet and item are CBOR arrays (`cbor:",toarray"`), so that the order, the types and the number of their fields reach the
+// bytes, and no name does: packet.{From, Process, ToProcess, Messages, Acknowledgements, Query, QueryReply}, item.{ID, Body}.
+// A struct that loses its field _ with the tag is written as a map of its fields' names. An empty list is written as nil, not
+// as a list of none.
 
 var goldenPackets = map[string]packet{
-	"packet.hex": {From: "r1", Process: 70000, ToProcess: 1 << 40, Messages: []item{{ID: 5, Body: []byte("five")}, {ID: 600, Body: []byte("six hundred")}},
-		Acknowledgements: []item{{ID: 7, Body: []byte("yes")}}, Query: 8, QueryReply: 9},
+	"packet.hex": {
+		From:             "r1",
+		Process:          70000,
+		ToProcess:        1 << 40,
+		Messages:         []item{{ID: 5, Body: []byte("five")}, {ID: 600, Body: []byte("six hundred")}},
+		Acknowledgements: []item{{ID: 7, Body: []byte("yes")}},
+		Query:            8,
+		QueryReply:       9,
+	},
 	"parcels.hex": {From: "r1", Process: 11, ToProcess: 22, Messages: []item{{ID: 1, Body: []byte("order")}}},
 	"answers.hex": {From: "r1", Process: 11, ToProcess: 22, Acknowledgements: []item{{ID: 2, Body: []byte("yes")}}},
 	"ask.hex":     {From: "r1", Process: 11, Query: 3},
@@ -32,7 +40,7 @@
 	golden.Nonzero(t, goldenPackets["packet.hex"])
 	for name, want := range goldenPackets {
 		t.Run(name, func(t *testing.T) {
-			data, err := cbor.Marshal(&want) // as Post.Out does
+			data, err := cbor.Marshal(&want) // as packetWriter.flush does
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -45,9 +53,9 @@
 	}
 }
 
-// A post says, byte for byte, what it said when the files were written, and understands what the other said then: the question
-// who is there, the echo, a parcel, its answer, and that answer once more.
-func TestGoldenTalk(t *testing.T) {
+// A messenger sends, byte for byte, what it sent when the files were written, and understands what the other sent then: the
+// query for its process, the reply to it, a message, its acknowledgement, and that acknowledgement once more.
+func TestGoldenExchange(t *testing.T) {
 	one, two := New(Defaults("r1", 11)), New(Defaults("r2", 22))
 	now := time.Second
 	step := func(from, to *Messenger, names ...string) (in []Delivery) {
--- a/internal/cluster/messaging/messaging_test.go
+++ b/internal/cluster/messaging/messaging_test.go
@@ -3,173 +3,151 @@
 import (
 	"errors"
 	"fmt"
-	"math/rand/v2"
-	"slices"
 	"testing"
 	"time"
 )
 
-const ms = time.Millisecond
+// A message is delivered once at most, and its end is told once: with the reply of its receiver, or in time without. Late and
+// repeated packets, of processes that have ended too, change nothing.
+func TestOnce(t *testing.T) {
+	answered := 0
+	for seed := range uint64(60) {
+		s := &onceCheck{pair: newPair(seed, 5, 0.2), seed: seed, replies: map[uint64]string{}}
+		s.run(t)
+		answered += s.answered
+		s.checkUnderstanding(t)
+	}
+	if answered < 1000 {
+		t.Errorf("%d parcels were answered", answered)
+	}
+}
 
-// pair is two posts and a network between them that loses, delays and repeats, while processes start anew.
-type pair struct {
-	rnd   *rand.Rand
-	now   time.Duration
-	posts map[string]*Messenger
-	made  uint64
-	mail  []flying
-	loss  float64
-	held  map[string]int // parcels handed over, by sender, process and number
+// onceCheck sends messages from "a" to "b" and checks how they end.
+type onceCheck struct {
+	*pair
+	seed     uint64
+	replies  map[uint64]string // that are expected, by message in flight
+	answered int
 }
 
-type flying struct {
-	at   time.Duration
-	to   string
-	data []byte
+// run sends messages, and replaces processes, until none is in flight.
+func (s *onceCheck) run(t *testing.T) {
+	t.Helper()
+	const (
+		sendUntil = 4 * time.Second
+		end       = 6 * time.Second
+	)
+	for s.now < end {
+		s.step(t)
+		if s.random.IntN(400) == 0 {
+			s.replaceProcess(s.now < sendUntil)
+		}
+		if s.random.IntN(20) == 0 && s.now < sendUntil {
+			s.sendMessage(t)
+		}
+		s.checkCompletions(t)
+	}
+	if len(s.replies) > 0 || s.messengers["a"].MaxQueued() > 0 {
+		t.Fatalf("seed %d: no end of %v", s.seed, s.replies)
+	}
 }
 
-func (p *pair) start(name string) {
-	p.made++
-	set := Defaults(name, p.made)
-	set.ReplyMemory, set.MaxMessages = 16, 8
-	p.posts[name] = New(set)
+// replaceProcess replaces the process of either router; what "a" sent before has no end then. If it is not allowed, it only
+// draws which one it would be.
+func (s *onceCheck) replaceProcess(allowed bool) {
+	if !allowed {
+		s.random.IntN(2)
+		return
+	}
+	if s.replaceOne() == "a" {
+		clear(s.replies)
+	}
 }
 
-func (p *pair) step(t *testing.T) {
-	p.now += ms
-	for i := 0; i < len(p.mail); i++ {
-		m := p.mail[i]
-		if m.at > p.now {
-			continue
-		}
-		p.mail = slices.Delete(p.mail, i, i+1)
-		i--
-		for _, a := range p.posts[m.to].Receive(p.now, m.data) {
-			key := fmt.Sprint(a.From, a.Process, a.ID)
-			if p.held[key]++; p.held[key] > 1 {
-				t.Fatalf("%s was handed over twice", key)
-			}
-			if p.rnd.IntN(10) > 0 { // else it is never held
-				p.posts[m.to].Acknowledge(a, []byte("held "+string(a.Body)))
-			}
-		}
+func (s *onceCheck) sendMessage(t *testing.T) {
+	t.Helper()
+	body := []byte(fmt.Sprint(s.now))
+	id, err := s.messengers["a"].Send(s.now, "b", body, s.now+time.Second)
+	var full QueueFullError
+	switch {
+	case err == nil:
+		s.replies[id] = string(replyTo(body))
+	case !errors.As(err, &full):
+		t.Fatal(err)
 	}
-	for _, name := range []string{"a", "b"} {
-		for _, out := range p.posts[name].DuePackets(p.now) {
-			for range 1 + p.rnd.IntN(3)/2 {
-				at := p.now + time.Duration(p.rnd.ExpFloat64()*float64(5*ms))
-				if p.rnd.IntN(30) == 0 {
-					at += time.Duration(p.rnd.Int64N(int64(3 * time.Second)))
-				}
-				if p.rnd.Float64() >= p.loss {
-					p.mail = append(p.mail, flying{at, out.To, out.Data})
-				}
+}
+
+func (s *onceCheck) checkCompletions(t *testing.T) {
+	t.Helper()
+	for _, c := range s.messengers["a"].Completions() {
+		want := s.replies[c.ID]
+		if want == "" {
+			t.Fatalf("seed %d: an end of %d, which is not under way", s.seed, c.ID)
+		}
+		if c.Err == nil {
+			s.answered++
+			if string(c.Reply) != want {
+				t.Fatalf("seed %d: %q for %q", s.seed, c.Reply, want)
 			}
 		}
-		p.posts[name].Tick(p.now)
+		delete(s.replies, c.ID)
 	}
 }
 
-// A parcel is handed over once at most, and its end is told once: with the answer of who holds it, or in time without.
-// Late and repeated packets, of processes that have ended too, change nothing.
-func TestOnce(t *testing.T) {
-	answered := 0
-	for seed := range uint64(60) {
-		p := &pair{rnd: rand.New(rand.NewPCG(seed, 5)), posts: map[string]*Messenger{}, held: map[string]int{}, loss: 0.2}
-		p.start("a")
-		p.start("b")
-		want := map[uint64]string{}
-		for p.now < 6*time.Second {
-			p.step(t)
-			if p.rnd.IntN(400) == 0 {
-				if name := []string{"a", "b"}[p.rnd.IntN(2)]; p.now < 4*time.Second {
-					p.start(name)
-					if name == "a" {
-						clear(want)
-					}
-				}
-			}
-			if p.rnd.IntN(20) == 0 && p.now < 4*time.Second {
-				body := fmt.Sprint(p.now)
-				id, err := p.posts["a"].Send(p.now, "b", []byte(body), p.now+time.Second)
-				if err == nil {
-					want[id] = "held " + body
-				} else if full := (QueueFullError{}); !errors.As(err, &full) {
-					t.Fatal(err)
-				}
-			}
-			for _, d := range p.posts["a"].Completions() {
-				if want[d.ID] == "" {
-					t.Fatalf("seed %d: an end of %d, which is not under way", seed, d.ID)
-				}
-				if d.Err == nil {
-					if answered++; string(d.Reply) != want[d.ID] {
-						t.Fatalf("seed %d: %q for %q", seed, d.Reply, want[d.ID])
-					}
-				}
-				delete(want, d.ID)
-			}
-		}
-		if len(want) > 0 || p.posts["a"].MaxQueued() > 0 {
-			t.Fatalf("seed %d: no end of %v", seed, want)
-		}
-		// Whatever came late of processes that have ended, those that are there now understand each other.
-		p.loss = 0
-		id, err := p.posts["a"].Send(p.now, "b", []byte("last"), p.now+5*time.Second)
-		if err != nil {
-			t.Fatal(err)
-		}
-		held := len(p.held)
-		for end := p.now + time.Second; p.now < end; {
-			p.step(t)
-		}
-		if len(p.held) == held {
-			t.Fatalf("seed %d: parcel %d never came", seed, id)
-		}
+// checkUnderstanding fails unless the processes that are there now understand each other, whatever came late of those that
+// have ended.
+func (s *onceCheck) checkUnderstanding(t *testing.T) {
+	t.Helper()
+	s.loss = 0
+	id, err := s.messengers["a"].Send(s.now, "b", []byte("last"), s.now+5*time.Second)
+	if err != nil {
+		t.Fatal(err)
 	}
-	if answered < 1000 {
-		t.Errorf("%d parcels were answered", answered)
+	before := len(s.delivered)
+	for end := s.now + time.Second; s.now < end; {
+		s.step(t)
+	}
+	if len(s.delivered) == before {
+		t.Fatalf("seed %d: parcel %d never came", s.seed, id)
 	}
 }
 
 // A router that does not answer holds up no other, and takes a bounded room.
 func TestSlowPeer(t *testing.T) {
-	p := &pair{rnd: rand.New(rand.NewPCG(1, 1)), posts: map[string]*Messenger{}, held: map[string]int{}}
-	p.start("a")
-	p.start("b")
+	p := newPair(1, 1, 0)
 	var full QueueFullError
 	for i := range 9 {
-		_, err := p.posts["a"].Send(0, "gone", []byte("x"), time.Second)
+		_, err := p.messengers["a"].Send(0, "gone", []byte("x"), time.Second)
 		if errors.As(err, &full) != (i == 8) {
 			t.Fatalf("parcel %d: %v", i, err)
 		}
 	}
-	p.posts["gone"] = New(Defaults("gone", 99))
-	p.loss = 0
-	if _, err := p.posts["a"].Send(0, "b", []byte("x"), time.Second); err != nil {
+	p.messengers["gone"] = New(Defaults("gone", 99))
+	if _, err := p.messengers["a"].Send(0, "b", []byte("x"), time.Second); err != nil {
 		t.Fatal(err)
 	}
-	for len(p.held) == 0 && p.now < time.Second {
+	for len(p.delivered) == 0 && p.now < time.Second {
 		p.step(t)
 	}
-	if len(p.held) == 0 {
+	if len(p.delivered) == 0 {
 		t.Error("nothing came to the router that is well")
 	}
-	if _, err := p.posts["a"].Send(0, "b", make([]byte, 1<<20), time.Second); !errors.As(err, new(MessageTooLongError)) {
+	_, err := p.messengers["a"].Send(0, "b", make([]byte, 1<<20), time.Second)
+	if !errors.As(err, new(MessageTooLongError)) {
 		t.Errorf("a parcel of a megabyte: %v", err)
 	}
 }
 
-// Whatever comes in is passed over or understood.
-func FuzzTake(f *testing.F) {
+// Whatever comes in is ignored or understood.
+func FuzzReceive(f *testing.F) {
 	a := New(Defaults("a", 1))
 	_, _ = a.Send(0, "b", []byte("x"), time.Second)
 	f.Add(a.DuePackets(0)[0].Data)
 	f.Add([]byte{0x86, 0x61, 'a', 1, 2, 0x9a, 0xff, 0xff, 0xff, 0xff}) // a list of four milliards
-	f.Fuzz(func(t *testing.T, data []byte) {
+	f.Fuzz(func(_ *testing.T, data []byte) {
 		b := New(Defaults("b", 2))
-		for _, in := range b.Receive(0, data) {
-			b.Acknowledge(in, []byte("held"))
+		for _, d := range b.Receive(0, data) {
+			b.Acknowledge(d, []byte("held"))
 		}
 		b.DuePackets(0)
 	})
--- /dev/null
+++ b/internal/cluster/messaging/simulation_test.go
@@ -0,0 +1,111 @@
+package messaging
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"slices"
+	"testing"
+	"time"
+)
+
+const ms = time.Millisecond
+
+// pair is two messengers and a network between them that loses, delays and repeats, while processes are replaced.
+type pair struct {
+	random     *rand.Rand
+	now        time.Duration
+	messengers map[string]*Messenger
+	processes  uint64 // started so far
+	network    []flyingPacket
+	loss       float64        // share of packets that are lost
+	delivered  map[string]int // how often each message was, by sender, process and number
+}
+
+type flyingPacket struct {
+	at   time.Duration
+	to   string
+	data []byte
+}
+
+// newPair returns the messengers "a" and "b".
+func newPair(seed1, seed2 uint64, loss float64) *pair {
+	p := &pair{
+		random:     rand.New(rand.NewPCG(seed1, seed2)),
+		messengers: map[string]*Messenger{},
+		loss:       loss,
+		delivered:  map[string]int{},
+	}
+	p.start("a")
+	p.start("b")
+	return p
+}
+
+// start starts a new process of a router.
+func (p *pair) start(name string) {
+	p.processes++
+	settings := Defaults(name, p.processes)
+	settings.ReplyMemory, settings.MaxMessages = 16, 8
+	p.messengers[name] = New(settings)
+}
+
+// replaceOne starts a new process of one of the routers, and returns its name.
+func (p *pair) replaceOne() string {
+	name := []string{"a", "b"}[p.random.IntN(2)]
+	p.start(name)
+	return name
+}
+
+// step moves time on by a millisecond.
+func (p *pair) step(t *testing.T) {
+	t.Helper()
+	p.now += ms
+	p.deliverPackets(t)
+	for _, name := range []string{"a", "b"} {
+		for _, packet := range p.messengers[name].DuePackets(p.now) {
+			p.send(packet)
+		}
+		p.messengers[name].Tick(p.now)
+	}
+}
+
+func (p *pair) deliverPackets(t *testing.T) {
+	t.Helper()
+	for i := 0; i < len(p.network); {
+		packet := p.network[i]
+		if packet.at > p.now {
+			i++
+			continue
+		}
+		p.network = slices.Delete(p.network, i, i+1)
+		for _, d := range p.messengers[packet.to].Receive(p.now, packet.data) {
+			p.countDelivery(t, d)
+			if p.random.IntN(10) > 0 { // else it is never acknowledged
+				p.messengers[packet.to].Acknowledge(d, replyTo(d.Body))
+			}
+		}
+	}
+}
+
+func (p *pair) countDelivery(t *testing.T, d Delivery) {
+	t.Helper()
+	key := fmt.Sprint(d.From, d.Process, d.ID)
+	p.delivered[key]++
+	if p.delivered[key] > 1 {
+		t.Fatalf("%s was handed over twice", key)
+	}
+}
+
+func replyTo(body []byte) []byte { return append([]byte("held "), body...) }
+
+// send puts a packet on the network, some twice, and some very late.
+func (p *pair) send(packet Packet) {
+	for range 1 + p.random.IntN(3)/2 {
+		at := p.now + time.Duration(p.random.ExpFloat64()*float64(5*ms))
+		if p.random.IntN(30) == 0 {
+			at += time.Duration(p.random.Int64N(int64(3 * time.Second)))
+		}
+		if p.random.Float64() >= p.loss {
+			p.network = append(p.network, flyingPacket{at, packet.To, packet.Data})
+		}
+	}
+}
--- a/internal/extension/orderfailover/golden_test.go
+++ b/internal/extension/orderfailover/golden_test.go
@@ -10,17 +10,34 @@
 	"hillknot/internal/testutil/golden"
 )
 
-// A claim is held against the record of its order by a hash of what the client asked for, which two routers of different releases
-// reckon. The file of testdata/golden was written at commit 86ccf0f.
+// A claim is checked against the record of its order by a hash of what the client asked for, which two routers of different
+// releases compute. The file of testdata/golden was written at commit 86ccf0f.
 //
-// What reaches the bytes: no name, but what function order hashes, in its order: the length (8 bytes, highest first) and the bytes
+// No name reaches the bytes, but what function digest hashes, in its order: the length (8 bytes, highest first) and the bytes
 // of Class, Item, Account and Body, then Part and Group.
 func TestGoldenDigest(t *testing.T) {
-	q := &core.Request{Txn: "00000000000000a1", Class: "order", ObjectText: "00000000000000b2", Account: "acme", Part: 300, Group: 4, Body: []byte("two seats")}
+	q := &core.Request{
+		Txn:        "00000000000000a1",
+		Class:      "order",
+		ObjectText: "00000000000000b2",
+		Account:    "acme",
+		Part:       300,
+		Group:      4,
+		Body:       []byte("two seats"),
+	}
 	o := order(q, "00000000000000c3", 1500*time.Millisecond)
 	golden.Same(t, "digest.hex", o.Digest[:])
-	want := failover.Order{Txn: "00000000000000c3", Class: "order", Item: "00000000000000b2", Account: "acme", Part: 300, Group: 4, Digest: o.Digest,
-		TimeLeft: 1500 * time.Millisecond, Body: []byte("two seats")}
+	want := failover.Order{
+		Txn:      "00000000000000c3",
+		Class:    "order",
+		Item:     "00000000000000b2",
+		Account:  "acme",
+		Part:     300,
+		Group:    4,
+		Digest:   o.Digest,
+		TimeLeft: 1500 * time.Millisecond,
+		Body:     []byte("two seats"),
+	}
 	if !reflect.DeepEqual(o, want) {
 		t.Errorf("order %+v, want %+v", o, want)
 	}
@@ -28,19 +45,35 @@
 	golden.Same(t, "digest-empty.hex", empty.Digest[:])
 }
 
-// What a keeper is told of an answer, and what a claimant is told of that.
+// What a replica is told of an answer.
 func TestGoldenOutcomes(t *testing.T) {
+	rejected := core.Answer{Verdict: core.Rejected, RetryAfter: time.Second}
 	for name, c := range map[string]struct {
-		in   core.Answer
-		ran  bool
-		want failover.Outcome
+		answer     core.Answer
+		mayHaveRun bool
+		want       failover.Outcome
 	}{
-		"served":      {core.Answer{Verdict: core.Served, Body: []byte("seat 12")}, true, failover.Outcome{Kind: failover.Served, Body: []byte("seat 12")}},
-		"refused":     {core.Answer{Verdict: core.Rejected, RetryAfter: time.Second}, false, failover.Outcome{Kind: failover.NeverRan, RetryAfter: time.Second}},
-		"refused ran": {core.Answer{Verdict: core.Rejected, RetryAfter: time.Second}, true, failover.Outcome{Kind: failover.MayHaveRun}},
-		"failed":      {core.Answer{Verdict: core.Failed}, true, failover.Outcome{Kind: failover.Failed}},
+		"served": {
+			answer:     core.Answer{Verdict: core.Served, Body: []byte("seat 12")},
+			mayHaveRun: true,
+			want:       failover.Outcome{Kind: failover.Served, Body: []byte("seat 12")},
+		},
+		"rejected": {
+			answer: rejected,
+			want:   failover.Outcome{Kind: failover.NeverRan, RetryAfter: time.Second},
+		},
+		"rejected after it may have run": {
+			answer:     rejected,
+			mayHaveRun: true,
+			want:       failover.Outcome{Kind: failover.MayHaveRun},
+		},
+		"failed": {
+			answer:     core.Answer{Verdict: core.Failed},
+			mayHaveRun: true,
+			want:       failover.Outcome{Kind: failover.Failed},
+		},
 	} {
-		if got := outcome(c.in, c.ran); !reflect.DeepEqual(got, c.want) {
+		if got := outcome(c.answer, c.mayHaveRun); !reflect.DeepEqual(got, c.want) {
 			t.Errorf("%s: %+v, want %+v", name, got, c.want)
 		}
 	}
