--- a/cmd/hillknot/cluster.go
+++ b/cmd/hillknot/cluster.go
@@ -23,7 +23,7 @@
 // predecessor, if there is one, has been told that this process takes its place.
 func joinCluster(cfg *config.Config, c *core.Core, shared *core.ClusterState, stop <-chan struct{}) (reloader, error) {
 	var received packetReceivers
-	members, err := membership.New(cfg.Name, cfg.Fleet,
+	members, err := membership.New(cfg.Name, cfg.Cluster,
 		func(msgs []state.Message) { c.Post(func() { c.ReceiveGossip(msgs) }) },
 		membership.Lanes{
 			Orders: func(packet []byte) { c.Post(func() { received.orderPacket(packet) }) },
@@ -33,7 +33,7 @@
 		return nil, err
 	}
 	cluster := &clusterMember{Members: members}
-	if cfg.Fleet.Credit.On {
+	if cfg.Cluster.Credit.Enabled {
 		if cluster.credit, err = openPrepaidCredit(cfg, c, members); err != nil {
 			return nil, err
 		}
@@ -42,7 +42,7 @@
 			cluster.credit.Start()
 		})
 	}
-	if cfg.Fleet.Takeover.On {
+	if cfg.Cluster.Failover.Enabled {
 		orders, err := orderfailover.New(c, failoverSettings(cfg), cfg.Settings.Classes, members)
 		if err != nil {
 			return nil, err
@@ -92,37 +92,37 @@
 }
 
 func openPrepaidCredit(cfg *config.Config, c *core.Core, m *membership.Members) (*prepaidcredit.Extension, error) {
-	block := cfg.Fleet.Credit
-	settings := credit.Defaults(cfg.Name, cfg.Fleet.State.Process, "")
-	settings.PacingHorizon = block.Rest
-	settings.WithdrawalWindow = block.Chunk
-	settings.MaxResponseBytes = cfg.Limits.Object
+	block := cfg.Cluster.Credit
+	settings := credit.Defaults(cfg.Name, cfg.Cluster.State.Process, "")
+	settings.PacingHorizon = block.PacingHorizon
+	settings.WithdrawalWindow = block.DrawWindow
+	settings.MaxResponseBytes = cfg.Limits.ObjectBytes
 	settings.Prices = map[string]credit.Price{}
 	for class, price := range block.Prices {
 		settings.Prices[class] = credit.Price{
-			PerRequest:  millionths(price.Each),
-			PerMegabyte: millionths(price.PerMB),
-			Weight:      price.Worth,
+			PerRequest:  millionths(price.PerRequest),
+			PerMegabyte: millionths(price.PerMegabyte),
+			Weight:      price.Weight,
 		}
 	}
-	extension := prepaidcredit.Settings{TopUpFile: block.Topups, AllowUnnamed: block.Unnamed}
-	return prepaidcredit.Open(c, cfg.Fleet.Ledger, settings, extension, m)
+	extension := prepaidcredit.Settings{TopUpFile: block.TopUpFile, AllowUnnamed: block.AllowUnnamed}
+	return prepaidcredit.Open(c, cfg.Cluster.LedgerFile, settings, extension, m)
 }
 
 // millionths returns an amount of credits in millionths.
 func millionths(credits float64) int64 { return int64(math.Round(credits * 1e6)) }
 
 func failoverSettings(cfg *config.Config) failover.Settings {
-	f := cfg.Fleet
+	f := cfg.Cluster
 	longest := time.Duration(0)
 	for _, k := range cfg.Settings.Classes {
 		if k.Idempotency != balancer.Idempotent {
-			longest = max(longest, cmp.Or(k.Deadline, cfg.Limits.Longest))
+			longest = max(longest, cmp.Or(k.Deadline, cfg.Limits.LongestDeadline))
 		}
 	}
 	set := failover.Defaults(cfg.Name, f.State.Process, f.State.Size, cmp.Or(longest, time.Second))
-	t := f.Takeover
-	set.Place, set.Strict, set.LeaseDuration, set.ReplicaTimeout, set.ClaimTimeout, set.Retention = f.Place, t.Strict, t.Lease, t.Wait, t.Claim, t.Keep
-	set.MaxRecords, set.MaxBodyBytes = t.Records, t.Body
+	t := f.Failover
+	set.Place, set.Strict, set.LeaseDuration, set.ReplicaTimeout, set.ClaimTimeout, set.Retention = f.Location, t.Strict, t.LeaseDuration, t.ReplicaTimeout, t.ClaimTimeout, t.Retention
+	set.MaxRecords, set.MaxBodyBytes = t.MaxRecords, t.MaxBodyBytes
 	return set
 }
--- a/cmd/hillknot/clusterstate.go
+++ b/cmd/hillknot/clusterstate.go
@@ -9,11 +9,11 @@
 // newClusterState prepares the state that this router shares with others, and makes it the coordinator that the decision
 // module asks. It returns nil where the configuration has no cluster.
 func newClusterState(cfg *config.Config) (*core.ClusterState, error) {
-	if !cfg.Fleet.On {
+	if !cfg.Cluster.Enabled {
 		return nil, nil
 	}
-	cfg.Fleet.State.Process = uint64(clock.Wall()) // an incarnation: higher than that of any earlier process
-	shared, err := core.NewClusterState(core.ClusterSettings{State: cfg.Fleet.State, WarmUp: cfg.Fleet.Cold, Retries: cfg.Fleet.Retries})
+	cfg.Cluster.State.Process = uint64(clock.Wall()) // an incarnation: higher than that of any earlier process
+	shared, err := core.NewClusterState(core.ClusterSettings{State: cfg.Cluster.State, WarmUp: cfg.Cluster.WarmUp, Retries: cfg.Cluster.Retries})
 	if err != nil {
 		return nil, err
 	}
--- a/cmd/hillknot/reload.go
+++ b/cmd/hillknot/reload.go
@@ -21,6 +21,6 @@
 		log.Error("configuration rejected", logging.KeyError, err)
 		return
 	}
-	log.Info("configuration reloaded", "journal", cfg.Journal)
-	r.watcher.SetAddress(cfg.Journal)
+	log.Info("configuration reloaded", "journal", cfg.DiscoveryAddr)
+	r.watcher.SetAddress(cfg.DiscoveryAddr)
 }
--- a/cmd/hillknot/replacement.go
+++ b/cmd/hillknot/replacement.go
@@ -38,7 +38,7 @@
 // importState waits until this process has seen the events of discovery that its predecessor has, and goes on from its
 // state. Where that fails the router starts as any new one: cautiously.
 func (r *replacement) importState(p *handover.Predecessor) {
-	if !r.watcher.WaitForPosition(p.DiscoveryPosition, r.limits.HandoverReach) {
+	if !r.watcher.WaitForPosition(p.DiscoveryPosition, r.limits.HandoverDiscoveryWait) {
 		log.Warn("discovery behind predecessor", logging.KeyPosition, r.watcher.Position(), "predecessor_position", p.DiscoveryPosition)
 	}
 	state, err := p.AnnounceReady()
@@ -82,7 +82,7 @@
 	r.core.Post(func() {
 		exported <- handover.State{DiscoveryPosition: r.watcher.Position(), Snapshot: r.core.ExportSnapshot()}
 	})
-	timeout := time.NewTimer(r.limits.HandoverWait / 2)
+	timeout := time.NewTimer(r.limits.HandoverTimeout / 2)
 	defer timeout.Stop()
 	select {
 	case state := <-exported:
@@ -110,7 +110,7 @@
 		limits = limits.Shared(!r.successorReady)
 	}
 	debug.SetMemoryLimit(int64(limits.MemoryMB) << 20 * 3 / 4) // the rest is for what the collector does not see
-	r.budget.SetLimit(limits.HeldBytes)
+	r.budget.SetLimit(limits.BufferedBytes)
 	r.clients.SetMaxConns(limits.ClientConns)
-	r.core.Post(func() { r.upstream.SetMaxConnections(limits.CacheConns) })
+	r.core.Post(func() { r.upstream.SetMaxConnections(limits.UpstreamConns) })
 }
--- a/cmd/hillknot/router.go
+++ b/cmd/hillknot/router.go
@@ -119,14 +119,14 @@
 	if r.core, err = core.New(r.cfg.Settings, limits, clock.Now); err != nil {
 		return err
 	}
-	budget := netio.NewBudget(limits.HeldBytes)
+	budget := netio.NewBudget(limits.BufferedBytes)
 	r.upstream = upstream.New(r.core, limits, budget, clock.Now)
 	r.core.SetUpstream(r.upstream)
-	if r.watcher, err = discovery.New(r.core, r.cfg.Journal, limits, r.cfg.Known); err != nil {
+	if r.watcher, err = discovery.New(r.core, r.cfg.DiscoveryAddr, limits, r.cfg.KnownEvents); err != nil {
 		return fmt.Errorf("configuration: %w", err)
 	}
-	r.cfg.Known = jsonfields.Object{} // it would keep the text of the whole configuration in memory
-	if r.clients, err = msgpackrpc.Listen(r.cfg.Listen, r.cfg.Inherited, r.core, limits, r.cfg.Settings.Classes, budget); err != nil {
+	r.cfg.KnownEvents = jsonfields.Object{} // it would keep the text of the whole configuration in memory
+	if r.clients, err = msgpackrpc.Listen(r.cfg.Listen, r.cfg.InheritedSocket, r.core, limits, r.cfg.Settings.Classes, budget); err != nil {
 		return err
 	}
 	r.onClose(r.clients.Close)
@@ -147,15 +147,15 @@
 		}
 		r.others = append(r.others, front)
 	}
-	if r.cfg.Agent != "" {
-		front, err := agentcheck.Listen(r.cfg.Agent, r.core, limits)
+	if r.cfg.AgentCheckAddr != "" {
+		front, err := agentcheck.Listen(r.cfg.AgentCheckAddr, r.core, limits)
 		if err != nil {
 			return fmt.Errorf("agent checks: %w", err)
 		}
 		r.others = append(r.others, front)
 	}
-	if r.cfg.Ops != "" {
-		front, err := admin.Listen(r.cfg.Ops, r.core, limits)
+	if r.cfg.AdminAddr != "" {
+		front, err := admin.Listen(r.cfg.AdminAddr, r.core, limits)
 		if err != nil {
 			return fmt.Errorf("operators' address: %w", err)
 		}
@@ -168,8 +168,8 @@
 // findPredecessor calls the process that this one replaces, if there is one, and sets the limits that two processes share.
 func (r *router) findPredecessor() *handover.Predecessor {
 	var predecessor *handover.Predecessor
-	if r.cfg.Handover != "" {
-		predecessor = handover.FindPredecessor(r.cfg.Handover, r.cfg.Limits)
+	if r.cfg.HandoverPath != "" {
+		predecessor = handover.FindPredecessor(r.cfg.HandoverPath, r.cfg.Limits)
 	}
 	r.replacement.setPredecessor(predecessor != nil)
 	return predecessor
@@ -203,10 +203,10 @@
 
 // listenForSuccessor lets a later process replace this one. Where that can't be, the router serves all the same.
 func (r *router) listenForSuccessor() {
-	if r.cfg.Handover == "" {
+	if r.cfg.HandoverPath == "" {
 		return
 	}
-	listener, err := handover.ListenForSuccessor(r.cfg.Handover, r.replacement, r.cfg.Limits)
+	listener, err := handover.ListenForSuccessor(r.cfg.HandoverPath, r.replacement, r.cfg.Limits)
 	if err != nil {
 		log.Error("hot restart unavailable", logging.KeyError, err)
 		return
--- a/cmd/hillknot/shutdown.go
+++ b/cmd/hillknot/shutdown.go
@@ -17,7 +17,7 @@
 	limits := r.cfg.Limits
 	start := r.core.EarliestSignal() // the signal may have come while the process was stopped
 	r.core.Post(func() { r.core.BeginShutdown(start) })
-	for clock.Now()-start < limits.Finish && !r.drained(start) {
+	for clock.Now()-start < limits.ShutdownTimeout && !r.drained(start) {
 		time.Sleep(shutdownPollInterval)
 	}
 	closed := make(chan struct{})
@@ -27,7 +27,7 @@
 	})
 	<-closed
 	log.Info("shutdown finished", logging.KeyDuration, clock.Now()-start, "has_successor", r.core.Snapshot().HasSuccessor)
-	r.clients.Shutdown(start + limits.Finish + limits.Exit)
+	r.clients.Shutdown(start + limits.ShutdownTimeout + limits.ShutdownFlush)
 }
 
 // drained tells whether a shutdown that began at start may end: nothing more is owed to any client.
@@ -37,7 +37,7 @@
 		if r.clients.OpenConns() > 0 {
 			return false
 		}
-	} else if clock.Now()-start <= r.cfg.Limits.Grace {
+	} else if clock.Now()-start <= r.cfg.Limits.ShutdownGrace {
 		return false
 	}
 	idle := make(chan bool, 1)
--- a/internal/cluster/membership/golden_test.go
+++ b/internal/cluster/membership/golden_test.go
@@ -23,7 +23,7 @@
 // credit, and has golden files there. All around it, with the router's name and the encryption, is memberlist's own.
 
 // member returns a router that takes no part yet; what it hears is noted.
-func member(t *testing.T, cfg config.Fleet) (m *Members, heard *[]state.Message, packets map[string][]byte) {
+func member(t *testing.T, cfg config.Cluster) (m *Members, heard *[]state.Message, packets map[string][]byte) {
 	t.Helper()
 	cfg.KeyFile = filepath.Join(t.TempDir(), "keys")
 	if err := os.WriteFile(cfg.KeyFile, []byte("000102030405060708090a0b0c0d0e0f\n"), 0o600); err != nil {
@@ -42,11 +42,11 @@
 // What a router tells of itself with its name.
 func TestGoldenMeta(t *testing.T) {
 	for name, c := range map[string]struct {
-		cfg  config.Fleet
+		cfg  config.Cluster
 		want told
 	}{
-		"meta.txt":       {config.Fleet{Place: "hall 2", State: state.Settings{Size: 12}, Takeover: config.Takeover{On: true}}, told{"12", true, "hall 2"}},
-		"meta-guest.txt": {config.Fleet{Place: "hall;2", State: state.Settings{Size: 12, Guest: true}}, told{"guest", false, "hall;2"}},
+		"meta.txt":       {config.Cluster{Location: "hall 2", State: state.Settings{Size: 12}, Failover: config.Failover{Enabled: true}}, told{"12", true, "hall 2"}},
+		"meta-guest.txt": {config.Cluster{Location: "hall;2", State: state.Settings{Size: 12, Guest: true}}, told{"guest", false, "hall;2"}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			m, _, _ := member(t, c.cfg)
@@ -65,7 +65,7 @@
 
 // What is sent to one or to all, and how another takes it.
 func TestGoldenSent(t *testing.T) {
-	m, heard, packets := member(t, config.Fleet{})
+	m, heard, packets := member(t, config.Cluster{})
 	m.Send([]state.Letter{{To: "r2", Key: "count hits edge-7", Msg: goldenMessages[0]}})
 	m.SendOrderPackets([]messaging.Packet{{To: "r2", Data: []byte("a packet of orders")}})
 	m.CarryCredit([]messaging.Packet{{To: "r2", Data: []byte("a packet of credit")}})
@@ -80,7 +80,7 @@
 
 // What two routers exchange when they meet.
 func TestGoldenWhole(t *testing.T) {
-	m, heard, _ := member(t, config.Fleet{})
+	m, heard, _ := member(t, config.Cluster{})
 	m.PublishFullState(goldenMessages)
 	golden.Same(t, "whole.hex", delegate{m}.LocalState(true))
 	delegate{m}.MergeRemoteState(golden.Read(t, "whole.hex"), true)
--- a/internal/cluster/membership/membership.go
+++ b/internal/cluster/membership/membership.go
@@ -49,7 +49,7 @@
 type Members struct {
 	name   string
 	guest  bool // it has no part of its own in what is shared
-	cfg    config.Fleet
+	cfg    config.Cluster
 	heard  func([]state.Message)
 	lanes  Lanes
 	ring   *memberlist.Keyring
@@ -75,7 +75,7 @@
 }
 
 // New reads the keys. What others say is handed to heard, on goroutines of the gossip, and packets of parcels to the lanes.
-func New(name string, cfg config.Fleet, heard func([]state.Message), lanes Lanes) (*Members, error) {
+func New(name string, cfg config.Cluster, heard func([]state.Message), lanes Lanes) (*Members, error) {
 	keys, err := keyring.Read(cfg.KeyFile)
 	if err != nil {
 		return nil, fmt.Errorf("fleet keys %s: %w", cfg.KeyFile, err)
@@ -375,10 +375,10 @@
 	if !d.m.guest {
 		size = strconv.Itoa(d.m.cfg.State.Size)
 	}
-	if d.m.cfg.Takeover.On {
+	if d.m.cfg.Failover.Enabled {
 		keeps = "keeps"
 	}
-	return []byte(size + ";" + keeps + ";" + d.m.cfg.Place)
+	return []byte(size + ";" + keeps + ";" + d.m.cfg.Location)
 }
 
 // told is what a router tells of itself with its name.
--- a/internal/config/cluster_disabled.go
+++ b/internal/config/cluster_disabled.go
@@ -2,5 +2,5 @@
 
 package config
 
-// Talks tells whether this program has what routers talk to each other by: it costs every router some MB, used or not.
-const Talks = false
+// HasCluster tells whether this program has what routers talk to each other by: it costs every router some MB, used or not.
+const HasCluster = false
--- a/internal/config/cluster_enabled.go
+++ b/internal/config/cluster_enabled.go
@@ -2,5 +2,5 @@
 
 package config
 
-// Talks tells whether this program has what routers talk to each other by.
-const Talks = true
+// HasCluster tells whether this program has what routers talk to each other by.
+const HasCluster = true
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -24,29 +24,29 @@
 
 // Config is what a router is told at its start.
 type Config struct {
-	Name      string
-	Listen    string
-	Inherited int    // descriptor of a socket that listens for clients already; 0: there is none
-	Handover  string // path at which processes of this router meet; empty: nowhere
-	Journal   string
-	Known     jsonfields.Object // the journal's events of the start
-	Settings  balancer.Settings
-	Limits    Limits
-	DNS       DNS
-	Agent     string // where HAProxy's agent checks are answered; empty: nowhere
-	Ops       string // where operators call; empty: nowhere
-	Fleet     Fleet
+	Name            string
+	Listen          string
+	InheritedSocket int    // descriptor of a socket that listens for clients already; 0: there is none
+	HandoverPath    string // path at which processes of this router meet; empty: nowhere
+	DiscoveryAddr   string
+	KnownEvents     jsonfields.Object // the journal's events of the start
+	Settings        balancer.Settings
+	Limits          Limits
+	DNS             DNS
+	AgentCheckAddr  string // where HAProxy's agent checks are answered; empty: nowhere
+	AdminAddr       string // where operators call; empty: nowhere
+	Cluster         Cluster
 }
 
 // DNS sets up the DNS front.
 type DNS struct {
-	Listen   string // empty: the front is off
-	Names    []string
-	TTL      time.Duration
-	Overstay float64       // resolvers keep an answer for up to this multiple of the TTL
-	Load     float64       // seconds of sending that the clients of one resolver ask for each second
-	Answers  int           // members named in one answer, at most
-	Deadline time.Duration // by then a query is answered
+	Listen       string // empty: the front is off
+	Names        []string
+	TTL          time.Duration
+	TTLOverstay  float64       // resolvers keep an answer for up to this multiple of the TTL
+	ResolverLoad float64       // seconds of sending that the clients of one resolver ask for each second
+	MaxAnswers   int           // members named in one answer, at most
+	Timeout      time.Duration // by then a query is answered
 }
 
 // Load is LoadEnv with the environment of this process.
@@ -89,12 +89,12 @@
 
 // environment takes what the platform tells a process by its environment.
 func (c *Config) environment(get func(string) string) error {
-	if c.Ops == "" {
-		c.Ops = get("RELAY_OPS")
+	if c.AdminAddr == "" {
+		c.AdminAddr = get("RELAY_OPS")
 	}
-	if c.Ops != "" {
-		if _, err := netip.ParseAddrPort(c.Ops); err != nil {
-			return fmt.Errorf("RELAY_OPS %q is no address with a port", c.Ops)
+	if c.AdminAddr != "" {
+		if _, err := netip.ParseAddrPort(c.AdminAddr); err != nil {
+			return fmt.Errorf("RELAY_OPS %q is no address with a port", c.AdminAddr)
 		}
 	}
 	if text := get("RELAY_SOCKET_FD"); text != "" {
@@ -102,9 +102,9 @@
 		if err != nil || fd < 3 {
 			return fmt.Errorf("RELAY_SOCKET_FD %q is no descriptor that can be inherited", text)
 		}
-		c.Inherited = fd
+		c.InheritedSocket = fd
 		if dir := get("TMPDIR"); filepath.IsAbs(dir) { // without one, whose is the file?
-			c.Handover = filepath.Join(dir, "hillknot-"+strings.ReplaceAll(c.Listen, ":", "-")+".sock")
+			c.HandoverPath = filepath.Join(dir, "hillknot-"+strings.ReplaceAll(c.Listen, ":", "-")+".sock")
 		}
 	}
 	return nil
@@ -136,12 +136,12 @@
 	}
 	o.Must("listen", "journal", "settings")
 	c := &Config{
-		Name: o.Text("name", "hillknot"), Listen: address(o, "listen"), Journal: address(o, "journal"),
-		Known: o.Object("known"), Settings: settings.Read(o.Object("settings")),
+		Name: o.Text("name", "hillknot"), Listen: address(o, "listen"), DiscoveryAddr: address(o, "journal"),
+		KnownEvents: o.Object("known"), Settings: settings.Read(o.Object("settings")),
 		Limits: limits(o),
-		DNS:    readDNS(o), Agent: address(o.Object("agent_check"), "listen"), Ops: address(o, "ops"),
+		DNS:    readDNS(o), AgentCheckAddr: address(o.Object("agent_check"), "listen"), AdminAddr: address(o, "ops"),
 	}
-	c.Fleet = readFleet(o, c.Name, c.Settings.Classes)
+	c.Cluster = readFleet(o, c.Name, c.Settings.Classes)
 	if o.Has("health") {
 		o.Fail("health", "is no key any more: GET /status at the address under ops answers health checks")
 	}
@@ -150,11 +150,11 @@
 	}
 	checkFleet(o.Object("settings"), c)
 	for _, k := range c.Settings.Classes {
-		c.Limits.Longest = max(c.Limits.Longest, k.Deadline)
+		c.Limits.LongestDeadline = max(c.Limits.LongestDeadline, k.Deadline)
 	}
-	c.Limits.Finish = finish(c.Limits.Longest)
-	if t := c.Fleet.Takeover; t.On && t.Keep < c.Limits.Longest {
-		o.Object("fleet").Object("takeover").Fail("keep_ms", fmt.Sprintf("is under the longest deadline of a class, %v", c.Limits.Longest))
+	c.Limits.ShutdownTimeout = finish(c.Limits.LongestDeadline)
+	if t := c.Cluster.Failover; t.Enabled && t.Retention < c.Limits.LongestDeadline {
+		o.Object("fleet").Object("takeover").Fail("keep_ms", fmt.Sprintf("is under the longest deadline of a class, %v", c.Limits.LongestDeadline))
 	}
 	if err := o.Err(); err != nil {
 		return nil, err
@@ -202,7 +202,7 @@
 			spec.Fail("pipeKbPerS", "holds a figure under 0")
 		}
 	}
-	c.Limits.ConnsPerCache = max(1, min(connsPerCache, connsOfCache/max(1, s.Topology.RoutersPerZone[own])))
+	c.Limits.ConnsPerEndpoint = max(1, min(connsPerCache, connsOfCache/max(1, s.Topology.RoutersPerZone[own])))
 }
 
 // isJSON tells JSON from HCL, which can't begin with a brace.
@@ -228,23 +228,23 @@
 	d := o.Object("dns")
 	d.Must("listen", "names")
 	c := DNS{
-		Listen: address(d, "listen"), TTL: d.Span("ttl_s", time.Second, 5*time.Second), Overstay: d.Number("overstay", 2),
-		Load: d.Number("resolver_load", 0.05), Answers: d.Count("answers", 2, 1),
-		Deadline: d.Span("deadline_ms", time.Millisecond, time.Second),
+		Listen: address(d, "listen"), TTL: d.Span("ttl_s", time.Second, 5*time.Second), TTLOverstay: d.Number("overstay", 2),
+		ResolverLoad: d.Number("resolver_load", 0.05), MaxAnswers: d.Count("answers", 2, 1),
+		Timeout: d.Span("deadline_ms", time.Millisecond, time.Second),
 	}
 	if c.TTL < time.Second || c.TTL > time.Hour {
 		d.Fail("ttl_s", "is out of range (1 to 3600)")
 	}
-	if c.Overstay < 1 {
+	if c.TTLOverstay < 1 {
 		d.Fail("overstay", "is under 1")
 	}
-	if c.Load <= 0 {
+	if c.ResolverLoad <= 0 {
 		d.Fail("resolver_load", "is not above 0")
 	}
-	if c.Deadline <= 0 {
+	if c.Timeout <= 0 {
 		d.Fail("deadline_ms", "is not above 0")
 	}
-	if c.Answers > 16 {
+	if c.MaxAnswers > 16 {
 		d.Fail("answers", "is over 16")
 	}
 	for _, n := range d.Texts("names") {
@@ -281,63 +281,63 @@
 		MemoryMB: given.Count("memory_mb", 192, 32),
 		Sockets:  given.Count("sockets", 1024, 64),
 
-		OpenPerConn: 32,
-		Message:     64 << 10,
-		WriteBody:   48_000,
-		Faults:      64,
-		Margin:      15 * ms,
+		OpenPerConn:  32,
+		MessageBytes: 64 << 10,
+		BodyBytes:    48_000,
+		BadRequests:  64,
+		AnswerMargin: 15 * ms,
 
 		AttemptGrace: 200 * ms, FinishMargin: 200 * ms,
 
-		AnswerLine:   1 << 10,
-		Object:       240_000,
-		Connect:      allowed.Span("connectTimeoutUs", time.Microsecond, 400*ms),
-		UpstreamIdle: allowed.Span("keepaliveUs", time.Microsecond, 30*time.Second) / 2,
+		ResponseLineBytes:   1 << 10,
+		ObjectBytes:         240_000,
+		ConnectTimeout:      allowed.Span("connectTimeoutUs", time.Microsecond, 400*ms),
+		UpstreamIdleTimeout: allowed.Span("keepaliveUs", time.Microsecond, 30*time.Second) / 2,
 
-		UpstreamSilent: time.Second,
+		UpstreamSilence: time.Second,
 
-		JournalLine:  1 << 20,
-		JournalQuiet: 2 * time.Second,
-		JournalPace:  25 * ms,
-		JournalRetry: 25 * ms, JournalRetryMost: 200 * ms,
+		DiscoveryLineBytes:    1 << 20,
+		DiscoverySilence:      2 * time.Second,
+		DiscoveryReadInterval: 25 * ms,
+		DiscoveryBackoffMin:   25 * ms, DiscoveryBackoffMax: 200 * ms,
 
-		Resolves: 1024, CheckConns: 8,
-		OpsConns: 16, OpsHead: 8 << 10, OpsBody: 8 << 10,
+		OpenQueries: 1024, AgentCheckConns: 8,
+		AdminConns: 16, AdminHeaderBytes: 8 << 10, AdminBodyBytes: 8 << 10,
 
 		// A stall that is not noticed must stay well under the 150 ms by which a page cache may be told too much.
-		Beat: 50 * ms, BeatSlack: 20 * ms, Gather: ms, GatherMost: 100 * ms,
+		LoopInterval: 50 * ms, LoopSlack: 20 * ms, BacklogPollInterval: ms, BacklogWait: 100 * ms,
 
-		LetGo: 250 * ms,
-		Grace: 700 * ms,
-		Exit:  100 * ms,
+		OrderReleaseDelay: 250 * ms,
+		ShutdownGrace:     700 * ms,
+		ShutdownFlush:     100 * ms,
 
-		LeaveBehind: 400 * ms, LeaveIdle: 600 * ms, LeavePause: 100 * ms, LeaveRefuse: 2 * time.Second, LeaveCut: 3300 * ms,
+		DrainCloseAfterResponse: 400 * ms, DrainCloseIdle: 600 * ms, DrainIdleTime: 100 * ms, DrainRejectNew: 2 * time.Second, DrainCloseAll: 3300 * ms,
 
 		// A request may take 2 s to be written; who sends none is owed an end within 3 s.
 		// Clients close a connection that was idle for 4 s. Ours come later, so that a request seldom crosses them.
-		Client: Conn{Pending: 8 << 20, Read: 2500 * ms, Whole: 2500 * ms, Write: 5 * time.Second, Idle: 5 * time.Second,
-			Silent: 1500 * ms, Linger: 250 * ms},
+		Client: ConnLimits{MaxPendingBytes: 8 << 20, ReadTimeout: 2500 * ms, MessageTimeout: 2500 * ms, WriteTimeout: 5 * time.Second, IdleTimeout: 5 * time.Second,
+			SilentTimeout: 1500 * ms, LingerTimeout: 250 * ms},
 		// Answers come whole, or nearly: a pause of a second inside one says that it has stopped short.
-		Upstream: Conn{Pending: 1 << 20, Read: time.Second, Write: 50 * ms},
-		DNS: Conn{Pending: 1 << 18, Read: time.Second, Whole: time.Second, Write: time.Second, Idle: 10 * time.Second,
-			Silent: 2 * time.Second, Linger: 250 * ms},
-		Check: Conn{Pending: 1 << 16, Read: time.Second, Whole: time.Second, Write: time.Second, Idle: 5 * time.Second,
-			Silent: 2 * time.Second, Linger: 250 * ms},
-		Ops: Conn{Pending: 1 << 16, Read: time.Second, Whole: time.Second, Write: time.Second, Idle: time.Second,
-			Silent: time.Second, Linger: 250 * ms},
-		HandoverConns: 4, HandoverState: 1 << 20, HandoverWait: 500 * ms, HandoverReach: 1500 * ms,
+		Upstream: ConnLimits{MaxPendingBytes: 1 << 20, ReadTimeout: time.Second, WriteTimeout: 50 * ms},
+		DNS: ConnLimits{MaxPendingBytes: 1 << 18, ReadTimeout: time.Second, MessageTimeout: time.Second, WriteTimeout: time.Second, IdleTimeout: 10 * time.Second,
+			SilentTimeout: 2 * time.Second, LingerTimeout: 250 * ms},
+		AgentCheck: ConnLimits{MaxPendingBytes: 1 << 16, ReadTimeout: time.Second, MessageTimeout: time.Second, WriteTimeout: time.Second, IdleTimeout: 5 * time.Second,
+			SilentTimeout: 2 * time.Second, LingerTimeout: 250 * ms},
+		Admin: ConnLimits{MaxPendingBytes: 1 << 16, ReadTimeout: time.Second, MessageTimeout: time.Second, WriteTimeout: time.Second, IdleTimeout: time.Second,
+			SilentTimeout: time.Second, LingerTimeout: 250 * ms},
+		HandoverConns: 4, HandoverStateBytes: 1 << 20, HandoverTimeout: 500 * ms, HandoverDiscoveryWait: 1500 * ms,
 		// The connection stays, silent, for as long as both processes live.
-		Handover: Conn{Pending: 2 << 20, Read: time.Second, Whole: time.Second, Write: time.Second, Idle: 1000 * time.Hour,
-			Silent: 2 * time.Second},
-		Journal: Conn{Pending: 1 << 16, Read: 2 * time.Second, Write: time.Second},
+		Handover: ConnLimits{MaxPendingBytes: 2 << 20, ReadTimeout: time.Second, MessageTimeout: time.Second, WriteTimeout: time.Second, IdleTimeout: 1000 * time.Hour,
+			SilentTimeout: 2 * time.Second},
+		Discovery: ConnLimits{MaxPendingBytes: 1 << 16, ReadTimeout: 2 * time.Second, WriteTimeout: time.Second},
 	}
 	// Clients hold up to a third of the descriptors. Some more are for strangers and for connections that are on
 	// their way out; caches have their own, and the listeners, the journal and the poller what is left.
-	l.ClientConns, l.CacheConns, l.DNSConns = l.Sockets*7/16, l.Sockets*5/16, l.Sockets/32
+	l.ClientConns, l.UpstreamConns, l.DNSConns = l.Sockets*7/16, l.Sockets*5/16, l.Sockets/32
 	// Objects as they come in and go out may take a part of the memory; the rest is left to all else. What an
 	// open request holds beside them is small.
-	l.HeldBytes = l.MemoryMB << 20 / 3
-	l.Open = l.MemoryMB << 20 / (64 << 10)
+	l.BufferedBytes = l.MemoryMB << 20 / 3
+	l.OpenRequests = l.MemoryMB << 20 / (64 << 10)
 	return l
 }
 
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -17,7 +17,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if c.DNS.Listen != "127.0.0.1:7053" || c.Agent == "" || c.Ops == "" || c.Limits.Longest.Seconds() != 5 {
+	if c.DNS.Listen != "127.0.0.1:7053" || c.AgentCheckAddr == "" || c.AdminAddr == "" || c.Limits.LongestDeadline.Seconds() != 5 {
 		t.Errorf("configuration %+v", c)
 	}
 	if text, err := os.ReadFile("../../deploy/balancer.toml"); err != nil || strings.Contains(string(text), "operator") {
@@ -32,7 +32,7 @@
 		t.Fatal(err)
 	}
 	l := c.Limits
-	if l.Open < 1000 || l.HeldBytes >= l.MemoryMB<<20/2 {
+	if l.OpenRequests < 1000 || l.BufferedBytes >= l.MemoryMB<<20/2 {
 		t.Errorf("limits %+v", l)
 	}
 	for _, sockets := range []int{256, 384, 1024} { // all the shares, with a client's eighth more on its way out, leave some
@@ -41,11 +41,11 @@
 			t.Fatal(err)
 		}
 		l := c.Limits
-		if all := l.ClientConns*9/8 + 4 + l.CacheConns + l.DNSConns + l.CheckConns + l.OpsConns*9/8 + 4; l.ClientConns < sockets/3 || all > sockets-8 {
+		if all := l.ClientConns*9/8 + 4 + l.UpstreamConns + l.DNSConns + l.AgentCheckConns + l.AdminConns*9/8 + 4; l.ClientConns < sockets/3 || all > sockets-8 {
 			t.Errorf("%d descriptors: %d in all, %d for clients", sockets, all, l.ClientConns)
 		}
 	}
-	if c.DNS.Listen != "" || c.Agent != "" || c.Ops != "" {
+	if c.DNS.Listen != "" || c.AgentCheckAddr != "" || c.AdminAddr != "" {
 		t.Errorf("fronts are on that nobody set up: %+v", c)
 	}
 }
@@ -55,7 +55,7 @@
 func TestFinishBeforeTheKill(t *testing.T) {
 	for longest, want := range map[string]time.Duration{"2520000": 3020 * time.Millisecond, "6000000": 3500 * time.Millisecond} {
 		c, err := Parse([]byte(strings.Replace(base, "3000000", longest, 1)+"}"), nil, "")
-		if err != nil || c.Limits.Finish != want {
+		if err != nil || c.Limits.ShutdownTimeout != want {
 			t.Errorf("longest deadline %s us: %+v, %v; want %v to finish", longest, c, err, want)
 		}
 	}
@@ -65,7 +65,7 @@
 func TestConnectionsByRoutersBeside(t *testing.T) {
 	for beside, want := range map[string]int{"1": 4, "4": 4, "7": 2, "14": 1, "500": 1} {
 		c, err := Parse([]byte(strings.Replace(base, `Zone":[1]`, `Zone":[`+beside+`]`, 1)+"}"), nil, "")
-		if err != nil || c.Limits.ConnsPerCache != want {
+		if err != nil || c.Limits.ConnsPerEndpoint != want {
 			t.Errorf("%s routers: %+v, %v; want %d connections each", beside, c, err, want)
 		}
 	}
@@ -125,8 +125,8 @@
 			if err == nil || !strings.Contains(err.Error(), c.failing) {
 				t.Errorf("%v: error %v", env, err)
 			}
-		case err != nil || cfg.Ops != c.wantOps || cfg.Handover != c.path || cfg.Inherited != c.inherited:
-			t.Errorf("%v: %q, %q, %d, %v", env, cfg.Ops, cfg.Handover, cfg.Inherited, err)
+		case err != nil || cfg.AdminAddr != c.wantOps || cfg.HandoverPath != c.path || cfg.InheritedSocket != c.inherited:
+			t.Errorf("%v: %q, %q, %d, %v", env, cfg.AdminAddr, cfg.HandoverPath, cfg.InheritedSocket, err)
 		}
 	}
 }
@@ -138,8 +138,8 @@
 		t.Fatal(err)
 	}
 	l, o, n := c.Limits, c.Limits.Shared(false), c.Limits.Shared(true)
-	if o.MemoryMB+n.MemoryMB > l.MemoryMB || o.HeldBytes+n.HeldBytes > l.HeldBytes || o.ClientConns+n.ClientConns > l.ClientConns ||
-		o.CacheConns+n.CacheConns > l.CacheConns || o.CacheConns == 0 || o.ClientConns == 0 {
+	if o.MemoryMB+n.MemoryMB > l.MemoryMB || o.BufferedBytes+n.BufferedBytes > l.BufferedBytes || o.ClientConns+n.ClientConns > l.ClientConns ||
+		o.UpstreamConns+n.UpstreamConns > l.UpstreamConns || o.UpstreamConns == 0 || o.ClientConns == 0 {
 		t.Errorf("shared %+v and %+v of %+v", o, n, l)
 	}
 }
@@ -179,7 +179,7 @@
 	if err != nil {
 		t.Fatalf("%s: %v", text, err)
 	}
-	if !reflect.DeepEqual(a.DNS, b.DNS) || a.Ops != b.Ops || a.Agent != b.Agent || b.DNS.Overstay != 2.5 {
+	if !reflect.DeepEqual(a.DNS, b.DNS) || a.AdminAddr != b.AdminAddr || a.AgentCheckAddr != b.AgentCheckAddr || b.DNS.TTLOverstay != 2.5 {
 		t.Errorf("%+v became %+v", a, b)
 	}
 }
--- a/internal/config/fleet.go
+++ b/internal/config/fleet.go
@@ -11,59 +11,59 @@
 	"hillknot/internal/jsonfields"
 )
 
-// Fleet sets up what the router shares with others that it may talk to.
-type Fleet struct {
-	On        bool
-	Listen    netip.AddrPort // over UDP and TCP
-	Advertise netip.AddrPort // where others reach it
-	Peers     []string       // addresses of some others, to join by
-	KeyFile   string
-	State     state.Settings // Process is set at the start
-	Cold      state.Terms    // a rate of 0: not shared
-	Retries   state.Terms    // the same
-	Place     string         // where this router is
-	Takeover  Takeover
-	Ledger    string // the file that must survive a kill
-	Credit    Credit
+// Cluster sets up what the router shares with others that it may talk to.
+type Cluster struct {
+	Enabled    bool
+	Listen     netip.AddrPort // over UDP and TCP
+	Advertise  netip.AddrPort // where others reach it
+	Peers      []string       // addresses of some others, to join by
+	KeyFile    string
+	State      state.Settings // Process is set at the start
+	WarmUp     state.Terms    // a rate of 0: not shared
+	Retries    state.Terms    // the same
+	Location   string         // where this router is
+	Failover   Failover
+	LedgerFile string // the file that must survive a kill
+	Credit     Credit
 }
 
 // Credit sets up prepaid balances.
 type Credit struct {
-	On          bool
-	Topups      string // the file
-	Unnamed     bool   // requests without an account are free
-	Rest, Chunk time.Duration
-	Prices      map[string]Price // by class
+	Enabled                   bool
+	TopUpFile                 string // the file
+	AllowUnnamed              bool   // requests without an account are free
+	PacingHorizon, DrawWindow time.Duration
+	Prices                    map[string]Price // by class
 }
 
 // Price is what a request costs, in credits.
-type Price struct{ Each, PerMB, Worth float64 }
+type Price struct{ PerRequest, PerMegabyte, Weight float64 }
 
-// Takeover sets up how orders outlive their router.
-type Takeover struct {
-	On                       bool
-	Strict                   bool
-	Lease, Wait, Claim, Keep time.Duration
-	Records, Body            int
+// Failover sets up how orders outlive their router.
+type Failover struct {
+	Enabled                                                bool
+	Strict                                                 bool
+	LeaseDuration, ReplicaTimeout, ClaimTimeout, Retention time.Duration
+	MaxRecords, MaxBodyBytes                               int
 }
 
 // readFleet reads the block fleet, without which the router talks to no other.
-func readFleet(o jsonfields.Object, name string, classes []balancer.Class) Fleet {
+func readFleet(o jsonfields.Object, name string, classes []balancer.Class) Cluster {
 	if !o.Has("fleet") {
-		return Fleet{}
+		return Cluster{}
 	}
-	if !Talks {
+	if !HasCluster {
 		o.Fail("fleet", "needs talk, which this program was built without; make build puts one with it at bin/hillknot-cluster")
-		return Fleet{}
+		return Cluster{}
 	}
 	b := o.Object("fleet")
 	b.Must("listen", "key_file", "size")
-	f := Fleet{On: true, State: state.Defaults(name, 0, b.Count("size", 1, 1))}
+	f := Cluster{Enabled: true, State: state.Defaults(name, 0, b.Count("size", 1, 1))}
 	f.State.Guest = b.Flag("guest")
 	f.State.Lease = b.Span("lease_ms", time.Millisecond, f.State.Lease)
 	f.State.Verdict = b.Span("verdict_ms", time.Millisecond, f.State.Verdict)
 	f.State.Quorum = b.Count("quorum", 0, 0)
-	f.Cold, f.Retries = readTerms(b, "cold", f.State.Size), readTerms(b, "retries", f.State.Size)
+	f.WarmUp, f.Retries = readTerms(b, "cold", f.State.Size), readTerms(b, "retries", f.State.Size)
 	f.KeyFile, f.Peers = b.Text("key_file", ""), b.Texts("peers")
 	f.Listen, _ = netip.ParseAddrPort(address(b, "listen")) // told by address
 	f.Advertise = f.Listen
@@ -78,14 +78,14 @@
 			b.Fail("peers", fmt.Sprintf("holds %q, which is no address with a port", p))
 		}
 	}
-	if f.Place = b.Text("place", ""); len(f.Place) > 64 {
+	if f.Location = b.Text("place", ""); len(f.Location) > 64 {
 		b.Fail("place", "is over 64 bytes")
 	}
-	f.Takeover = readTakeover(b, f)
-	if f.Credit = readCredit(b, classes); f.Credit.On {
+	f.Failover = readTakeover(b, f)
+	if f.Credit = readCredit(b, classes); f.Credit.Enabled {
 		b.Must("ledger")
 	}
-	f.Ledger = b.Text("ledger", "")
+	f.LedgerFile = b.Text("ledger", "")
 	if err := f.State.Check(); err != nil {
 		key := "size"
 		switch {
@@ -107,15 +107,15 @@
 }
 
 // readTakeover reads the block takeover, without which orders end with their router.
-func readTakeover(b jsonfields.Object, f Fleet) Takeover {
+func readTakeover(b jsonfields.Object, f Cluster) Failover {
 	if !b.Has("takeover") {
-		return Takeover{}
+		return Failover{}
 	}
 	o := b.Object("takeover")
 	const ms = time.Millisecond
-	t := Takeover{On: true, Strict: true, Lease: o.Span("lease_ms", ms, 300*ms), Wait: o.Span("wait_ms", ms, 250*ms),
-		Claim: o.Span("claim_ms", ms, 250*ms), Keep: o.Span("keep_ms", ms, 10*time.Second), Records: o.Count("records", 4096, 16),
-		Body: o.Count("body_bytes", 4<<10, 0)}
+	t := Failover{Enabled: true, Strict: true, LeaseDuration: o.Span("lease_ms", ms, 300*ms), ReplicaTimeout: o.Span("wait_ms", ms, 250*ms),
+		ClaimTimeout: o.Span("claim_ms", ms, 250*ms), Retention: o.Span("keep_ms", ms, 10*time.Second), MaxRecords: o.Count("records", 4096, 16),
+		MaxBodyBytes: o.Count("body_bytes", 4<<10, 0)}
 	if o.Has("strict") {
 		t.Strict = o.Flag("strict")
 	}
@@ -124,17 +124,17 @@
 		n           time.Duration
 		least, most time.Duration
 	}{
-		{"lease_ms", t.Lease, 100 * ms, time.Minute}, {"wait_ms", t.Wait, 10 * ms, 10 * time.Second},
-		{"claim_ms", t.Claim, 10 * ms, 10 * time.Second}, {"keep_ms", t.Keep, time.Second, 10 * time.Minute},
+		{"lease_ms", t.LeaseDuration, 100 * ms, time.Minute}, {"wait_ms", t.ReplicaTimeout, 10 * ms, 10 * time.Second},
+		{"claim_ms", t.ClaimTimeout, 10 * ms, 10 * time.Second}, {"keep_ms", t.Retention, time.Second, 10 * time.Minute},
 	} {
 		if c.n < c.least || c.n > c.most {
 			o.Fail(c.key, fmt.Sprintf("is not %v to %v", c.least, c.most))
 		}
 	}
-	if t.Records > 1<<20 {
+	if t.MaxRecords > 1<<20 {
 		o.Fail("records", "is over a million")
 	}
-	if t.Body > 16<<10 {
+	if t.MaxBodyBytes > 16<<10 {
 		o.Fail("body_bytes", "is over 16384")
 	}
 	if f.State.Guest {
@@ -153,19 +153,19 @@
 	}
 	o := b.Object("credit")
 	o.Must("topups", "prices")
-	c := Credit{On: true, Topups: o.Text("topups", ""), Rest: o.Span("rest_s", time.Second, 30*time.Second),
-		Chunk: o.Span("chunk_ms", time.Millisecond, time.Second), Prices: map[string]Price{}}
+	c := Credit{Enabled: true, TopUpFile: o.Text("topups", ""), PacingHorizon: o.Span("rest_s", time.Second, 30*time.Second),
+		DrawWindow: o.Span("chunk_ms", time.Millisecond, time.Second), Prices: map[string]Price{}}
 	switch unnamed := o.Text("unnamed", "refuse"); unnamed {
 	case "free":
-		c.Unnamed = true
+		c.AllowUnnamed = true
 	case "refuse":
 	default:
 		o.Fail("unnamed", fmt.Sprintf("is %q, neither \"refuse\" nor \"free\"", unnamed))
 	}
-	if c.Rest < time.Second || c.Rest > 24*time.Hour {
+	if c.PacingHorizon < time.Second || c.PacingHorizon > 24*time.Hour {
 		o.Fail("rest_s", "is not a second to a day")
 	}
-	if c.Chunk < 10*time.Millisecond || c.Chunk > time.Minute {
+	if c.DrawWindow < 10*time.Millisecond || c.DrawWindow > time.Minute {
 		o.Fail("chunk_ms", "is not 10 ms to a minute")
 	}
 	prices := o.Object("prices")
@@ -174,7 +174,7 @@
 			continue // it is free
 		}
 		p := prices.Object(k.Name)
-		c.Prices[k.Name] = Price{Each: p.Number("each", 0), PerMB: p.Number("per_mb", 0), Worth: p.Number("worth", k.Weight)}
+		c.Prices[k.Name] = Price{PerRequest: p.Number("each", 0), PerMegabyte: p.Number("per_mb", 0), Weight: p.Number("worth", k.Weight)}
 		for _, n := range []string{"each", "per_mb", "worth"} {
 			if v := p.Number(n, 0); !(v >= 0 && v <= 1e6) {
 				p.Fail(n, "is not 0 to a million")
--- a/internal/config/fleet_test.go
+++ b/internal/config/fleet_test.go
@@ -15,19 +15,19 @@
 	if err := os.WriteFile(keys, []byte(strings.Repeat("0a", 16)), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	parse := func(text string) (Fleet, error) {
+	parse := func(text string) (Cluster, error) {
 		c, err := Parse([]byte(base+"}"), []byte(strings.ReplaceAll(text, "KEYS", fmt.Sprintf("%q", keys))), "op.hcl")
 		if err != nil {
-			return Fleet{}, err
+			return Cluster{}, err
 		}
-		return c.Fleet, nil
+		return c.Cluster, nil
 	}
 	const good = "listen = \"127.0.0.1:7946\"\nkey_file = KEYS\nsize = 7\n"
-	if f, err := parse(""); err != nil || f.On {
+	if f, err := parse(""); err != nil || f.Enabled {
 		t.Errorf("nothing set up: %+v, %v", f, err)
 	}
 	f, err := parse("fleet {\n" + good + "cold {\n rate = 40\n}\n}\n")
-	if err != nil || !f.On || f.State.Size != 7 || f.State.Lease != 2*time.Second || f.Cold.Rate != 40 || f.Cold.Burst != 14 || f.Retries.Rate != 0 ||
+	if err != nil || !f.Enabled || f.State.Size != 7 || f.State.Lease != 2*time.Second || f.WarmUp.Rate != 40 || f.WarmUp.Burst != 14 || f.Retries.Rate != 0 ||
 		f.Advertise != f.Listen {
 		t.Errorf("%+v, %v", f, err)
 	}
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -70,7 +70,7 @@
 		limits:    limits,
 		policy:    newRequestPolicy(&settings),
 		queue:     newEventQueue(),
-		stalls:    stallMonitor{threshold: limits.Beat + limits.BeatSlack, recovery: limits.GatherMost},
+		stalls:    stallMonitor{threshold: limits.LoopInterval + limits.LoopSlack, recovery: limits.BacklogWait},
 		iteration: iteration{now: clock()},
 		requests:  newRequestTable(),
 		queries:   map[balancer.RequestID]*query{},
--- a/internal/core/harness_test.go
+++ b/internal/core/harness_test.go
@@ -82,12 +82,12 @@
 
 func testLimits() config.Limits {
 	return config.Limits{
-		Open:         100,
-		Resolves:     10,
-		Margin:       15 * time.Millisecond,
-		Longest:      5 * second,
-		AttemptGrace: 200 * time.Millisecond,
-		FinishMargin: 200 * time.Millisecond,
+		OpenRequests:    100,
+		OpenQueries:     10,
+		AnswerMargin:    15 * time.Millisecond,
+		LongestDeadline: 5 * second,
+		AttemptGrace:    200 * time.Millisecond,
+		FinishMargin:    200 * time.Millisecond,
 	}
 }
 
@@ -130,10 +130,10 @@
 
 // setDrainTimes has each stage of draining begin half a second to a second after the one before.
 func (h *harness) setDrainTimes() {
-	h.core.limits.LeaveBehind = second / 2
-	h.core.limits.LeaveIdle = second
-	h.core.limits.LeaveRefuse = 2 * second
-	h.core.limits.LeaveCut = 3 * second
+	h.core.limits.DrainCloseAfterResponse = second / 2
+	h.core.limits.DrainCloseIdle = second
+	h.core.limits.DrainRejectNew = 2 * second
+	h.core.limits.DrainCloseAll = 3 * second
 }
 
 // submit submits a request of a class that comes in now, and runs the loop once.
--- a/internal/core/lifecycle.go
+++ b/internal/core/lifecycle.go
@@ -125,7 +125,7 @@
 // lastAnswer is when what is open must have ended, in a router that shuts down: the platform kills the process soon
 // after.
 func (l *lifecycle) lastAnswer(limits *config.Limits) time.Duration {
-	return l.drainingSince + limits.Finish - limits.FinishMargin
+	return l.drainingSince + limits.ShutdownTimeout - limits.FinishMargin
 }
 
 // HoldStart keeps the router in phase Starting until ReleaseStart is called.
@@ -195,7 +195,7 @@
 	drainingFor := c.clock() - s.DrainingSince
 	switch {
 	case s.Phase == ShuttingDown && s.HasSuccessor:
-		return drainStage(drainingFor+c.limits.LeaveBehind, &c.limits) // the successor has the new connections already
+		return drainStage(drainingFor+c.limits.DrainCloseAfterResponse, &c.limits) // the successor has the new connections already
 	case s.Phase == Standby:
 		return drainStage(drainingFor, &c.limits)
 	}
@@ -205,13 +205,13 @@
 // drainStage is the stage of a router that has drained for some time.
 func drainStage(drainingFor time.Duration, limits *config.Limits) DrainStage {
 	switch {
-	case drainingFor >= limits.LeaveCut:
+	case drainingFor >= limits.DrainCloseAll:
 		return CloseAll
-	case drainingFor >= limits.LeaveRefuse:
+	case drainingFor >= limits.DrainRejectNew:
 		return RejectNew
-	case drainingFor >= limits.LeaveIdle:
+	case drainingFor >= limits.DrainCloseIdle:
 		return CloseIdle
-	case drainingFor >= limits.LeaveBehind:
+	case drainingFor >= limits.DrainCloseAfterResponse:
 		return CloseAfterResponse
 	}
 	return NotDraining
--- a/internal/core/lifecycle_test.go
+++ b/internal/core/lifecycle_test.go
@@ -70,7 +70,7 @@
 	if l.leaveStandby() || l.drainingSince != 3*second {
 		t.Errorf("shutting down: draining since %v", l.drainingSince)
 	}
-	limits := config.Limits{Finish: 2 * second, FinishMargin: second / 2}
+	limits := config.Limits{ShutdownTimeout: 2 * second, FinishMargin: second / 2}
 	if at := l.lastAnswer(&limits); at != 4500*second/1000 {
 		t.Errorf("the last answer is due at %v", at)
 	}
@@ -120,7 +120,7 @@
 func TestShutdownDrainsOnlyWithSuccessor(t *testing.T) {
 	h := newHarness(t)
 	h.setDrainTimes()
-	h.core.limits.Finish = 3 * second
+	h.core.limits.ShutdownTimeout = 3 * second
 	h.core.BeginShutdown(h.now)
 	h.wait(second)
 	h.submit("page", 5*second)
@@ -139,7 +139,7 @@
 // Once nothing is open any more, a router that shuts down rejects what comes at once: it could not answer it later.
 func TestClosedRouterRejectsRequests(t *testing.T) {
 	h := newHarness(t)
-	h.core.limits.Finish = 3 * second
+	h.core.limits.ShutdownTimeout = 3 * second
 	h.core.BeginShutdown(h.now)
 	h.submit("page", second)
 	if h.core.CloseIfIdle() {
@@ -159,11 +159,11 @@
 // wait longer: on the second deployment an episode's part waits 6 s, and the kill comes 3.7 s after SIGTERM.
 func TestShutdownAnswersOpenRequestsInTime(t *testing.T) {
 	h := newHarness(t)
-	h.core.limits.Finish = 3 * second
+	h.core.limits.ShutdownTimeout = 3 * second
 	h.submit("page", 5*second)
 	h.wait(second)
 	h.core.BeginShutdown(h.now)
-	h.wait(h.core.limits.Finish - h.core.limits.FinishMargin + 10*time.Millisecond)
+	h.wait(h.core.limits.ShutdownTimeout - h.core.limits.FinishMargin + 10*time.Millisecond)
 	h.wantOneAnswer("open at SIGTERM", Rejected)
 }
 
--- a/internal/core/loop.go
+++ b/internal/core/loop.go
@@ -18,7 +18,7 @@
 			return
 		}
 		checked, _ := c.awaitBacklog()
-		wait := c.limits.Beat // an idle loop iterates too: this is how a stall shows
+		wait := c.limits.LoopInterval // an idle loop iterates too: this is how a stall shows
 		if next, pending := c.iterate(checked); pending {
 			wait = min(wait, max(next-c.clock(), 0))
 		}
@@ -92,12 +92,12 @@
 	if !c.stalls.detect(now) || c.backlog == nil {
 		return now, false
 	}
-	for end := now + c.limits.GatherMost; now < end; now = c.clock() {
+	for end := now + c.limits.BacklogWait; now < end; now = c.clock() {
 		if !c.backlog() {
 			c.stalls.recovered(now)
 			break
 		}
-		time.Sleep(c.limits.Gather)
+		time.Sleep(c.limits.BacklogPollInterval)
 	}
 	return now, true
 }
--- a/internal/core/orders.go
+++ b/internal/core/orders.go
@@ -139,7 +139,7 @@
 	}
 	r.state, r.pendingRejection = requestRejectionPending, a
 	c.requests.add(r)
-	c.Schedule(c.iteration.now+c.limits.LetGo, func() {
+	c.Schedule(c.iteration.now+c.limits.OrderReleaseDelay, func() {
 		if c.requests.isOpen(r) {
 			c.failPendingRejection(r)
 		}
--- a/internal/core/orders_test.go
+++ b/internal/core/orders_test.go
@@ -51,7 +51,7 @@
 func (h *harness) withOrderFailover() *fakeOrderFailover {
 	k := &fakeOrderFailover{}
 	h.core.SetOrderFailover(k)
-	h.core.limits.LetGo = second / 4
+	h.core.limits.OrderReleaseDelay = second / 4
 	return k
 }
 
--- a/internal/core/queries.go
+++ b/internal/core/queries.go
@@ -32,7 +32,7 @@
 
 // Resolve takes a query.
 func (c *Core) Resolve(q EndpointQuery) {
-	if len(c.queries) >= c.limits.Resolves {
+	if len(c.queries) >= c.limits.OpenQueries {
 		q.Reply(QueryResult{Rejected: true})
 		return
 	}
--- a/internal/core/requests.go
+++ b/internal/core/requests.go
@@ -95,13 +95,13 @@
 // Submit takes a request, which is answered by its Reply exactly once, unless it is cancelled first.
 func (c *Core) Submit(id balancer.RequestID, q Request) {
 	arrived := cmp.Or(min(q.ArrivedAt, c.iteration.now), c.iteration.now)
-	clientDeadline := arrived + min(q.Timeout, c.limits.Longest)
-	deadline := clientDeadline - c.limits.Margin
+	clientDeadline := arrived + min(q.Timeout, c.limits.LongestDeadline)
+	deadline := clientDeadline - c.limits.AnswerMargin
 	if c.lifecycle.shuttingDown() { // what is open as the process ends would be lost
 		deadline = min(deadline, c.lifecycle.lastAnswer(&c.limits))
 	}
 	switch {
-	case len(c.requests.open) >= c.limits.Open || c.lifecycle.state == stateClosed || c.DrainStage() >= RejectNew:
+	case len(c.requests.open) >= c.limits.OpenRequests || c.lifecycle.state == stateClosed || c.DrainStage() >= RejectNew:
 		c.rejectNew(&q, "over the limit, or the router is draining", c.rejection())
 		return
 	case deadline <= c.iteration.now:
--- a/internal/core/requests_test.go
+++ b/internal/core/requests_test.go
@@ -69,7 +69,7 @@
 // Over the limit a request is rejected at once, not queued.
 func TestRequestOverLimitIsRejected(t *testing.T) {
 	h := newHarness(t)
-	for range h.core.limits.Open {
+	for range h.core.limits.OpenRequests {
 		h.submit("page", 3*second)
 	}
 	before := len(h.answers)
--- a/internal/discovery/connection.go
+++ b/internal/discovery/connection.go
@@ -26,13 +26,13 @@
 func (w *Watcher) connect(address string) (*connection, error) {
 	c := &connection{
 		watcher:  w,
-		pacer:    pacer{interval: w.limits.JournalPace},
+		pacer:    pacer{interval: w.limits.DiscoveryReadInterval},
 		received: make(chan struct{}, 1),
 		closed:   make(chan struct{}),
 	}
-	c.response = newResponse(w.limits.JournalLine, c.receive)
-	budget := netio.NewBudget(2 * w.limits.JournalLine)
-	_, err := netio.Dial(address, w.limits.Connect, w.limits.Journal, budget, func(conn *netio.Conn) netio.Handler {
+	c.response = newResponse(w.limits.DiscoveryLineBytes, c.receive)
+	budget := netio.NewBudget(2 * w.limits.DiscoveryLineBytes)
+	_, err := netio.Dial(address, w.limits.ConnectTimeout, w.limits.Discovery, budget, func(conn *netio.Conn) netio.Handler {
 		c.conn = conn
 		return c
 	})
--- a/internal/discovery/helpers_test.go
+++ b/internal/discovery/helpers_test.go
@@ -18,12 +18,12 @@
 // testLimits are the limits of a watcher that connects again after so long.
 func testLimits(retry time.Duration) config.Limits {
 	return config.Limits{
-		Connect:          10 * time.Second,
-		JournalLine:      1 << 16,
-		JournalQuiet:     time.Minute,
-		JournalRetry:     retry,
-		JournalRetryMost: retry,
-		Journal:          config.Conn{Pending: 1 << 16, Read: time.Minute, Write: time.Minute},
+		ConnectTimeout:      10 * time.Second,
+		DiscoveryLineBytes:  1 << 16,
+		DiscoverySilence:    time.Minute,
+		DiscoveryBackoffMin: retry,
+		DiscoveryBackoffMax: retry,
+		Discovery:           config.ConnLimits{MaxPendingBytes: 1 << 16, ReadTimeout: time.Minute, WriteTimeout: time.Minute},
 	}
 }
 
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -124,7 +124,7 @@
 // address has changed, after limits.JournalRetry where a connection brought something, and with a growing backoff
 // otherwise.
 func (w *Watcher) Run(stop <-chan struct{}) {
-	retry := newBackoff(w.limits.JournalRetry, w.limits.JournalRetryMost)
+	retry := newBackoff(w.limits.DiscoveryBackoffMin, w.limits.DiscoveryBackoffMax)
 	for {
 		service, position := w.resumePoint()
 		received, err := w.watch(service, position, stop)
@@ -184,17 +184,17 @@
 	if err := c.conn.WriteSync(appendWatchRequest(nil, service.address, position)); err != nil {
 		return false, err
 	}
-	silence := time.NewTimer(w.limits.JournalQuiet)
+	silence := time.NewTimer(w.limits.DiscoverySilence)
 	defer silence.Stop()
 	for {
 		select {
 		case <-c.received:
 			received = true
-			silence.Reset(w.limits.JournalQuiet)
+			silence.Reset(w.limits.DiscoverySilence)
 		case <-c.closed:
 			return received, fmt.Errorf("connection ended: %w", netio.ErrClosed)
 		case <-silence.C:
-			return received, fmt.Errorf("%w: nothing for %v", errSilent, w.limits.JournalQuiet)
+			return received, fmt.Errorf("%w: nothing for %v", errSilent, w.limits.DiscoverySilence)
 		case <-service.changed:
 			return received, nil
 		case <-stop:
--- a/internal/frontend/admin/server.go
+++ b/internal/frontend/admin/server.go
@@ -36,9 +36,9 @@
 // send nothing are evicted for new ones.
 func Listen(addr string, c Core, limits config.Limits) (*Server, error) {
 	s := &Server{core: c, limits: limits}
-	budget := netio.NewBudget(limits.OpsConns * (limits.OpsHead + limits.OpsBody + limits.Ops.Pending))
+	budget := netio.NewBudget(limits.AdminConns * (limits.AdminHeaderBytes + limits.AdminBodyBytes + limits.Admin.MaxPendingBytes))
 	var err error
-	s.Server, err = netio.Listen(addr, limits.OpsConns, limits.Ops, budget, func(nc *netio.Conn) netio.Handler {
+	s.Server, err = netio.Listen(addr, limits.AdminConns, limits.Admin, budget, func(nc *netio.Conn) netio.Handler {
 		return &conn{server: s, nc: nc}
 	})
 	if err != nil {
@@ -59,7 +59,7 @@
 	if c.answered {
 		return len(buf), 0, nil
 	}
-	request, progress, err := parseRequest(buf, c.server.limits.OpsHead, c.server.limits.OpsBody)
+	request, progress, err := parseRequest(buf, c.server.limits.AdminHeaderBytes, c.server.limits.AdminBodyBytes)
 	if err == nil && progress.consumed == 0 {
 		return 0, progress.needed, nil
 	}
--- a/internal/frontend/admin/server_test.go
+++ b/internal/frontend/admin/server_test.go
@@ -43,8 +43,8 @@
 	t.Helper()
 	d := &fakeCore{posts: make(chan func(), 10)}
 	d.snap.Store(&core.Snapshot{})
-	lim := config.Limits{OpsConns: places, OpsHead: 1 << 10, OpsBody: 1 << 10,
-		Ops: config.Conn{Pending: 1 << 16, Read: time.Minute, Whole: time.Minute, Write: time.Minute, Idle: time.Minute, Silent: time.Minute}}
+	lim := config.Limits{AdminConns: places, AdminHeaderBytes: 1 << 10, AdminBodyBytes: 1 << 10,
+		Admin: config.ConnLimits{MaxPendingBytes: 1 << 16, ReadTimeout: time.Minute, MessageTimeout: time.Minute, WriteTimeout: time.Minute, IdleTimeout: time.Minute, SilentTimeout: time.Minute}}
 	f, err := Listen("127.0.0.1:0", d, lim)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/frontend/agentcheck/agentcheck.go
+++ b/internal/frontend/agentcheck/agentcheck.go
@@ -23,8 +23,8 @@
 
 // Listen opens the listener. Its connections have places of their own: clients can't take them.
 func Listen(addr string, c Core, limits config.Limits) (*Server, error) {
-	budget := netio.NewBudget(limits.CheckConns * limits.Check.Pending)
-	s, err := netio.Listen(addr, limits.CheckConns, limits.Check, budget, func(nc *netio.Conn) netio.Handler {
+	budget := netio.NewBudget(limits.AgentCheckConns * limits.AgentCheck.MaxPendingBytes)
+	s, err := netio.Listen(addr, limits.AgentCheckConns, limits.AgentCheck, budget, func(nc *netio.Conn) netio.Handler {
 		return &conn{core: c, nc: nc}
 	})
 	if err != nil {
--- a/internal/frontend/agentcheck/agentcheck_test.go
+++ b/internal/frontend/agentcheck/agentcheck_test.go
@@ -16,7 +16,7 @@
 
 // Every connection gets the one line that HAProxy reads, and ends.
 func TestAgentCheckLines(t *testing.T) {
-	lim := config.Limits{CheckConns: 8, Check: config.Conn{Pending: 1 << 10, Read: time.Minute, Write: time.Minute, Idle: time.Minute, Silent: time.Minute}}
+	lim := config.Limits{AgentCheckConns: 8, AgentCheck: config.ConnLimits{MaxPendingBytes: 1 << 10, ReadTimeout: time.Minute, WriteTimeout: time.Minute, IdleTimeout: time.Minute, SilentTimeout: time.Minute}}
 	for phase, want := range map[core.Phase]string{core.Starting: "down\n", core.Serving: "ready\n", core.Standby: "drain\n", core.ShuttingDown: "drain\n"} {
 		t.Run(phase.String(), func(t *testing.T) {
 			f, err := Listen("127.0.0.1:0", &fakeCore{phase}, lim)
--- a/internal/frontend/dns/resolve.go
+++ b/internal/frontend/dns/resolve.go
@@ -75,11 +75,11 @@
 	x.server.core.Post(func() {
 		x.server.core.Resolve(core.EndpointQuery{
 			Key:          clientKey(x.query, from),
-			MaxEndpoints: cfg.Answers,
+			MaxEndpoints: cfg.MaxAnswers,
 			OnlyEndpoint: only,
-			Load:         cfg.Load,
-			TTL:          time.Duration(float64(cfg.TTL) * cfg.Overstay),
-			Timeout:      cfg.Deadline,
+			Load:         cfg.ResolverLoad,
+			TTL:          time.Duration(float64(cfg.TTL) * cfg.TTLOverstay),
+			Timeout:      cfg.Timeout,
 			Reply:        x.reply,
 		})
 	})
--- a/internal/frontend/dns/server_test.go
+++ b/internal/frontend/dns/server_test.go
@@ -85,8 +85,8 @@
 func start(t *testing.T, answers int) *site {
 	t.Helper()
 	s := &site{t: t, now: 1e6 * time.Second}
-	conn := config.Conn{Pending: 1 << 18, Read: time.Minute, Write: time.Minute, Idle: time.Minute, Silent: time.Minute}
-	lim := config.Limits{Resolves: 100, DNSConns: 10, Open: 10, DNS: conn}
+	conn := config.ConnLimits{MaxPendingBytes: 1 << 18, ReadTimeout: time.Minute, WriteTimeout: time.Minute, IdleTimeout: time.Minute, SilentTimeout: time.Minute}
+	lim := config.Limits{OpenQueries: 100, DNSConns: 10, OpenRequests: 10, DNS: conn}
 	c, err := core.New(balancer.Settings{Topology: balancer.Topology{Zone: "edge", Zones: []string{"edge"},
 		Kinds: []string{"box", "mid", "store"}, ParentKind: 1, OriginKind: 2}, Classes: []balancer.Class{{Name: "a"}}, CacheSlowStart: balancer.SlowStartRule{InitialCapacity: 0.2, WarmUpTime: 18 * time.Second,
 		OverloadFactor: 4, OverloadWindow: 2 * time.Second}}, lim, s.clock)
@@ -95,8 +95,8 @@
 	}
 	c.SetUpstream(noUpstream{})
 	s.core = c
-	s.f, err = Listen(c, config.DNS{Listen: "127.0.0.1:0", Names: []string{name}, TTL: 5 * time.Second, Overstay: 2, Load: 0.05,
-		Answers: answers, Deadline: time.Second}, lim, netio.NewBudget(1<<20))
+	s.f, err = Listen(c, config.DNS{Listen: "127.0.0.1:0", Names: []string{name}, TTL: 5 * time.Second, TTLOverstay: 2, ResolverLoad: 0.05,
+		MaxAnswers: answers, Timeout: time.Second}, lim, netio.NewBudget(1<<20))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/frontend/dns/transport.go
+++ b/internal/frontend/dns/transport.go
@@ -26,7 +26,7 @@
 		if err != nil {
 			return fmt.Errorf("read: %w", err)
 		}
-		if s.openUDP.Load() >= int64(s.limits.Resolves) {
+		if s.openUDP.Load() >= int64(s.limits.OpenQueries) {
 			continue
 		}
 		s.openUDP.Add(1)
--- a/internal/frontend/msgpackrpc/conn.go
+++ b/internal/frontend/msgpackrpc/conn.go
@@ -33,7 +33,7 @@
 // Consume implements netio.Handler.
 func (c *conn) Consume(buf []byte) (used, want int, err error) {
 	for {
-		m, progress, err := rpc.ParseMessage(buf[used:], c.server.limits.Message)
+		m, progress, err := rpc.ParseMessage(buf[used:], c.server.limits.MessageBytes)
 		if err != nil {
 			log.Debug("client message malformed", logging.KeyClient, c.nc.RemoteAddr(), logging.KeyError, err)
 		}
@@ -113,7 +113,7 @@
 
 // rejectMalformed answers a request that can't be used. A client that sends too many loses its connection.
 func (c *conn) rejectMalformed(messageID uint64, class, code string) {
-	if c.badRequests++; c.badRequests > c.server.limits.Faults {
+	if c.badRequests++; c.badRequests > c.server.limits.BadRequests {
 		c.closeOnFault(netio.CloseTooManyBadRequests)
 		return
 	}
--- a/internal/frontend/msgpackrpc/request.go
+++ b/internal/frontend/msgpackrpc/request.go
@@ -27,7 +27,7 @@
 	if !ok || !validTexts(&m.Fields) {
 		return request, rpc.CodeBadRequest
 	}
-	if class.Deadline > 0 && numbers.timeout > class.Deadline || len(m.Body) > s.limits.WriteBody {
+	if class.Deadline > 0 && numbers.timeout > class.Deadline || len(m.Body) > s.limits.BodyBytes {
 		return request, rpc.CodeBadRequest // no client of the class waits so long or sends so much
 	}
 	part := string(m.Fields.Nth)
--- a/internal/frontend/msgpackrpc/server.go
+++ b/internal/frontend/msgpackrpc/server.go
@@ -67,11 +67,11 @@
 func (s *Server) idleTimeouts() (idle, partial time.Duration) {
 	switch s.core.DrainStage() {
 	case core.CloseIdle:
-		return s.limits.LeavePause, s.limits.Client.Whole
+		return s.limits.DrainIdleTime, s.limits.Client.MessageTimeout
 	case core.RejectNew:
-		return 0, s.limits.Client.Whole
+		return 0, s.limits.Client.MessageTimeout
 	case core.CloseAll:
 		return 0, 0
 	}
-	return s.limits.Client.Idle, s.limits.Client.Whole
+	return s.limits.Client.IdleTimeout, s.limits.Client.MessageTimeout
 }
--- a/internal/frontend/msgpackrpc/server_test.go
+++ b/internal/frontend/msgpackrpc/server_test.go
@@ -49,8 +49,8 @@
 	t.Helper()
 	d := &fakeCore{posts: make(chan func(), 100), submitted: make(chan core.Request, 100), cancelled: make(chan balancer.RequestID, 100)}
 	d.phase.Store(int64(core.Serving))
-	lim := config.Limits{ClientConns: 10, OpenPerConn: 2, Message: 1 << 16, WriteBody: 1 << 10, Faults: 2,
-		Client: config.Conn{Pending: 1 << 20, Read: time.Minute, Write: time.Minute, Idle: time.Minute, Silent: 10 * time.Second}}
+	lim := config.Limits{ClientConns: 10, OpenPerConn: 2, MessageBytes: 1 << 16, BodyBytes: 1 << 10, BadRequests: 2,
+		Client: config.ConnLimits{MaxPendingBytes: 1 << 20, ReadTimeout: time.Minute, WriteTimeout: time.Minute, IdleTimeout: time.Minute, SilentTimeout: 10 * time.Second}}
 	f, err := Listen("127.0.0.1:0", 0, d, lim, []balancer.Class{{Name: "page", Deadline: 3 * time.Second}}, netio.NewBudget(1<<22))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -15,9 +15,9 @@
 	"hillknot/internal/testutil/parsertest"
 )
 
-var lim = config.Limits{HandoverConns: 4, HandoverState: 1 << 16, HandoverWait: 20 * time.Second,
-	Handover: config.Conn{Pending: 1 << 17, Read: 20 * time.Second, Whole: 20 * time.Second, Write: 20 * time.Second,
-		Idle: time.Hour, Silent: time.Hour}}
+var lim = config.Limits{HandoverConns: 4, HandoverStateBytes: 1 << 16, HandoverTimeout: 20 * time.Second,
+	Handover: config.ConnLimits{MaxPendingBytes: 1 << 17, ReadTimeout: 20 * time.Second, MessageTimeout: 20 * time.Second, WriteTimeout: 20 * time.Second,
+		IdleTimeout: time.Hour, SilentTimeout: time.Hour}}
 
 var some = State{DiscoveryPosition: 41, Snapshot: balancer.Snapshot{LinkLimit: 2.5, PurgeFloor: 7,
 	Purges: []balancer.PurgeSnapshot{{ByGroup: true, ID: 1<<64 - 1, PurgedAt: 9}},
@@ -176,7 +176,7 @@
 	}
 	t.Cleanup(func() { mute.Close() })
 	short := lim
-	short.HandoverWait = 10 * time.Millisecond
+	short.HandoverTimeout = 10 * time.Millisecond
 	for _, path := range []string{filepath.Join(dir, "none"), stale, file, mute.Addr().String()} {
 		if FindPredecessor(path, short) != nil {
 			t.Errorf("%s: a predecessor", path)
--- a/internal/handover/listener.go
+++ b/internal/handover/listener.go
@@ -32,7 +32,7 @@
 
 // open listens on the path, in place of whoever does so now.
 func (l *SuccessorListener) open() error {
-	budget := netio.NewBudget(2 * l.limits.HandoverState)
+	budget := netio.NewBudget(2 * l.limits.HandoverStateBytes)
 	handler := func(conn *netio.Conn) netio.Handler { return &successor{listener: l, conn: conn} }
 	server, err := netio.Listen(l.path, l.limits.HandoverConns, l.limits.Handover, budget, handler)
 	if err != nil {
--- a/internal/handover/predecessor.go
+++ b/internal/handover/predecessor.go
@@ -27,9 +27,9 @@
 // not answer in time: that is no error. The caller closes the connection.
 func FindPredecessor(path string, limits config.Limits) *Predecessor {
 	p := newPredecessor(limits)
-	budget := netio.NewBudget(2 * limits.HandoverState)
+	budget := netio.NewBudget(2 * limits.HandoverStateBytes)
 	handler := func(*netio.Conn) netio.Handler { return p }
-	conn, err := netio.Dial(path, limits.HandoverWait, limits.Handover, budget, handler)
+	conn, err := netio.Dial(path, limits.HandoverTimeout, limits.Handover, budget, handler)
 	if err != nil {
 		log.Debug("no predecessor", logging.KeyError, err)
 		return nil
@@ -77,7 +77,7 @@
 	if err := p.conn.Send(appendMessage(nil, kind, nil)); err != nil {
 		return nil, err
 	}
-	timer := time.NewTimer(p.limits.HandoverWait)
+	timer := time.NewTimer(p.limits.HandoverTimeout)
 	defer timer.Stop()
 	select {
 	case text := <-answer:
@@ -91,7 +91,7 @@
 // Consume implements netio.Handler.
 func (p *Predecessor) Consume(buf []byte) (used, want int, err error) {
 	for {
-		m, progress, err := parseMessage(buf[used:], p.limits.HandoverState)
+		m, progress, err := parseMessage(buf[used:], p.limits.HandoverStateBytes)
 		if err != nil || progress.consumed == 0 {
 			return used, progress.needed, err
 		}
--- a/internal/handover/successor.go
+++ b/internal/handover/successor.go
@@ -41,7 +41,7 @@
 	case string(m.kind) == kindReady && s.stage == SuccessorStarting:
 		s.stage = SuccessorReady
 		state := encode(s.listener.process.State())
-		if len(state) > s.listener.limits.HandoverState {
+		if len(state) > s.listener.limits.HandoverStateBytes {
 			state = nil // the successor can't read that, and goes on without a state
 		}
 		s.listener.count(0, 1)
--- a/internal/netio/close.go
+++ b/internal/netio/close.go
@@ -137,11 +137,11 @@
 func (c *Conn) lingerClose() {
 	c.notifyClosed()
 	c.lingerOnce.Do(func() {
-		if c.limits.Linger <= 0 || !c.shutdownWrites() {
+		if c.limits.LingerTimeout <= 0 || !c.shutdownWrites() {
 			c.Close()
 			return
 		}
-		time.AfterFunc(c.limits.Linger, c.Close)
+		time.AfterFunc(c.limits.LingerTimeout, c.Close)
 	})
 }
 
--- a/internal/netio/close_test.go
+++ b/internal/netio/close_test.go
@@ -84,8 +84,8 @@
 // A peer that goes on and on after our end is cut off by bytes, and one that does nothing by time.
 func TestLingeringCloseIsBounded(t *testing.T) {
 	short, long := lingering(), lingering()
-	short.Linger, long.Linger = 50*time.Millisecond, time.Minute
-	for name, l := range map[string]config.Conn{"sends": long, "rests": short} {
+	short.LingerTimeout, long.LingerTimeout = 50*time.Millisecond, time.Minute
+	for name, l := range map[string]config.ConnLimits{"sends": long, "rests": short} {
 		s, nc, g := gatedPair(t, l)
 		g.c.CloseAfterWrites()
 		for end := time.Now().Add(20 * time.Second); s.OpenConns() > 0; time.Sleep(time.Millisecond) {
--- a/internal/netio/conn.go
+++ b/internal/netio/conn.go
@@ -49,7 +49,7 @@
 type Conn struct {
 	transport netpoll.Connection
 	handler   Handler
-	limits    config.Conn
+	limits    config.ConnLimits
 	budget    *Budget
 
 	mu             sync.Mutex
@@ -79,9 +79,9 @@
 	closed   bool // the transport has closed: nothing of it will be written
 }
 
-func newConn(transport netpoll.Connection, limits config.Conn, budget *Budget) *Conn {
-	_ = transport.SetReadTimeout(limits.Read)   // netpoll's setters only store the value
-	_ = transport.SetWriteTimeout(limits.Write) // and return nil
+func newConn(transport netpoll.Connection, limits config.ConnLimits, budget *Budget) *Conn {
+	_ = transport.SetReadTimeout(limits.ReadTimeout)   // netpoll's setters only store the value
+	_ = transport.SetWriteTimeout(limits.WriteTimeout) // and return nil
 	c := &Conn{transport: transport, limits: limits, budget: budget}
 	c.lastActive.Store(int64(clock.Now()))
 	return c
--- a/internal/netio/dial.go
+++ b/internal/netio/dial.go
@@ -12,7 +12,7 @@
 // Dial connects to an address with a port, or to the path of a Unix socket, and hands what comes in to the handler
 // that newHandler returns. The caller closes the connection.
 func Dial(
-	addr string, timeout time.Duration, limits config.Conn, budget *Budget, newHandler func(*Conn) Handler,
+	addr string, timeout time.Duration, limits config.ConnLimits, budget *Budget, newHandler func(*Conn) Handler,
 ) (*Conn, error) {
 	transport, err := netpoll.NewDialer().DialConnection(network(addr), addr, timeout)
 	if err != nil {
--- a/internal/netio/evict.go
+++ b/internal/netio/evict.go
@@ -164,7 +164,7 @@
 func (s *Server) evictionCandidate(highest evictionRank, excluded []*Conn) (candidate *Conn, lowest evictionRank) {
 	var longest time.Duration
 	lowest = highest + 1
-	now, pause := clock.Now(), s.limits.Silent/8
+	now, pause := clock.Now(), s.limits.SilentTimeout/8
 	s.forEachConn(func(c *Conn) bool {
 		idle, ok := c.idleFor(now)
 		if !ok || c.evicted.Load() || slices.Contains(excluded, c) {
--- a/internal/netio/evict_test.go
+++ b/internal/netio/evict_test.go
@@ -24,14 +24,14 @@
 // one that has stopped half way gives way last.
 func TestSlowWriterIsEvictedLast(t *testing.T) {
 	short := lim
-	short.Silent = time.Second // silent for an eighth of it gives way
+	short.SilentTimeout = time.Second // silent for an eighth of it gives way
 	s := serve(t, 8, short, newLines)
 	slow, idle := dial(t, s.Addr().String()), dial(t, s.Addr().String())
 	echoed(t, idle)
 	if _, err := slow.Write([]byte("h")); err != nil {
 		t.Fatal(err)
 	}
-	time.Sleep(short.Silent / 4)
+	time.Sleep(short.SilentTimeout / 4)
 	for range 50 {
 		dial(t, s.Addr().String())
 	}
--- a/internal/netio/helpers_test.go
+++ b/internal/netio/helpers_test.go
@@ -10,8 +10,8 @@
 )
 
 // lim are the limits of most tests.
-var lim = config.Conn{Pending: 1 << 20, Read: 10 * time.Second, Write: 10 * time.Second,
-	Idle: time.Minute, Silent: time.Minute}
+var lim = config.ConnLimits{MaxPendingBytes: 1 << 20, ReadTimeout: 10 * time.Second, WriteTimeout: 10 * time.Second,
+	IdleTimeout: time.Minute, SilentTimeout: time.Minute}
 
 // echo is a handler that sends back what comes.
 type echo struct{ c *Conn }
@@ -24,7 +24,7 @@
 func newEcho(c *Conn) Handler { return echo{c} }
 
 // serve starts a server on loopback, which closes as the test ends.
-func serve(t *testing.T, maxConns int, limits config.Conn, newHandler func(*Conn) Handler) *Server {
+func serve(t *testing.T, maxConns int, limits config.ConnLimits, newHandler func(*Conn) Handler) *Server {
 	t.Helper()
 	s, err := Listen("127.0.0.1:0", maxConns, limits, NewBudget(1<<25), newHandler)
 	if err != nil {
@@ -106,7 +106,7 @@
 func (g *gated) Closed() { close(g.closed) }
 
 // gatedPair starts a server with one connection of a client, and returns the two ends of it.
-func gatedPair(t *testing.T, limits config.Conn) (*Server, net.Conn, *gated) {
+func gatedPair(t *testing.T, limits config.ConnLimits) (*Server, net.Conn, *gated) {
 	t.Helper()
 	made := make(chan *gated, 1)
 	s := serve(t, 100, limits, func(c *Conn) Handler {
@@ -122,9 +122,9 @@
 }
 
 // lingering returns limits with a lingering close.
-func lingering() config.Conn {
+func lingering() config.ConnLimits {
 	l := lim
-	l.Linger = 10 * time.Second
+	l.LingerTimeout = 10 * time.Second
 	return l
 }
 
--- a/internal/netio/read.go
+++ b/internal/netio/read.go
@@ -62,12 +62,12 @@
 	}
 	c.retireIfRequested()
 	if remaining == 0 && needed <= 1 && reader.Len() == 0 {
-		_ = c.transport.SetReadTimeout(c.limits.Read)
+		_ = c.transport.SetReadTimeout(c.limits.ReadTimeout)
 		return 0
 	}
-	if c.limits.Whole > 0 { // a peer that sends byte by byte must not hold a message open for good
-		timeLeft := messageBegan + c.limits.Whole - clock.Now()
-		_ = c.transport.SetReadTimeout(max(min(c.limits.Read, timeLeft), time.Millisecond))
+	if c.limits.MessageTimeout > 0 { // a peer that sends byte by byte must not hold a message open for good
+		timeLeft := messageBegan + c.limits.MessageTimeout - clock.Now()
+		_ = c.transport.SetReadTimeout(max(min(c.limits.ReadTimeout, timeLeft), time.Millisecond))
 	}
 	return max(needed, remaining+1)
 }
--- a/internal/netio/server.go
+++ b/internal/netio/server.go
@@ -18,7 +18,7 @@
 type Server struct {
 	listener   *pausableListener
 	loop       netpoll.EventLoop
-	limits     config.Conn
+	limits     config.ConnLimits
 	budget     *Budget
 	newHandler func(*Conn) Handler
 
@@ -52,7 +52,7 @@
 // Listen opens a listener on an address with a port, or on a path. At most maxConns connections are open at a time:
 // a new one takes the place of one that has no pending replies, and is closed at once where there is none.
 func Listen(
-	addr string, maxConns int, limits config.Conn, budget *Budget, newHandler func(*Conn) Handler,
+	addr string, maxConns int, limits config.ConnLimits, budget *Budget, newHandler func(*Conn) Handler,
 ) (*Server, error) {
 	ln, err := listen(addr)
 	if err != nil {
@@ -64,7 +64,7 @@
 // ListenInherited is Listen on a socket that this process was started with and that listens already. Other
 // processes may have it too: it is closed here, but never shut down.
 func ListenInherited(
-	fd, maxConns int, limits config.Conn, budget *Budget, newHandler func(*Conn) Handler,
+	fd, maxConns int, limits config.ConnLimits, budget *Budget, newHandler func(*Conn) Handler,
 ) (*Server, error) {
 	ln, err := inherited(fd)
 	if err != nil {
@@ -74,7 +74,7 @@
 }
 
 func newServer(
-	ln net.Listener, maxConns int, limits config.Conn, budget *Budget, newHandler func(*Conn) Handler,
+	ln net.Listener, maxConns int, limits config.ConnLimits, budget *Budget, newHandler func(*Conn) Handler,
 ) (*Server, error) {
 	listener, err := newPausableListener(ln)
 	if err != nil {
--- a/internal/netio/sweep.go
+++ b/internal/netio/sweep.go
@@ -13,7 +13,7 @@
 
 // sweep closes connections that have timed out, until the server closes.
 func (s *Server) sweep() {
-	ticker := time.NewTicker(min(s.limits.Idle, s.limits.Silent) / sweepsPerTimeout)
+	ticker := time.NewTicker(min(s.limits.IdleTimeout, s.limits.SilentTimeout) / sweepsPerTimeout)
 	defer ticker.Stop()
 	for {
 		select {
@@ -28,7 +28,7 @@
 // closeTimedOut closes the connections that have timed out.
 func (s *Server) closeTimedOut() {
 	now := clock.Now()
-	idleMost, partialMost := s.limits.Idle, s.limits.Idle
+	idleMost, partialMost := s.limits.IdleTimeout, s.limits.IdleTimeout
 	if s.IdleTimeouts != nil {
 		idleMost, partialMost = s.IdleTimeouts()
 	}
@@ -49,7 +49,7 @@
 		}
 		return
 	}
-	if ok && (idle > idleMost || idle > c.limits.Silent && !c.input.consumedOnce.Load()) {
+	if ok && (idle > idleMost || idle > c.limits.SilentTimeout && !c.input.consumedOnce.Load()) {
 		c.retire(closeIdleTimeout, keepPartial)
 	}
 }
--- a/internal/netio/sweep_test.go
+++ b/internal/netio/sweep_test.go
@@ -9,7 +9,7 @@
 // sends byte by byte can't hold a message open.
 func TestSilentAndSlowPeersTimeOut(t *testing.T) {
 	short := lim
-	short.Silent, short.Whole = 50*time.Millisecond, 50*time.Millisecond
+	short.SilentTimeout, short.MessageTimeout = 50*time.Millisecond, 50*time.Millisecond
 	s := serve(t, 100, short, newLines)
 	spoke, slow := dial(t, s.Addr().String()), dial(t, s.Addr().String())
 	spoke.Write([]byte("hi\n"))
--- a/internal/netio/write.go
+++ b/internal/netio/write.go
@@ -24,7 +24,7 @@
 	if c.queue.closed || !c.state.acceptsSends() {
 		return ErrClosed
 	}
-	if c.queue.bytes > 0 && c.queue.bytes+len(b) > c.limits.Pending {
+	if c.queue.bytes > 0 && c.queue.bytes+len(b) > c.limits.MaxPendingBytes {
 		go c.Close() // not from here: closing calls back and takes the lock
 		return ErrClosed
 	}
--- a/internal/netio/write_test.go
+++ b/internal/netio/write_test.go
@@ -14,7 +14,7 @@
 // has stopped is cut off.
 func TestSlowReaderGetsAllAndStalledReaderIsCutOff(t *testing.T) {
 	short := lim
-	short.Write, short.Pending = 600*time.Millisecond, 16<<20
+	short.WriteTimeout, short.MaxPendingBytes = 600*time.Millisecond, 16<<20
 	conns := make(chan *Conn, 2)
 	s := serve(t, 10, short, func(c *Conn) Handler { conns <- c; return echo{c} })
 	const messages, size = 48, 240_000
--- a/internal/upstream/client.go
+++ b/internal/upstream/client.go
@@ -92,13 +92,13 @@
 // makeRoom returns whether a connection for an attempt may be dialed. Where there is none that the attempt could go out
 // on (picked is nil), the one that has been idle for longest, to any endpoint, is closed for it if need be.
 func (cl *Client) makeRoom(p *pool, a *core.Attempt, picked *connection) bool {
-	if p.usable()+p.dialing >= cl.limits.ConnsPerCache && (picked != nil || !p.hasConfusable(a)) {
+	if p.usable()+p.dialing >= cl.limits.ConnsPerEndpoint && (picked != nil || !p.hasConfusable(a)) {
 		return false
 	}
-	if picked == nil && cl.connCount >= cl.limits.CacheConns {
+	if picked == nil && cl.connCount >= cl.limits.UpstreamConns {
 		cl.closeLongestIdle()
 	}
-	return cl.connCount < cl.limits.CacheConns
+	return cl.connCount < cl.limits.UpstreamConns
 }
 
 // closeLongestIdle closes the connection that has been idle for longest, to any endpoint.
@@ -120,7 +120,7 @@
 func (cl *Client) closeExpired(p *pool) {
 	for _, c := range slices.Clone(p.conns) {
 		idle := cl.now() - c.idleSince
-		if len(c.inFlight) == 0 && (idle > cl.limits.UpstreamIdle || c.draining && idle > cl.limits.UpstreamSilent) {
+		if len(c.inFlight) == 0 && (idle > cl.limits.UpstreamIdleTimeout || c.draining && idle > cl.limits.UpstreamSilence) {
 			c.close()
 		}
 	}
@@ -138,7 +138,7 @@
 
 // SetMaxConnections changes how many connections there may be to all endpoints, and closes idle ones over that.
 func (cl *Client) SetMaxConnections(limit int) {
-	cl.limits.CacheConns = limit
+	cl.limits.UpstreamConns = limit
 	for _, p := range cl.pools {
 		for _, c := range slices.Clone(p.conns) {
 			if cl.connCount > limit && len(c.inFlight) == 0 {
--- a/internal/upstream/connection.go
+++ b/internal/upstream/connection.go
@@ -32,7 +32,7 @@
 // silent returns whether a response is awaited and none has come for long, as on a connection that was cut off without
 // a sign: others to the same endpoint may be healthy.
 func (c *connection) silent() bool {
-	return len(c.inFlight) > 0 && c.client.now()-c.awaitingSince > c.client.limits.UpstreamSilent
+	return len(c.inFlight) > 0 && c.client.now()-c.awaitingSince > c.client.limits.UpstreamSilence
 }
 
 // confusable returns whether an attempt must go out on any connection but this one: a response to an earlier attempt
@@ -104,7 +104,7 @@
 
 // abandon notes that a request may still run at the endpoint.
 func (c *connection) abandon(txn string) {
-	c.pool.abandoned.add(txn, c.client.now(), c.client.limits.Longest)
+	c.pool.abandoned.add(txn, c.client.now(), c.client.limits.LongestDeadline)
 }
 
 func (c *connection) writeCancel(txn string) error {
@@ -133,7 +133,7 @@
 // Consume implements netio.Handler.
 func (c *connection) Consume(buf []byte) (used, want int, err error) {
 	for {
-		r, progress, err := parseResponse(buf[used:], c.client.limits.AnswerLine, c.client.limits.Object)
+		r, progress, err := parseResponse(buf[used:], c.client.limits.ResponseLineBytes, c.client.limits.ObjectBytes)
 		if err != nil || progress.consumed == 0 {
 			return used, progress.needed, err
 		}
@@ -194,6 +194,6 @@
 			return err
 		}
 	}
-	c.unserved.add(txn, c.client.now(), c.client.limits.Longest)
+	c.unserved.add(txn, c.client.now(), c.client.limits.LongestDeadline)
 	return nil
 }
--- a/internal/upstream/connection_test.go
+++ b/internal/upstream/connection_test.go
@@ -108,7 +108,7 @@
 // however slowly, is waited for.
 func TestTruncatedResponse(t *testing.T) {
 	h := newHarness(t)
-	h.client.limits.Upstream.Read = time.Second
+	h.client.limits.Upstream.ReadTimeout = time.Second
 	h.send("t1")
 	nc, r := h.accept()
 	h.expectLine(r, "ASK t1 ")
--- a/internal/upstream/dial.go
+++ b/internal/upstream/dial.go
@@ -14,7 +14,7 @@
 )
 
 // dialFunc opens a connection; see netio.Dial.
-type dialFunc func(address string, timeout time.Duration, limits config.Conn, budget *netio.Budget,
+type dialFunc func(address string, timeout time.Duration, limits config.ConnLimits, budget *netio.Budget,
 	newHandler func(*netio.Conn) netio.Handler) (*netio.Conn, error)
 
 // dial opens a connection. Its goroutine ends within limits.Connect, and hands the result to the core's goroutine.
@@ -23,7 +23,7 @@
 	cl.connCount++
 	go func() {
 		c := &connection{client: cl, pool: p, inFlight: map[string]*core.Attempt{}}
-		_, err := cl.dialer(p.address, cl.limits.Connect, cl.limits.Upstream, cl.budget, c.attach)
+		_, err := cl.dialer(p.address, cl.limits.ConnectTimeout, cl.limits.Upstream, cl.budget, c.attach)
 		cl.core.Post(func() { cl.dialed(p, c, err) })
 	}()
 }
--- a/internal/upstream/dial_test.go
+++ b/internal/upstream/dial_test.go
@@ -38,7 +38,7 @@
 func (h *harness) failDials(err error) *atomic.Int64 {
 	h.t.Helper()
 	dials := &atomic.Int64{}
-	dial := func(string, time.Duration, config.Conn, *netio.Budget, func(*netio.Conn) netio.Handler) (*netio.Conn, error) {
+	dial := func(string, time.Duration, config.ConnLimits, *netio.Budget, func(*netio.Conn) netio.Handler) (*netio.Conn, error) {
 		dials.Add(1)
 		return nil, fmt.Errorf("dial: %w", err)
 	}
--- a/internal/upstream/harness_test.go
+++ b/internal/upstream/harness_test.go
@@ -40,15 +40,15 @@
 
 func testLimits() config.Limits {
 	return config.Limits{
-		ConnsPerCache:  2,
-		CacheConns:     10,
-		AnswerLine:     100,
-		Object:         1 << 10,
-		Connect:        10 * time.Second,
-		UpstreamIdle:   time.Hour,
-		UpstreamSilent: time.Second,
-		Longest:        time.Minute,
-		Upstream:       config.Conn{Pending: 1 << 16, Read: 10 * time.Second, Write: 10 * time.Second},
+		ConnsPerEndpoint:    2,
+		UpstreamConns:       10,
+		ResponseLineBytes:   100,
+		ObjectBytes:         1 << 10,
+		ConnectTimeout:      10 * time.Second,
+		UpstreamIdleTimeout: time.Hour,
+		UpstreamSilence:     time.Second,
+		LongestDeadline:     time.Minute,
+		Upstream:            config.ConnLimits{MaxPendingBytes: 1 << 16, ReadTimeout: 10 * time.Second, WriteTimeout: 10 * time.Second},
 	}
 }
 
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -83,7 +83,7 @@
 // endpoint that has none. Where none is idle, it is not the endpoint that has failed.
 func TestLongestIdleConnectionMakesRoom(t *testing.T) {
 	h := newHarness(t)
-	h.client.limits.CacheConns = 1
+	h.client.limits.UpstreamConns = 1
 	h.send("t1")
 	nc, r := h.accept()
 	h.expectLine(r, "ASK t1 ")
