--- a/internal/discovery/eventlog.go
+++ b/internal/discovery/eventlog.go
@@ -7,10 +7,10 @@
 type eventLog struct {
 	last int64 // position of the latest event that was delivered; 0: none
 
-	// requestedAgain is the position for which the service was called again, because the event there was missing or
+	// refetched is the position for which the service was called again, because the event there was missing or
 	// could not be read; 0: none.
-	requestedAgain int64
-	advanced       chan struct{} // closed when last changes
+	refetched int64
+	advanced  chan struct{} // closed when last changes
 }
 
 // decision is what becomes of an event that was read.
@@ -19,7 +19,7 @@
 const (
 	deliverEvent   decision = iota
 	dropDuplicate           // it was delivered before
-	requestAgain            // it can't be read, or one before it is missing: the service is called again
+	refetchEvent            // it can't be read, or one before it is missing: the service is called again
 	skipUnreadable          // it can't be read, and was requested again already
 )
 
@@ -33,9 +33,9 @@
 		return dropDuplicate
 	case readable && inOrder:
 		return deliverEvent
-	case l.requestedAgain != l.last+1:
-		l.requestedAgain = l.last + 1
-		return requestAgain
+	case l.refetched != l.last+1:
+		l.refetched = l.last + 1
+		return refetchEvent
 	case !readable:
 		return skipUnreadable
 	}
--- a/internal/discovery/eventlog_test.go
+++ b/internal/discovery/eventlog_test.go
@@ -13,28 +13,28 @@
 func TestEventLogDecides(t *testing.T) {
 	const last = 4
 	for name, c := range map[string]struct {
-		position       int64
-		readable       bool
-		requestedAgain int64
-		want           decision
+		position  int64
+		readable  bool
+		refetched int64
+		want      decision
 	}{
 		"the next event":                            {position: 5, readable: true, want: deliverEvent},
 		"an event that was delivered":               {position: 4, readable: true, want: dropDuplicate},
 		"one that was delivered, and is unreadable": {position: 3, want: dropDuplicate},
-		"an event behind a gap":                     {position: 6, readable: true, want: requestAgain},
-		"an unreadable event":                       {position: 5, want: requestAgain},
-		"an unreadable event without a position":    {position: 0, want: requestAgain},
-		"a gap that is there again":                 {position: 6, readable: true, requestedAgain: 5, want: deliverEvent},
-		"an event that is unreadable again":         {position: 5, requestedAgain: 5, want: skipUnreadable},
-		"a gap after an earlier one":                {position: 6, readable: true, requestedAgain: 3, want: requestAgain},
+		"an event behind a gap":                     {position: 6, readable: true, want: refetchEvent},
+		"an unreadable event":                       {position: 5, want: refetchEvent},
+		"an unreadable event without a position":    {position: 0, want: refetchEvent},
+		"a gap that is there again":                 {position: 6, readable: true, refetched: 5, want: deliverEvent},
+		"an event that is unreadable again":         {position: 5, refetched: 5, want: skipUnreadable},
+		"a gap after an earlier one":                {position: 6, readable: true, refetched: 3, want: refetchEvent},
 	} {
 		t.Run(name, func(t *testing.T) {
-			l := eventLog{last: last, requestedAgain: c.requestedAgain}
+			l := eventLog{last: last, refetched: c.refetched}
 			if got := l.decide(c.position, c.readable); got != c.want {
 				t.Errorf("decision %d, want %d", got, c.want)
 			}
-			if c.want == requestAgain && l.requestedAgain != last+1 {
-				t.Errorf("notes that %d is requested again, want %d", l.requestedAgain, last+1)
+			if c.want == refetchEvent && l.refetched != last+1 {
+				t.Errorf("notes that %d is requested again, want %d", l.refetched, last+1)
 			}
 		})
 	}
--- a/internal/discovery/eventstream.go
+++ b/internal/discovery/eventstream.go
@@ -7,7 +7,7 @@
 	maxLine int // bytes of a line, and of an event's data
 	receive func(id, data []byte) error
 	partial []byte // start of a line whose end has not come
-	id      []byte // of the latest event
+	eventID []byte // of the latest event
 	data    []byte
 	hasData bool // the event has data
 	started bool // an event has begun that is not complete yet
@@ -53,7 +53,7 @@
 	value = bytes.TrimPrefix(value, []byte(" "))
 	switch string(name) {
 	case "id":
-		s.id = append(s.id[:0], value...)
+		s.eventID = append(s.eventID[:0], value...)
 	case "data":
 		return s.addData(value)
 	}
@@ -62,7 +62,7 @@
 
 // endEvent hands the event on, if it has data.
 func (s *eventStream) endEvent() error {
-	id, data, hasData := s.id, s.data, s.hasData
+	id, data, hasData := s.eventID, s.data, s.hasData
 	s.data, s.hasData, s.started = reusable(s.data), false, false
 	if !hasData {
 		return nil
--- a/internal/discovery/response.go
+++ b/internal/discovery/response.go
@@ -20,10 +20,10 @@
 // response reads an HTTP/1.1 response whose body is an event stream, in chunks or up to the end of the connection. It
 // is fed what comes in, cut anywhere.
 type response struct {
-	maxLine   int // bytes of the header, and of a line of the body
-	state     responseState
-	chunkLeft int // bytes left of this chunk, with its line end; 0: a chunk size follows
-	events    eventStream
+	maxLine        int // bytes of the header, and of a line of the body
+	state          responseState
+	chunkRemaining int // bytes left of this chunk, with its line end; 0: a chunk size follows
+	events         eventStream
 }
 
 type responseState uint8
@@ -111,14 +111,14 @@
 // readChunkPart reads a chunk's size, or what has come of its data, and returns how many bytes that was; 0 where the
 // size is not complete yet.
 func (r *response) readChunkPart(buf []byte) (int, error) {
-	if r.chunkLeft == 0 {
+	if r.chunkRemaining == 0 {
 		return r.readChunkSize(buf)
 	}
-	n := min(len(buf), r.chunkLeft)
-	r.chunkLeft -= n
+	n := min(len(buf), r.chunkRemaining)
+	r.chunkRemaining -= n
 	data := buf[:n]
-	if r.chunkLeft < len(crlf) { // the last bytes are the chunk's line end
-		data = data[:max(n-(len(crlf)-r.chunkLeft), 0)]
+	if r.chunkRemaining < len(crlf) { // the last bytes are the chunk's line end
+		data = data[:max(n-(len(crlf)-r.chunkRemaining), 0)]
 	}
 	return n, r.events.feed(data)
 }
@@ -136,6 +136,6 @@
 	if err != nil || size == 0 { // 0 ends the response: the service must be called again
 		return 0, errMalformedResponse
 	}
-	r.chunkLeft = int(size) + len(crlf)
+	r.chunkRemaining = int(size) + len(crlf)
 	return end + 1, nil
 }
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -213,7 +213,7 @@
 	switch decision {
 	case dropDuplicate:
 		return nil
-	case requestAgain:
+	case refetchEvent:
 		return &missingEventError{position: e.position, last: last, cause: parseErr}
 	case skipUnreadable:
 		log.Error("discovery event skipped", logging.KeyPosition, e.position, logging.KeyError, parseErr)
--- a/internal/rpc/decoder.go
+++ b/internal/rpc/decoder.go
@@ -78,8 +78,8 @@
 	return 0, ErrMalformed
 }
 
-// id reads the id of a message.
-func (d *decoder) id() (uint64, error) {
+// messageID reads the id of a message.
+func (d *decoder) messageID() (uint64, error) {
 	id, err := d.uint()
 	if err == nil && id > math.MaxUint32 {
 		err = ErrMalformed
@@ -94,13 +94,13 @@
 func (d *decoder) mapLength() (int, error) { return d.collectionLength(formatMap, headMap16) }
 
 // collectionLength reads the head of an array or a map. The form with a length of 32 bits follows the one with 16 bits.
-func (d *decoder) collectionLength(want format, form16 byte) (int, error) {
+func (d *decoder) collectionLength(expected format, form16 byte) (int, error) {
 	head, err := d.peek()
 	if err != nil {
 		return 0, err
 	}
 	d.offset++
-	if formats[head] != want {
+	if formats[head] != expected {
 		return 0, ErrMalformed
 	}
 	if head >= form16 {
--- a/internal/rpc/golden_test.go
+++ b/internal/rpc/golden_test.go
@@ -8,24 +8,46 @@
 	"hillknot/internal/testutil/golden"
 )
 
-// Clients of any age speak this with routers of any release. The files of testdata/golden were written at commit 86ccf0f.
+// Clients of any age exchange these messages with routers of any release. The files of testdata/golden were written at
+// commit 86ccf0f.
 //
-// What reaches the bytes: no name of a type or field, but the texts of Fields.slot, AppendRequest and AppendThrottledResponse ("txn", "limit",
-// "item", "nth", "batch", "got", "second", "unique", "resumes", "account", "reason", "ok304", "later"), the methods "cancel" and
-// "health", the error words of the constants Throttled, BadRequest and NoSuchMethod, and the numbers of Call, Answer and Notice.
-// The word "Failed" and the classes' names come from the callers; the name of a class is a call's method.
+// No name of a type or field of Go reaches the bytes. What does: the names of fields in message.go ("txn", "limit",
+// "item", "nth", "batch", "got", "second", "unique", "resumes", "account", "reason", "ok304", "later"), the methods
+// "cancel" and "health", the error codes CodeThrottled, CodeBadRequest and CodeNoSuchMethod, and the numbers of the
+// kinds of messages. The code "Failed" and the names of classes come from the callers; the name of a class is a
+// request's method.
 
-var goldenRequest = Request{Method: "order", Txn: 0x00000000000000a1, TimeoutMillis: 1500, Retry: true, Item: 0xfedcba9876543210, Nth: 1 << 63, Batch: 200,
-	Account: "acme", ResumedTxn: 0x00000000000000a0, CachedTag: "v7", Body: []byte("two seats")}
+var goldenRequest = Request{
+	Method:        "order",
+	Txn:           0x00000000000000a1,
+	TimeoutMillis: 1500,
+	Retry:         true,
+	Item:          0xfedcba9876543210,
+	Nth:           1 << 63,
+	Batch:         200,
+	Account:       "acme",
+	ResumedTxn:    0x00000000000000a0,
+	CachedTag:     "v7",
+	Body:          []byte("two seats"),
+}
 
 // goldenFields are those of goldenRequest, as a router reads them.
 func goldenFields() Fields {
-	return Fields{Txn: []byte("00000000000000a1"), Timeout: []byte("1500"), Item: []byte("fedcba9876543210"), Nth: []byte("9223372036854775808"),
-		Batch: []byte("200"), Retry: []byte("1"), Account: []byte("acme"), ResumedTxn: []byte("00000000000000a0"), CachedTag: []byte("v7")}
+	return Fields{
+		Txn:        []byte("00000000000000a1"),
+		Timeout:    []byte("1500"),
+		Item:       []byte("fedcba9876543210"),
+		Nth:        []byte("9223372036854775808"),
+		Batch:      []byte("200"),
+		Retry:      []byte("1"),
+		Account:    []byte("acme"),
+		ResumedTxn: []byte("00000000000000a0"),
+		CachedTag:  []byte("v7"),
+	}
 }
 
 // What a client sends, the claim of an order whose router was lost among it.
-func TestGoldenCalls(t *testing.T) {
+func TestGoldenRequests(t *testing.T) {
 	golden.Nonzero(t, goldenRequest)
 	plain := goldenRequest
 	plain.Retry, plain.Account, plain.ResumedTxn, plain.CachedTag, plain.Body = false, "", 0, "", nil
@@ -64,20 +86,28 @@
 		text []byte
 		want Message
 	}{
-		"cancel.hex": {AppendCancel(nil, 70000), Message{Kind: KindNotification, Method: []byte("cancel"), ParamCount: 1, IDs: []uint64{70000}}},
-		"health.hex": {AppendHealthRequest(nil, 9), Message{Kind: KindRequest, ID: 9, Method: []byte("health"), ParamCount: 1}},
+		"cancel.hex": {
+			AppendCancel(nil, 70000),
+			Message{Kind: KindNotification, Method: []byte("cancel"), ParamCount: 1, IDs: []uint64{70000}},
+		},
+		"health.hex": {
+			AppendHealthRequest(nil, 9),
+			Message{Kind: KindRequest, ID: 9, Method: []byte("health"), ParamCount: 1},
+		},
 	} {
 		golden.Same(t, name, c.text)
-		if m, progress, err := ParseMessage(golden.Read(t, name), 1<<16); err != nil || progress.Consumed != len(c.text) || !reflect.DeepEqual(m, c.want) {
+		m, progress, err := ParseMessage(golden.Read(t, name), 1<<16)
+		if err != nil || progress.Consumed != len(c.text) || !reflect.DeepEqual(m, c.want) {
 			t.Errorf("%s: read as %+v, %d bytes, %v; want %+v", name, m, progress.Consumed, err, c.want)
 		}
 	}
 }
 
 // What only other clients send: all fields there are, one that nobody knows, texts as bytes, and numbers in long forms.
-func TestGoldenForeignCall(t *testing.T) {
+func TestGoldenForeignRequest(t *testing.T) {
 	var f Fields
-	for i, name := range []string{"txn", "limit", "item", "nth", "batch", "got", "second", "unique", "resumes", "account", "ok304", "later", "reason"} {
+	names := []string{"txn", "limit", "item", "nth", "batch", "got", "second", "unique", "resumes", "account", "ok304", "later", "reason"}
+	for i, name := range names {
 		slot := f.slot([]byte(name))
 		if slot == nil {
 			t.Fatalf("no field %q", name)
@@ -93,28 +123,67 @@
 	}
 }
 
-// What a router answers.
-func TestGoldenAnswers(t *testing.T) {
+// What a router responds.
+func TestGoldenResponses(t *testing.T) {
 	long := []byte(strings.Repeat("a page ", 50))
 	for name, c := range map[string]struct {
-		text []byte
-		want ResponseHeader // without its body
-		body string
-		tail Fields
+		text    []byte
+		want    ResponseHeader // without its body
+		body    string
+		trailer Fields
 	}{
-		"served.hex":        {AppendBodyResponse(nil, 7, []byte("a page")), ResponseHeader{ID: 7, Kind: ResponseBody, BodySize: 6}, "a page", Fields{}},
-		"served-long.hex":   {AppendBodyResponse(nil, 300, long), ResponseHeader{ID: 300, Kind: ResponseBody, BodySize: len(long)}, string(long), Fields{}},
-		"served-has.hex":    {AppendBodyResponse(nil, 200, nil, Field{"ok304", "1"}), ResponseHeader{ID: 200, Kind: ResponseBody}, "", Fields{NotModified: []byte("1")}},
-		"failed.hex":        {AppendErrorResponse(nil, 70000, "Failed"), ResponseHeader{ID: 70000, Kind: ResponseError, Code: []byte("Failed")}, "", Fields{}},
-		"bad-request.hex":   {AppendErrorResponse(nil, 7, CodeBadRequest), ResponseHeader{ID: 7, Kind: ResponseError, Code: []byte("BadRequest")}, "", Fields{}},
-		"no-method.hex":     {AppendErrorResponse(nil, 7, CodeNoSuchMethod), ResponseHeader{ID: 7, Kind: ResponseError, Code: []byte("NoSuchMethod")}, "", Fields{}},
-		"error-field.hex":   {AppendErrorResponse(nil, 7, CodeThrottled, Field{"later", "250"}), ResponseHeader{ID: 7, Kind: ResponseError, Code: []byte("Throttled"), Fields: Fields{RetryAfter: []byte("250")}}, "", Fields{}},
-		"refused.hex":       {AppendThrottledResponse(nil, 7, 0, ""), ResponseHeader{ID: 7, Kind: ResponseError, Code: []byte("Throttled")}, "", Fields{}},
-		"refused-later.hex": {AppendThrottledResponse(nil, 7, 250, ""), ResponseHeader{ID: 7, Kind: ResponseError, Code: []byte("Throttled"), Fields: Fields{RetryAfter: []byte("250")}}, "", Fields{}},
-		"refused-why.hex": {AppendThrottledResponse(nil, 7, 1000, "funds-out"),
-			ResponseHeader{ID: 7, Kind: ResponseError, Code: []byte("Throttled"), Fields: Fields{RetryAfter: []byte("1000"), Reason: []byte("funds-out")}}, "", Fields{}},
-		"well.hex":      {AppendHealthResponse(nil, 9, true), ResponseHeader{ID: 9, Kind: ResponseHealth, Ready: true}, "", Fields{}},
-		"not-ready.hex": {AppendHealthResponse(nil, 9, false), ResponseHeader{ID: 9, Kind: ResponseHealth}, "", Fields{}},
+		"served.hex": {
+			text: AppendBodyResponse(nil, 7, []byte("a page")),
+			want: ResponseHeader{ID: 7, Kind: ResponseBody, BodySize: 6},
+			body: "a page",
+		},
+		"served-long.hex": {
+			text: AppendBodyResponse(nil, 300, long),
+			want: ResponseHeader{ID: 300, Kind: ResponseBody, BodySize: len(long)},
+			body: string(long),
+		},
+		"served-has.hex": {
+			text:    AppendBodyResponse(nil, 200, nil, Field{"ok304", "1"}),
+			want:    ResponseHeader{ID: 200, Kind: ResponseBody},
+			trailer: Fields{NotModified: []byte("1")},
+		},
+		"failed.hex": {
+			text: AppendErrorResponse(nil, 70000, "Failed"),
+			want: ResponseHeader{ID: 70000, Kind: ResponseError, Code: []byte("Failed")},
+		},
+		"bad-request.hex": {
+			text: AppendErrorResponse(nil, 7, CodeBadRequest),
+			want: ResponseHeader{ID: 7, Kind: ResponseError, Code: []byte("BadRequest")},
+		},
+		"no-method.hex": {
+			text: AppendErrorResponse(nil, 7, CodeNoSuchMethod),
+			want: ResponseHeader{ID: 7, Kind: ResponseError, Code: []byte("NoSuchMethod")},
+		},
+		"error-field.hex": {
+			text: AppendErrorResponse(nil, 7, CodeThrottled, Field{"later", "250"}),
+			want: ResponseHeader{ID: 7, Kind: ResponseError, Code: []byte("Throttled"), Fields: Fields{RetryAfter: []byte("250")}},
+		},
+		"refused.hex": {
+			text: AppendThrottledResponse(nil, 7, 0, ""),
+			want: ResponseHeader{ID: 7, Kind: ResponseError, Code: []byte("Throttled")},
+		},
+		"refused-later.hex": {
+			text: AppendThrottledResponse(nil, 7, 250, ""),
+			want: ResponseHeader{ID: 7, Kind: ResponseError, Code: []byte("Throttled"), Fields: Fields{RetryAfter: []byte("250")}},
+		},
+		"refused-why.hex": {
+			text: AppendThrottledResponse(nil, 7, 1000, "funds-out"),
+			want: ResponseHeader{ID: 7, Kind: ResponseError, Code: []byte("Throttled"),
+				Fields: Fields{RetryAfter: []byte("1000"), Reason: []byte("funds-out")}},
+		},
+		"well.hex": {
+			text: AppendHealthResponse(nil, 9, true),
+			want: ResponseHeader{ID: 9, Kind: ResponseHealth, Ready: true},
+		},
+		"not-ready.hex": {
+			text: AppendHealthResponse(nil, 9, false),
+			want: ResponseHeader{ID: 9, Kind: ResponseHealth},
+		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			golden.Same(t, name, c.text)
@@ -126,8 +195,8 @@
 			}
 			if n += header.BodySize; c.want.Kind == ResponseBody {
 				trailer, tail, err := ParseResponseTrailer(text[n:], 1<<10)
-				if n += tail.Consumed; err != nil || !reflect.DeepEqual(trailer, c.tail) {
-					t.Errorf("tail %+v, %v; want %+v", trailer, err, c.tail)
+				if n += tail.Consumed; err != nil || !reflect.DeepEqual(trailer, c.trailer) {
+					t.Errorf("trailer %+v, %v; want %+v", trailer, err, c.trailer)
 				}
 			}
 			if n != len(text) {
--- a/internal/rpc/parse.go
+++ b/internal/rpc/parse.go
@@ -48,20 +48,25 @@
 	notificationElements = 3
 )
 
+// messageHead reads how many elements a message has, and the first of them, its kind.
+func (d *decoder) messageHead() (elements int, kind MessageKind, err error) {
+	if elements, err = d.arrayLength(); err != nil {
+		return 0, 0, err
+	}
+	number, err := d.uint()
+	return elements, MessageKind(number), err
+}
+
 // message reads a request or a notification.
 func (d *decoder) message(m *Message) error {
-	elements, err := d.arrayLength()
+	elements, kind, err := d.messageHead()
 	if err != nil {
 		return err
 	}
-	kind, err := d.uint()
-	if err != nil {
-		return err
-	}
-	m.Kind = MessageKind(kind)
+	m.Kind = kind
 	switch {
 	case m.Kind == KindRequest && elements == requestElements:
-		if m.ID, err = d.id(); err != nil {
+		if m.ID, err = d.messageID(); err != nil {
 			return err
 		}
 	case m.Kind == KindNotification && elements == notificationElements:
@@ -134,18 +139,14 @@
 
 // responseHeader reads [kind, id, error, result], the result up to the bytes of the body.
 func (d *decoder) responseHeader(h *ResponseHeader) error {
-	elements, err := d.arrayLength()
-	if err != nil {
-		return err
-	}
-	kind, err := d.uint()
+	elements, kind, err := d.messageHead()
 	if err != nil {
 		return err
 	}
-	if MessageKind(kind) != KindResponse || elements != responseElements {
+	if kind != KindResponse || elements != responseElements {
 		return ErrMalformed
 	}
-	if h.ID, err = d.id(); err != nil {
+	if h.ID, err = d.messageID(); err != nil {
 		return err
 	}
 	head, err := d.peek()
--- a/internal/upstream/client.go
+++ b/internal/upstream/client.go
@@ -60,7 +60,7 @@
 		return
 	}
 	c := p.pick(a)
-	mayDial := cl.makeRoom(p, a, c)
+	mayDial := cl.ensureCapacity(p, a, c)
 	switch {
 	case mayDial && (c == nil || len(c.inFlight) > 0):
 		p.waiting = append(p.waiting, a)
@@ -89,9 +89,9 @@
 	cl.core.CompleteAttempt(a, core.AttemptResult{Status: status})
 }
 
-// makeRoom returns whether a connection for an attempt may be dialed. Where there is none that the attempt could go out
-// on (picked is nil), the one that has been idle for longest, to any endpoint, is closed for it if need be.
-func (cl *Client) makeRoom(p *pool, a *core.Attempt, picked *connection) bool {
+// ensureCapacity returns whether a connection for an attempt may be dialed. Where there is none that the attempt could
+// go out on (picked is nil), the one that has been idle for longest, to any endpoint, is closed for it if need be.
+func (cl *Client) ensureCapacity(p *pool, a *core.Attempt, picked *connection) bool {
 	if p.usable()+p.dialing >= cl.limits.ConnsPerEndpoint && (picked != nil || !p.hasConfusable(a)) {
 		return false
 	}
--- a/internal/upstream/decode.go
+++ b/internal/upstream/decode.go
@@ -24,7 +24,7 @@
 
 // response is one response. Its slices are of the buffer that it was read from.
 type response struct {
-	txn, word, fields, body []byte
+	txn, status, fields, body []byte
 }
 
 // progress is how far the parser came: it consumed a complete response, or needs the buffer to hold so many bytes, if
@@ -59,8 +59,8 @@
 	return r, progress{consumed: length}, nil
 }
 
-// parseLine reads the first line of a response, "txn word fields size" with one space between, and returns the size of
-// the body beside it.
+// parseLine reads the first line of a response, "txn status fields size" with one space between, and returns the size
+// of the body beside it.
 func parseLine(line []byte) (response, int, error) {
 	line, ok := bytes.CutSuffix(line, []byte("\r"))
 	if !ok {
@@ -79,7 +79,7 @@
 	if err != nil {
 		return response{}, 0, errMalformedResponse
 	}
-	return response{txn: words[0], word: words[1], fields: words[2]}, int(size), nil
+	return response{txn: words[0], status: words[1], fields: words[2]}, int(size), nil
 }
 
 // field returns the value of a field, or nil.
@@ -94,17 +94,18 @@
 	return nil
 }
 
-// wordNotModified is the word of a response that confirms the copy which the client has.
-const wordNotModified = "KEEP"
+// statusNotModified is the status of a response that confirms the copy which the client has.
+const statusNotModified = "KEEP"
 
-// statuses are the results of attempts, by the word of the response. Each word has exactly one meaning in the module.
+// statuses are the results of attempts, by the status of the response. Each status has exactly one meaning in the
+// module.
 var statuses = map[string]balancer.Status{
-	"DONE":          balancer.OK,
-	wordNotModified: balancer.OK,
-	"LACK":          balancer.Miss,
-	"WAIT":          balancer.Rejected,
-	"BROKE":         balancer.Error,
-	"PAST":          balancer.NotSent,
+	"DONE":            balancer.OK,
+	statusNotModified: balancer.OK,
+	"LACK":            balancer.Miss,
+	"WAIT":            balancer.Rejected,
+	"BROKE":           balancer.Error,
+	"PAST":            balancer.NotSent,
 }
 
 // details tell how the endpoint came to its response, by the word of the field "res".
@@ -123,7 +124,7 @@
 
 // result turns a response into the result of an attempt. The body is copied: it outlives the read buffer.
 func (r *response) result() (core.AttemptResult, error) {
-	status, ok := statuses[string(r.word)]
+	status, ok := statuses[string(r.status)]
 	if !ok {
 		return core.AttemptResult{}, errMalformedResponse
 	}
@@ -131,7 +132,7 @@
 		Status:      status,
 		Detail:      details[string(r.field("res"))],
 		SourceWait:  r.sourceWait(),
-		NotModified: string(r.word) == wordNotModified,
+		NotModified: string(r.status) == statusNotModified,
 	}
 	switch {
 	case result.NotModified:
--- a/internal/upstream/decode_test.go
+++ b/internal/upstream/decode_test.go
@@ -16,7 +16,7 @@
 	word := rapid.StringMatching(`[a-zA-Z0-9=,._-]{1,12}`)
 	parsertest.Run(t, func(t *rapid.T) []byte {
 		body := rapid.SliceOfN(rapid.Byte(), 0, 300).Draw(t, "body")
-		return fmt.Appendf(nil, "%s %s %s %d\r\n%s\r\n", word.Draw(t, "id"), word.Draw(t, "word"), word.Draw(t, "fields"),
+		return fmt.Appendf(nil, "%s %s %s %d\r\n%s\r\n", word.Draw(t, "id"), word.Draw(t, "status"), word.Draw(t, "fields"),
 			len(body), body)
 	}, func(buf []byte) (int, int, error) {
 		_, progress, err := parseResponse(buf, 100, 300)
@@ -30,7 +30,7 @@
 	}
 }
 
-// Each word has one meaning; one that is not known makes the response malformed.
+// Each status has one meaning; one that is not known makes the response malformed.
 func TestResult(t *testing.T) {
 	for text, want := range map[string]core.AttemptResult{
 		"a DONE res=past_fresh,took=1.5,version=x 2\r\nhi\r\n": {Status: balancer.OK, Detail: balancer.Stale,
@@ -49,8 +49,8 @@
 			t.Errorf("%q: %+v, %v; want %+v", text, e, err, want)
 		}
 	}
-	unknown := response{word: []byte("FIT")}
+	unknown := response{status: []byte("FIT")}
 	if _, err := unknown.result(); err == nil {
-		t.Error("an unknown word was accepted")
+		t.Error("an unknown status was accepted")
 	}
 }
--- a/internal/upstream/golden_test.go
+++ b/internal/upstream/golden_test.go
@@ -13,9 +13,9 @@
 // Page caches are the operators', and their form does not change with this code. The files of testdata/golden were
 // written at commit 86ccf0f.
 //
-// What reaches the bytes: no name of a type or field, but the texts of appendRequest and appendCancel and the words of
+// What reaches the bytes: no name of a type or field, but the texts of appendRequest and appendCancel and the keys of
 // statuses, details, response.result and response.sourceWait.
-func TestGoldenAsks(t *testing.T) {
+func TestGoldenRequests(t *testing.T) {
 	a := &core.Attempt{
 		Request: &core.Request{
 			Txn: "00000000000000a1", Class: "order", ObjectText: "0a", PartText: "3", ETag: "v7", IdempotencyKey: "k1",
@@ -30,8 +30,8 @@
 	golden.Same(t, "quit.hex", appendCancel(nil, "00000000000000a1"))
 }
 
-// All words and notes of answers, one after the other in one file.
-func TestGoldenAnswers(t *testing.T) {
+// All statuses and details of responses, one after the other in one file.
+func TestGoldenResponses(t *testing.T) {
 	want := []core.AttemptResult{
 		{Status: balancer.OK, Detail: balancer.Hit, SourceWait: 1500 * time.Microsecond, Body: []byte("hi")},
 		{Status: balancer.OK, Detail: balancer.Filled, NotModified: true, ETag: "v7"},
@@ -57,6 +57,6 @@
 		rest = rest[n:]
 	}
 	if len(want) > 0 {
-		t.Errorf("no answer for %+v", want)
+		t.Errorf("no response for %+v", want)
 	}
 }
