--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -117,7 +117,7 @@
 	if err != nil {
 		return nil, err
 	}
-	o := jsonfields.Of(v)
+	o := jsonfields.FromValue(v)
 	var doc *document
 	switch {
 	case len(operator) == 0:
@@ -132,11 +132,11 @@
 			return nil, fmt.Errorf("operator's file: %w", err)
 		}
 		doc.root.GetObject().Visit(func(key []byte, value *fastjson.Value) { v.Set(string(key), value) })
-		o.Locate(doc.place)
+		o.TrackLocations(doc.place)
 	}
-	o.Must("listen", "journal", "settings")
+	o.Require("listen", "journal", "settings")
 	c := &Config{
-		Name: o.Text("name", "hillknot"), Listen: address(o, "listen"), DiscoveryAddr: address(o, "journal"),
+		Name: o.String("name", "hillknot"), Listen: address(o, "listen"), DiscoveryAddr: address(o, "journal"),
 		KnownEvents: o.Object("known"), Settings: settings.Read(o.Object("settings")),
 		Limits: limits(o),
 		DNS:    readDNS(o), AgentCheckAddr: address(o.Object("agent_check"), "listen"), AdminAddr: address(o, "ops"),
@@ -175,7 +175,7 @@
 // would not show in one router: all of them together would ask too much of page caches and links, or too little.
 func checkFleet(set jsonfields.Object, c *Config) {
 	spec, s, name := set.Object("specifics"), c.Settings, "instancesByZone"
-	spec.Must(name)
+	spec.Require(name)
 	own := slices.Index(s.Topology.Zones, s.Topology.Zone)
 	switch {
 	case own < 0 || !spec.Has(name): // told already
@@ -210,7 +210,7 @@
 
 // address reads an address with its port. It must be of this machine: the platform's addresses are.
 func address(o jsonfields.Object, name string) string {
-	s := o.Text(name, "")
+	s := o.String(name, "")
 	if !o.Has(name) {
 		return s
 	}
@@ -226,11 +226,11 @@
 		return DNS{}
 	}
 	d := o.Object("dns")
-	d.Must("listen", "names")
+	d.Require("listen", "names")
 	c := DNS{
-		Listen: address(d, "listen"), TTL: d.Span("ttl_s", time.Second, 5*time.Second), TTLOverstay: d.Number("overstay", 2),
+		Listen: address(d, "listen"), TTL: d.Duration("ttl_s", time.Second, 5*time.Second), TTLOverstay: d.Number("overstay", 2),
 		ResolverLoad: d.Number("resolver_load", 0.05), MaxAnswers: d.Count("answers", 2, 1),
-		Timeout: d.Span("deadline_ms", time.Millisecond, time.Second),
+		Timeout: d.Duration("deadline_ms", time.Millisecond, time.Second),
 	}
 	if c.TTL < time.Second || c.TTL > time.Hour {
 		d.Fail("ttl_s", "is out of range (1 to 3600)")
@@ -247,7 +247,7 @@
 	if c.MaxAnswers > 16 {
 		d.Fail("answers", "is over 16")
 	}
-	for _, n := range d.Texts("names") {
+	for _, n := range d.Strings("names") {
 		n = strings.ToLower(strings.TrimSuffix(n, "."))
 		if !hostName(n) {
 			d.Fail("names", fmt.Sprintf("holds %q, which is no host name", n))
@@ -291,8 +291,8 @@
 
 		ResponseLineBytes:   1 << 10,
 		ObjectBytes:         240_000,
-		ConnectTimeout:      allowed.Span("connectTimeoutUs", time.Microsecond, 400*ms),
-		UpstreamIdleTimeout: allowed.Span("keepaliveUs", time.Microsecond, 30*time.Second) / 2,
+		ConnectTimeout:      allowed.Duration("connectTimeoutUs", time.Microsecond, 400*ms),
+		UpstreamIdleTimeout: allowed.Duration("keepaliveUs", time.Microsecond, 30*time.Second) / 2,
 
 		UpstreamSilence: time.Second,
 
--- a/internal/config/fleet.go
+++ b/internal/config/fleet.go
@@ -57,14 +57,14 @@
 		return Cluster{}
 	}
 	b := o.Object("fleet")
-	b.Must("listen", "key_file", "size")
+	b.Require("listen", "key_file", "size")
 	f := Cluster{Enabled: true, State: state.Defaults(name, 0, b.Count("size", 1, 1))}
-	f.State.Guest = b.Flag("guest")
-	f.State.Lease = b.Span("lease_ms", time.Millisecond, f.State.Lease)
-	f.State.Verdict = b.Span("verdict_ms", time.Millisecond, f.State.Verdict)
+	f.State.Guest = b.Bool("guest")
+	f.State.Lease = b.Duration("lease_ms", time.Millisecond, f.State.Lease)
+	f.State.Verdict = b.Duration("verdict_ms", time.Millisecond, f.State.Verdict)
 	f.State.Quorum = b.Count("quorum", 0, 0)
 	f.WarmUp, f.Retries = readTerms(b, "cold", f.State.Size), readTerms(b, "retries", f.State.Size)
-	f.KeyFile, f.Peers = b.Text("key_file", ""), b.Texts("peers")
+	f.KeyFile, f.Peers = b.String("key_file", ""), b.Strings("peers")
 	f.Listen, _ = netip.ParseAddrPort(address(b, "listen")) // told by address
 	f.Advertise = f.Listen
 	if b.Has("advertise") {
@@ -78,14 +78,14 @@
 			b.Fail("peers", fmt.Sprintf("holds %q, which is no address with a port", p))
 		}
 	}
-	if f.Location = b.Text("place", ""); len(f.Location) > 64 {
+	if f.Location = b.String("place", ""); len(f.Location) > 64 {
 		b.Fail("place", "is over 64 bytes")
 	}
 	f.Failover = readTakeover(b, f)
 	if f.Credit = readCredit(b, classes); f.Credit.Enabled {
-		b.Must("ledger")
+		b.Require("ledger")
 	}
-	f.LedgerFile = b.Text("ledger", "")
+	f.LedgerFile = b.String("ledger", "")
 	if err := f.State.Check(); err != nil {
 		key := "size"
 		switch {
@@ -113,11 +113,11 @@
 	}
 	o := b.Object("takeover")
 	const ms = time.Millisecond
-	t := Failover{Enabled: true, Strict: true, LeaseDuration: o.Span("lease_ms", ms, 300*ms), ReplicaTimeout: o.Span("wait_ms", ms, 250*ms),
-		ClaimTimeout: o.Span("claim_ms", ms, 250*ms), Retention: o.Span("keep_ms", ms, 10*time.Second), MaxRecords: o.Count("records", 4096, 16),
+	t := Failover{Enabled: true, Strict: true, LeaseDuration: o.Duration("lease_ms", ms, 300*ms), ReplicaTimeout: o.Duration("wait_ms", ms, 250*ms),
+		ClaimTimeout: o.Duration("claim_ms", ms, 250*ms), Retention: o.Duration("keep_ms", ms, 10*time.Second), MaxRecords: o.Count("records", 4096, 16),
 		MaxBodyBytes: o.Count("body_bytes", 4<<10, 0)}
 	if o.Has("strict") {
-		t.Strict = o.Flag("strict")
+		t.Strict = o.Bool("strict")
 	}
 	for _, c := range []struct {
 		key         string
@@ -152,10 +152,10 @@
 		return Credit{}
 	}
 	o := b.Object("credit")
-	o.Must("topups", "prices")
-	c := Credit{Enabled: true, TopUpFile: o.Text("topups", ""), PacingHorizon: o.Span("rest_s", time.Second, 30*time.Second),
-		DrawWindow: o.Span("chunk_ms", time.Millisecond, time.Second), Prices: map[string]Price{}}
-	switch unnamed := o.Text("unnamed", "refuse"); unnamed {
+	o.Require("topups", "prices")
+	c := Credit{Enabled: true, TopUpFile: o.String("topups", ""), PacingHorizon: o.Duration("rest_s", time.Second, 30*time.Second),
+		DrawWindow: o.Duration("chunk_ms", time.Millisecond, time.Second), Prices: map[string]Price{}}
+	switch unnamed := o.String("unnamed", "refuse"); unnamed {
 	case "free":
 		c.AllowUnnamed = true
 	case "refuse":
@@ -190,7 +190,7 @@
 		return state.Terms{}
 	}
 	o := b.Object(name)
-	o.Must("rate")
+	o.Require("rate")
 	t := state.Terms{Rate: o.Number("rate", 0)}
 	if t.Burst = o.Number("burst", max(t.Rate/4, 2*float64(size))); t.Burst < 2*float64(size) || t.Burst > 1e6 {
 		o.Fail("burst", fmt.Sprintf("is not from 2 for each of %d routers to a million", size))
--- a/internal/discovery/event.go
+++ b/internal/discovery/event.go
@@ -105,7 +105,7 @@
 }
 
 func readEndpointList(o jsonfields.Object) endpointList {
-	list := endpointList{complete: o.Flag("reset")}
+	list := endpointList{complete: o.Bool("reset")}
 	for _, instance := range o.Objects("instances") {
 		list.updates = append(list.updates, readEndpoint(instance))
 	}
@@ -113,14 +113,14 @@
 }
 
 func readPurge(o jsonfields.Object) purge {
-	o.Must("stamp")
-	p := purge{stamp: clock.Stamp(o.Span("stamp", time.Millisecond, 0))}
+	o.Require("stamp")
+	p := purge{stamp: clock.Stamp(o.Duration("stamp", time.Millisecond, 0))}
 	if !o.Has("name") {
-		o.Must("set")
+		o.Require("set")
 		p.scope, p.key = purgeGroup, uint64(o.Count("set", 0, 0))
 		return p
 	}
-	object, err := strconv.ParseUint(o.Text("name", ""), 16, 64)
+	object, err := strconv.ParseUint(o.String("name", ""), 16, 64)
 	if err != nil {
 		o.Fail("name", "is no object")
 	}
@@ -137,19 +137,19 @@
 
 // readEndpoint reads one instance of a list.
 func readEndpoint(o jsonfields.Object) core.EndpointUpdate {
-	o.Must("instanceId", "lifecycle")
-	state, ok := endpointStates[o.Text("lifecycle", "")]
+	o.Require("instanceId", "lifecycle")
+	state, ok := endpointStates[o.String("lifecycle", "")]
 	if !ok {
 		o.Fail("lifecycle", "is no state that is known")
 	}
 	return core.EndpointUpdate{
-		ID:         o.Text("instanceId", ""),
-		Addr:       o.Text("hostPort", ""),
-		Kind:       o.Text("machineType", ""),
-		Zone:       o.Text("zone", ""),
+		ID:         o.String("instanceId", ""),
+		Addr:       o.String("hostPort", ""),
+		Kind:       o.String("machineType", ""),
+		Zone:       o.String("zone", ""),
 		Cell:       int(o.Int("cell", 0)),
 		Weight:     o.Number("weight", 1),
 		State:      state,
-		StartStamp: clock.Stamp(o.Span("startedAtMs", time.Millisecond, 0)),
+		StartStamp: clock.Stamp(o.Duration("startedAtMs", time.Millisecond, 0)),
 	}
 }
--- a/internal/discovery/golden_test.go
+++ b/internal/discovery/golden_test.go
@@ -96,7 +96,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	evs, last, err := parseStart(jsonfields.Of(v))
+	evs, last, err := parseStart(jsonfields.FromValue(v))
 	if err != nil || last != 45 || !reflect.DeepEqual(evs, goldenEvents) {
 		t.Errorf("read %+v up to %d, %v; want %+v", evs, last, err, goldenEvents)
 	}
--- a/internal/discovery/helpers_test.go
+++ b/internal/discovery/helpers_test.go
@@ -33,7 +33,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return jsonfields.Of(v)
+	return jsonfields.FromValue(v)
 }
 
 // startWatcher runs a new watcher until the test ends. It must be called after the service is set up, so that it ends
--- a/internal/discovery/parse.go
+++ b/internal/discovery/parse.go
@@ -63,5 +63,5 @@
 	if err != nil {
 		return jsonfields.Object{}, err
 	}
-	return jsonfields.Of(v), nil
+	return jsonfields.FromValue(v), nil
 }
--- a/internal/discovery/parse_test.go
+++ b/internal/discovery/parse_test.go
@@ -48,7 +48,7 @@
 			t.Fatal("not parsed by instance")
 		}
 		got, err := p.parse(text)
-		want := readEvent(jsonfields.Of(fastjson.MustParseBytes(text)))
+		want := readEvent(jsonfields.FromValue(fastjson.MustParseBytes(text)))
 		if err != nil || !reflect.DeepEqual(got, want) {
 			t.Fatalf("seed %d: %v\n%.300s\nwant\n%.300s", seed, err, fmt.Sprint(got), fmt.Sprint(want))
 		}
@@ -74,7 +74,7 @@
 			}
 			continue
 		}
-		o := jsonfields.Of(v)
+		o := jsonfields.FromValue(v)
 		want := readEvent(o)
 		if (err == nil) != (o.Err() == nil) || err == nil && !reflect.DeepEqual(got, want) {
 			t.Fatalf("%v, at once: %v", err, o.Err())
--- a/internal/handover/state.go
+++ b/internal/handover/state.go
@@ -76,7 +76,7 @@
 	if err != nil {
 		return State{}, err
 	}
-	object := jsonfields.Of(v)
+	object := jsonfields.FromValue(v)
 	s := State{DiscoveryPosition: object.Int("pos", 0)}
 	s.Snapshot.LinkLimit = fraction(object.Int("linkRoom", 0))
 	s.Snapshot.PurgeFloor = time.Duration(object.Int("floor", 0))
@@ -86,7 +86,7 @@
 	s.Snapshot.Objects = decodeRows(object, "objects", objectColumns, objectOf)
 	for _, class := range object.Objects("classes") {
 		s.Snapshot.Classes = append(s.Snapshot.Classes,
-			balancer.ClassSnapshot{Name: class.Text("name", ""), ServiceTime: fraction(class.Int("work", 0))})
+			balancer.ClassSnapshot{Name: class.String("name", ""), ServiceTime: fraction(class.Int("work", 0))})
 	}
 	return s, object.Err()
 }
