--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -22,7 +22,7 @@
 
 var log = logging.For("discovery")
 
-// EventHandler receives the events, as core.Core does. The Watcher calls PostWatchEvent on its own goroutines, and all
+// EventHandler receives the events, as core.Core does. The Watcher calls PostWatchEvent from any goroutine, and all
 // other methods from the functions that it posts there.
 type EventHandler interface {
 	PostWatchEvent(f func())
@@ -120,9 +120,9 @@
 	return !caughtUp || c.conn.HasUnreadInput()
 }
 
-// Run watches until stop is closed, and returns after its connection is closed. It connects again at once where the
-// address has changed, after limits.JournalRetry where a connection brought something, and with a growing backoff
-// otherwise.
+// Run watches until stop is closed, and returns after its connection is closed. It may be called once. It connects
+// again at once where the address has changed, after limits.DiscoveryBackoffMin where a connection brought something,
+// and with a growing backoff otherwise.
 func (w *Watcher) Run(stop <-chan struct{}) {
 	retry := newBackoff(w.limits.DiscoveryBackoffMin, w.limits.DiscoveryBackoffMax)
 	for {
@@ -168,7 +168,7 @@
 	c.caughtUp = true
 }
 
-// errSilent says that the service has sent nothing for limits.JournalQuiet.
+// errSilent says that the service has sent nothing for limits.DiscoverySilence.
 var errSilent = errors.New("discovery service is silent")
 
 // watch reads events over one connection until that ends or falls silent, the address changes or stop is closed. It
@@ -208,9 +208,10 @@
 func (w *Watcher) receive(e event, parseErr error) error {
 	w.mu.Lock()
 	last := w.events.last
-	decision := w.events.decide(e.position, parseErr == nil)
+	fate := w.events.decide(e.position, parseErr == nil)
 	w.mu.Unlock()
-	switch decision {
+	switch fate {
+	case deliverEvent:
 	case dropDuplicate:
 		return nil
 	case refetchEvent:
--- a/internal/upstream/dial.go
+++ b/internal/upstream/dial.go
@@ -17,7 +17,8 @@
 type dialFunc func(address string, timeout time.Duration, limits config.ConnLimits, budget *netio.Budget,
 	newHandler func(*netio.Conn) netio.Handler) (*netio.Conn, error)
 
-// dial opens a connection. Its goroutine ends within limits.Connect, and hands the result to the core's goroutine.
+// dial opens a connection. Its goroutine ends within limits.ConnectTimeout, and hands the result to the core's
+// goroutine.
 func (cl *Client) dial(p *pool) {
 	p.dialing++
 	cl.connCount++
