--- a/internal/config/hcl.go
+++ b/internal/config/hcl.go
@@ -66,8 +66,8 @@
 	return nil
 }
 
-// place is where a key stands, or else the block that it should stand in; empty where the document has neither.
-func (d *document) place(key string) string {
+// location is where a key stands, or else the block that it should stand in; empty where the document has neither.
+func (d *document) location(key string) string {
 	for {
 		if r, ok := d.places[key]; ok {
 			return r.String()
@@ -80,9 +80,9 @@
 	}
 }
 
-// unknown marks the keys that nobody reads: what an operator set up must not be passed over. Those of the settings are
+// failUnreadKeys reports the keys that nobody reads: an operator's typing error must not pass unnoticed. Those of the settings are
 // the platform's, of which some are not used.
-func (d *document) unknown(o jsonfields.Object) {
+func (d *document) failUnreadKeys(o jsonfields.Object) {
 	for _, key := range slices.Sorted(maps.Keys(d.places)) {
 		parent := ""
 		if i := strings.LastIndexByte(key, '.'); i >= 0 {
--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -2,82 +2,100 @@
 
 import "time"
 
-// Limits are all sizes, counts and times that bound the router. They are filled once, at the start, and
-// handed down.
+// Limits are all sizes, counts and times that bound a router. They are set once, at the start, and handed down. Sizes are
+// in bytes where the name or the comment does not say otherwise.
 type Limits struct {
+	// The machine.
 	MemoryMB int // of the process
 	Sockets  int // descriptors of the process
 
-	ClientConns                      int           // clients' connections
-	OpenPerConn                      int           // open requests on one of them
-	OpenRequests                     int           // open requests in all
-	MessageBytes                     int           // bytes of a client's message
-	BodyBytes                        int           // bytes of its body
-	BadRequests                      int           // calls that can't be used, until their connection is closed
-	LongestDeadline                  time.Duration // a client's wait, at most
-	BufferedBytes                    int           // bytes of messages that are not whole yet or wait for a slow peer, all together
-	AnswerMargin                     time.Duration
-	AttemptGrace                     time.Duration // a page cache is told a wait longer by this, so that our own word ends an attempt, but never longer than the client waits
-	FinishMargin                     time.Duration // a router that ends has answered what is open so long before its time is over
-	ConnsPerEndpoint                 int           // connections to one page cache
-	UpstreamConns                    int           // connections to all of them
-	ResponseLineBytes                int           // bytes of the line that starts a page cache's answer
-	ObjectBytes                      int           // bytes of an object
-	ConnectTimeout                   time.Duration
-	UpstreamIdleTimeout              time.Duration // after this an unused connection to a page cache is closed
-	UpstreamSilence                  time.Duration // one that owes answers and brings none for so long takes nothing new
-	DiscoveryLineBytes               int           // bytes of a line of the journal
-	DiscoverySilence                 time.Duration // a journal that says nothing for so long is dead
-	DiscoveryReadInterval            time.Duration // between two reads, where much comes
-	DiscoveryBackoffMin              time.Duration // between two calls, at first
-	DiscoveryBackoffMax              time.Duration // and where nothing comes of them
-	OpenQueries                      int           // DNS queries open at a time
-	DNSConns                         int           // connections of resolvers over TCP
-	AgentCheckConns                  int           // connections of agent checks
-	AdminConns                       int           // connections of operators
-	AdminHeaderBytes, AdminBodyBytes int           // bytes of the head of an operator's call, and of its body
-	LoopInterval                     time.Duration // the loop turns at least this often
-	LoopSlack                        time.Duration // a turn that comes later than this after a beat was due says that the process stood still
-	BacklogPollInterval              time.Duration // it then looks this often whether all sockets are read
-	BacklogWait                      time.Duration // and waits no longer than this
-	OrderReleaseDelay                time.Duration // how long a refused order waits until no other router can run it
-	ShutdownGrace                    time.Duration // how long a router that is to end still takes requests
-	ShutdownTimeout                  time.Duration // and how long it has in all to answer what is open
-	ShutdownFlush                    time.Duration // after that, to write the last answers and end its connections
+	// Clients.
+	ClientConns     int
+	OpenPerConn     int           // open requests on one connection
+	OpenRequests    int           // open requests in all
+	MessageBytes    int           // of a client's message
+	BodyBytes       int           // of a request's body
+	BadRequests     int           // requests that can't be used, until their connection is closed
+	BufferedBytes   int           // of messages that are incomplete or wait for a slow peer, over all connections
+	LongestDeadline time.Duration // of all classes
+	AnswerMargin    time.Duration // a final answer is sent so long before the client gives up
 
-	// A router that leaves its clients does so in stages, each so long after the start.
-	DrainCloseAfterResponse time.Duration // connections close behind an answer; the front has stopped sending by then
-	DrainCloseIdle          time.Duration // those that idle for LeavePause close
+	// Attempts and connections to endpoints.
+	AttemptGrace        time.Duration // an endpoint is told a longer time-out by this, so that a cancellation ends the attempt; never longer than the client waits
+	ConnsPerEndpoint    int
+	UpstreamConns       int // to all endpoints
+	ResponseLineBytes   int // of the first line of a response
+	ObjectBytes         int // of an object
+	ConnectTimeout      time.Duration
+	UpstreamIdleTimeout time.Duration // an unused connection is closed after it
+	UpstreamSilence     time.Duration // a connection that owes responses and brings none for so long gets no new request
+
+	// Discovery.
+	DiscoveryLineBytes    int           // of one line
+	DiscoverySilence      time.Duration // a watch that brings nothing for so long is broken
+	DiscoveryReadInterval time.Duration // between two reads, where much is to be read
+	DiscoveryBackoffMin   time.Duration // between two connects, at first
+	DiscoveryBackoffMax   time.Duration // between two connects, after many have failed
+
+	// Front ends that are off on the platform.
+	OpenQueries      int // DNS queries without an answer
+	DNSConns         int // of resolvers over TCP
+	AgentCheckConns  int
+	AdminConns       int
+	AdminHeaderBytes int
+	AdminBodyBytes   int
+
+	// The core's loop.
+	LoopInterval        time.Duration // an iteration begins at least so often
+	LoopSlack           time.Duration // one that is later than the interval by more shows that the process was stopped
+	BacklogPollInterval time.Duration // after a stop, how often the loop looks whether all sockets are read
+	BacklogWait         time.Duration // and how long it waits for that, at most
+	OrderReleaseDelay   time.Duration // how long a rejected order waits until no other router can run it
+
+	// Shutdown, in spans from SIGTERM on.
+	ShutdownGrace   time.Duration // requests are still taken
+	ShutdownTimeout time.Duration // until all is answered
+	ShutdownFlush   time.Duration // after ShutdownTimeout, to write the last answers and close the connections
+	FinishMargin    time.Duration // open requests are answered so long before ShutdownTimeout
+
+	// Draining of clients, in spans from its start on.
+	DrainCloseAfterResponse time.Duration // connections close behind a response; load balancers have stopped sending by then
+	DrainCloseIdle          time.Duration // connections that idle for DrainIdleTime close
 	DrainIdleTime           time.Duration
-	DrainRejectNew          time.Duration // nothing new is taken
-	DrainCloseAll           time.Duration // whatever owes nothing closes
+	DrainRejectNew          time.Duration // new requests are rejected
+	DrainCloseAll           time.Duration // connections without an open request close
 
+	// Hot restart.
 	HandoverConns         int           // processes that may call as successors
-	HandoverStateBytes    int           // bytes of what is handed over
-	HandoverTimeout       time.Duration // for an answer of the other process
-	HandoverDiscoveryWait time.Duration // until the journal has told what the predecessor knows
+	HandoverStateBytes    int           // of the state that is handed over
+	HandoverTimeout       time.Duration // for a reply of the other process
+	HandoverDiscoveryWait time.Duration // until discovery has brought the events that the predecessor has seen
 
+	// Connections, by the party at the other end.
 	Client, Upstream, Discovery, DNS, AgentCheck, Admin, Handover ConnLimits
 }
 
 // ConnLimits bounds the reads and writes of one connection.
 type ConnLimits struct {
-	MaxPendingBytes int           // bytes that may wait to be written
-	ReadTimeout     time.Duration // how long the next bytes of a message may take
-	MessageTimeout  time.Duration // and all of it from its first byte; 0: as long as bytes come
+	MaxPendingBytes int           // that may wait to be written
+	ReadTimeout     time.Duration // until the next bytes of a message
+	MessageTimeout  time.Duration // from the first byte of a message to its last; 0: as long as bytes come
 	WriteTimeout    time.Duration // how long a write may block
-	IdleTimeout     time.Duration // of one that was accepted: closed when nothing has moved for so long
-	SilentTimeout   time.Duration // and when nothing whole has come at all
-	LingerTimeout   time.Duration // how long what comes is still read, and thrown away, once our side has ended; 0: not at all
+	IdleTimeout     time.Duration // of an accepted connection: closed when nothing was read or written for so long
+	SilentTimeout   time.Duration // of an accepted connection: closed when no complete message has come for so long
+	LingerTimeout   time.Duration // how long input is still read, and discarded, after our side was shut; 0: not at all
 }
 
-// Shared returns the limits while two processes are one router: together they may hold what one may. Most of the
-// clients' places go to the newer one, which takes the new connections.
+// Shared returns the limits of one of two processes of a router: together they may hold what one may. Most of the
+// clients' connections go to the newer process, which accepts the new ones.
 func (l Limits) Shared(newer bool) Limits {
-	places := l.ClientConns / 4
+	clientConns := l.ClientConns / 4
 	if newer {
-		places = l.ClientConns - places
+		clientConns = l.ClientConns - clientConns
 	}
-	l.MemoryMB, l.BufferedBytes, l.ClientConns, l.UpstreamConns = l.MemoryMB/2, l.BufferedBytes/2, places, l.UpstreamConns/2
+	l.ClientConns = clientConns
+	l.MemoryMB /= 2
+	l.BufferedBytes /= 2
+	l.UpstreamConns /= 2
 	return l
 }
