--- a/client/client_test.go
+++ b/client/client_test.go
@@ -53,10 +53,10 @@
 	body := bytes.Repeat([]byte("score"), 40_000)
 	r := readyRouter(t, func(p *fakes.Peer, m rpc.Message) {
 		if string(m.Fields.CachedTag) == "tag" {
-			p.Raw(rpc.AppendBodyResponse(nil, m.ID, nil, rpc.Field{Name: rpc.FieldNotModified, Value: "1"}))
+			p.SendRaw(rpc.AppendBodyResponse(nil, m.ID, nil, rpc.Field{Name: rpc.FieldNotModified, Value: "1"}))
 			return
 		}
-		p.Serve(m.ID, body)
+		p.SendBody(m.ID, body)
 	})
 	c := newClient(t, nil, r.Addr())
 	ctx := context.Background()
@@ -88,7 +88,7 @@
 }
 
 func BenchmarkDo(b *testing.B) {
-	r := readyRouter(b, func(p *fakes.Peer, m rpc.Message) { p.Serve(m.ID, nil) })
+	r := readyRouter(b, func(p *fakes.Peer, m rpc.Message) { p.SendBody(m.ID, nil) })
 	for _, bench := range []struct {
 		name  string
 		conns int
--- a/client/example_test.go
+++ b/client/example_test.go
@@ -15,10 +15,10 @@
 func router() *fakes.Router {
 	r, err := fakes.NewReadyRouter("127.0.0.1:0", func(p *fakes.Peer, m rpc.Message) {
 		if string(m.Method) == "new-arrange" {
-			p.Refuse(m.ID, 1500)
+			p.SendThrottled(m.ID, 1500)
 			return
 		}
-		p.Serve(m.ID, []byte("a page"))
+		p.SendBody(m.ID, []byte("a page"))
 	})
 	if err != nil {
 		panic(err)
--- a/client/health_test.go
+++ b/client/health_test.go
@@ -25,13 +25,13 @@
 		if string(m.Method) != healthMethod {
 			callsAtDraining.Add(1)
 		}
-		p.Health(m.ID, false)
+		p.SendHealth(m.ID, false)
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(draining.Close)
-	serve := func(p *fakes.Peer, m rpc.Message) { p.Serve(m.ID, nil) }
+	serve := func(p *fakes.Peer, m rpc.Message) { p.SendBody(m.ID, nil) }
 	ready := readyRouter(t, serve)
 	addr := ready.Addr()
 	ctx := context.Background()
--- a/client/response_test.go
+++ b/client/response_test.go
@@ -19,11 +19,11 @@
 		switch {
 		case m.Kind == rpc.KindNotification:
 			canceled.Add(1)
-			p.Serve(m.IDs[0], []byte("too late"))
+			p.SendBody(m.IDs[0], []byte("too late"))
 		case string(m.Fields.Nth) == "1": // never in time
 		default:
-			p.Serve(m.ID, []byte("well"))
-			p.Serve(m.ID, []byte("twice"))
+			p.SendBody(m.ID, []byte("well"))
+			p.SendBody(m.ID, []byte("twice"))
 		}
 	})
 	c := newClient(t, nil, r.Addr())
--- a/client/stream_test.go
+++ b/client/stream_test.go
@@ -51,12 +51,12 @@
 	r := readyRouter(t, func(p *fakes.Peer, m rpc.Message) {
 		response := rpc.AppendBodyResponse(nil, m.ID, body)
 		if m.Kind == rpc.KindRequest && requests.Add(1)%2 == 1 { // each other one
-			p.Raw(response[:100_000])
+			p.SendRaw(response[:100_000])
 			<-breakOff
-			p.End(true)
+			p.Reset()
 			return
 		}
-		p.Raw(response)
+		p.SendRaw(response)
 	})
 	c := newClient(t, func(s *policy.Settings) { s.Reconnect = 50 * time.Millisecond }, r.Addr())
 	ctx := context.Background()
--- a/cmd/hillknot-loadtest/main.go
+++ b/cmd/hillknot-loadtest/main.go
@@ -39,7 +39,7 @@
 	set := loadtest.ScaleSettings{}
 	c := &cobra.Command{
 		Use: "scale", Short: "Measure one router beside 200, 800 and 3,200 page caches, and hold it to its bounds", Args: cobra.NoArgs,
-		RunE: func(cmd *cobra.Command, _ []string) error { return loadtest.Scale(set, cmd.OutOrStdout()) },
+		RunE: func(cmd *cobra.Command, _ []string) error { return loadtest.MeasureScale(set, cmd.OutOrStdout()) },
 	}
 	c.Flags().StringVar(&set.Router, "router", "bin/hillknot", "the router `PROGRAM`")
 	c.Flags().IntSliceVar(&set.Sizes, "sizes", []int{200, 800, 3200}, "page caches on the list; the first is the usual size")
@@ -65,19 +65,19 @@
 	clients := &cobra.Command{
 		Use: "clients", Short: "Compare the client library with a plain client, in some five minutes", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			return loadtest.Clients(bin, quick, only, cmd.OutOrStdout())
+			return loadtest.CompareClients(bin, quick, only, cmd.OutOrStdout())
 		},
 	}
 	clients.Flags().StringVar(&bin, "router", "bin/hillknot", "the router `PROGRAM`")
 	clients.Flags().BoolVar(&quick, "quick", false, "in a fifth of the time, to see that it runs")
-	clients.Flags().StringVar(&only, "only", "", "one `PART` of "+strings.Join(loadtest.Parts, ", "))
+	clients.Flags().StringVar(&only, "only", "", "one `PART` of "+strings.Join(loadtest.ClientParts, ", "))
 	var routers int
 	var each time.Duration
 	var seed uint64
 	together := &cobra.Command{
 		Use: "together", Short: "Run routers that share budgets through faults between them, in some two minutes", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			return loadtest.Together(talker, routers, each, seed, cmd.OutOrStdout())
+			return loadtest.MeasureBudgets(talker, routers, each, seed, cmd.OutOrStdout())
 		},
 	}
 	together.Flags().StringVar(&talker, "router", "bin/hillknot-cluster", "the router `PROGRAM`, built with the tag cluster")
@@ -88,7 +88,7 @@
 	outlive := &cobra.Command{
 		Use: "outlive", Short: "Kill, stop and cut off routers that keep each other's orders", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			return loadtest.Outlive(talker, routers, kills, each, seed, cmd.OutOrStdout())
+			return loadtest.MeasureFailover(talker, routers, kills, each, seed, cmd.OutOrStdout())
 		},
 	}
 	outlive.Flags().StringVar(&talker, "router", "bin/hillknot-cluster", "the router `PROGRAM`, built with the tag cluster")
@@ -99,7 +99,7 @@
 	pay := &cobra.Command{
 		Use: "credit", Short: "Run routers that share prepaid balances through faults", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			return loadtest.Credit(talker, routers, each, seed, cmd.OutOrStdout())
+			return loadtest.MeasureCredit(talker, routers, each, seed, cmd.OutOrStdout())
 		},
 	}
 	pay.Flags().StringVar(&talker, "router", "bin/hillknot-cluster", "the router `PROGRAM`, built with the tag cluster")
--- a/cmd/hillknot/figures_test.go
+++ b/cmd/hillknot/figures_test.go
@@ -19,11 +19,11 @@
 func TestFiguresAgainstSockets(t *testing.T) {
 	// It has every object but those whose id is odd: to these it says that it is full.
 	var asked atomic.Int64
-	cache, err := fakes.NewCache(nowhere, func(a fakes.Ask) fakes.Reply {
+	cache, err := fakes.NewCache(nowhere, func(a fakes.Request) fakes.Reply {
 		if asked.Add(1); strings.HasSuffix(a.Fields["obj"], "1") {
-			return fakes.Reply{Word: "WAIT"}
+			return fakes.Reply{Status: "WAIT"}
 		}
-		return fakes.Reply{Word: "DONE", Fields: "res=cached", Body: []byte("hello")}
+		return fakes.Reply{Status: "DONE", Fields: "res=cached", Body: []byte("hello")}
 	})
 	if err != nil {
 		t.Fatal(err)
--- a/cmd/hillknot/orders_test.go
+++ b/cmd/hillknot/orders_test.go
@@ -32,7 +32,7 @@
 // a journal and a page cache.
 func startRouter(t *testing.T, text, cache string) (clients net.Listener, ops net.Addr) {
 	t.Helper()
-	news, err := fakes.NewJournal(nowhere, 8)
+	news, err := fakes.NewDiscovery(nowhere, 8)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -91,25 +91,25 @@
 
 func runOnce(t *testing.T, class, text string) {
 	b := &book{ran: map[string]int{}}
-	cache, err := fakes.NewCache(nowhere, func(a fakes.Ask) fakes.Reply {
+	cache, err := fakes.NewCache(nowhere, func(a fakes.Request) fakes.Reply {
 		switch string(a.Body) {
 		case "refuse":
-			return fakes.Reply{Word: "WAIT"}
+			return fakes.Reply{Status: "WAIT"}
 		case "lack":
-			return fakes.Reply{Word: "LACK"}
+			return fakes.Reply{Status: "LACK"}
 		}
 		b.add(a.Fields["obj"])
 		switch string(a.Body) {
 		case "fail":
-			return fakes.Reply{Word: "BROKE"}
+			return fakes.Reply{Status: "BROKE"}
 		case "break":
-			return fakes.Reply{Break: true}
+			return fakes.Reply{Disconnect: true}
 		case "silence":
 			return fakes.Reply{}
 		case "late":
-			return fakes.Reply{Word: "DONE", Body: []byte("done"), After: 160 * time.Millisecond}
+			return fakes.Reply{Status: "DONE", Body: []byte("done"), Delay: 160 * time.Millisecond}
 		}
-		return fakes.Reply{Word: "DONE", Body: []byte("done"), After: time.Duration(len(a.Body)%3) * time.Millisecond}
+		return fakes.Reply{Status: "DONE", Body: []byte("done"), Delay: time.Duration(len(a.Body)%3) * time.Millisecond}
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -142,14 +142,14 @@
 // order sends the order of a numbered case, checks it, and returns how it ended.
 func order(t *testing.T, b *book, class, addr string, i int) string {
 	rnd := rand.New(rand.NewPCG(uint64(i), 1))
-	flaw, body := fakes.Flaw{Read: -1, Write: -1, Stall: i%2 == 0}, "well"
+	flaw, body := fakes.ConnFault{ReadLimit: -1, WriteLimit: -1, Stall: i%2 == 0}, "well"
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	switch i / 2 % 4 {
 	case 0:
-		flaw.Read = 7 + i/8%16 // health's answer has 7 bytes
+		flaw.ReadLimit = 7 + i/8%16 // health's answer has 7 bytes
 	case 1:
-		flaw.Write = 12 + i/8%130 // and its call has 12
+		flaw.WriteLimit = 12 + i/8%130 // and its call has 12
 	case 2:
 		body = []string{"refuse", "lack", "fail", "break", "silence", "late"}[i/8%6]
 	case 3:
@@ -162,7 +162,7 @@
 		if err != nil {
 			return nil, err
 		}
-		return fakes.Flawed(nc, flaw), nil
+		return fakes.NewFaultyConn(nc, flaw), nil
 	}})
 	if err != nil {
 		t.Error(err)
@@ -223,11 +223,11 @@
 // Orders run once at most, too, where the router's process is killed under them.
 func TestOrdersWithRoutersKilled(t *testing.T) {
 	inParallel(t)
-	o, err := loadtest.LibraryOrders(program(t), 200*time.Millisecond)
+	o, err := loadtest.OrdersWithRouterKills(program(t), 200*time.Millisecond)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if o.Sent < 300 || o.Twice+o.Ghosts+o.Lies > 0 || o.Served < o.Sent/4 {
+	if o.Sent < 300 || o.RunTwice+o.ServedNotRun+o.DeniedButRun > 0 || o.Served < o.Sent/4 {
 		t.Errorf("%+v", o)
 	}
 }
@@ -235,11 +235,11 @@
 // A process that got no time for a while finds a purge and requests waiting together. Nothing it then sends may be
 // answered from a copy of before the purge, not even what it had decided on before.
 func TestPurgeAfterAStop(t *testing.T) {
-	p, err := loadtest.PurgeAfterStop(program(t), 8)
+	p, err := loadtest.PurgeDuringStop(program(t), 8)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if p.Asks < p.Rounds || p.Old > 0 {
+	if p.Requests < p.Rounds || p.Stale > 0 {
 		t.Errorf("%+v", p)
 	}
 }
@@ -248,12 +248,12 @@
 // cut off, cut one way, killed and stopped.
 func TestFleetUnderFaults(t *testing.T) {
 	inParallel(t)
-	rows, err := loadtest.Faults(program(t), 5, 3*time.Second, 1, []string{"two cut off from the rest", "one hears, is not heard", "kill and restart", "pause (SIGSTOP)", "keys rotated", "drawn from the seed"})
+	rows, err := loadtest.BudgetFaults(program(t), 5, 3*time.Second, 1, []string{"two cut off from the rest", "one hears, is not heard", "kill and restart", "pause (SIGSTOP)", "keys rotated", "drawn from the seed"})
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, r := range rows {
-		if r.Broken() || r.Sent < 300 || r.Cold.Attempts+r.Retries.Attempts == 0 {
+		if r.Broken() || r.Sent < 300 || r.SlowStart.Attempts+r.Retries.Attempts == 0 {
 			t.Errorf("%+v", r)
 		}
 	}
@@ -262,7 +262,7 @@
 // Routers agree that a page cache is sick, that it is well again, and how often it failed.
 func TestFleetAgrees(t *testing.T) {
 	inParallel(t)
-	if err := loadtest.Agree(program(t), 5, 1); err != nil {
+	if err := loadtest.CheckOutlierAgreement(program(t), 5, 1); err != nil {
 		t.Error(err)
 	}
 }
--- a/cmd/hillknot/outlive_test.go
+++ b/cmd/hillknot/outlive_test.go
@@ -45,7 +45,7 @@
 // A router that is killed between any two steps of an order leaves it to another, which runs it once, or tells what became
 // of it, or that it may have run; and nothing else.
 func TestKillBetweenSteps(t *testing.T) {
-	o, err := loadtest.NewOutlivers(program(t), 4, true, "debug", 1)
+	o, err := loadtest.NewFailoverCluster(program(t), 4, true, "debug", 1)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -68,12 +68,12 @@
 	} {
 		t.Run(strings.ReplaceAll(c.step, " ", "-"), func(t *testing.T) {
 			victim := len(o.Routers) - 1 // all others stay up
-			k, err := o.KillAt(victim, killAt+"="+fmt.Sprintf("%s,%d,%s", c.step, c.after, c.pause))
+			k, err := o.KillAtStep(victim, killAt+"="+fmt.Sprintf("%s,%d,%s", c.step, c.after, c.pause))
 			if err != nil {
 				t.Fatal(err)
 			}
-			if k.Told != c.told || k.Ran != c.ran {
-				t.Errorf("the client was told %q, and it ran %d times; want %q, %d", k.Told, k.Ran, c.told, c.ran)
+			if k.Answer != c.told || k.Executions != c.ran {
+				t.Errorf("the client was told %q, and it ran %d times; want %q, %d", k.Answer, k.Executions, c.told, c.ran)
 			}
 			r := c.rule
 			name := strings.NewReplacer("V", fmt.Sprintf("lab-%d", victim), " T", " "+k.Txn)
@@ -83,7 +83,7 @@
 				}
 			}
 			r.After = name.Replace(r.After)
-			if err := k.Line.Check(r); err != nil {
+			if err := k.Timeline.Check(r); err != nil {
 				t.Error(err)
 			}
 		})
@@ -93,22 +93,22 @@
 // Orders outlive their routers, once, through kills, stops, cuts and restarts.
 func TestOutlive(t *testing.T) {
 	inParallel(t)
-	o, err := loadtest.NewOutlivers(program(t), 5, true, "", 1)
+	o, err := loadtest.NewFailoverCluster(program(t), 5, true, "", 1)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer o.Close()
-	rows, err := o.OutliveFaults(1500*time.Millisecond, 12, []string{"two killed at once", "stopped for longer than a lease", "two cut off from the rest",
+	rows, err := o.RunFailoverFaults(1500*time.Millisecond, 12, []string{"two killed at once", "stopped for longer than a lease", "two cut off from the rest",
 		"one not heard", "a third of the packets lost, others late", "drawn from the seed"})
 	if err != nil {
 		t.Fatal(err)
 	}
-	row, err := o.Kills(6, 600*time.Millisecond, 12)
+	row, err := o.RunKills(6, 600*time.Millisecond, 12)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, r := range append(rows, row) {
-		if r.Broken() || r.Orders < 20 || r.Served == 0 || r.OpenReadsAnswered*20 < r.OpenReads*19 {
+		if r.Broken() || r.Orders < 20 || r.Served == 0 || r.ReadsInFlightServed*20 < r.ReadsInFlight*19 {
 			t.Errorf("%+v", r)
 		}
 	}
@@ -117,12 +117,12 @@
 // A balance that all routers share is never overspent, while some are cut off, killed and read a top-up late.
 func TestCredit(t *testing.T) {
 	inParallel(t)
-	p, err := loadtest.NewPayers(program(t), 4, map[string]float64{"poor": 50, "rich": 1e5}, 1)
+	p, err := loadtest.NewCreditCluster(program(t), 4, map[string]float64{"poor": 50, "rich": 1e5}, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer p.Close()
-	rows, err := p.PayFaults(1500*time.Millisecond, 8, 1200, []string{"two cut off from the rest", "killed again and again", "top-up read by half of the fleet"})
+	rows, err := p.RunCreditFaults(1500*time.Millisecond, 8, 1200, []string{"two cut off from the rest", "killed again and again", "top-up read by half of the fleet"})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -135,7 +135,7 @@
 		case strings.HasPrefix(r.Fault, "killed"): // each loses what a router spends in a chunk's time, and its open requests
 			most = 0.06
 		}
-		if r.Broken() || r.Served < 50 || r.Refused == 0 || r.Beside < 0.5 || r.Stranded > most {
+		if r.Broken() || r.Served < 50 || r.Rejected == 0 || r.FundedRatio < 0.5 || r.Stranded > most {
 			t.Errorf("%+v", r)
 		}
 	}
@@ -146,15 +146,15 @@
 func TestRollingRestart(t *testing.T) {
 	inParallel(t)
 	for alone, routers := range map[bool]int{false: 9, true: 3} {
-		r, p, err := loadtest.Roll(program(t), routers, alone, 1)
+		r, p, err := loadtest.RollingRestart(program(t), routers, alone, 1)
 		if err != nil {
 			t.Fatal(err)
 		}
 		t.Logf("journal down %v: %+v %+v", alone, r, p)
-		if p.Never+p.Twice > 0 || p.Answered < 500 || p.Cut*100 > p.Sent {
+		if p.Unanswered+p.AnsweredTwice > 0 || p.Answered < 500 || p.Disconnected*100 > p.Sent {
 			t.Errorf("journal down %v: sent down open connections: %+v", alone, p)
 		}
-		if r.Broken() || r.Orders < 100 || r.ReadsServed*100 < r.Reads*99 || (r.May+r.Other)*50 > r.Orders {
+		if r.Broken() || r.Orders < 100 || r.ReadsServed*100 < r.Reads*99 || (r.MayHaveRun+r.OtherErrors)*50 > r.Orders {
 			t.Errorf("journal down %v: %+v", alone, r)
 		}
 	}
--- a/cmd/hillknot/request_test.go
+++ b/cmd/hillknot/request_test.go
@@ -38,9 +38,9 @@
 	if err := os.WriteFile(body, []byte("order"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	serve := func(p *fakes.Peer, m rpc.Message) { p.Serve(m.ID, append([]byte("got "), m.Body...)) }
+	serve := func(p *fakes.Peer, m rpc.Message) { p.SendBody(m.ID, append([]byte("got "), m.Body...)) }
 	word := func(w string) func(*fakes.Peer, rpc.Message) {
-		return func(p *fakes.Peer, m rpc.Message) { p.Fail(m.ID, w) }
+		return func(p *fakes.Peer, m rpc.Message) { p.SendError(m.ID, w) }
 	}
 	for _, c := range []struct {
 		name   string
@@ -54,7 +54,7 @@
 		{"refused", word(rpc.CodeThrottled), []string{"send", some, "--body", body}, 3, "refused"},
 		{"unusable", word(rpc.CodeBadRequest), []string{"send", some, "--body", body}, 4, "failed"},
 		{"failed", word("Failed"), []string{"send", some, "--body", body}, 5, "may have run"},
-		{"broken", func(p *fakes.Peer, m rpc.Message) { p.End(true) }, []string{"send", some, "--body", body}, 5, "may have run"},
+		{"broken", func(p *fakes.Peer, m rpc.Message) { p.Reset() }, []string{"send", some, "--body", body}, 5, "may have run"},
 		{"broken, safe", word("Failed"), []string{"get", some}, 1, "error"},
 		{"late", func(*fakes.Peer, rpc.Message) {}, []string{"get", some, "--deadline", "400ms"}, 6, "deadline over"},
 		{"late order", func(*fakes.Peer, rpc.Message) {}, []string{"send", some, "--body", body, "--deadline", "400ms"}, 5, "may have run"},
@@ -95,11 +95,11 @@
 	addr := script(t, func(p *fakes.Peer, m rpc.Message) {
 		all := rpc.AppendBodyResponse(nil, m.ID, whole)
 		if tries++; tries == 1 || spoil {
-			p.Raw(bytes.ReplaceAll(all[:100_000], []byte("score"), []byte("spoil")))
-			p.End(false)
+			p.SendRaw(bytes.ReplaceAll(all[:100_000], []byte("score"), []byte("spoil")))
+			p.Close()
 			return
 		}
-		p.Raw(all)
+		p.SendRaw(all)
 	})
 	if status, _, _ := say("get", some, "--router", addr, "-o", path, "--deadline", "300ms"); status == 0 {
 		t.Error("a cut answer was taken")
--- a/cmd/hillknot/sizes_test.go
+++ b/cmd/hillknot/sizes_test.go
@@ -30,7 +30,7 @@
 	return time.Duration(n>>32) * time.Microsecond
 }
 
-func (c *sized) answer(a fakes.Ask) fakes.Reply {
+func (c *sized) answer(a fakes.Request) fakes.Reply {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := time.Now()
@@ -42,12 +42,12 @@
 	case c.hangs:
 		return fakes.Reply{}
 	case wait > 400*time.Millisecond:
-		return fakes.Reply{Word: "WAIT"}
+		return fakes.Reply{Status: "WAIT"}
 	}
 	took := sendingTime(a.Fields["obj"]) * c.slow
 	c.busy = c.busy.Add(took)
 	c.served[a.Fields["obj"]] = true
-	return fakes.Reply{Word: "DONE", Fields: "res=cached,version=v1", Body: []byte(a.Fields["obj"]), After: wait + took}
+	return fakes.Reply{Status: "DONE", Fields: "res=cached,version=v1", Body: []byte(a.Fields["obj"]), Delay: wait + took}
 }
 
 // The largest requests of a class get at least two thirds of its answered share on a quiet day, and half while a page cache hangs and
--- a/example/toy/main.go
+++ b/example/toy/main.go
@@ -26,7 +26,7 @@
 			log.Fatal(err)
 		}
 	}
-	if _, err := fakes.NewJournal(*journal, 2); err != nil {
+	if _, err := fakes.NewDiscovery(*journal, 2); err != nil {
 		log.Fatal(err)
 	}
 	log.Print("toy journal and page caches are up")
@@ -42,7 +42,7 @@
 	work time.Duration
 }
 
-func (c *cache) answer(a fakes.Ask) fakes.Reply {
+func (c *cache) answer(a fakes.Request) fakes.Reply {
 	f := a.Fields
 	part := f["obj"] + "/" + f["seg"]
 	c.mu.Lock()
@@ -52,7 +52,7 @@
 	note := "cached"
 	if !hit {
 		if note = "fetched_root"; f["fetch"] == "" {
-			return fakes.Reply{Word: "LACK"}
+			return fakes.Reply{Status: "LACK"}
 		}
 	}
 	log.Printf("%s %s: %s", f["kind"], part, note)
@@ -60,6 +60,6 @@
 	if f["kind"] == "new-arrange" {
 		after = c.work
 	}
-	return fakes.Reply{Word: "DONE", After: after, Fields: "res=" + note + ",version=" + f["obj"] + ",stamp=" + strconv.FormatInt(time.Now().UnixMilli(), 10),
+	return fakes.Reply{Status: "DONE", Delay: after, Fields: "res=" + note + ",version=" + f["obj"] + ",stamp=" + strconv.FormatInt(time.Now().UnixMilli(), 10),
 		Body: []byte("score " + part + "\n")}
 }
--- a/internal/cluster/failover/script_test.go
+++ b/internal/cluster/failover/script_test.go
@@ -19,7 +19,7 @@
 	*simCluster
 	t     *testing.T
 	owner *simRouter
-	line  timeline.Line
+	line  timeline.Timeline
 }
 
 // scriptStart is when scripts begin: all routers have been up for longer than any client waits.
@@ -47,7 +47,7 @@
 
 // passUntil lets time pass until something has happened, or a time has come.
 func (s *script) passUntil(event string, end time.Duration) {
-	happened := func(e timeline.Event) bool { return e.What == event }
+	happened := func(e timeline.Event) bool { return e.Action == event }
 	for s.now < end && !slices.ContainsFunc(s.line, happened) {
 		s.step()
 	}
@@ -119,9 +119,9 @@
 // checkTimeline compares the timeline with the one in testdata.
 func (s *script) checkTimeline(name string) {
 	s.t.Helper()
-	var quiet timeline.Line // without the leases of the start
+	var quiet timeline.Timeline // without the leases of the start
 	for _, e := range s.line {
-		if e.At >= scriptStart && e.What != eventReplicaChosen {
+		if e.Time >= scriptStart && e.Action != eventReplicaChosen {
 			quiet = append(quiet, e)
 		}
 	}
--- a/internal/cluster/failover/sim_client_test.go
+++ b/internal/cluster/failover/sim_client_test.go
@@ -49,7 +49,7 @@
 func (c *simCluster) placeOrder(r *simRouter, timeLeft time.Duration) *simOrder {
 	o := &simOrder{txn: fmt.Sprintf("t%d", len(c.orders)), deadline: c.now + timeLeft, router: r, process: r.process}
 	c.orders, c.open = append(c.orders, o), append(c.open, o)
-	c.onEvent(timeline.Event{Node: "client", At: c.now, What: "orders", Of: o.txn, Peer: r.name})
+	c.onEvent(timeline.Event{Node: "client", Time: c.now, Action: "orders", Subject: o.txn, Peer: r.name})
 	q := &simRequest{order: o, txn: o.txn, deadline: r.clock(c.now) + timeLeft}
 	c.submit(r, q, clientOrder(o.txn, timeLeft))
 	return o
@@ -66,7 +66,7 @@
 		deadline:   r.clock(c.now) + o.deadline - c.now,
 		connection: o.connection,
 	}
-	c.onEvent(timeline.Event{Node: "client", At: c.now, What: "claims", Of: o.txn, Peer: r.name})
+	c.onEvent(timeline.Event{Node: "client", Time: c.now, Action: "claims", Subject: o.txn, Peer: r.name})
 	r.coordinator.Claim(r.clock(c.now), c.lastID, order)
 	c.carryOutActions(r)
 }
@@ -108,6 +108,6 @@
 	if o == nil || q.connection != o.connection || o.answered {
 		return
 	}
-	c.onEvent(timeline.Event{Node: "client", At: c.now, What: "told " + kind.String(), Of: q.txn})
+	c.onEvent(timeline.Event{Node: "client", Time: c.now, Action: "told " + kind.String(), Subject: q.txn})
 	o.answered, o.answers = true, append(o.answers, kind)
 }
--- a/internal/cluster/failover/sim_cluster_test.go
+++ b/internal/cluster/failover/sim_cluster_test.go
@@ -87,7 +87,7 @@
 }
 
 func (c *simCluster) recordFault(r *simRouter, fault string) {
-	c.onEvent(timeline.Event{Node: r.name, At: c.now, What: fault, Fault: true})
+	c.onEvent(timeline.Event{Node: r.name, Time: c.now, Action: fault, Fault: true})
 }
 
 // after has a router's process do something some time later, or once it no longer pauses.
@@ -204,7 +204,7 @@
 	r := c.routers[c.random.IntN(len(c.routers))]
 	switch c.random.IntN(8) {
 	case 0:
-		simulation.Part(c.random, len(c.routers), c.cut)
+		simulation.Partition(c.random, len(c.routers), c.cut)
 	case 1: // one way
 		c.cut[[2]int{r.index, c.random.IntN(len(c.routers))}] = true
 	case 2:
--- a/internal/cluster/failover/sim_router_test.go
+++ b/internal/cluster/failover/sim_router_test.go
@@ -45,7 +45,7 @@
 		}
 	}
 	for _, e := range r.coordinator.Events() {
-		c.onEvent(timeline.Event{Node: r.name, At: c.now, What: e.Step, Of: e.Txn, Peer: e.Peer})
+		c.onEvent(timeline.Event{Node: r.name, Time: c.now, Action: e.Step, Subject: e.Txn, Peer: e.Peer})
 	}
 }
 
@@ -161,7 +161,7 @@
 	for _, o := range c.open {
 		if o.txn == txn {
 			o.runs++
-			c.onEvent(timeline.Event{Node: r.name, At: c.now, What: "RUNS", Of: txn})
+			c.onEvent(timeline.Event{Node: r.name, Time: c.now, Action: "RUNS", Subject: txn})
 			o.ranTooLate = o.ranTooLate || o.mayHaveRunAt > 0 && c.now > o.mayHaveRunAt
 		}
 	}
--- a/internal/cluster/failover/simulation_test.go
+++ b/internal/cluster/failover/simulation_test.go
@@ -46,7 +46,7 @@
 func TestKilled(t *testing.T) {
 	var mu sync.Mutex
 	unsent, answered := 0, 0
-	simulation.EachSeed(*seeds, func(seed uint64) {
+	simulation.ForEachSeed(*seeds, func(seed uint64) {
 		c, lost := simulateKill(t, seed)
 		mu.Lock()
 		defer mu.Unlock()
@@ -103,7 +103,7 @@
 	var mu sync.Mutex
 	var answers [4]int // by kind
 	claimed, unanswered := 0, 0
-	simulation.EachSeed(*seeds, func(seed uint64) {
+	simulation.ForEachSeed(*seeds, func(seed uint64) {
 		c, err := simulate(t, seed, 14*time.Second)
 		mu.Lock()
 		defer mu.Unlock()
--- a/internal/cluster/state/sim_test.go
+++ b/internal/cluster/state/sim_test.go
@@ -145,7 +145,7 @@
 	r := f.routers[f.rnd.IntN(n)]
 	switch f.rnd.IntN(7) {
 	case 0: // a partition
-		simulation.Part(f.rnd, n, f.cut)
+		simulation.Partition(f.rnd, n, f.cut)
 	case 1: // one way
 		for b := range n {
 			f.cut[[2]int{r.i, b}] = true
--- a/internal/credit/simulation_test.go
+++ b/internal/credit/simulation_test.go
@@ -320,7 +320,7 @@
 	r := c.routers[c.random.IntN(size)]
 	switch c.random.IntN(10) {
 	case 0:
-		simulation.Part(c.random, size, c.cut)
+		simulation.Partition(c.random, size, c.cut)
 	case 1:
 		c.cut[[2]int{r.index, c.random.IntN(size)}] = true
 	case 2:
@@ -431,7 +431,7 @@
 func TestNeverOverspent(t *testing.T) {
 	var mu sync.Mutex
 	served, lost, funded := 0, int64(0), int64(0)
-	simulation.EachSeed(*seeds, func(seed uint64) {
+	simulation.ForEachSeed(*seeds, func(seed uint64) {
 		c := newCluster(seed, 3+int(seed%5))
 		c.runRandomFaults()
 		mu.Lock()
--- a/internal/testutil/fakes/router.go
+++ b/internal/testutil/fakes/router.go
@@ -9,83 +9,105 @@
 	"hillknot/internal/rpc"
 )
 
-// Router plays an edge router: what it does with each message is scripted.
+const (
+	routerReadSize   = 64 << 10 // bytes
+	routerMaxMessage = 1 << 20  // bytes
+)
+
+// Router plays an edge router: its handler decides what happens with each message.
 type Router struct {
 	*listener
 	handle func(*Peer, rpc.Message)
 }
 
-// Peer is a client's connection to a scripted router.
+// Peer is a client's connection to a fake router. Its methods may be called by several goroutines at once. What they send to
+// a client that has gone is lost without an error.
 type Peer struct {
 	net.Conn
-	mu sync.Mutex
+	mu sync.Mutex // serializes responses
 }
 
-// NewRouter listens. Handle is called for each message of a connection in turn, with slices of its own.
-func NewRouter(addr string, handle func(*Peer, rpc.Message)) (*Router, error) {
+// NewRouter starts a router at an address. It calls handle for the messages of a connection one after the other, each with
+// slices of its own.
+func NewRouter(address string, handle func(*Peer, rpc.Message)) (*Router, error) {
 	r := &Router{handle: handle}
 	var err error
-	r.listener, err = listen(addr, r.serve)
+	r.listener, err = listen(address, r.serve)
 	return r, err
 }
 
-// NewReadyRouter is NewRouter for one that says that it takes clients; handle gets all other messages.
-func NewReadyRouter(addr string, handle func(*Peer, rpc.Message)) (*Router, error) {
-	return NewRouter(addr, func(p *Peer, m rpc.Message) {
+// NewReadyRouter is NewRouter for one that reports itself as ready; handle gets all messages but the health checks.
+func NewReadyRouter(address string, handle func(*Peer, rpc.Message)) (*Router, error) {
+	return NewRouter(address, func(p *Peer, m rpc.Message) {
 		if string(m.Method) == "health" {
-			p.Health(m.ID, true)
+			p.SendHealth(m.ID, true)
 			return
 		}
 		handle(p, m)
 	})
 }
 
-func (r *Router) serve(nc net.Conn) {
-	p, buf, in := &Peer{Conn: nc}, []byte(nil), make([]byte, 64<<10)
+// serve handles the messages of one connection until it ends or a message cannot be parsed.
+func (r *Router) serve(conn net.Conn) {
+	peer := &Peer{Conn: conn}
+	var pending []byte
+	chunk := make([]byte, routerReadSize)
 	for {
-		n, err := nc.Read(in)
+		n, err := conn.Read(chunk)
 		if err != nil {
 			return
 		}
-		buf = append(buf, in[:n]...)
-		for {
-			m, progress, err := rpc.ParseMessage(buf, 1<<20)
-			if err != nil {
-				return
-			}
-			if progress.Consumed == 0 {
-				break
-			}
-			buf = bytes.Clone(buf[progress.Consumed:]) // what was handed on stays as it is
-			r.handle(p, m)
+		pending, err = r.handleComplete(peer, append(pending, chunk[:n]...))
+		if err != nil {
+			return
 		}
 	}
 }
 
-// Raw sends bytes as they are.
-func (p *Peer) Raw(b []byte) {
+// handleComplete handles the complete messages at the start of a buffer, and returns the rest of it.
+func (r *Router) handleComplete(peer *Peer, buf []byte) (rest []byte, err error) {
+	for {
+		message, progress, err := rpc.ParseMessage(buf, routerMaxMessage)
+		if err != nil {
+			return nil, err
+		}
+		if progress.Consumed == 0 {
+			return buf, nil
+		}
+		buf = bytes.Clone(buf[progress.Consumed:]) // the message refers to the old buffer, which later reads must not change
+		r.handle(peer, message)
+	}
+}
+
+// SendRaw sends bytes as they are.
+func (p *Peer) SendRaw(b []byte) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	_, _ = p.Write(b) // a client that has gone reads nothing
 }
 
-// Serve answers with bytes.
-func (p *Peer) Serve(id uint64, body []byte) { p.Raw(rpc.AppendBodyResponse(nil, id, body)) }
+// SendBody responds with a body.
+func (p *Peer) SendBody(id uint64, body []byte) { p.SendRaw(rpc.AppendBodyResponse(nil, id, body)) }
 
-// Fail answers with an error.
-func (p *Peer) Fail(id uint64, word string) { p.Raw(rpc.AppendErrorResponse(nil, id, word)) }
+// SendError responds with the code of an error.
+func (p *Peer) SendError(id uint64, code string) {
+	p.SendRaw(rpc.AppendErrorResponse(nil, id, code))
+}
 
-// Refuse answers with a refusal, and how many milliseconds to stay away if that is over 0.
-func (p *Peer) Refuse(id uint64, later int) {
-	if later <= 0 {
-		p.Fail(id, rpc.CodeThrottled)
+// SendThrottled rejects a request. It sends retryAfter, in milliseconds, if that is positive.
+func (p *Peer) SendThrottled(id uint64, retryAfter int) {
+	if retryAfter <= 0 {
+		p.SendError(id, rpc.CodeThrottled)
 		return
 	}
-	p.Raw(rpc.AppendErrorResponse(nil, id, rpc.CodeThrottled, rpc.Field{Name: rpc.FieldRetryAfter, Value: strconv.Itoa(later)}))
+	field := rpc.Field{Name: rpc.FieldRetryAfter, Value: strconv.Itoa(retryAfter)}
+	p.SendRaw(rpc.AppendErrorResponse(nil, id, rpc.CodeThrottled, field))
 }
 
-// Health answers whether the router takes clients.
-func (p *Peer) Health(id uint64, ok bool) { p.Raw(rpc.AppendHealthResponse(nil, id, ok)) }
+// SendHealth answers a health check.
+func (p *Peer) SendHealth(id uint64, ready bool) {
+	p.SendRaw(rpc.AppendHealthResponse(nil, id, ready))
+}
 
-// End closes the connection, with a reset if that is asked for.
-func (p *Peer) End(reset bool) { end(p.Conn, reset) }
+// Reset closes the connection with a TCP reset.
+func (p *Peer) Reset() { resetConn(p.Conn) }
--- a/internal/testutil/faultnet/faultnet.go
+++ b/internal/testutil/faultnet/faultnet.go
@@ -15,7 +15,7 @@
 )
 
 // Net carries what processes say to each other.
-type Net struct {
+type Network struct {
 	mu    sync.Mutex
 	rnd   *rand.Rand
 	index map[netip.Addr]int // of the addresses that processes listen at
@@ -27,7 +27,7 @@
 	done  bool
 	work  sync.WaitGroup
 
-	Passed, Dropped atomic.Uint64 // packets
+	PacketsForwarded, PacketsDropped atomic.Uint64 // packets
 }
 
 // door is where one process is reached.
@@ -46,13 +46,13 @@
 const packetMost = 64 << 10
 
 // New returns a network without processes. What it draws follows from the seed.
-func New(seed uint64) *Net {
-	return &Net{rnd: rand.New(rand.NewPCG(seed, 1)), index: map[netip.Addr]int{}, cut: map[[2]int]bool{}, conns: map[*pair]bool{}}
+func New(seed uint64) *Network {
+	return &Network{rnd: rand.New(rand.NewPCG(seed, 1)), index: map[netip.Addr]int{}, cut: map[[2]int]bool{}, conns: map[*pair]bool{}}
 }
 
 // Add opens a door at an address for the process that listens at another. No two processes may share an IP address.
 // Processes are numbered from 0 in the order in which they are added.
-func (n *Net) Add(at, to netip.AddrPort) error {
+func (n *Network) AddProcess(at, to netip.AddrPort) error {
 	udp, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(at))
 	if err != nil {
 		return fmt.Errorf("faultnet: %w", err)
@@ -73,7 +73,7 @@
 }
 
 // Close ends all.
-func (n *Net) Close() {
+func (n *Network) Close() {
 	n.mu.Lock()
 	n.done = true
 	for _, d := range n.doors {
@@ -88,7 +88,7 @@
 }
 
 // Cut stops all that goes from some processes to others, one way. Connections between them fall silent.
-func (n *Net) Cut(from, to []int) {
+func (n *Network) Block(from, to []int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, a := range from {
@@ -101,7 +101,7 @@
 }
 
 // Part cuts some processes off from all others, both ways.
-func (n *Net) Part(side []int) {
+func (n *Network) Partition(side []int) {
 	in := map[int]bool{}
 	for _, i := range side {
 		in[i] = true
@@ -114,19 +114,19 @@
 		}
 	}
 	n.mu.Unlock()
-	n.Cut(side, rest)
-	n.Cut(rest, side)
+	n.Block(side, rest)
+	n.Block(rest, side)
 }
 
 // Flaw sets which share of packets is lost, and how late the others are at most.
-func (n *Net) Flaw(loss float64, delay time.Duration) {
+func (n *Network) Impair(loss float64, delay time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.loss, n.delay = loss, delay
 }
 
 // Heal ends all faults. Connections that were cut are reset: what they lost would leave a hole.
-func (n *Net) Heal() {
+func (n *Network) Heal() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for p := range n.conns {
@@ -139,7 +139,7 @@
 }
 
 // fate tells whether a packet gets through, and how late.
-func (n *Net) fate(from, to int) (late time.Duration, ok bool) {
+func (n *Network) fate(from, to int) (late time.Duration, ok bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.cut[[2]int{from, to}] || n.rnd.Float64() < n.loss {
@@ -151,7 +151,7 @@
 	return late, true
 }
 
-func (n *Net) who(a netip.Addr) int {
+func (n *Network) who(a netip.Addr) int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if i, ok := n.index[a.Unmap()]; ok {
@@ -160,7 +160,7 @@
 	return -1
 }
 
-func (n *Net) packets(to int, d *door) {
+func (n *Network) packets(to int, d *door) {
 	buf := make([]byte, packetMost)
 	for {
 		size, from, err := d.udp.ReadFromUDPAddrPort(buf)
@@ -169,10 +169,10 @@
 		}
 		late, ok := n.fate(n.who(from.Addr()), to)
 		if !ok {
-			n.Dropped.Add(1)
+			n.PacketsDropped.Add(1)
 			continue
 		}
-		n.Passed.Add(1)
+		n.PacketsForwarded.Add(1)
 		if late == 0 {
 			_, _ = d.udp.WriteToUDPAddrPort(buf[:size], d.to) // nobody there: it is lost
 			continue
@@ -182,7 +182,7 @@
 	}
 }
 
-func (n *Net) accept(to int, d *door) {
+func (n *Network) accept(to int, d *door) {
 	for {
 		a, err := d.tcp.Accept()
 		if err != nil {
@@ -211,12 +211,12 @@
 }
 
 // hold keeps a connection that goes nowhere open for a while, silent.
-func (n *Net) hold(a net.Conn) {
+func (n *Network) hold(a net.Conn) {
 	_ = a.SetReadDeadline(time.Now().Add(3 * time.Second)) // fails on a closed connection only, as the read then does
 	_, _ = io.Copy(io.Discard, a)
 }
 
-func (n *Net) keep(p *pair, open bool) bool {
+func (n *Network) keep(p *pair, open bool) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if !open || n.done {
@@ -234,7 +234,7 @@
 }
 
 // pass copies one way; what comes while that way is cut is lost.
-func (n *Net) pass(from, to net.Conn, a, b int) {
+func (n *Network) pass(from, to net.Conn, a, b int) {
 	buf := make([]byte, packetMost)
 	for {
 		size, err := from.Read(buf)
@@ -256,26 +256,26 @@
 
 // Step is a fault that a schedule draws.
 type Step struct {
-	After time.Duration // since the step before
-	What  What
-	Who   []int // whom it strikes
+	Delay   time.Duration // since the step before
+	Fault   Fault
+	Targets []int // whom it strikes
 }
 
 // What a step does.
-type What uint8
+type Fault uint8
 
 // The faults. Those of a process are the caller's to carry out.
 const (
-	Whole   What = iota // all faults of the network end
-	Parted              // some are cut off from the rest
-	Unheard             // one is not heard by any other, and hears all
-	Deaf                // one hears no other, and is heard by all
-	Lossy               // packets are lost and late
-	Killed              // a process is killed and started again
-	Paused              // a process is stopped for a while
+	Healed          Fault = iota // all faults of the network end
+	Partitioned                  // some are cut off from the rest
+	OutboundBlocked              // one is not heard by any other, and hears all
+	InboundBlocked               // one hears no other, and is heard by all
+	Lossy                        // packets are lost and late
+	Killed                       // a process is killed and started again
+	Paused                       // a process is stopped for a while
 )
 
-func (w What) String() string {
+func (w Fault) String() string {
 	return [...]string{"whole", "parted", "not heard", "deaf", "lossy", "killed", "paused"}[w]
 }
 
@@ -283,38 +283,38 @@
 func Schedule(seed uint64, processes int, over, mean time.Duration) (steps []Step) {
 	rnd := rand.New(rand.NewPCG(seed, 2))
 	for at := time.Duration(0); ; {
-		s := Step{After: time.Duration((0.5 + rnd.Float64()) * float64(mean)), What: What(rnd.IntN(int(Paused) + 1))}
-		if at += s.After; at > over {
-			return append(steps, Step{What: Whole})
+		s := Step{Delay: time.Duration((0.5 + rnd.Float64()) * float64(mean)), Fault: Fault(rnd.IntN(int(Paused) + 1))}
+		if at += s.Delay; at > over {
+			return append(steps, Step{Fault: Healed})
 		}
-		switch s.What {
-		case Parted:
-			s.Who = rnd.Perm(processes)[:1+rnd.IntN(max(processes/2, 1))]
-		case Unheard, Deaf, Killed, Paused:
-			s.Who = []int{rnd.IntN(processes)}
+		switch s.Fault {
+		case Partitioned:
+			s.Targets = rnd.Perm(processes)[:1+rnd.IntN(max(processes/2, 1))]
+		case OutboundBlocked, InboundBlocked, Killed, Paused:
+			s.Targets = []int{rnd.IntN(processes)}
 		}
 		steps = append(steps, s)
 	}
 }
 
 // Do carries out a step's fault of the network; what was done before goes on until a step is Whole.
-func (n *Net) Do(s Step) {
+func (n *Network) Apply(s Step) {
 	n.mu.Lock()
 	var all []int
 	for i := range n.doors {
 		all = append(all, i)
 	}
 	n.mu.Unlock()
-	switch s.What {
-	case Whole:
+	switch s.Fault {
+	case Healed:
 		n.Heal()
-	case Parted:
-		n.Part(s.Who)
-	case Unheard:
-		n.Cut(s.Who, all)
-	case Deaf:
-		n.Cut(all, s.Who)
+	case Partitioned:
+		n.Partition(s.Targets)
+	case OutboundBlocked:
+		n.Block(s.Targets, all)
+	case InboundBlocked:
+		n.Block(all, s.Targets)
 	case Lossy:
-		n.Flaw(0.3, 200*time.Millisecond)
+		n.Impair(0.3, 200*time.Millisecond)
 	}
 }
--- a/internal/testutil/faultnet/faultnet_test.go
+++ b/internal/testutil/faultnet/faultnet_test.go
@@ -32,7 +32,7 @@
 		}
 		defer c.Close()
 		procs = append(procs, c)
-		if err := n.Add(netip.MustParseAddrPort("127.0.0.1:0"), c.LocalAddr().(*net.UDPAddr).AddrPort()); err != nil {
+		if err := n.AddProcess(netip.MustParseAddrPort("127.0.0.1:0"), c.LocalAddr().(*net.UDPAddr).AddrPort()); err != nil {
 			t.Fatal(err)
 		}
 		doors = append(doors, n.doors[len(n.doors)-1].udp.LocalAddr().(*net.UDPAddr).AddrPort())
@@ -47,30 +47,30 @@
 		}
 	}
 	both("whole", true, true)
-	n.Cut([]int{0}, []int{1})
+	n.Block([]int{0}, []int{1})
 	both("cut one way", false, true)
-	n.Part([]int{1})
+	n.Partition([]int{1})
 	both("parted", false, false)
 	n.Heal()
 	both("healed", true, true)
-	n.Flaw(1, 0)
+	n.Impair(1, 0)
 	both("all lost", false, false)
-	n.Flaw(0, 20*time.Millisecond)
+	n.Impair(0, 20*time.Millisecond)
 	both("late", true, true)
 }
 
 // A schedule is the same from the same seed, strikes only processes that are there, and ends whole.
 func TestSchedule(t *testing.T) {
-	seen := map[What]bool{}
+	seen := map[Fault]bool{}
 	for seed := range uint64(50) {
 		a, b := Schedule(seed, 5, 20*time.Second, time.Second), Schedule(seed, 5, 20*time.Second, time.Second)
-		if fmt.Sprint(a) != fmt.Sprint(b) || a[len(a)-1].What != Whole {
+		if fmt.Sprint(a) != fmt.Sprint(b) || a[len(a)-1].Fault != Healed {
 			t.Fatalf("seed %d: %v, then %v", seed, a, b)
 		}
 		for _, s := range a {
-			seen[s.What] = true
-			for _, i := range s.Who {
-				if i < 0 || i > 4 || len(s.Who) > 2 {
+			seen[s.Fault] = true
+			for _, i := range s.Targets {
+				if i < 0 || i > 4 || len(s.Targets) > 2 {
 					t.Errorf("seed %d: %v", seed, s)
 				}
 			}
--- a/internal/testutil/simulation/simulation.go
+++ b/internal/testutil/simulation/simulation.go
@@ -8,7 +8,7 @@
 )
 
 // EachSeed does something for each seed from 0, as many at a time as there are processors.
-func EachSeed(n int, do func(seed uint64)) {
+func ForEachSeed(n int, do func(seed uint64)) {
 	var all sync.WaitGroup
 	next := make(chan uint64)
 	for range runtime.GOMAXPROCS(0) {
@@ -26,7 +26,7 @@
 }
 
 // Part draws two sides of so many nodes, and cuts all ways between them; within each nothing is cut.
-func Part(rnd *rand.Rand, nodes int, cut map[[2]int]bool) {
+func Partition(rnd *rand.Rand, nodes int, cut map[[2]int]bool) {
 	side := rnd.IntN(1 << nodes)
 	for a := range nodes {
 		for b := range nodes {
--- a/internal/testutil/timeline/timeline.go
+++ b/internal/testutil/timeline/timeline.go
@@ -15,29 +15,29 @@
 
 // Event is something that happened at a node.
 type Event struct {
-	Node  string
-	At    time.Duration // on a clock that all share
-	What  string
-	Of    string // the order, or whatever it was about
-	Peer  string // the other node of a message
-	Fault bool   // it struck the node from outside
+	Node    string
+	Time    time.Duration // on a clock that all share
+	Action  string
+	Subject string // the order, or whatever it was about
+	Peer    string // the other node of a message
+	Fault   bool   // it struck the node from outside
 }
 
 // String is what patterns are held against: the node, what it did, of what, and with whom.
 func (e Event) String() string {
-	return strings.Join(slices.DeleteFunc([]string{e.Node, e.What, e.Of, e.Peer}, func(s string) bool { return s == "" }), " ")
+	return strings.Join(slices.DeleteFunc([]string{e.Node, e.Action, e.Subject, e.Peer}, func(s string) bool { return s == "" }), " ")
 }
 
 // Line is events in order.
-type Line []Event
+type Timeline []Event
 
 // causes are pairs of ends of what nodes do: the first, at one node, comes before the second at its peer, of the same thing.
 var causes = [][2]string{{"said", "kept"}, {"kept", "held"}}
 
 // Sort puts events into order: by time, but an effect never before its cause, whatever the clocks say.
-func Sort(events []Event) Line {
+func Sort(events []Event) Timeline {
 	l := slices.Clone(events)
-	slices.SortStableFunc(l, func(a, b Event) int { return int(a.At - b.At) })
+	slices.SortStableFunc(l, func(a, b Event) int { return int(a.Time - b.Time) })
 	for i := 0; i < len(l); i++ {
 		for j := i + 1; j < len(l); j++ {
 			if l[j].causes(l[i]) && !slices.ContainsFunc(l[:i], func(e Event) bool { return e.causes(l[i]) }) {
@@ -51,19 +51,19 @@
 }
 
 func (e Event) causes(o Event) bool {
-	if e.Of == "" || e.Of != o.Of || e.Node != o.Peer || e.Peer != o.Node {
+	if e.Subject == "" || e.Subject != o.Subject || e.Node != o.Peer || e.Peer != o.Node {
 		return false
 	}
 	return slices.ContainsFunc(causes, func(c [2]string) bool {
-		a, okA := strings.CutSuffix(e.What, " "+c[0])
-		b, okB := strings.CutSuffix(o.What, " "+c[1])
+		a, okA := strings.CutSuffix(e.Action, " "+c[0])
+		b, okB := strings.CutSuffix(o.Action, " "+c[1])
 		return okA && okB && a == b
 	})
 }
 
 // Read reads the events of a node from its log in JSON: the lines whose message is the given one, with the attributes step,
 // request_id and peer. What is no such line is passed over.
-func Read(node, msg string, log io.Reader) (events []Event, err error) {
+func ReadLog(node, msg string, log io.Reader) (events []Event, err error) {
 	in := bufio.NewScanner(log)
 	in.Buffer(nil, 1<<20)
 	for in.Scan() {
@@ -73,7 +73,7 @@
 			RequestID       string `json:"request_id"`
 		}
 		if json.Unmarshal(in.Bytes(), &l) == nil && l.Msg == msg {
-			events = append(events, Event{Node: node, At: time.Duration(l.Time.UnixNano()), What: l.Step, Of: l.RequestID, Peer: l.Peer})
+			events = append(events, Event{Node: node, Time: time.Duration(l.Time.UnixNano()), Action: l.Step, Subject: l.RequestID, Peer: l.Peer})
 		}
 	}
 	if err := in.Err(); err != nil {
@@ -83,13 +83,13 @@
 }
 
 // About keeps what is about some things, about none at all, or faults.
-func (l Line) About(of ...string) Line {
-	return slices.DeleteFunc(slices.Clone(l), func(e Event) bool { return e.Of != "" && !e.Fault && !slices.Contains(of, e.Of) })
+func (l Timeline) About(of ...string) Timeline {
+	return slices.DeleteFunc(slices.Clone(l), func(e Event) bool { return e.Subject != "" && !e.Fault && !slices.Contains(of, e.Subject) })
 }
 
 // Draw draws the line: a column for each node, in the order given, or as they appear; times count from the first event, in
 // milliseconds. A fault stands between stars.
-func (l Line) Draw(nodes ...string) string {
+func (l Timeline) Draw(nodes ...string) string {
 	for _, e := range l {
 		if !slices.Contains(nodes, e.Node) {
 			nodes = append(nodes, e.Node)
@@ -102,7 +102,7 @@
 	for i, e := range l {
 		cells[i] = strings.TrimPrefix(e.String(), e.Node+" ")
 		if e.Fault {
-			cells[i] = "*** " + e.What + " ***"
+			cells[i] = "*** " + e.Action + " ***"
 		}
 		col := slices.Index(nodes, e.Node)
 		wide[col] = max(wide[col], len(cells[i]))
@@ -122,7 +122,7 @@
 	}
 	row("ms", -1, func(i int) string { return nodes[i] })
 	for i, e := range l {
-		row(fmt.Sprintf("%.1f", (e.At-l[0].At).Seconds()*1000), slices.Index(nodes, e.Node), func(int) string { return cells[i] })
+		row(fmt.Sprintf("%.1f", (e.Time-l[0].Time).Seconds()*1000), slices.Index(nodes, e.Node), func(int) string { return cells[i] })
 	}
 	return b.String()
 }
@@ -135,7 +135,7 @@
 }
 
 // Check tells which part of a rule does not hold, with the events that led to it.
-func (l Line) Check(r Rule) error {
+func (l Timeline) Check(r Rule) error {
 	rest := l
 	if r.After != "" {
 		i := slices.IndexFunc(l, func(e Event) bool { return match(r.After, e) })
--- a/internal/testutil/timeline/timeline_test.go
+++ b/internal/testutil/timeline/timeline_test.go
@@ -9,11 +9,11 @@
 const ms = time.Millisecond
 
 var some = []Event{
-	{Node: "n1", At: 10 * ms, What: "may said", Of: "t7", Peer: "n2"},
-	{Node: "n2", At: 9 * ms, What: "may kept", Of: "t7", Peer: "n1"}, // by a clock that is behind
-	{Node: "n1", At: 12 * ms, What: "killed", Fault: true},
-	{Node: "n2", At: 400 * ms, What: "owner lost", Peer: "n1"},
-	{Node: "n2", At: 400 * ms, What: "taken", Of: "t8"},
+	{Node: "n1", Time: 10 * ms, Action: "may said", Subject: "t7", Peer: "n2"},
+	{Node: "n2", Time: 9 * ms, Action: "may kept", Subject: "t7", Peer: "n1"}, // by a clock that is behind
+	{Node: "n1", Time: 12 * ms, Action: "killed", Fault: true},
+	{Node: "n2", Time: 400 * ms, Action: "owner lost", Peer: "n1"},
+	{Node: "n2", Time: 400 * ms, Action: "taken", Subject: "t8"},
 }
 
 // Effects are drawn behind their causes, each node in its column, faults marked.
@@ -46,7 +46,7 @@
 func TestRead(t *testing.T) {
 	const log = "not JSON\n" + `{"time":"2026-12-02T00:00:00.5Z","level":"DEBUG","msg":"order step","step":"taken","request_id":"t1","peer":""}` + "\n" +
 		`{"time":"2026-12-02T00:00:00.6Z","level":"INFO","msg":"members"}` + "\n"
-	events, err := Read("n1", "order step", strings.NewReader(log))
+	events, err := ReadLog("n1", "order step", strings.NewReader(log))
 	if err != nil || len(events) != 1 || events[0].String() != "n1 taken t1" {
 		t.Errorf("%v, %v", events, err)
 	}
--- a/loadtest/clients.go
+++ b/loadtest/clients.go
@@ -126,13 +126,13 @@
 
 // Clients compares the kinds of clients against routers of the program bin, and writes tables: all, or only one of
 // Parts. With quick, times are a fifth of what they are else.
-func Clients(bin string, quick bool, only string, to io.Writer) error {
+func CompareClients(bin string, quick bool, only string, to io.Writer) error {
 	unit := time.Second
 	if quick {
 		unit /= 5
 	}
 	parts := map[string]func(string, time.Duration, io.Writer) error{"storms": storms, "restart": restart, "orders": orders, "minute": badMinute}
-	for _, name := range Parts {
+	for _, name := range ClientParts {
 		if only != "" && only != name {
 			continue
 		}
@@ -144,7 +144,7 @@
 }
 
 // Parts are the names of the parts of Clients.
-var Parts = []string{"storms", "restart", "orders", "minute"}
+var ClientParts = []string{"storms", "restart", "orders", "minute"}
 
 // storms has everything refused for ten seconds, with and without a told wait.
 func storms(bin string, unit time.Duration, to io.Writer) error {
@@ -303,27 +303,29 @@
 		if err != nil {
 			return err
 		}
-		fmt.Fprintf(to, "| %s | %d of %d | %d | %d | %.1f%% | %d |\n", k.name, o.Twice, o.Sent, o.Ghosts, o.Lies, 100*float64(o.Served)/float64(o.Sent), o.MayHaveRun)
+		fmt.Fprintf(to, "| %s | %d of %d | %d | %d | %.1f%% | %d |\n", k.name, o.RunTwice, o.Sent, o.ServedNotRun, o.DeniedButRun, 100*float64(o.Served)/float64(o.Sent), o.MayHaveRun)
 	}
 	fmt.Fprintln(to)
 	return nil
 }
 
 // Orders is what became of orders.
-type Orders struct {
-	Sent       int
-	Twice      int // ran twice or more
-	Ghosts     int // told as served, but did not run
-	Lies       int // told as surely not run, but ran
-	Served     int
-	MayHaveRun int // told so
+type OrderResult struct {
+	Sent         int
+	RunTwice     int // ran twice or more
+	ServedNotRun int // told as served, but did not run
+	DeniedButRun int // told as surely not run, but ran
+	Served       int
+	MayHaveRun   int // told so
 }
 
 // LibraryOrders sends orders by the client library while two routers of the program bin are killed in turn, each after
 // a unit of time, for twenty units.
-func LibraryOrders(bin string, unit time.Duration) (Orders, error) { return kinds[1].orders(bin, unit) }
+func OrdersWithRouterKills(bin string, unit time.Duration) (OrderResult, error) {
+	return kinds[1].orders(bin, unit)
+}
 
-func (k kind) orders(bin string, unit time.Duration) (o Orders, err error) {
+func (k kind) orders(bin string, unit time.Duration) (o OrderResult, err error) {
 	f, a, err := k.against(bin, 2, false)
 	if err != nil {
 		return o, err
@@ -339,19 +341,19 @@
 	f.Close()
 	for _, s := range all {
 		o.Sent++
-		ran := f.Backend.Runs[fmt.Sprintf("%016x", s.item)]
+		ran := f.Backend.Executions[fmt.Sprintf("%016x", s.item)]
 		if ran > 1 {
-			o.Twice++
+			o.RunTwice++
 		}
 		switch {
 		case s.err == nil && ran == 0:
-			o.Ghosts++
+			o.ServedNotRun++
 		case s.err == nil:
 			o.Served++
 		case errors.Is(s.err, client.ErrMayHaveRun):
 			o.MayHaveRun++
 		case ran > 0:
-			o.Lies++
+			o.DeniedButRun++
 		}
 	}
 	return o, err
@@ -411,12 +413,12 @@
 					break
 				}
 			}
-			if s.class == "new-arrange" && f.Backend.Runs[fmt.Sprintf("%016x", s.item)] > 1 {
+			if s.class == "new-arrange" && f.Backend.Executions[fmt.Sprintf("%016x", s.item)] > 1 {
 				twice++
 			}
 		}
 		parts[k.name] = part
-		fmt.Fprintf(to, "| %s | %.3f | %.2f | %d | %d |\n", k.name, earned/asked, float64(tries)/float64(len(all)), f.Backend.Asked, twice)
+		fmt.Fprintf(to, "| %s | %.3f | %.2f | %d | %d |\n", k.name, earned/asked, float64(tries)/float64(len(all)), f.Backend.Requests, twice)
 	}
 	fmt.Fprintf(to, "\n| part of the bad minute, up to | plain | library |\n| --- | --- | --- |\n")
 	for i, p := range phases {
--- a/loadtest/credit.go
+++ b/loadtest/credit.go
@@ -26,8 +26,8 @@
 )
 
 // Payers is a fleet whose routers share prepaid balances.
-type Payers struct {
-	*Outlivers
+type CreditCluster struct {
+	*FailoverCluster
 	topups string
 	lines  []string
 	names  []string
@@ -36,13 +36,13 @@
 }
 
 // NewPayers starts so many routers that share the balances of accounts, each funded with so much.
-func NewPayers(bin string, routers int, accounts map[string]float64, seed uint64) (*Payers, error) {
+func NewCreditCluster(bin string, routers int, accounts map[string]float64, seed uint64) (*CreditCluster, error) {
 	t, err := newTalkers(seed)
 	if err != nil {
 		return nil, err
 	}
 	dir := filepath.Dir(t.keys)
-	p := &Payers{Outlivers: &Outlivers{Talkers: t, book: &orderBook{asks: map[string]int{}, work: 10 * time.Millisecond, rnd: rand.New(rand.NewPCG(seed, 9))}},
+	p := &CreditCluster{FailoverCluster: &FailoverCluster{Cluster: t, book: &orderBook{asks: map[string]int{}, work: 10 * time.Millisecond, rnd: rand.New(rand.NewPCG(seed, 9))}},
 		topups: filepath.Join(dir, "topups.hcl"), funded: map[string]float64{}, spent: map[string]float64{}}
 	for i := range routers {
 		p.names = append(p.names, fmt.Sprintf("lab-%d", i))
@@ -56,7 +56,7 @@
 			return fmt.Sprintf("  takeover {\n    strict = true\n  }\n  ledger = %q\n  credit {\n    topups = %q\n    rest_s = 2\n    chunk_ms = 250\n    prices {\n      part-page {\n        each = %d\n      }\n      new-arrange {\n        each = %d\n      }\n    }\n  }\n",
 				filepath.Join(dir, fmt.Sprintf("%d.ledger", i)), p.topupsOf(i), pagePrice, orderPrice)
 		}
-		set := Setup{Routers: routers, Later: true, Caches: 4, Beside: routers, Cold: 1000, Answer: p.book.answer}
+		set := Setup{Routers: routers, RetryAfter: true, Caches: 4, KnownRouters: routers, OverloadFactor: 1000, Answer: p.book.answer}
 		for i := range routers {
 			if err = p.write(p.topupsOf(i), p.lines); err != nil {
 				break
@@ -77,14 +77,14 @@
 }
 
 // topupsOf is the file of top-ups that a router reads.
-func (p *Payers) topupsOf(i int) string { return fmt.Sprintf("%s.%d", p.topups, i) }
+func (p *CreditCluster) topupsOf(i int) string { return fmt.Sprintf("%s.%d", p.topups, i) }
 
-func (p *Payers) line(id, account string, amount float64) {
+func (p *CreditCluster) line(id, account string, amount float64) {
 	p.lines = append(p.lines, fmt.Sprintf("topup %q {\n  account = %q\n  amount  = %g\n}\n", id, account, amount))
 	p.funded[account] += amount
 }
 
-func (p *Payers) write(path string, lines []string) error {
+func (p *CreditCluster) write(path string, lines []string) error {
 	names := make([]string, len(p.names))
 	for i, n := range p.names {
 		names[i] = strconv.Quote(n)
@@ -97,7 +97,7 @@
 }
 
 // Fund tops an account up, as some routers read.
-func (p *Payers) Fund(id, account string, amount float64, readers ...int) error {
+func (p *CreditCluster) TopUp(id, account string, amount float64, readers ...int) error {
 	p.line(id, account, amount)
 	for _, i := range readers {
 		if err := p.write(p.topupsOf(i), p.lines); err != nil {
@@ -145,23 +145,23 @@
 }
 
 // PayRow is what a fault did to balances.
-type PayRow struct {
-	Fault           string
-	Funded, Spent   float64 // of the account that ran out, since the fleet's start; spent is what clients were served
-	Over            float64 // the highest of spent over funded, of any account
-	Served, Refused int
-	Twice           int     // orders that ran more than once
-	Left            int     // served in a second after half a second without any, of what was left
-	Stranded        float64 // of what was funded, what nobody could spend in the end
-	Beside          float64 // what an account with funds was served, over what it was before the other ran out
+type CreditResult struct {
+	Fault            string
+	Funded, Spent    float64 // of the account that ran out, since the fleet's start; spent is what clients were served
+	MaxSpentRatio    float64 // the highest of spent over funded, of any account
+	Served, Rejected int
+	OrdersRunTwice   int     // orders that ran more than once
+	ServedAfterEmpty int     // served in a second after half a second without any, of what was left
+	Stranded         float64 // of what was funded, what nobody could spend in the end
+	FundedRatio      float64 // what an account with funds was served, over what it was before the other ran out
 }
 
 // Broken tells whether more was spent than was funded, or an order ran twice.
-func (r PayRow) Broken() bool { return r.Over > 1 || r.Twice > 0 }
+func (r CreditResult) Broken() bool { return r.MaxSpentRatio > 1 || r.OrdersRunTwice > 0 }
 
 // Under has clients of two accounts ask while something is done, one with plenty and one whose funds run out, until that
 // one has been served nothing for a while.
-func (p *Payers) Under(fault string, clients int, over time.Duration, do func() error) (row PayRow, err error) {
+func (p *CreditCluster) runUnderLoad(fault string, clients int, over time.Duration, do func() error) (row CreditResult, err error) {
 	row.Fault = fault
 	stop := make(chan struct{})
 	var all sync.WaitGroup
@@ -195,28 +195,28 @@
 	before := took("rich", over/4)
 	if err = do(); err == nil {
 		time.Sleep(over / 2)
-		p.Net.Heal()
+		p.Network.Heal()
 		for range 40 {
 			if took("poor", 500*time.Millisecond) == 0 {
 				break
 			}
 		}
-		row.Left = took("poor", time.Second)
-		row.Beside = float64(took("rich", over/4)) / math.Max(float64(before), 1)
+		row.ServedAfterEmpty = took("poor", time.Second)
+		row.FundedRatio = float64(took("rich", over/4)) / math.Max(float64(before), 1)
 	}
 	close(stop)
 	all.Wait()
 	for account, ws := range payers {
 		for _, w := range ws {
 			p.spent[account] += w.spent
-			row.Served, row.Refused = row.Served+w.served, row.Refused+w.refused
+			row.Served, row.Rejected = row.Served+w.served, row.Rejected+w.refused
 			_ = w.c.Close(context.Background()) // all has ended
 		}
-		row.Over = math.Max(row.Over, p.spent[account]/p.funded[account])
+		row.MaxSpentRatio = math.Max(row.MaxSpentRatio, p.spent[account]/p.funded[account])
 	}
 	p.book.mu.Lock()
 	for _, n := range p.book.asks {
-		row.Twice += one(n > 1)
+		row.OrdersRunTwice += one(n > 1)
 	}
 	p.book.mu.Unlock()
 	row.Funded, row.Spent = p.funded["poor"], p.spent["poor"]
@@ -233,7 +233,7 @@
 }
 
 // PayFaults runs the fleet through each fault that is named, or all, after a top-up for each.
-func (p *Payers) PayFaults(each time.Duration, clients int, amount float64, only []string) (rows []PayRow, err error) {
+func (p *CreditCluster) RunCreditFaults(each time.Duration, clients int, amount float64, only []string) (rows []CreditResult, err error) {
 	n := len(p.Routers)
 	everybody := make([]int, n)
 	for i := range everybody {
@@ -246,10 +246,10 @@
 		do      func() error
 	}{
 		{"none", everybody, nothing},
-		{"two cut off from the rest", everybody, func() error { p.Net.Part([]int{0, 1}); return nil }},
-		{"one isolated", everybody, func() error { p.Net.Part([]int{0}); return nil }},
-		{"one not heard", everybody, func() error { p.Net.Cut([]int{0}, everybody); return nil }},
-		{"a third of the packets lost, others late", everybody, func() error { p.Net.Flaw(0.33, 100*time.Millisecond); return nil }},
+		{"two cut off from the rest", everybody, func() error { p.Network.Partition([]int{0, 1}); return nil }},
+		{"one isolated", everybody, func() error { p.Network.Partition([]int{0}); return nil }},
+		{"one not heard", everybody, func() error { p.Network.Block([]int{0}, everybody); return nil }},
+		{"a third of the packets lost, others late", everybody, func() error { p.Network.Impair(0.33, 100*time.Millisecond); return nil }},
 		{"top-up read by half of the fleet", everybody[:n/2], nothing},
 		{"stopped (SIGSTOP)", everybody, func() error {
 			p.Routers[0].Signal(syscall.SIGSTOP)
@@ -273,10 +273,10 @@
 		if only != nil && !slices.Contains(only, f.name) {
 			continue
 		}
-		if err := p.Fund("for "+f.name, "poor", amount, f.readers...); err != nil {
+		if err := p.TopUp("for "+f.name, "poor", amount, f.readers...); err != nil {
 			return rows, err
 		}
-		row, err := p.Under(f.name, clients, each, f.do)
+		row, err := p.runUnderLoad(f.name, clients, each, f.do)
 		if err != nil {
 			return rows, fmt.Errorf("%s: %w", f.name, err)
 		}
@@ -286,7 +286,7 @@
 }
 
 // pages is how many pages a second some clients get from the fleet, one after the other, on an account or none.
-func (o *Outlivers) pages(account string, clients int, over time.Duration) (float64, error) {
+func (o *FailoverCluster) pages(account string, clients int, over time.Duration) (float64, error) {
 	stop := make(chan struct{})
 	var all sync.WaitGroup
 	var ws []*payer
@@ -320,8 +320,8 @@
 }
 
 // Credit measures prepaid balances, and writes the table.
-func Credit(bin string, routers int, each time.Duration, seed uint64, to io.Writer) error {
-	off, err := NewOutlivers(bin, routers, false, "", seed)
+func MeasureCredit(bin string, routers int, each time.Duration, seed uint64, to io.Writer) error {
+	off, err := NewFailoverCluster(bin, routers, false, "", seed)
 	if err != nil {
 		return err
 	}
@@ -331,7 +331,7 @@
 	if err != nil {
 		return err
 	}
-	on, err := NewPayers(bin, routers, map[string]float64{"rich": 1e9}, seed)
+	on, err := NewCreditCluster(bin, routers, map[string]float64{"rich": 1e9}, seed)
 	if err != nil {
 		return err
 	}
@@ -343,15 +343,15 @@
 		return err
 	}
 	_, _ = fmt.Fprintf(to, "pages a second of 64 clients, one after the other: %.0f free, %.0f paid for, %.3f\n", free, paid, paid/free)
-	p, err := NewPayers(bin, routers, map[string]float64{"poor": 100, "rich": 1e6}, seed)
+	p, err := NewCreditCluster(bin, routers, map[string]float64{"poor": 100, "rich": 1e6}, seed)
 	if err != nil {
 		return err
 	}
 	defer p.Close()
-	rows, err := p.PayFaults(each, 12, 1500, nil)
+	rows, err := p.RunCreditFaults(each, 12, 1500, nil)
 	_, _ = fmt.Fprintf(to, "| fault | funded so far | spent so far | most of spent over funded | stranded | served in a second after half a second of none | the other account, over before | served | refused | orders twice |\n|%s\n", strings.Repeat("---|", 10))
 	for _, r := range rows {
-		_, _ = fmt.Fprintf(to, "| %s | %.0f | %.0f | %.4f | %.4f | %d | %.2f | %d | %d | %d |\n", r.Fault, r.Funded, r.Spent, r.Over, r.Stranded, r.Left, r.Beside, r.Served, r.Refused, r.Twice)
+		_, _ = fmt.Fprintf(to, "| %s | %.0f | %.0f | %.4f | %.4f | %d | %.2f | %d | %d | %d |\n", r.Fault, r.Funded, r.Spent, r.MaxSpentRatio, r.Stranded, r.ServedAfterEmpty, r.FundedRatio, r.Served, r.Rejected, r.OrdersRunTwice)
 	}
 	return err
 }
--- a/loadtest/fleet.go
+++ b/loadtest/fleet.go
@@ -25,15 +25,15 @@
 	dir     string
 	set     Setup
 	caches  []*fakes.Cache // on the list, the origin, spare
-	journal *fakes.Journal
+	journal *fakes.Discovery
 }
 
 // Router is a router process.
 type Router struct {
-	IP   string
-	Addr string
-	bin  string
-	conf string
+	Address       string
+	ListenAddress string
+	bin           string
+	conf          string
 
 	Env []string // of the process, beside this one's
 	Log string   // the least level that it logs; empty: errors
@@ -46,15 +46,15 @@
 
 // Backend is what the page cache and the origin do.
 type Backend struct {
-	mu     sync.Mutex
-	refuse bool
-	delay  time.Duration
-	rate   float64 // requests a second that it can do; 0: any
-	work   float64 // requests that wait to be done
-	then   time.Time
-	Runs   map[string]int // orders that ran, by object
-	Asked  int
-	Heard  func(fakes.Ask) // called with each request, if it is set before any comes
+	mu         sync.Mutex
+	refuse     bool
+	delay      time.Duration
+	rate       float64 // requests a second that it can do; 0: any
+	work       float64 // requests that wait to be done
+	then       time.Time
+	Executions map[string]int // orders that ran, by object
+	Requests   int
+	OnRequest  func(fakes.Request) // called with each request, if it is set before any comes
 }
 
 // Set changes what it does.
@@ -64,13 +64,13 @@
 	b.refuse, b.delay, b.rate, b.work, b.then = refuse, delay, rate, 0, time.Now()
 }
 
-func (b *Backend) answer(a fakes.Ask) fakes.Reply {
-	if b.Heard != nil {
-		b.Heard(a)
+func (b *Backend) answer(a fakes.Request) fakes.Reply {
+	if b.OnRequest != nil {
+		b.OnRequest(a)
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.Asked++
+	b.Requests++
 	full, wait := b.refuse, b.delay+5*time.Millisecond
 	if b.rate > 0 {
 		// What it can do waits in a line of a quarter of a second; to refuse the rest is a tenth of the work, as far as
@@ -86,39 +86,39 @@
 		}
 	}
 	if full {
-		return fakes.Reply{Word: "WAIT"}
+		return fakes.Reply{Status: "WAIT"}
 	}
 	note, body := "cached", []byte(nil)
 	switch a.Fields["kind"] {
 	case "new-arrange":
-		b.Runs[a.Fields["obj"]]++
+		b.Executions[a.Fields["obj"]]++
 		note = "fetched_root"
 	case "full-score":
 		body = make([]byte, 24<<10)
 	default:
 		body = make([]byte, 4<<10)
 	}
-	return fakes.Reply{Word: "DONE", Body: body, After: wait,
+	return fakes.Reply{Status: "DONE", Body: body, Delay: wait,
 		Fields: fmt.Sprintf("res=%s,version=1,stamp=%d", note, time.Now().UnixMilli())}
 }
 
 // Setup is what a fleet consists of.
 type Setup struct {
-	Routers   int
-	Later     bool                                     // they tell refused clients how long to stay away
-	Caches    int                                      // page caches on the list; beside them there is an origin
-	Spare     int                                      // page caches that are not on the list yet
-	Beside    int                                      // routers that each router is told to stand beside, itself counted
-	Cold      int                                      // of its capacity, a new page cache may be sent this multiple
-	Answer    func(cache int, a fakes.Ask) fakes.Reply // nil: Backend answers
-	Addresses func(cache int) string                   // of page caches that others play, the origin last; nil: the fleet plays them
-	Operator  func(i int, ip string) string            // the operator's file of a router; nil: there is none
-	Log       string                                   // the least level that routers log; empty: errors
+	Routers        int
+	RetryAfter     bool                                         // they tell refused clients how long to stay away
+	Caches         int                                          // page caches on the list; beside them there is an origin
+	SpareCaches    int                                          // page caches that are not on the list yet
+	KnownRouters   int                                          // routers that each router is told to stand beside, itself counted
+	OverloadFactor int                                          // of its capacity, a new page cache may be sent this multiple
+	Answer         func(cache int, a fakes.Request) fakes.Reply // nil: Backend answers
+	Addresses      func(cache int) string                       // of page caches that others play, the origin last; nil: the fleet plays them
+	Operator       func(i int, ip string) string                // the operator's file of a router; nil: there is none
+	Log            string                                       // the least level that routers log; empty: errors
 }
 
 // NewFleet starts so many routers of the program bin. With later, they tell refused clients how long to stay away.
 func NewFleet(bin string, routers int, later bool) (*Fleet, error) {
-	return StartFleet(bin, Setup{Routers: routers, Later: later, Caches: 2, Beside: 1, Cold: 4})
+	return StartFleet(bin, Setup{Routers: routers, RetryAfter: later, Caches: 2, KnownRouters: 1, OverloadFactor: 4})
 }
 
 // coldFor is how long a page cache of the fleet is cold after its start.
@@ -126,7 +126,7 @@
 
 // StartFleet starts a fleet.
 func StartFleet(bin string, set Setup) (*Fleet, error) {
-	f := &Fleet{Backend: &Backend{Runs: map[string]int{}}, set: set}
+	f := &Fleet{Backend: &Backend{Executions: map[string]int{}}, set: set}
 	if err := f.start(bin); err != nil {
 		f.Close()
 		return nil, err
@@ -138,14 +138,14 @@
 	if f.dir, err = os.MkdirTemp("", "hillknot-loadtest-"); err != nil {
 		return err
 	}
-	if f.journal, err = fakes.NewJournal("127.0.0.1:0", 2); err != nil {
+	if f.journal, err = fakes.NewDiscovery("127.0.0.1:0", 2); err != nil {
 		return err
 	}
 	var hosts []map[string]any
-	for i := range f.set.Caches + 1 + f.set.Spare {
+	for i := range f.set.Caches + 1 + f.set.SpareCaches {
 		answer := f.Backend.answer
 		if f.set.Answer != nil {
-			answer = func(a fakes.Ask) fakes.Reply { return f.set.Answer(i, a) }
+			answer = func(a fakes.Request) fakes.Reply { return f.set.Answer(i, a) }
 		}
 		c, err := fakes.NewCache("127.0.0.1:0", answer)
 		if err != nil {
@@ -183,8 +183,8 @@
 func (f *Fleet) router(bin string, i int, hosts []map[string]any) (*Router, error) {
 	// An address of its own to come back to: no other's connection can be given that port meanwhile.
 	n := rand.Uint32()
-	r := &Router{IP: fmt.Sprintf("127.%d.%d.%d", 64+n>>16&63, n>>8&255, 1+n%254), bin: bin, dir: filepath.Join(f.dir, fmt.Sprint(i))}
-	r.Addr, r.Log = r.IP+":7001", f.set.Log
+	r := &Router{Address: fmt.Sprintf("127.%d.%d.%d", 64+n>>16&63, n>>8&255, 1+n%254), bin: bin, dir: filepath.Join(f.dir, fmt.Sprint(i))}
+	r.ListenAddress, r.Log = r.Address+":7001", f.set.Log
 	r.conf = filepath.Join(r.dir, "config.json")
 	us := func(d time.Duration) int64 { return d.Microseconds() }
 	class := func(name, repeat string, aim, deadline time.Duration, worth int) map[string]any {
@@ -192,17 +192,17 @@
 	}
 	const ms = time.Millisecond
 	text, err := json.Marshal(map[string]any{
-		"name": fmt.Sprintf("lab-%d", i), "listen": r.Addr, "journal": f.journal.Addr(),
+		"name": fmt.Sprintf("lab-%d", i), "listen": r.ListenAddress, "journal": f.journal.Addr(),
 		"known": map[string]any{"pos": 1, "entries": []any{map[string]any{"pos": 1,
 			"hosts": map[string]any{"generation": 0, "reset": true, "instances": hosts}}}},
 		"settings": map[string]any{
 			"locality": "edge", "dcs": []string{"hub", "edge"}, "hostTypes": []string{"small", "origin"},
 			"allowed": map[string]any{"cancel": true, "connectTimeoutUs": 400000, "keepaliveUs": 30000000, "maxAttempts": 6,
-				"retryAfter": f.set.Later, "maxRetryAfterUs": 500000},
-			"invariants": map[string]any{"coldFrom": 0.21, "coldUs": us(coldFor), "fallUs": 2000000, "overloadFactor": f.set.Cold},
+				"retryAfter": f.set.RetryAfter, "maxRetryAfterUs": 500000},
+			"invariants": map[string]any{"coldFrom": 0.21, "coldUs": us(coldFor), "fallUs": 2000000, "overloadFactor": f.set.OverloadFactor},
 			"profiles": []any{class("full-score", "safe", 400*ms, 5*time.Second, 2), class("part-page", "safe", 250*ms, 3*time.Second, 1),
 				class("new-arrange", "unsafe", 700*ms, 3*time.Second, 3)},
-			"specifics": map[string]any{"instancesByZone": []int{0, f.set.Beside}, "midKind": -1, "storeKind": 1, "classWrite": []bool{false, false, true},
+			"specifics": map[string]any{"instancesByZone": []int{0, f.set.KnownRouters}, "midKind": -1, "storeKind": 1, "classWrite": []bool{false, false, true},
 				"classFreshUs": []int{0, 20000000, 0}, "purgeTakesUs": 6000000},
 		},
 	})
@@ -214,7 +214,7 @@
 	}
 	if f.set.Operator != nil {
 		r.operator = filepath.Join(r.dir, "operator.hcl")
-		if err := os.WriteFile(r.operator, []byte(f.set.Operator(i, r.IP)), 0o600); err != nil {
+		if err := os.WriteFile(r.operator, []byte(f.set.Operator(i, r.Address)), 0o600); err != nil {
 			return nil, err
 		}
 	}
@@ -239,13 +239,13 @@
 		return err
 	}
 	for range 200 {
-		if nc, err := net.Dial("tcp", r.Addr); err == nil {
+		if nc, err := net.Dial("tcp", r.ListenAddress); err == nil {
 			return nc.Close()
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
 	said, _ := os.ReadFile(log.Name()) // it may have said nothing
-	return fmt.Errorf("router %s does not accept: %s", r.Addr, said)
+	return fmt.Errorf("router %s does not accept: %s", r.ListenAddress, said)
 }
 
 // Signal sends the process a signal.
@@ -262,7 +262,7 @@
 	for _, r := range f.Routers {
 		r.Signal(syscall.SIGTERM)
 		if err := r.cmd.Wait(); err != nil { // anything but exit 0
-			return fmt.Errorf("%s: %w", r.Addr, err)
+			return fmt.Errorf("%s: %w", r.ListenAddress, err)
 		}
 		if err := r.Start(); err != nil {
 			return err
@@ -288,18 +288,18 @@
 }
 
 // Tell has the journal tell an event: what comes behind "pos" in its data.
-func (f *Fleet) Tell(format string, args ...any) { f.journal.Tell(format, args...) }
+func (f *Fleet) Publish(format string, args ...any) { f.journal.Publish(format, args...) }
 
 // StartSpare has the journal tell of a spare page cache that has just started, under a name.
 func (f *Fleet) StartSpare(i int, name string) {
-	f.Tell(`"hosts":{"generation":1,"reset":false,"instances":[{"instanceId":%q,"hostPort":%q,"zone":"edge","machineType":"small","lifecycle":"ready","weight":1,"startedAtMs":%d}]}`,
+	f.Publish(`"hosts":{"generation":1,"reset":false,"instances":[{"instanceId":%q,"hostPort":%q,"zone":"edge","machineType":"small","lifecycle":"ready","weight":1,"startedAtMs":%d}]}`,
 		name, f.caches[f.set.Caches+1+i].Addr(), time.Now().UnixMilli())
 }
 
 // addrs are the routers' addresses.
 func (f *Fleet) addrs() (out []string) {
 	for _, r := range f.Routers {
-		out = append(out, r.Addr)
+		out = append(out, r.ListenAddress)
 	}
 	return out
 }
--- a/loadtest/load.go
+++ b/loadtest/load.go
@@ -17,12 +17,12 @@
 	stop chan struct{}
 	work sync.WaitGroup
 
-	mu                        sync.Mutex
-	rnd                       *rand.Rand
-	open                      map[uint64]time.Time // by the connection's ids
-	gone                      net.Conn             // the connection that died last
-	Sent, Served, Refused     int
-	Failed, Twice, Cut, Never int // answered with an error; more than once; on a connection that died; never
+	mu                                              sync.Mutex
+	rnd                                             *rand.Rand
+	open                                            map[uint64]time.Time // by the connection's ids
+	gone                                            net.Conn             // the connection that died last
+	Sent, Served, Rejected                          int
+	Failed, AnsweredTwice, Disconnected, Unanswered int // answered with an error; more than once; on a connection that died; never
 }
 
 // NewLoad begins. The requests follow from the seed.
@@ -33,7 +33,7 @@
 }
 
 // End stops sending, waits for what is owed for a bounded time, and counts what never came.
-func (l *Load) End() {
+func (l *Load) Stop() {
 	close(l.stop)
 	l.work.Wait()
 }
@@ -96,7 +96,7 @@
 	if l.gone != nc {
 		return false
 	}
-	l.Cut += len(l.open)
+	l.Disconnected += len(l.open)
 	clear(l.open)
 	return true
 }
@@ -112,7 +112,7 @@
 		}
 	}
 	l.mu.Lock()
-	l.Never += len(l.open)
+	l.Unanswered += len(l.open)
 	clear(l.open)
 	l.mu.Unlock()
 }
@@ -169,7 +169,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if _, ok := l.open[h.ID]; !ok {
-		l.Twice++
+		l.AnsweredTwice++
 		return
 	}
 	delete(l.open, h.ID)
@@ -177,7 +177,7 @@
 	case h.Kind == rpc.ResponseBody:
 		l.Served++
 	case string(h.Code) == rpc.CodeThrottled:
-		l.Refused++
+		l.Rejected++
 	default:
 		l.Failed++
 	}
--- a/loadtest/outlive.go
+++ b/loadtest/outlive.go
@@ -30,18 +30,18 @@
 	rnd   *rand.Rand
 }
 
-func (b *orderBook) answer(_ int, a fakes.Ask) fakes.Reply {
+func (b *orderBook) answer(_ int, a fakes.Request) fakes.Reply {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	fields := fmt.Sprintf("res=cached,version=1,stamp=%d", time.Now().UnixMilli())
 	if a.Fields["kind"] != "new-arrange" {
 		if b.quick {
-			return fakes.Reply{Word: "DONE", Body: make([]byte, 64), Fields: fields}
+			return fakes.Reply{Status: "DONE", Body: make([]byte, 64), Fields: fields}
 		}
-		return fakes.Reply{Word: "DONE", Body: make([]byte, 1<<10), After: 20 * time.Millisecond, Fields: fields}
+		return fakes.Reply{Status: "DONE", Body: make([]byte, 1<<10), Delay: 20 * time.Millisecond, Fields: fields}
 	}
 	b.asks[a.Fields["obj"]]++
-	return fakes.Reply{Word: "DONE", Body: []byte("done " + a.Fields["obj"]), After: b.work + time.Duration(b.rnd.Int64N(int64(20*time.Millisecond))), Fields: fields}
+	return fakes.Reply{Status: "DONE", Body: []byte("done " + a.Fields["obj"]), Delay: b.work + time.Duration(b.rnd.Int64N(int64(20*time.Millisecond))), Fields: fields}
 }
 
 func (b *orderBook) ran(item uint64) int {
@@ -51,24 +51,24 @@
 }
 
 // Outlivers is a fleet whose routers keep each other's orders.
-type Outlivers struct {
-	*Talkers
+type FailoverCluster struct {
+	*Cluster
 	book *orderBook
 	made uint64 // clients
 }
 
 // NewOutlivers starts so many routers that keep each other's orders, or with on false, the same without.
-func NewOutlivers(bin string, routers int, on bool, log string, seed uint64) (*Outlivers, error) {
+func NewFailoverCluster(bin string, routers int, on bool, log string, seed uint64) (*FailoverCluster, error) {
 	t, err := newTalkers(seed)
 	if err != nil {
 		return nil, err
 	}
-	o := &Outlivers{t, &orderBook{asks: map[string]int{}, work: 30 * time.Millisecond, rnd: rand.New(rand.NewPCG(seed, 9))}, 0}
+	o := &FailoverCluster{t, &orderBook{asks: map[string]int{}, work: 30 * time.Millisecond, rnd: rand.New(rand.NewPCG(seed, 9))}, 0}
 	block := ""
 	if on {
 		block = "  takeover {\n    strict = true\n  }\n"
 	}
-	set := Setup{Routers: routers, Later: true, Caches: 4, Beside: routers, Cold: 1000, Answer: o.book.answer, Log: log}
+	set := Setup{Routers: routers, RetryAfter: true, Caches: 4, KnownRouters: routers, OverloadFactor: 1000, Answer: o.book.answer, Log: log}
 	if err := t.start(bin, set, func(int) string { return block }); err != nil {
 		t.Close()
 		return nil, err
@@ -85,7 +85,7 @@
 // claimer sends one request after the other by a library client of its own, so that what the client observes is of the one
 // that is open.
 type claimer struct {
-	o    *Outlivers
+	o    *FailoverCluster
 	c    *client.Client
 	rnd  *rand.Rand
 	mu   sync.Mutex
@@ -109,7 +109,7 @@
 	ran  int
 }
 
-func (o *Outlivers) claimer(seed uint64) (*claimer, error) {
+func (o *FailoverCluster) claimer(seed uint64) (*claimer, error) {
 	w := &claimer{o: o, rnd: rand.New(rand.NewPCG(seed, 8))}
 	set := policy.Defaults()
 	set.Seed, set.Claims = seed, true
@@ -161,47 +161,47 @@
 }
 
 // OutliveRow is what a fault did to orders and reads.
-type OutliveRow struct {
-	Fault                                 string
-	Orders, Served, Refused, May, Other   int // orders; how they ended for their clients
-	Twice, Contradict                     int
-	Reads, ReadsServed                    int
-	OpenReads, OpenReadsAnswered          int // on routers as they were lost
-	OpenUnsent, OpenUnsentAnswered, MayUn int // orders that no page cache had got; of these, told as may have run
-	OpenSent, OpenSentAnswered            int
-	Kills                                 int
+type FailoverResult struct {
+	Fault                                                    string
+	Orders, Served, Rejected, MayHaveRun, OtherErrors        int // orders; how they ended for their clients
+	RunTwice, Contradictions                                 int
+	Reads, ReadsServed                                       int
+	ReadsInFlight, ReadsInFlightServed                       int // on routers as they were lost
+	UnsentInFlight, UnsentInFlightResolved, UnsentMayHaveRun int // orders that no page cache had got; of these, told as may have run
+	SentInFlight, SentInFlightServed                         int
+	Kills                                                    int
 }
 
 // Broken tells whether a row breaks a promise.
-func (r OutliveRow) Broken() bool { return r.Twice+r.Contradict > 0 }
+func (r FailoverResult) Broken() bool { return r.RunTwice+r.Contradictions > 0 }
 
-func (r *OutliveRow) add(calls []*Call, ran func(uint64) int) {
+func (r *FailoverResult) add(calls []*Call, ran func(uint64) int) {
 	for _, k := range calls {
 		served := k.Err == nil
 		may := errors.Is(k.Err, client.ErrMayHaveRun)
 		if !k.Order {
 			r.Reads++
 			r.ReadsServed += one(served)
-			r.OpenReads += one(k.Open)
-			r.OpenReadsAnswered += one(k.Open && served)
+			r.ReadsInFlight += one(k.Open)
+			r.ReadsInFlightServed += one(k.Open && served)
 			continue
 		}
 		k.ran = ran(k.Item)
 		r.Orders++
 		r.Served += one(served)
-		r.May += one(may)
-		r.Refused += one(!served && !may && errors.Is(k.Err, client.ErrRefused))
-		r.Other += one(!served && !may && !errors.Is(k.Err, client.ErrRefused))
-		r.Twice += one(k.ran > 1)
-		r.Contradict += one(served && k.ran == 0 || !served && !may && k.ran > 0)
+		r.MayHaveRun += one(may)
+		r.Rejected += one(!served && !may && errors.Is(k.Err, client.ErrRefused))
+		r.OtherErrors += one(!served && !may && !errors.Is(k.Err, client.ErrRefused))
+		r.RunTwice += one(k.ran > 1)
+		r.Contradictions += one(served && k.ran == 0 || !served && !may && k.ran > 0)
 		switch {
 		case k.Open && k.Sent:
-			r.OpenSent++
-			r.OpenSentAnswered += one(served)
+			r.SentInFlight++
+			r.SentInFlightServed += one(served)
 		case k.Open:
-			r.OpenUnsent++
-			r.OpenUnsentAnswered += one(!may)
-			r.MayUn += one(may)
+			r.UnsentInFlight++
+			r.UnsentInFlightResolved += one(!may)
+			r.UnsentMayHaveRun += one(may)
 		}
 	}
 }
@@ -214,8 +214,8 @@
 }
 
 // Under runs clients while something is done to the fleet, and counts.
-func (o *Outlivers) Under(fault string, clients int, do func(lost func(routers ...int)) error) (OutliveRow, error) {
-	row := OutliveRow{Fault: fault}
+func (o *FailoverCluster) runUnderLoad(fault string, clients int, do func(lost func(routers ...int)) error) (FailoverResult, error) {
+	row := FailoverResult{Fault: fault}
 	stop := make(chan struct{})
 	var all sync.WaitGroup
 	var ws []*claimer
@@ -238,7 +238,7 @@
 		row.Kills++
 		var addrs []string
 		for _, i := range routers {
-			addrs = append(addrs, o.Routers[i].Addr)
+			addrs = append(addrs, o.Routers[i].ListenAddress)
 		}
 		for _, w := range ws {
 			w.lost(addrs)
@@ -254,7 +254,7 @@
 }
 
 // kill kills routers at once, marks what was open there, and starts them again.
-func (o *Outlivers) kill(lost func(...int), after time.Duration, routers ...int) error {
+func (o *FailoverCluster) kill(lost func(...int), after time.Duration, routers ...int) error {
 	lost(routers...)
 	for _, i := range routers {
 		o.Routers[i].Kill()
@@ -269,9 +269,9 @@
 }
 
 // Kills kills one router after the other, so many times, and starts each again.
-func (o *Outlivers) Kills(n int, each time.Duration, clients int) (OutliveRow, error) {
+func (o *FailoverCluster) RunKills(n int, each time.Duration, clients int) (FailoverResult, error) {
 	rnd := rand.New(rand.NewPCG(o.seed, 4))
-	return o.Under("kill and restart, one after the other", clients, func(lost func(...int)) error {
+	return o.runUnderLoad("kill and restart, one after the other", clients, func(lost func(...int)) error {
 		for range n {
 			if err := o.kill(lost, each/3, rnd.IntN(len(o.Routers))); err != nil {
 				return err
@@ -283,7 +283,7 @@
 }
 
 // OutliveFaults runs the fleet through each fault that is named, or all, for so long each.
-func (o *Outlivers) OutliveFaults(each time.Duration, clients int, only []string) (rows []OutliveRow, err error) {
+func (o *FailoverCluster) RunFailoverFaults(each time.Duration, clients int, only []string) (rows []FailoverResult, err error) {
 	rest := func(not ...int) (out []int) {
 		for i := range o.Routers {
 			if !slices.Contains(not, i) {
@@ -317,29 +317,29 @@
 			}
 			return nil
 		}},
-		{"two cut off from the rest", func(func(...int)) error { o.Net.Part([]int{0, 1}); return wait(each) }},
-		{"one isolated", func(func(...int)) error { o.Net.Heal(); o.Net.Part([]int{0}); return wait(each) }},
-		{"one not heard", func(func(...int)) error { o.Net.Heal(); o.Net.Cut([]int{0}, rest(0)); return wait(each) }},
-		{"one deaf", func(func(...int)) error { o.Net.Heal(); o.Net.Cut(rest(0), []int{0}); return wait(each) }},
+		{"two cut off from the rest", func(func(...int)) error { o.Network.Partition([]int{0, 1}); return wait(each) }},
+		{"one isolated", func(func(...int)) error { o.Network.Heal(); o.Network.Partition([]int{0}); return wait(each) }},
+		{"one not heard", func(func(...int)) error { o.Network.Heal(); o.Network.Block([]int{0}, rest(0)); return wait(each) }},
+		{"one deaf", func(func(...int)) error { o.Network.Heal(); o.Network.Block(rest(0), []int{0}); return wait(each) }},
 		{"a third of the packets lost, others late", func(func(...int)) error {
-			o.Net.Heal()
-			o.Net.Flaw(0.33, 100*time.Millisecond)
+			o.Network.Heal()
+			o.Network.Impair(0.33, 100*time.Millisecond)
 			return wait(each)
 		}},
-		{"keys rotated", func(func(...int)) error { o.Net.Heal(); return o.rotate() }},
+		{"keys rotated", func(func(...int)) error { o.Network.Heal(); return o.rotate() }},
 		{"rolling restart (SIGTERM)", func(func(...int)) error { return o.roll() }},
 		{"drawn from the seed", func(func(...int)) error { return o.follow(faultnet.Schedule(o.seed, len(o.Routers), 2*each, each/8)) }},
 	} {
 		if only != nil && !slices.Contains(only, f.name) {
 			continue
 		}
-		row, err := o.Under(f.name, clients, f.do)
+		row, err := o.runUnderLoad(f.name, clients, f.do)
 		if err != nil {
 			return rows, fmt.Errorf("%s: %w", f.name, err)
 		}
 		rows = append(rows, row)
 	}
-	o.Net.Heal()
+	o.Network.Heal()
 	return rows, nil
 }
 
@@ -362,7 +362,7 @@
 }
 
 // Cost measures a fleet at rest: the times of orders and of reads.
-func (o *Outlivers) Cost(over time.Duration) (c Cost, err error) {
+func (o *FailoverCluster) MeasureCost(over time.Duration) (c Cost, err error) {
 	for _, share := range []float64{1, 0} {
 		var ws []*claimer
 		var all sync.WaitGroup
@@ -376,7 +376,7 @@
 			ws = append(ws, w)
 			all.Go(func() { w.run(stop, share, 0) })
 		}
-		packets := o.Net.Passed.Load()
+		packets := o.Network.PacketsForwarded.Load()
 		time.Sleep(over)
 		close(stop)
 		all.Wait()
@@ -388,7 +388,7 @@
 			_ = w.c.Close(context.Background()) // all has ended
 		}
 		if share > 0 {
-			c.Orders, c.Packets = quantiles(took), float64(o.Net.Passed.Load()-packets)/over.Seconds()/float64(len(o.Routers))
+			c.Orders, c.Packets = quantiles(took), float64(o.Network.PacketsForwarded.Load()-packets)/over.Seconds()/float64(len(o.Routers))
 		} else {
 			c.Reads, c.ReadsASecond = quantiles(took), float64(len(took))/over.Seconds()
 		}
@@ -397,14 +397,14 @@
 }
 
 // Line is the timeline of the fleet's routers, as far as they logged the steps of orders.
-func (o *Outlivers) Line(faults ...timeline.Event) (timeline.Line, error) {
+func (o *FailoverCluster) Timeline(faults ...timeline.Event) (timeline.Timeline, error) {
 	events := slices.Clone(faults)
 	for i, r := range o.Routers {
 		f, err := os.Open(filepath.Join(r.dir, "log"))
 		if err != nil {
 			return nil, err
 		}
-		more, err := timeline.Read(fmt.Sprintf("lab-%d", i), "order step", f)
+		more, err := timeline.ReadLog(fmt.Sprintf("lab-%d", i), "order step", f)
 		_ = f.Close() // it was only read
 		if err != nil {
 			return nil, err
@@ -415,13 +415,13 @@
 }
 
 // Outlive measures all of it, and writes the tables.
-func Outlive(bin string, routers, kills int, each time.Duration, seed uint64, to io.Writer) error {
+func MeasureFailover(bin string, routers, kills int, each time.Duration, seed uint64, to io.Writer) error {
 	for _, on := range []bool{false, true} {
-		o, err := NewOutlivers(bin, routers, on, "", seed)
+		o, err := NewFailoverCluster(bin, routers, on, "", seed)
 		if err != nil {
 			return err
 		}
-		c, err := o.Cost(each)
+		c, err := o.MeasureCost(each)
 		o.Close()
 		if err != nil {
 			return err
@@ -429,32 +429,32 @@
 		_, _ = fmt.Fprintf(to, "orders kept %v: an order takes %v at p50, %v at p99; a read %v, %v; %.0f reads a second; %.0f packets a second, a router, with 8 clients ordering\n",
 			on, c.Orders.P50.Round(10*time.Microsecond), c.Orders.P99.Round(10*time.Microsecond), c.Reads.P50.Round(10*time.Microsecond), c.Reads.P99.Round(10*time.Microsecond), c.ReadsASecond, c.Packets)
 	}
-	o, err := NewOutlivers(bin, routers, true, "", seed)
+	o, err := NewFailoverCluster(bin, routers, true, "", seed)
 	if err != nil {
 		return err
 	}
 	defer o.Close()
 	time.Sleep(4 * time.Second) // all are up for longer than any client waits
-	rows, err := o.OutliveFaults(each, 24, nil)
+	rows, err := o.RunFailoverFaults(each, 24, nil)
 	if err != nil {
 		return err
 	}
-	row, err := o.Kills(kills, 600*time.Millisecond, 24)
+	row, err := o.RunKills(kills, 600*time.Millisecond, 24)
 	if err != nil {
 		return err
 	}
-	WriteOutlive(append(rows, row), to)
+	writeFailoverTable(append(rows, row), to)
 	return nil
 }
 
 // WriteOutlive writes rows as a table.
-func WriteOutlive(rows []OutliveRow, to io.Writer) {
+func writeFailoverTable(rows []FailoverResult, to io.Writer) {
 	head := []string{"fault", "orders", "served", "refused", "may have run", "other", "run twice", "contradictions", "reads served", "losses",
 		"open reads answered", "open orders not sent: answered", "open orders sent: answered"}
 	_, _ = fmt.Fprintf(to, "| %s |\n|%s\n", strings.Join(head, " | "), strings.Repeat("---|", len(head)))
 	for _, r := range rows {
-		_, _ = fmt.Fprintf(to, "| %s | %d | %d | %d | %d | %d | %d | %d | %d of %d | %d | %d of %d | %d of %d (%d may have run) | %d of %d |\n", r.Fault, r.Orders, r.Served, r.Refused,
-			r.May, r.Other, r.Twice, r.Contradict, r.ReadsServed, r.Reads, r.Kills, r.OpenReadsAnswered, r.OpenReads, r.OpenUnsentAnswered, r.OpenUnsent, r.MayUn, r.OpenSentAnswered, r.OpenSent)
+		_, _ = fmt.Fprintf(to, "| %s | %d | %d | %d | %d | %d | %d | %d | %d of %d | %d | %d of %d | %d of %d (%d may have run) | %d of %d |\n", r.Fault, r.Orders, r.Served, r.Rejected,
+			r.MayHaveRun, r.OtherErrors, r.RunTwice, r.Contradictions, r.ReadsServed, r.Reads, r.Kills, r.ReadsInFlightServed, r.ReadsInFlight, r.UnsentInFlightResolved, r.UnsentInFlight, r.UnsentMayHaveRun, r.SentInFlightServed, r.SentInFlight)
 	}
 }
 
@@ -463,32 +463,32 @@
 //
 // Beside the library's clients, which leave a router that says that it ends, others go on sending down each open connection,
 // many requests at a time: what these got is in the second value.
-func Roll(bin string, routers int, alone bool, seed uint64) (OutliveRow, Pipelined, error) {
-	var p Pipelined
-	o, err := NewOutlivers(bin, routers, false, "", seed)
+func RollingRestart(bin string, routers int, alone bool, seed uint64) (FailoverResult, PipelinedResult, error) {
+	var p PipelinedResult
+	o, err := NewFailoverCluster(bin, routers, false, "", seed)
 	if err != nil {
-		return OutliveRow{}, p, err
+		return FailoverResult{}, p, err
 	}
 	defer o.Close()
 	for i, r := range o.Routers {
-		o.loads = append(o.loads, NewLoad(r.Addr, 100, seed+uint64(i)))
+		o.loads = append(o.loads, NewLoad(r.ListenAddress, 100, seed+uint64(i)))
 	}
 	if alone {
 		o.journal.Close()
 	}
-	row, err := o.Under("rolling restart", 16, func(func(...int)) error { return o.roll() })
+	row, err := o.runUnderLoad("rolling restart", 16, func(func(...int)) error { return o.roll() })
 	for _, l := range o.loads {
-		l.End()
-		p.Sent, p.Answered, p.Cut = p.Sent+l.Sent, p.Answered+l.Served+l.Refused+l.Failed, p.Cut+l.Cut
-		p.Never, p.Twice = p.Never+l.Never, p.Twice+l.Twice
+		l.Stop()
+		p.Sent, p.Answered, p.Disconnected = p.Sent+l.Sent, p.Answered+l.Served+l.Rejected+l.Failed, p.Disconnected+l.Disconnected
+		p.Unanswered, p.AnsweredTwice = p.Unanswered+l.Unanswered, p.AnsweredTwice+l.AnsweredTwice
 	}
 	o.loads = nil
 	return row, p, err
 }
 
 // Pipelined is what became of requests that were sent down connections until these closed.
-type Pipelined struct {
-	Sent, Answered int
-	Cut            int // open on a connection as it closed
-	Never, Twice   int // without an answer on one that stayed; with two
+type PipelinedResult struct {
+	Sent, Answered            int
+	Disconnected              int // open on a connection as it closed
+	Unanswered, AnsweredTwice int // without an answer on one that stayed; with two
 }
--- a/loadtest/purge.go
+++ b/loadtest/purge.go
@@ -13,17 +13,17 @@
 )
 
 // Purged counts what a router that was stopped asked for after it went on.
-type Purged struct {
-	Rounds int // the router was stopped so often, and told of a purge meanwhile
-	Asks   int // for purged objects, after that
-	Old    int // of these, such that a copy from before the purge would have done
+type PurgeResult struct {
+	Rounds   int // the router was stopped so often, and told of a purge meanwhile
+	Requests int // for purged objects, after that
+	Stale    int // of these, such that a copy from before the purge would have done
 
-	Late []string // how each of the old ones came to be
+	StaleDetails []string // how each of the old ones came to be
 }
 
 // PurgeAfterStop stops a router's process, as one is that gets no processor for a time, in the middle of some requests,
 // tells it of a purge between others, and lets it go on.
-func PurgeAfterStop(bin string, rounds int) (p Purged, err error) {
+func PurgeDuringStop(bin string, rounds int) (p PurgeResult, err error) {
 	f, err := NewFleet(bin, 1, true)
 	if err != nil {
 		return p, err
@@ -32,24 +32,24 @@
 	var mu sync.Mutex
 	var object string
 	var purged, resumed time.Time
-	f.Backend.Heard = func(a fakes.Ask) {
+	f.Backend.OnRequest = func(a fakes.Request) {
 		mu.Lock()
 		defer mu.Unlock()
 		if a.Fields["obj"] != object || purged.IsZero() {
 			return
 		}
-		p.Asks++
+		p.Requests++
 		newer, err := strconv.Atoi(a.Fields["newer"])
 		if err != nil || time.Duration(newer)*time.Millisecond > time.Since(purged)+time.Millisecond {
-			p.Old++
-			p.Late = append(p.Late, fmt.Sprintf("txn %s asked for %q ms, %v after the purge was told, %v after the process went on", a.ID,
+			p.Stale++
+			p.StaleDetails = append(p.StaleDetails, fmt.Sprintf("txn %s asked for %q ms, %v after the purge was told, %v after the process went on", a.ID,
 				a.Fields["newer"], time.Since(purged), time.Since(resumed)))
 		}
 	}
 	r := f.Routers[0]
-	for end := time.Now().Add(20 * time.Second); f.journal.Sent() == 0; time.Sleep(time.Millisecond) { // it hears the journal
+	for end := time.Now().Add(20 * time.Second); f.journal.BytesSent() == 0; time.Sleep(time.Millisecond) { // it hears the journal
 		if time.Now().After(end) {
-			return p, fmt.Errorf("router %s does not call the journal", r.Addr)
+			return p, fmt.Errorf("router %s does not call the journal", r.ListenAddress)
 		}
 	}
 	for p.Rounds = range rounds {
@@ -59,7 +59,7 @@
 		mu.Unlock()
 		var conns []net.Conn
 		for range 12 {
-			nc, err := net.Dial("tcp", r.Addr)
+			nc, err := net.Dial("tcp", r.ListenAddress)
 			if err != nil {
 				return p, err
 			}
@@ -87,7 +87,7 @@
 		mu.Lock()
 		purged = time.Now()
 		mu.Unlock()
-		f.Tell(`"expire":{"name":%q,"stamp":%d}`, object, purged.UnixMilli())
+		f.Publish(`"expire":{"name":%q,"stamp":%d}`, object, purged.UnixMilli())
 		if err := send(8, 12); err != nil {
 			return p, err
 		}
--- a/loadtest/scale.go
+++ b/loadtest/scale.go
@@ -69,7 +69,7 @@
 }
 
 // Scale measures and prints a table. An error says that a bound was passed, or that a day could not be played.
-func Scale(set ScaleSettings, out io.Writer) error {
+func MeasureScale(set ScaleSettings, out io.Writer) error {
 	fmt.Fprintln(out, "| day | seed | page caches | CPU s | memory MB | descriptors | connections | list KB | served | over |")
 	fmt.Fprintln(out, "| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |")
 	failed := 0
@@ -113,7 +113,7 @@
 func startScale(set ScaleSettings, size int) (*scaleFleet, error) {
 	s := &scaleFleet{size: size, next: size}
 	var err error
-	s.Fleet, err = StartFleet(set.Router, Setup{Routers: 1, Caches: size, Beside: 1, Cold: 4})
+	s.Fleet, err = StartFleet(set.Router, Setup{Routers: 1, Caches: size, KnownRouters: 1, OverloadFactor: 4})
 	return s, err
 }
 
@@ -127,7 +127,7 @@
 	if err := s.play(set, day, seed, &use); err != nil {
 		return use, err
 	}
-	use.connections, use.listBytes = s.accepted(), s.journal.Sent()
+	use.connections, use.listBytes = s.accepted(), s.journal.BytesSent()
 	return use, nil
 }
 
@@ -135,16 +135,16 @@
 func (s *scaleFleet) play(set ScaleSettings, day string, seed uint64, use *scaleUse) error {
 	router := s.Routers[0]
 	watch := watchProcess(router.cmd.Process.Pid)
-	load := NewLoad(router.Addr, set.Rate, seed)
+	load := NewLoad(router.ListenAddress, set.Rate, seed)
 	err := s.happen(day, set.Length)
-	load.End()
+	load.Stop()
 	if watchErr := watch.end(use); err == nil {
 		err = watchErr
 	}
 	load.mu.Lock()
 	defer load.mu.Unlock()
 	use.served = float64(load.Served) / float64(max(load.Sent, 1))
-	use.broken = load.Twice + load.Never + load.Cut
+	use.broken = load.AnsweredTwice + load.Unanswered + load.Disconnected
 	return err
 }
 
@@ -158,13 +158,13 @@
 		s.release(length / 2)
 	case "outage":
 		time.Sleep(length / 6)
-		s.journal.Pause(length / 2)
+		s.journal.StartOutage(length / 2)
 		s.release(length / 4) // told as it comes back
 	case "relist":
-		s.journal.Relist(func() string { return s.list() })
+		s.journal.SendSnapshots(func() string { return s.list() })
 		for range 5 {
 			time.Sleep(length / 8)
-			s.journal.Break()
+			s.journal.CloseStreams()
 		}
 	default:
 		err = fmt.Errorf("no day %q", day)
@@ -198,7 +198,7 @@
 	if err != nil {
 		panic(err) // texts and numbers can be written
 	}
-	s.Tell(`"hosts":{"generation":1,"reset":false,"instances":[%s]}`, text)
+	s.Publish(`"hosts":{"generation":1,"reset":false,"instances":[%s]}`, text)
 }
 
 // list is an event with the whole list, as a journal tells it that keeps no changes.
--- a/loadtest/soak.go
+++ b/loadtest/soak.go
@@ -75,9 +75,9 @@
 		s.soakCaches = append(s.soakCaches, c)
 	}
 	var err error
-	s.Fleet, err = StartFleet(set.Router, Setup{Routers: set.Routers, Later: true, Caches: set.Caches, Beside: set.Routers, Cold: 4,
+	s.Fleet, err = StartFleet(set.Router, Setup{Routers: set.Routers, RetryAfter: true, Caches: set.Caches, KnownRouters: set.Routers, OverloadFactor: 4,
 		Addresses: func(cache int) string { return s.soakCaches[cache].addr() },
-		Answer:    func(int, fakes.Ask) fakes.Reply { return fakes.Reply{} }})
+		Answer:    func(int, fakes.Request) fakes.Reply { return fakes.Reply{} }})
 	if err != nil {
 		return nil, err
 	}
@@ -92,7 +92,7 @@
 	stop := make(chan struct{})
 	var clients, troubles sync.WaitGroup
 	for i, r := range s.Routers {
-		clients.Go(func() { newSoakClient(r.Addr, s.history, seed<<16|uint64(i)).run(stop) })
+		clients.Go(func() { newSoakClient(r.ListenAddress, s.history, seed<<16|uint64(i)).run(stop) })
 	}
 	for i := range soakConcurrent {
 		troubles.Go(func() { s.makeTrouble(rand.New(rand.NewPCG(seed, uint64(i))), s.start.Add(s.set.Length)) })
--- a/loadtest/soak_trouble.go
+++ b/loadtest/soak_trouble.go
@@ -64,12 +64,14 @@
 
 // stopWhile has a router's process stand still for a while, as which something happens to it.
 func (s *soak) stopWhile(r *Router, length time.Duration, happen func()) {
-	s.history.change(func() { s.history.stops[r.Addr] = append(s.history.stops[r.Addr], span{from: time.Now()}) })
+	s.history.change(func() {
+		s.history.stops[r.ListenAddress] = append(s.history.stops[r.ListenAddress], span{from: time.Now()})
+	})
 	r.Signal(syscall.SIGSTOP)
 	happen()
 	time.Sleep(length)
 	s.history.change(func() { // noted before it goes on, so that nothing is taken to be late that is not
-		all := s.history.stops[r.Addr]
+		all := s.history.stops[r.ListenAddress]
 		all[len(all)-1].to = time.Now()
 	})
 	r.Signal(syscall.SIGCONT)
@@ -95,10 +97,10 @@
 		r.Signal(syscall.SIGTERM)
 	}
 	if err := r.cmd.Wait(); err != nil {
-		s.fault("%s: exit after SIGTERM: %v", r.Addr, err)
+		s.fault("%s: exit after SIGTERM: %v", r.ListenAddress, err)
 	}
 	if took := time.Since(begun); took > soakExit {
-		s.fault("%s: took %v to end after SIGTERM", r.Addr, took)
+		s.fault("%s: took %v to end after SIGTERM", r.ListenAddress, took)
 	}
 	s.restart(r)
 	return how
@@ -111,7 +113,7 @@
 		return ""
 	}
 	defer s.release(r)
-	s.history.change(func() { s.history.deaths[r.Addr] = append(s.history.deaths[r.Addr], time.Now()) })
+	s.history.change(func() { s.history.deaths[r.ListenAddress] = append(s.history.deaths[r.ListenAddress], time.Now()) })
 	r.Kill()
 	s.restart(r)
 	return "kill"
@@ -120,9 +122,9 @@
 // restart starts a router again, from the configuration of its first start: it hears what has changed since as it calls the
 // journal.
 func (s *soak) restart(r *Router) {
-	s.history.change(func() { s.history.starts[r.Addr] = append(s.history.starts[r.Addr], time.Now()) })
+	s.history.change(func() { s.history.starts[r.ListenAddress] = append(s.history.starts[r.ListenAddress], time.Now()) })
 	if err := r.Start(); err != nil {
-		s.fault("%s: not started again: %v", r.Addr, err)
+		s.fault("%s: not started again: %v", r.ListenAddress, err)
 	}
 }
 
@@ -188,7 +190,7 @@
 	if state == "ready" {
 		s.history.change(note)
 	}
-	s.Tell(`"hosts":{"generation":1,"reset":false,"instances":[%s]}`, text)
+	s.Publish(`"hosts":{"generation":1,"reset":false,"instances":[%s]}`, text)
 	if state != "ready" {
 		s.history.change(note)
 	}
@@ -198,7 +200,7 @@
 func (s *soak) purgeObject(rnd *rand.Rand) string {
 	object := fmt.Sprintf("%016x", rnd.Uint64N(400))
 	at := time.Now()
-	s.Tell(`"expire":{"name":%q,"stamp":%d}`, object, at.UnixMilli())
+	s.Publish(`"expire":{"name":%q,"stamp":%d}`, object, at.UnixMilli())
 	s.history.change(func() { s.history.purges[object] = append(s.history.purges[object], at) })
 	return "purge " + object
 }
@@ -206,13 +208,13 @@
 func (s *soak) pauseJournal(rnd *rand.Rand) string {
 	length := time.Duration(100+rnd.IntN(700)) * time.Millisecond
 	s.outage(length)
-	s.journal.Pause(length)
+	s.journal.StartOutage(length)
 	return "outage"
 }
 
 func (s *soak) breakJournal(*rand.Rand) string {
 	s.outage(0)
-	s.journal.Break()
+	s.journal.CloseStreams()
 	return "break"
 }
 
--- a/loadtest/steps.go
+++ b/loadtest/steps.go
@@ -11,16 +11,16 @@
 )
 
 // Killed is an order whose router was killed at a step, and which its client then claimed.
-type Killed struct {
-	Txn  string
-	Told string // served, failed, or another word
-	Ran  int
-	Line timeline.Line // of the order, in all routers
+type StepKillResult struct {
+	Txn        string
+	Answer     string // served, failed, or another word
+	Executions int
+	Timeline   timeline.Timeline // of the order, in all routers
 }
 
 // KillAt starts a router anew with something in its environment that has it killed at a step of an order, sends it one, and
 // claims that at another router. The router is started once more in the end.
-func (o *Outlivers) KillAt(victim int, env string) (k Killed, err error) {
+func (o *FailoverCluster) KillAtStep(victim int, env string) (k StepKillResult, err error) {
 	r := o.Routers[victim]
 	r.Kill()
 	r.Env = []string{env}
@@ -39,21 +39,21 @@
 	begun := time.Now()
 	k.Txn = fmt.Sprintf("%016x", item+1)
 	q := &rpc.Request{Method: "new-arrange", Txn: item + 1, Item: item, TimeoutMillis: limit.Milliseconds(), Body: []byte("order")}
-	if word, err := ask(r.Addr, q, limit); err == nil {
+	if word, err := ask(r.ListenAddress, q, limit); err == nil {
 		return k, fmt.Errorf("the router that was to be killed answers %q", word)
 	}
 	killed := time.Now()
 	q.Txn, q.ResumedTxn, q.Retry, q.TimeoutMillis = item+2, item+1, true, max((limit-time.Since(begun)).Milliseconds(), 1)
-	if k.Told, err = ask(o.Routers[(victim+2)%len(o.Routers)].Addr, q, limit); err != nil {
+	if k.Answer, err = ask(o.Routers[(victim+2)%len(o.Routers)].ListenAddress, q, limit); err != nil {
 		return k, fmt.Errorf("claim: %w", err)
 	}
 	time.Sleep(300 * time.Millisecond) // whatever runs late, has run
-	k.Ran = o.book.ran(item)
+	k.Executions = o.book.ran(item)
 	_ = r.cmd.Wait() // it was killed, and says so
-	if k.Line, err = o.Line(timeline.Event{Node: fmt.Sprintf("lab-%d", victim), At: time.Duration(killed.UnixNano()), What: "killed", Fault: true}); err != nil {
+	if k.Timeline, err = o.Timeline(timeline.Event{Node: fmt.Sprintf("lab-%d", victim), Time: time.Duration(killed.UnixNano()), Action: "killed", Fault: true}); err != nil {
 		return k, err
 	}
-	k.Line = k.Line.About(k.Txn)
+	k.Timeline = k.Timeline.About(k.Txn)
 	return k, r.Start()
 }
 
--- a/loadtest/together.go
+++ b/loadtest/together.go
@@ -33,28 +33,28 @@
 )
 
 // Row is what one fault did to what is shared.
-type Row struct {
-	Fault          string
-	Cold, Retries  Peak
-	Sent, Answered int     // requests, and those with one final answer
-	Cut            int     // on connections that a kill ended
-	Never, Twice   int     // without an answer; with two
-	OrdersTwice    int     // orders that ran more than once
-	Packets        float64 // that a router sent others, a second
+type BudgetResult struct {
+	Fault                     string
+	SlowStart, Retries        Peak
+	Sent, Answered            int     // requests, and those with one final answer
+	Disconnected              int     // on connections that a kill ended
+	Unanswered, AnsweredTwice int     // without an answer; with two
+	OrdersRunTwice            int     // orders that ran more than once
+	PacketRate                float64 // that a router sent others, a second
 }
 
 // Peak is the highest use of a budget in any window, as a share of what the bound allows there, with the counts.
 type Peak struct {
-	Share    float64
-	Count    int
-	Bound    float64
-	Window   time.Duration
-	Attempts int // in all
+	Utilization float64
+	Count       int
+	Bound       float64
+	Window      time.Duration
+	Attempts    int // in all
 }
 
 // Broken tells whether a row breaks a bound or a rule.
-func (r Row) Broken() bool {
-	return r.Cold.Share > 1 || r.Retries.Share > 1 || r.Never+r.Twice+r.OrdersTwice > 0
+func (r BudgetResult) Broken() bool {
+	return r.SlowStart.Utilization > 1 || r.Retries.Utilization > 1 || r.Unanswered+r.AnsweredTwice+r.OrdersRunTwice > 0
 }
 
 // ledger is what the stand-in page caches saw.
@@ -72,7 +72,7 @@
 	draw    func() float64
 }
 
-func (l *ledger) answer(place int, a fakes.Ask) fakes.Reply {
+func (l *ledger) answer(place int, a fakes.Request) fakes.Reply {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	at := time.Now()
@@ -90,9 +90,9 @@
 	}
 	if place == l.sick || l.draw() < brokenShare && l.sick < 0 {
 		l.ran[a.ID] = true
-		return fakes.Reply{Word: "BROKE"}
+		return fakes.Reply{Status: "BROKE"}
 	}
-	return fakes.Reply{Word: "DONE", Body: make([]byte, 1<<10), After: 10 * time.Millisecond,
+	return fakes.Reply{Status: "DONE", Body: make([]byte, 1<<10), Delay: 10 * time.Millisecond,
 		Fields: fmt.Sprintf("res=cached,version=1,stamp=%d", at.UnixMilli())}
 }
 
@@ -107,8 +107,8 @@
 			for times[i].Sub(times[j]) >= w {
 				j++
 			}
-			if share := float64(i-j+1) / bound; share > p.Share {
-				p.Share, p.Count, p.Bound, p.Window = share, i-j+1, bound, w
+			if share := float64(i-j+1) / bound; share > p.Utilization {
+				p.Utilization, p.Count, p.Bound, p.Window = share, i-j+1, bound, w
 			}
 		}
 	}
@@ -116,13 +116,13 @@
 }
 
 // Talkers is a fleet whose routers talk over a network that goes wrong.
-type Talkers struct {
+type Cluster struct {
 	*Fleet
-	Net   *faultnet.Net
-	led   *ledger
-	keys  string
-	loads []*Load
-	seed  uint64
+	Network *faultnet.Network
+	led     *ledger
+	keys    string
+	loads   []*Load
+	seed    uint64
 
 	rangeIndex byte // of the proxies' addresses; other clusters of the process have other ranges
 }
@@ -131,19 +131,19 @@
 var clusters atomic.Uint32
 
 // proxyAddr is the address at which the network that goes wrong stands for a router.
-func (t *Talkers) proxyAddr(router int) netip.AddrPort {
+func (t *Cluster) proxyAddr(router int) netip.AddrPort {
 	pid := os.Getpid()
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 63 - t.rangeIndex, byte(pid>>8&63 + 1), byte(1 + router)}), uint16(20000+pid%20000))
 }
 
 // newTalkers makes the network and the keys of a fleet.
-func newTalkers(seed uint64) (*Talkers, error) {
+func newTalkers(seed uint64) (*Cluster, error) {
 	dir, err := os.MkdirTemp("", "hillknot-keys-")
 	if err != nil {
 		return nil, err
 	}
-	t := &Talkers{Net: faultnet.New(seed), seed: seed, keys: filepath.Join(dir, "keys"), rangeIndex: byte(clusters.Add(1) % 32)}
-	if err := t.SetKeys(newKey()); err != nil {
+	t := &Cluster{Network: faultnet.New(seed), seed: seed, keys: filepath.Join(dir, "keys"), rangeIndex: byte(clusters.Add(1) % 32)}
+	if err := t.WriteKeys(newKey()); err != nil {
 		t.Close()
 		return nil, err
 	}
@@ -152,7 +152,7 @@
 
 // NewTalkers starts so many routers that share what they may spend, or, without talk, as many that share nothing. Spare
 // is how many new page caches can be started.
-func NewTalkers(bin string, routers, spare int, talk bool, seed uint64) (_ *Talkers, err error) {
+func NewTalkers(bin string, routers, spare int, talk bool, seed uint64) (_ *Cluster, err error) {
 	t, err := newTalkers(seed)
 	if err != nil {
 		return nil, err
@@ -167,7 +167,7 @@
 		state = state*6364136223846793005 + 1442695040888963407
 		return float64(state>>11) / (1 << 53)
 	}}
-	set := Setup{Routers: routers, Later: true, Caches: 4, Spare: spare, Beside: routers, Cold: 1000, Answer: t.led.answer}
+	set := Setup{Routers: routers, RetryAfter: true, Caches: 4, SpareCaches: spare, KnownRouters: routers, OverloadFactor: 1000, Answer: t.led.answer}
 	shares := ""
 	if talk {
 		shares = fmt.Sprintf("  cold {\n    rate  = %g\n    burst = %g\n  }\n  retries {\n    rate  = %g\n    burst = %g\n  }\n",
@@ -181,7 +181,7 @@
 }
 
 // start starts the fleet, whose routers talk where there is something to put into the block fleet of their operator's file.
-func (t *Talkers) start(bin string, set Setup, blocks func(i int) string) (err error) {
+func (t *Cluster) start(bin string, set Setup, blocks func(i int) string) (err error) {
 	set.Operator = func(i int, ip string) string {
 		var peers []string
 		for o := range set.Routers {
@@ -190,7 +190,7 @@
 			}
 		}
 		to := netip.AddrPortFrom(netip.MustParseAddr(ip), 7946)
-		if err := t.Net.Add(t.proxyAddr(i), to); err != nil {
+		if err := t.Network.AddProcess(t.proxyAddr(i), to); err != nil {
 			return "# " + err.Error() // without a door it talks to nobody, which the checks find
 		}
 		text := fmt.Sprintf("ops = \"%s:7055\"\n", ip)
@@ -206,7 +206,7 @@
 }
 
 // met waits until every router sees every other: where they share nothing, no bound on what they share says anything.
-func (t *Talkers) met() error {
+func (t *Cluster) met() error {
 	want := fmt.Sprintf("app_fleet_others %d\n", len(t.Routers)-1)
 	if err := t.all(func(figures string) bool { return strings.Contains(figures, want) }); err != nil {
 		return fmt.Errorf("not all have met: %w", err)
@@ -216,7 +216,7 @@
 
 // figures are those that a router shows its operators; empty where it does not answer.
 func (r *Router) figures() string {
-	resp, err := (&http.Client{Timeout: time.Second}).Get("http://" + r.IP + ":7055/status/metrics")
+	resp, err := (&http.Client{Timeout: time.Second}).Get("http://" + r.Address + ":7055/status/metrics")
 	if err != nil {
 		return ""
 	}
@@ -235,7 +235,7 @@
 }
 
 // SetKeys writes the file of keys, as a whole.
-func (t *Talkers) SetKeys(keys ...string) error {
+func (t *Cluster) WriteKeys(keys ...string) error {
 	if err := os.WriteFile(t.keys+".new", []byte(strings.Join(keys, "\n")+"\n"), 0o600); err != nil {
 		return err
 	}
@@ -243,69 +243,69 @@
 }
 
 // Close ends all.
-func (t *Talkers) Close() {
+func (t *Cluster) Close() {
 	for _, l := range t.loads {
-		l.End()
+		l.Stop()
 	}
 	if t.Fleet != nil {
 		t.Fleet.Close()
 	}
-	t.Net.Close()
+	t.Network.Close()
 	_ = os.RemoveAll(filepath.Dir(t.keys)) // in the folder for what is temporary
 }
 
 // Fault runs one fault over its time under load, with a page cache that has just started, and counts what it did. The
 // load of one router is double: it wants more than its part.
-func (t *Talkers) Fault(name string, new int, over time.Duration, do func() error) (Row, error) {
+func (t *Cluster) Fault(name string, new int, over time.Duration, do func() error) (BudgetResult, error) {
 	t.led.mu.Lock()
 	t.led.cold, t.led.again, t.led.now, t.led.started = nil, nil, new, time.Now()
 	t.led.mu.Unlock()
-	packets, began := t.Net.Passed.Load()+t.Net.Dropped.Load(), time.Now()
+	packets, began := t.Network.PacketsForwarded.Load()+t.Network.PacketsDropped.Load(), time.Now()
 	for i, r := range t.Routers {
 		rate := loadRate
 		if i == 0 {
 			rate *= 2
 		}
-		t.loads = append(t.loads, NewLoad(r.Addr, rate, t.seed+uint64(new*100+i)))
+		t.loads = append(t.loads, NewLoad(r.ListenAddress, rate, t.seed+uint64(new*100+i)))
 	}
-	t.Tell(`"hosts":{"generation":1,"reset":false,"instances":[{"instanceId":"s-new-%d","lifecycle":"gone"}]}`, new-1)
+	t.Publish(`"hosts":{"generation":1,"reset":false,"instances":[{"instanceId":"s-new-%d","lifecycle":"gone"}]}`, new-1)
 	t.StartSpare(new, fmt.Sprintf("s-new-%d", new))
 	time.Sleep(over / 4)
 	if err := do(); err != nil {
-		return Row{}, fmt.Errorf("%s: %w", name, err)
+		return BudgetResult{}, fmt.Errorf("%s: %w", name, err)
 	}
 	time.Sleep(over / 4 * 3)
-	row := Row{Fault: name}
+	row := BudgetResult{Fault: name}
 	for _, l := range t.loads {
-		l.End()
+		l.Stop()
 		row.Sent += l.Sent
-		row.Answered += l.Served + l.Refused + l.Failed
-		row.Cut, row.Never, row.Twice = row.Cut+l.Cut, row.Never+l.Never, row.Twice+l.Twice
+		row.Answered += l.Served + l.Rejected + l.Failed
+		row.Disconnected, row.Unanswered, row.AnsweredTwice = row.Disconnected+l.Disconnected, row.Unanswered+l.Unanswered, row.AnsweredTwice+l.AnsweredTwice
 	}
 	t.loads = nil
 	t.led.mu.Lock()
 	defer t.led.mu.Unlock()
 	n := float64(len(t.Routers))
-	row.Cold = peak(t.led.cold, coldRate, max(coldBurst, 2*n))
+	row.SlowStart = peak(t.led.cold, coldRate, max(coldBurst, 2*n))
 	row.Retries = peak(t.led.again, retryRate, max(retryBurst, 2*n))
-	row.Packets = float64(t.Net.Passed.Load()+t.Net.Dropped.Load()-packets) / time.Since(began).Seconds() / n
+	row.PacketRate = float64(t.Network.PacketsForwarded.Load()+t.Network.PacketsDropped.Load()-packets) / time.Since(began).Seconds() / n
 	for _, ran := range t.led.runs {
 		if ran > 1 {
-			row.OrdersTwice++
+			row.OrdersRunTwice++
 		}
 	}
 	return row, nil
 }
 
 // rotate gives the fleet a new key while it runs: all learn it, all use it, all forget the old one.
-func (t *Talkers) rotate() error {
+func (t *Cluster) rotate() error {
 	old, err := os.ReadFile(t.keys)
 	if err != nil {
 		return err
 	}
 	was, next := string(bytes.TrimSpace(old)), newKey()
 	for _, keys := range [][]string{{was, next}, {next, was}, {next}} {
-		if err := t.SetKeys(keys...); err != nil {
+		if err := t.WriteKeys(keys...); err != nil {
 			return err
 		}
 		for _, r := range t.Routers {
@@ -317,12 +317,12 @@
 }
 
 // follow carries out a schedule.
-func (t *Talkers) follow(steps []faultnet.Step) error {
+func (t *Cluster) follow(steps []faultnet.Step) error {
 	for _, s := range steps {
-		time.Sleep(s.After)
-		t.Net.Do(s)
-		for _, i := range s.Who {
-			switch r := t.Routers[i]; s.What {
+		time.Sleep(s.Delay)
+		t.Network.Apply(s)
+		for _, i := range s.Targets {
+			switch r := t.Routers[i]; s.Fault {
 			case faultnet.Killed:
 				r.Kill()
 				if err := r.Start(); err != nil {
@@ -339,18 +339,18 @@
 }
 
 // Together runs a fleet through all faults, for so long each, and writes the table.
-func Together(bin string, routers int, each time.Duration, seed uint64, to io.Writer) error {
-	rows, err := Faults(bin, routers, each, seed, nil)
+func MeasureBudgets(bin string, routers int, each time.Duration, seed uint64, to io.Writer) error {
+	rows, err := BudgetFaults(bin, routers, each, seed, nil)
 	if err != nil {
 		return err
 	}
 	_, _ = fmt.Fprintf(to, "| fault | attempts at the new page cache, most in a window | of the bound | repeats, most in a window | of the bound | requests | answered once | cut by a kill | lost | orders twice | packets a second, a router |\n|---|---|---|---|---|---|---|---|---|---|---|\n")
 	for _, r := range rows {
-		_, _ = fmt.Fprintf(to, "| %s | %d in %v (bound %.1f) | %.2f | %d in %v (bound %.1f) | %.2f | %d | %d | %d | %d | %d | %.0f |\n", r.Fault, r.Cold.Count, r.Cold.Window,
-			r.Cold.Bound, r.Cold.Share, r.Retries.Count, r.Retries.Window, r.Retries.Bound, r.Retries.Share, r.Sent, r.Answered, r.Cut, r.Never+r.Twice, r.OrdersTwice, r.Packets)
+		_, _ = fmt.Fprintf(to, "| %s | %d in %v (bound %.1f) | %.2f | %d in %v (bound %.1f) | %.2f | %d | %d | %d | %d | %d | %.0f |\n", r.Fault, r.SlowStart.Count, r.SlowStart.Window,
+			r.SlowStart.Bound, r.SlowStart.Utilization, r.Retries.Count, r.Retries.Window, r.Retries.Bound, r.Retries.Utilization, r.Sent, r.Answered, r.Disconnected, r.Unanswered+r.AnsweredTwice, r.OrdersRunTwice, r.PacketRate)
 	}
 	for _, talk := range []bool{false, true} {
-		n, err := Sick(bin, routers, each, talk, seed)
+		n, err := CountOutlierAttempts(bin, routers, each, talk, seed)
 		if err != nil {
 			return err
 		}
@@ -360,32 +360,32 @@
 }
 
 // Faults runs the faults that are named, or all.
-func Faults(bin string, routers int, each time.Duration, seed uint64, only []string) (rows []Row, err error) {
+func BudgetFaults(bin string, routers int, each time.Duration, seed uint64, only []string) (rows []BudgetResult, err error) {
 	faults := []struct {
 		name string
 		met  bool // all see all in the end
-		do   func(t *Talkers) error
+		do   func(t *Cluster) error
 	}{
-		{"none", true, func(*Talkers) error { return nil }},
-		{"two cut off from the rest", false, func(t *Talkers) error { t.Net.Part([]int{0, 1}); return nil }},
-		{"heal", true, func(t *Talkers) error { t.Net.Heal(); return nil }},
-		{"one isolated", false, func(t *Talkers) error { t.Net.Part([]int{0}); return nil }},
-		{"one hears, is not heard", false, func(t *Talkers) error {
-			t.Net.Heal()
+		{"none", true, func(*Cluster) error { return nil }},
+		{"two cut off from the rest", false, func(t *Cluster) error { t.Network.Partition([]int{0, 1}); return nil }},
+		{"heal", true, func(t *Cluster) error { t.Network.Heal(); return nil }},
+		{"one isolated", false, func(t *Cluster) error { t.Network.Partition([]int{0}); return nil }},
+		{"one hears, is not heard", false, func(t *Cluster) error {
+			t.Network.Heal()
 			var all []int
 			for i := range t.Routers {
 				all = append(all, i)
 			}
-			t.Net.Cut([]int{0}, all)
+			t.Network.Block([]int{0}, all)
 			return nil
 		}},
-		{"a third of the packets lost, others late", false, func(t *Talkers) error {
-			t.Net.Heal()
-			t.Net.Flaw(0.33, 300*time.Millisecond)
+		{"a third of the packets lost, others late", false, func(t *Cluster) error {
+			t.Network.Heal()
+			t.Network.Impair(0.33, 300*time.Millisecond)
 			return nil
 		}},
-		{"kill and restart", true, func(t *Talkers) error {
-			t.Net.Heal()
+		{"kill and restart", true, func(t *Cluster) error {
+			t.Network.Heal()
 			for _, i := range []int{0, 1} {
 				t.Routers[i].Kill()
 				if err := t.Routers[i].Start(); err != nil {
@@ -394,14 +394,14 @@
 			}
 			return nil
 		}},
-		{"pause (SIGSTOP)", true, func(t *Talkers) error {
+		{"pause (SIGSTOP)", true, func(t *Cluster) error {
 			t.Routers[1].Signal(syscall.SIGSTOP)
 			time.Sleep(each / 3)
 			t.Routers[1].Signal(syscall.SIGCONT)
 			return nil
 		}},
-		{"keys rotated", true, (*Talkers).rotate},
-		{"drawn from the seed", true, func(t *Talkers) error { return t.follow(faultnet.Schedule(seed, routers, 2*each, each/8)) }},
+		{"keys rotated", true, (*Cluster).rotate},
+		{"drawn from the seed", true, func(t *Cluster) error { return t.follow(faultnet.Schedule(seed, routers, 2*each, each/8)) }},
 	}
 	t, err := NewTalkers(bin, routers, len(faults), true, seed)
 	if err != nil {
@@ -428,7 +428,7 @@
 
 // Agree has a page cache fail everything until every router holds it to be sick, and then answer everything until none
 // does, and all have the same counts of its errors. An error says what was not agreed on in time.
-func Agree(bin string, routers int, seed uint64) error {
+func CheckOutlierAgreement(bin string, routers int, seed uint64) error {
 	t, err := NewTalkers(bin, routers, 0, true, seed)
 	if err != nil {
 		return err
@@ -436,7 +436,7 @@
 	defer t.Close()
 	const verdict = "app_fleet_sick{cache=\"s-1\"} 1\n"
 	for i, r := range t.Routers {
-		t.loads = append(t.loads, NewLoad(r.Addr, loadRate, seed+uint64(i)))
+		t.loads = append(t.loads, NewLoad(r.ListenAddress, loadRate, seed+uint64(i)))
 	}
 	for _, sick := range []bool{true, false} {
 		t.led.mu.Lock()
@@ -450,7 +450,7 @@
 		}
 	}
 	for _, l := range t.loads {
-		l.End()
+		l.Stop()
 	}
 	t.loads = nil
 	counted := regexp.MustCompile(`app_fleet_count\{of="errors s-1"\} (\d+)`)
@@ -464,12 +464,12 @@
 }
 
 // all waits until what every router shows is as it should be.
-func (t *Talkers) all(good func(figures string) bool) error {
+func (t *Cluster) all(good func(figures string) bool) error {
 	for _, r := range t.Routers {
 		figures := r.figures()
 		for end := time.Now().Add(20 * time.Second); !good(figures); figures = r.figures() {
 			if time.Now().After(end) {
-				return fmt.Errorf("router %s shows %s", r.Addr, figures)
+				return fmt.Errorf("router %s shows %s", r.ListenAddress, figures)
 			}
 			time.Sleep(50 * time.Millisecond)
 		}
@@ -478,7 +478,7 @@
 }
 
 // Sick counts how often a page cache that fails everything is tried, with talk and without.
-func Sick(bin string, routers int, over time.Duration, talk bool, seed uint64) (int, error) {
+func CountOutlierAttempts(bin string, routers int, over time.Duration, talk bool, seed uint64) (int, error) {
 	t, err := NewTalkers(bin, routers, 0, talk, seed)
 	if err != nil {
 		return 0, err
@@ -488,7 +488,7 @@
 	t.led.sick = 0
 	t.led.mu.Unlock()
 	for i, r := range t.Routers {
-		t.loads = append(t.loads, NewLoad(r.Addr, loadRate, seed+uint64(i)))
+		t.loads = append(t.loads, NewLoad(r.ListenAddress, loadRate, seed+uint64(i)))
 	}
 	time.Sleep(over)
 	t.led.mu.Lock()
