--- a/cmd/hillknot/router.go
+++ b/cmd/hillknot/router.go
@@ -131,7 +131,7 @@
 	}
 	r.onClose(r.clients.Close)
 	r.core.SetBacklogCheck(func() bool {
-		return r.watcher.HasBacklog() || r.clients.HasUnreadInput() || r.upstream.HasBacklog()
+		return r.watcher.HasBacklog() || r.clients.HasUnreadInput() || r.upstream.HasUnreadInput()
 	})
 	r.replacement = newReplacement(r.core, r.watcher, r.upstream, r.clients, budget, limits)
 	return r.listenOtherFrontEnds(budget)
--- a/internal/upstream/client.go
+++ b/internal/upstream/client.go
@@ -92,7 +92,7 @@
 // ensureCapacity returns whether a connection for an attempt may be dialed. Where there is none that the attempt could
 // go out on (picked is nil), the one that has been idle for longest, to any endpoint, is closed for it if need be.
 func (cl *Client) ensureCapacity(p *pool, a *core.Attempt, picked *connection) bool {
-	if p.usable()+p.dialing >= cl.limits.ConnsPerEndpoint && (picked != nil || !p.hasConfusable(a)) {
+	if p.usable()+p.dialing >= cl.limits.ConnsPerEndpoint && (picked != nil || !p.anyMayGetDuplicateFor(a)) {
 		return false
 	}
 	if picked == nil && cl.connCount >= cl.limits.UpstreamConns {
@@ -126,8 +126,9 @@
 	}
 }
 
-// HasBacklog returns whether a connection on which a response is awaited has received bytes that are not handed on yet.
-func (cl *Client) HasBacklog() bool {
+// HasUnreadInput returns whether a connection on which a response is awaited has received bytes that are not handed on
+// yet.
+func (cl *Client) HasUnreadInput() bool {
 	for _, c := range cl.inFlight {
 		if c.transport.HasUnreadInput() {
 			return true
--- a/internal/upstream/connection.go
+++ b/internal/upstream/connection.go
@@ -35,15 +35,16 @@
 	return len(c.inFlight) > 0 && c.client.now()-c.awaitingSince > c.client.limits.UpstreamSilence
 }
 
-// confusable returns whether an attempt must go out on any connection but this one: a response to an earlier attempt
-// that comes twice could prove that this attempt never ran, and it would run again.
-func (c *connection) confusable(a *core.Attempt) bool {
+// mayGetDuplicateFor returns whether a duplicate of an earlier response on this connection could be taken for the
+// response to an attempt. It could prove that the attempt never ran, which would then run again: the attempt must go
+// out on another connection.
+func (c *connection) mayGetDuplicateFor(a *core.Attempt) bool {
 	return a.NonIdempotent && c.unserved.has(a.Request.Txn)
 }
 
 // canCarry returns whether an attempt may go out on the connection.
 func (c *connection) canCarry(a *core.Attempt) bool {
-	return !c.draining && !c.silent() && c.inFlight[a.Request.Txn] == nil && !c.confusable(a)
+	return !c.draining && !c.silent() && c.inFlight[a.Request.Txn] == nil && !c.mayGetDuplicateFor(a)
 }
 
 // preferredTo returns whether the connection has fewer attempts in flight, or was used later.
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -30,10 +30,10 @@
 	return best
 }
 
-// hasConfusable returns whether a connection can't carry an attempt for the only reason that a response on it could be
-// mistaken; see connection.confusable.
-func (p *pool) hasConfusable(a *core.Attempt) bool {
-	return slices.ContainsFunc(p.conns, func(c *connection) bool { return c.confusable(a) })
+// anyMayGetDuplicateFor returns whether there is a connection on which a duplicate response could be taken for that to
+// an attempt.
+func (p *pool) anyMayGetDuplicateFor(a *core.Attempt) bool {
+	return slices.ContainsFunc(p.conns, func(c *connection) bool { return c.mayGetDuplicateFor(a) })
 }
 
 // usable is how many connections carry new attempts.
@@ -57,7 +57,7 @@
 
 // nextWaitingFor takes the first attempt that waits and may go out on a connection; nil if there is none.
 func (p *pool) nextWaitingFor(c *connection) *core.Attempt {
-	i := slices.IndexFunc(p.waiting, func(a *core.Attempt) bool { return !c.confusable(a) })
+	i := slices.IndexFunc(p.waiting, func(a *core.Attempt) bool { return !c.mayGetDuplicateFor(a) })
 	if i < 0 {
 		return nil
 	}
