--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -6,7 +6,6 @@
 	"bytes"
 	"errors"
 	"fmt"
-	"log/slog"
 	"net/netip"
 	"os"
 	"path/filepath"
@@ -18,8 +17,11 @@
 	"hillknot/balancer"
 	"hillknot/internal/config/settings"
 	"hillknot/internal/jsonfields"
+	"hillknot/internal/logging"
 )
 
+var log = logging.For("config")
+
 // Config is what a router is configured with at its start.
 type Config struct {
 	Name            string
@@ -53,7 +55,7 @@
 		}
 	}
 	if isJSON(more) {
-		slog.Warn("the operator's file is JSON; HCL has places in its errors: hillknot config convert writes it", "file", operator)
+		log.Warn("operator file is JSON", logging.KeyFile, operator, logging.KeyHint, "hillknot config convert writes it as HCL, whose errors name line and column")
 	}
 	c, err := Parse(text, more, operator)
 	if err != nil {
