--- a/cmd/hillknot/cluster.go
+++ b/cmd/hillknot/cluster.go
@@ -91,6 +91,7 @@
 	return err
 }
 
+// openPrepaidCredit opens the extension that holds requests to prepaid balances.
 func openPrepaidCredit(cfg *config.Config, c *core.Core, m *membership.Members) (*prepaidcredit.Extension, error) {
 	block := cfg.Cluster.Credit
 	settings := credit.Defaults(cfg.Name, cfg.Cluster.State.Process, "")
@@ -112,17 +113,24 @@
 // millionths returns an amount of credits in millionths.
 func millionths(credits float64) int64 { return int64(math.Round(credits * 1e6)) }
 
+// failoverSettings returns the settings of order failover: the configuration's, over the defaults for the longest time that
+// an order of any class may take.
 func failoverSettings(cfg *config.Config) failover.Settings {
-	f := cfg.Cluster
-	longest := time.Duration(0)
-	for _, k := range cfg.Settings.Classes {
-		if k.Idempotency != balancer.Idempotent {
-			longest = max(longest, cmp.Or(k.Deadline, cfg.Limits.LongestDeadline))
+	cluster, block := cfg.Cluster, cfg.Cluster.Failover
+	longestOrder := time.Duration(0)
+	for _, class := range cfg.Settings.Classes {
+		if class.Idempotency != balancer.Idempotent {
+			longestOrder = max(longestOrder, cmp.Or(class.Deadline, cfg.Limits.LongestDeadline))
 		}
 	}
-	set := failover.Defaults(cfg.Name, f.State.Process, f.State.Size, cmp.Or(longest, time.Second))
-	t := f.Failover
-	set.Place, set.Strict, set.LeaseDuration, set.ReplicaTimeout, set.ClaimTimeout, set.Retention = f.Location, t.Strict, t.LeaseDuration, t.ReplicaTimeout, t.ClaimTimeout, t.Retention
-	set.MaxRecords, set.MaxBodyBytes = t.MaxRecords, t.MaxBodyBytes
-	return set
+	settings := failover.Defaults(cfg.Name, cluster.State.Process, cluster.State.Size, cmp.Or(longestOrder, time.Second))
+	settings.Place = cluster.Location
+	settings.Strict = block.Strict
+	settings.LeaseDuration = block.LeaseDuration
+	settings.ReplicaTimeout = block.ReplicaTimeout
+	settings.ClaimTimeout = block.ClaimTimeout
+	settings.Retention = block.Retention
+	settings.MaxRecords = block.MaxRecords
+	settings.MaxBodyBytes = block.MaxBodyBytes
+	return settings
 }
--- a/cmd/hillknot/clusterstate.go
+++ b/cmd/hillknot/clusterstate.go
@@ -13,7 +13,11 @@
 		return nil, nil
 	}
 	cfg.Cluster.State.Process = uint64(clock.Wall()) // an incarnation: higher than that of any earlier process
-	shared, err := core.NewClusterState(core.ClusterSettings{State: cfg.Cluster.State, WarmUp: cfg.Cluster.WarmUp, Retries: cfg.Cluster.Retries})
+	shared, err := core.NewClusterState(core.ClusterSettings{
+		State:   cfg.Cluster.State,
+		WarmUp:  cfg.Cluster.WarmUp,
+		Retries: cfg.Cluster.Retries,
+	})
 	if err != nil {
 		return nil, err
 	}
--- a/cmd/hillknot/orders_test.go
+++ b/cmd/hillknot/orders_test.go
@@ -179,7 +179,7 @@
 	b.mu.Lock()
 	ran := b.ran[fmt.Sprintf("%016x", item)]
 	b.mu.Unlock()
-	_, end := exitStatus(err)
+	end := outcomeOf(err).word
 	switch may := errors.Is(err, client.ErrMayHaveRun); {
 	case ran > 1:
 		t.Errorf("case %d ran %d times", i, ran)
--- a/cmd/hillknot/replacement.go
+++ b/cmd/hillknot/replacement.go
@@ -31,15 +31,12 @@
 	successorReady bool // and it has taken over
 }
 
-func newReplacement(c *core.Core, watcher *discovery.Watcher, up *upstream.Client, clients *msgpackrpc.Server, budget *netio.Budget, limits config.Limits) *replacement {
-	return &replacement{core: c, watcher: watcher, upstream: up, clients: clients, budget: budget, limits: limits}
-}
-
 // importState waits until this process has seen the events of discovery that its predecessor has, and goes on from its
 // state. Where that fails the router starts as any new one: cautiously.
 func (r *replacement) importState(p *handover.Predecessor) {
 	if !r.watcher.WaitForPosition(p.DiscoveryPosition, r.limits.HandoverDiscoveryWait) {
-		log.Warn("discovery behind predecessor", logging.KeyPosition, r.watcher.Position(), "predecessor_position", p.DiscoveryPosition)
+		log.Warn("discovery behind predecessor",
+			logging.KeyPosition, r.watcher.Position(), "predecessor_position", p.DiscoveryPosition)
 	}
 	state, err := p.AnnounceReady()
 	if err != nil {
@@ -53,7 +50,8 @@
 	})
 	<-done
 	memory := state.Snapshot
-	log.Info("hot restart state imported", "endpoints", len(memory.Endpoints), "purges", len(memory.Purges), "objects", len(memory.Objects))
+	log.Info("hot restart state imported",
+		"endpoints", len(memory.Endpoints), "purges", len(memory.Purges), "objects", len(memory.Objects))
 }
 
 // waitForPredecessor takes the whole of the limits once the predecessor has ended.
--- a/cmd/hillknot/request_test.go
+++ b/cmd/hillknot/request_test.go
@@ -26,7 +26,7 @@
 // say runs a command line.
 func say(args ...string) (status int, out, errs string) {
 	var o, e bytes.Buffer
-	status = command(args, &o, &e)
+	status = runCommandLine(args, &o, &e)
 	return status, o.String(), e.String()
 }
 
@@ -69,7 +69,7 @@
 			out = errs
 		}
 		var r result
-		if err := json.Unmarshal([]byte(out), &r); c.words != "" && (err != nil || r.Outcome != c.words || r.Tries < 1 || r.MS <= 0) {
+		if err := json.Unmarshal([]byte(out), &r); c.words != "" && (err != nil || r.Outcome != c.words || r.Attempts < 1 || r.Milliseconds <= 0) {
 			t.Errorf("%s: %q, %v", c.name, out, err)
 		}
 		if status != c.status {
@@ -113,12 +113,11 @@
 		t.Errorf("status %d, %d bytes, %d tries, %v, %s%s", status, len(got), tries, err, out, errs)
 	}
 	var shown bytes.Buffer
-	f, err := openTarget(path)
+	f, err := createOutputFile(path, &shown)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer f.drop()
-	f.progress = &shown
+	defer f.discard()
 	f.Size(100 << 10)
 	for range 2 {
 		if _, err := f.Write(make([]byte, 50<<10)); err != nil {
--- a/cmd/hillknot/router.go
+++ b/cmd/hillknot/router.go
@@ -33,7 +33,8 @@
 	operatorPath string              // empty: there is no operator's file
 	getenv       func(string) string // reads the process's environment
 	signals      <-chan os.Signal
-	onServing    func(adminAddr net.Addr) // called on the core's goroutine once clients are accepted; nil address: no admin front end
+	// onServing is called on the core's goroutine once clients are accepted; nil address: there is no admin front end.
+	onServing func(adminAddr net.Addr)
 }
 
 // router is one router process: the core, what feeds it, and its front ends.
@@ -126,14 +127,22 @@
 		return fmt.Errorf("configuration: %w", err)
 	}
 	r.cfg.KnownEvents = jsonfields.Object{} // it would keep the text of the whole configuration in memory
-	if r.clients, err = msgpackrpc.Listen(r.cfg.Listen, r.cfg.InheritedSocket, r.core, limits, r.cfg.Settings.Classes, budget); err != nil {
+	r.clients, err = msgpackrpc.Listen(r.cfg.Listen, r.cfg.InheritedSocket, r.core, limits, r.cfg.Settings.Classes, budget)
+	if err != nil {
 		return err
 	}
 	r.onClose(r.clients.Close)
 	r.core.SetBacklogCheck(func() bool {
 		return r.watcher.HasBacklog() || r.clients.HasUnreadInput() || r.upstream.HasUnreadInput()
 	})
-	r.replacement = newReplacement(r.core, r.watcher, r.upstream, r.clients, budget, limits)
+	r.replacement = &replacement{
+		core:     r.core,
+		watcher:  r.watcher,
+		upstream: r.upstream,
+		clients:  r.clients,
+		budget:   budget,
+		limits:   limits,
+	}
 	return r.listenOtherFrontEnds(budget)
 }
 
--- a/cmd/hillknot/serve.go
+++ b/cmd/hillknot/serve.go
@@ -14,7 +14,8 @@
 
 func (f *serveFlags) add(cmd *cobra.Command) {
 	cmd.Flags().StringVar(&f.configPath, "config", os.Getenv("RELAY_CONFIG"), "the configuration `FILE`")
-	cmd.Flags().StringVar(&f.operatorPath, "operator", os.Getenv("HILLKNOT_OPERATOR"), "a `FILE` with further keys, such as deploy/operator.hcl")
+	cmd.Flags().StringVar(&f.operatorPath, "operator", os.Getenv("HILLKNOT_OPERATOR"),
+		"a `FILE` with further keys, such as deploy/operator.hcl")
 }
 
 // serve runs the router as a command.
