--- /dev/null
+++ b/cmd/hillknot/cluster_test.go
@@ -0,0 +1,38 @@
+package main
+
+import (
+	"testing"
+	"time"
+
+	"hillknot/loadtest"
+)
+
+// Routers that share budgets spend no more than these together, lose no request and run no order twice, while some are
+// cut off, cut one way, killed and stopped.
+func TestBudgetsHoldUnderFaults(t *testing.T) {
+	inParallel(t)
+	results, err := loadtest.BudgetFaults(program(t), 5, 3*time.Second, 1, []string{
+		"two cut off from the rest",
+		"one hears, is not heard",
+		"kill and restart",
+		"pause (SIGSTOP)",
+		"keys rotated",
+		"drawn from the seed",
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, result := range results {
+		if result.Broken() || result.Sent < 300 || result.SlowStart.Attempts+result.Retries.Attempts == 0 {
+			t.Errorf("%+v", result)
+		}
+	}
+}
+
+// Routers agree that an endpoint is ejected, that it has recovered, and how often it failed.
+func TestClusterAgreesOnEndpointHealth(t *testing.T) {
+	inParallel(t)
+	if err := loadtest.CheckOutlierAgreement(program(t), 5, 1); err != nil {
+		t.Error(err)
+	}
+}
--- /dev/null
+++ b/cmd/hillknot/descriptors_test.go
@@ -0,0 +1,111 @@
+package main
+
+import (
+	"bytes"
+	"fmt"
+	"net"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"strconv"
+	"strings"
+	"syscall"
+	"testing"
+	"time"
+)
+
+// Idle clients hold all the descriptors that they can while discovery is down: the router still reaches it as it comes back,
+// and endpoints, and answers; it does not spin, and does not crash.
+func TestIdleClientsLeaveDescriptors(t *testing.T) {
+	r := newTestRouter(t, 3)
+	discoveryAddress := r.discovery.Addr().String()
+	r.discovery.Close()
+	r.configure(jsonMap{"sockets": 256, "memory_mb": 64}, "limits")
+	process := r.startLimitedProcess(256)
+	dial := func() (net.Conn, error) { return net.DialTimeout("tcp", process.address, 10*time.Second) }
+	for range 600 {
+		if idle, err := dial(); err == nil {
+			t.Cleanup(func() { idle.Close() })
+		}
+	}
+	serveNewClient := func(id int) endpointMessage {
+		t.Helper()
+		conn, err := dial()
+		if err != nil {
+			t.Fatal(err)
+		}
+		defer conn.Close()
+		return r.serveOne(newTestClient(t, conn), id, "page")
+	}
+	for id := 1; id < 40; id++ {
+		serveNewClient(id)
+	}
+	before := cpuTime(t, process.pid)
+	time.Sleep(500 * time.Millisecond)
+	if used := cpuTime(t, process.pid) - before; used > 250*time.Millisecond {
+		t.Errorf("%v of processor time in half a second without requests", used)
+	}
+	watch := r.restartDiscovery(discoveryAddress)
+	watch.sendEndpoints(2, true, r.endpoints[2].listed("ready"))
+	for i := range 20 {
+		attempt := serveNewClient(100 + i)
+		if attempt.endpoint != r.endpoints[2] && i > 0 { // the first may have been decided before
+			t.Errorf("%s is asked after it has gone", attempt.endpoint.id)
+		}
+	}
+}
+
+// limitedProcess is a router in a process of its own with few descriptors.
+type limitedProcess struct {
+	pid     int
+	address string // where it accepts clients
+}
+
+// startLimitedProcess starts the router with a limit of descriptors, and ends it with the test.
+func (r *testRouter) startLimitedProcess(descriptors int) limitedProcess {
+	r.t.Helper()
+	free := listen(r.t)
+	address := free.Addr().String()
+	free.Close()
+	r.configure(address, "listen")
+	r.configPath = filepath.Join(r.t.TempDir(), "config.json")
+	r.writeConfig()
+	cmd := exec.Command("/bin/sh", "-c", fmt.Sprintf("ulimit -n %d; exec %s -config %s", descriptors, program(r.t), r.configPath))
+	var output strings.Builder
+	cmd.Stderr = &output
+	if err := cmd.Start(); err != nil {
+		r.t.Fatal(err)
+	}
+	r.t.Cleanup(func() {
+		_ = cmd.Process.Signal(syscall.SIGTERM) // fails if it has ended, which Wait tells
+		if err := cmd.Wait(); err != nil {
+			r.t.Errorf("%v\n%s", err, output.String())
+		}
+	})
+	for begun := time.Now(); ; time.Sleep(5 * time.Millisecond) {
+		if conn, err := net.DialTimeout("tcp", address, 10*time.Second); err == nil {
+			conn.Close()
+			break
+		}
+		if time.Since(begun) > harnessTimeout {
+			r.t.Fatal("not up")
+		}
+	}
+	return limitedProcess{pid: cmd.Process.Pid, address: address}
+}
+
+// cpuTime is the processor time that a process has used.
+func cpuTime(t *testing.T, pid int) time.Duration {
+	t.Helper()
+	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
+	if err != nil {
+		t.Fatal(err)
+	}
+	fields := strings.Fields(string(text[bytes.LastIndexByte(text, ')')+1:])) // from the state on
+	user, err := strconv.Atoi(fields[11])
+	system, err2 := strconv.Atoi(fields[12])
+	if err != nil || err2 != nil {
+		t.Fatal(err, err2)
+	}
+	return time.Duration(user+system) * 10 * time.Millisecond
+}
--- a/cmd/hillknot/errors_test.go
+++ b/cmd/hillknot/errors_test.go
@@ -16,7 +16,7 @@
 )
 
 // The table of errors has each type of error, with what an operator can do, and nothing else.
-func TestErrorsPage(t *testing.T) {
+func TestErrorsPageListsEveryError(t *testing.T) {
 	const path = "../../docs/errors.md"
 	text, err := os.ReadFile(path)
 	if err != nil {
--- a/cmd/hillknot/exitstatus.go
+++ b/cmd/hillknot/exitstatus.go
@@ -41,10 +41,10 @@
 	return errors.As(err, &usage)
 }
 
-// outcome is how a request ended: the command's exit status, and the word for it in the line of --json.
+// outcome is how a request ended: the command's exit status, and its name in the line of --json.
 type outcome struct {
 	status int
-	word   string
+	name   string
 }
 
 // outcomeOf returns the outcome of a request from the error of client.Client.Do; nil: it was served.
--- /dev/null
+++ b/cmd/hillknot/fragments_test.go
@@ -0,0 +1,121 @@
+package main
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"strconv"
+	"strings"
+	"testing"
+	"time"
+)
+
+const (
+	fragmentRounds     = 4
+	requestsPerRound   = 20   // of each client: 32 requests may be open on a connection
+	firstHealthID      = 9000 // ids from here on are health requests
+	healthPerRound     = 40
+	maxFragmentBytes   = 4000
+	maxOwnBodyBytes    = 3000
+	clientIDMultiplier = 1000 // the thousands of an id name the client
+)
+
+// Two clients' requests come in fragments of any size, in turn, over buffers that are used again: each endpoint gets each
+// request with its own idempotency key and body, and each client its own answers.
+func TestFragmentedRequestsAreNotMixedUp(t *testing.T) {
+	r := newTestRouter(t, 2)
+	var release []func() // requests wait in the router, while more comes in
+	for _, endpoint := range r.endpoints {
+		release = append(release, endpoint.holdConnections())
+	}
+	r.start()
+	rnd := rand.New(rand.NewPCG(5, 5))
+	clients := []*testClient{r.dial(), r.dial()}
+	stop, stopped := make(chan bool), make(chan bool)
+	go func() {
+		defer close(stopped)
+		r.serveTaggedRequests(stop)
+	}()
+	for round := range fragmentRounds {
+		sendFragments(rnd, clients, encodeTaggedRequests(rnd, len(clients), round))
+		for i, client := range clients {
+			for n := range healthPerRound { // the buffers are used again
+				client.write(encodeRequest(firstHealthID+n, "health", strings.Repeat("z", 3000), nil))
+			}
+			release[i]()
+		}
+		for i, client := range clients {
+			client.expectOwnAnswers(i, round == 0) // in the first round requests may wait for too long
+		}
+	}
+	close(stop)
+	<-stopped
+}
+
+// encodeTaggedRequests returns a round's requests of each client. Key and body of a request name its id.
+func encodeTaggedRequests(rnd *rand.Rand, clients, round int) [][]byte {
+	encoded := make([][]byte, clients)
+	for n := range requestsPerRound {
+		for i := range encoded {
+			id := clientIDMultiplier*i + round*requestsPerRound + n + 1
+			body := fmt.Sprintf("%d-%s", id, strings.Repeat(string(rune('a'+i)), rnd.IntN(maxOwnBodyBytes)))
+			fields := map[string]string{"unique": fmt.Sprint("k", id), "limit": "3000"}
+			encoded[i] = append(encoded[i], encodeRequest(id, "filed", body, fields)...)
+		}
+	}
+	return encoded
+}
+
+// sendFragments sends two clients' bytes in fragments, in a random order and with pauses.
+func sendFragments(rnd *rand.Rand, clients []*testClient, pending [][]byte) {
+	for len(pending[0])+len(pending[1]) > 0 {
+		i := rnd.IntN(2)
+		n := min(len(pending[i]), 1+rnd.IntN(maxFragmentBytes))
+		clients[i].write(pending[i][:n])
+		pending[i] = pending[i][n:]
+		if rnd.IntN(8) == 0 {
+			time.Sleep(time.Millisecond)
+		}
+	}
+}
+
+// serveTaggedRequests serves each attempt, of which it checks that key, id and body belong together, until stop is closed.
+func (r *testRouter) serveTaggedRequests(stop <-chan bool) {
+	for {
+		select {
+		case attempt := <-r.messages:
+			if attempt.kind != attemptMessage {
+				continue
+			}
+			id, _, _ := strings.Cut(attempt.body, "-")
+			n, err := strconv.Atoi(id)
+			if err != nil {
+				r.t.Errorf("asked with the body %.30q, which names no request", attempt.body)
+			}
+			if attempt.fields["token"] != "k"+id || attempt.requestID != fmt.Sprintf("%016x", n) {
+				r.t.Errorf("asked for %s under %s with the body of %s", attempt.requestID, attempt.fields["token"], id)
+			}
+			attempt.serve("of " + attempt.body)
+		case <-stop:
+			return
+		}
+	}
+}
+
+// expectOwnAnswers reads the answers of a round, each of which must be to a request of the client with this index.
+func (c *testClient) expectOwnAnswers(index int, mayBeRejected bool) {
+	c.t.Helper()
+	for n := 0; n < requestsPerRound; {
+		got, err := c.read()
+		if got.id >= firstHealthID {
+			continue
+		}
+		n++
+		if mayBeRejected && got.errorCode == "Throttled" {
+			continue
+		}
+		own := strings.HasPrefix(got.body, fmt.Sprintf("of %d-", got.id)) && got.id/clientIDMultiplier == index
+		if err != nil || got.errorCode != "" || !own {
+			c.t.Fatalf("client %d: answer to %d: %q %.30q, %v", index, got.id, got.errorCode, got.body, err)
+		}
+	}
+}
--- a/cmd/hillknot/golden_test.go
+++ b/cmd/hillknot/golden_test.go
@@ -13,7 +13,17 @@
 // What reaches the bytes: the names in the tags `json:"..."` of result ("outcome", "tries", "ms", "bytes", "unchanged", "router",
 // "may_have_run", "wait_ms", "error"); no name of Go, as long as every field has its tag. The words of outcomes are of outcomeOf.
 func TestGoldenResult(t *testing.T) {
-	want := result{Outcome: "failed", Attempts: 2, Milliseconds: 1.5, Bytes: 640, Unchanged: true, Router: "127.0.0.1:7000", MayHaveRun: true, WaitMS: 250, Error: "an error"}
+	want := result{
+		Outcome:      "failed",
+		Attempts:     2,
+		Milliseconds: 1.5,
+		Bytes:        640,
+		Unchanged:    true,
+		Router:       "127.0.0.1:7000",
+		MayHaveRun:   true,
+		WaitMS:       250,
+		Error:        "an error",
+	}
 	golden.Nonzero(t, want)
 	var line bytes.Buffer
 	if err := json.NewEncoder(&line).Encode(want); err != nil {
--- a/cmd/hillknot/process_test.go
+++ b/cmd/hillknot/harness_process_test.go
@@ -10,55 +10,49 @@
 	"syscall"
 	"testing"
 	"time"
-
-	"github.com/vmihailenco/msgpack/v5"
 )
 
-// process is a router in a process of its own, on a stage: it can be stopped and go on.
-type process struct {
+// routerProcess is a router in a process of its own, which can be stopped and resumed.
+type routerProcess struct {
 	t     *testing.T
 	cmd   *exec.Cmd
 	ended bool // the test has waited for its end
 }
 
-// startProcess starts the router of a stage as a process of its own, and ends it with the test.
-func (s *stage) startProcess() *process {
-	s.t.Helper()
-	s.path = filepath.Join(s.t.TempDir(), "config.json")
-	s.write()
-	socket, err := s.clients.(*net.TCPListener).File()
+// startProcess starts the router as a process of its own, and ends it with the test.
+func (r *testRouter) startProcess() *routerProcess {
+	r.t.Helper()
+	r.configPath = filepath.Join(r.t.TempDir(), "config.json")
+	r.writeConfig()
+	socket, err := r.clientSocket.(*net.TCPListener).File()
 	if err != nil {
-		s.t.Fatal(err)
+		r.t.Fatal(err)
 	}
 	defer socket.Close()
-	cmd := exec.Command(program(s.t))
-	cmd.Env = append(os.Environ(), "RELAY_CONFIG="+s.path, "RELAY_SOCKET_FD=3")
+	cmd := exec.Command(program(r.t))
+	cmd.Env = append(os.Environ(), "RELAY_CONFIG="+r.configPath, "RELAY_SOCKET_FD=3")
 	cmd.ExtraFiles = []*os.File{socket}
 	cmd.Stderr = os.Stderr
 	if err := cmd.Start(); err != nil {
-		s.t.Fatal(err)
+		r.t.Fatal(err)
 	}
-	p := &process{t: s.t, cmd: cmd}
-	s.t.Cleanup(p.end)
-	s.waitUntilReady()
+	p := &routerProcess{t: r.t, cmd: cmd}
+	r.t.Cleanup(p.end)
+	r.waitUntilReady()
 	return p
 }
 
 // waitUntilReady waits until the router says that it takes clients.
-func (s *stage) waitUntilReady() {
-	s.t.Helper()
-	u := s.dial()
+func (r *testRouter) waitUntilReady() {
+	r.t.Helper()
+	client := r.dial()
 	for id := 1; ; id++ {
-		b, err := msgpack.Marshal([]any{0, id, "health", []any{map[string]string{}}})
-		if err != nil {
-			s.t.Fatal(err)
-		}
-		u.send(b)
-		_, _, ready, _, err := u.answer()
+		client.requestHealth(id)
+		got, err := client.read()
 		if err != nil {
-			s.t.Fatal(err)
+			r.t.Fatal(err)
 		}
-		if ready == "true" {
+		if got.body == "true" {
 			return
 		}
 		time.Sleep(time.Millisecond)
@@ -66,7 +60,7 @@
 }
 
 // end sends SIGTERM and takes the exit status, which must be 0.
-func (p *process) end() {
+func (p *routerProcess) end() {
 	if p.ended {
 		return
 	}
@@ -77,18 +71,18 @@
 	}
 }
 
-func (p *process) signal(sig syscall.Signal) {
+func (p *routerProcess) signal(sig syscall.Signal) {
 	p.t.Helper()
 	if err := p.cmd.Process.Signal(sig); err != nil {
 		p.t.Fatal(err)
 	}
 }
 
-// stop stops the process, and returns once all of its threads stand still.
-func (p *process) stop() {
+// stop sends SIGSTOP, and returns once all threads of the process stand still.
+func (p *routerProcess) stop() {
 	p.t.Helper()
 	p.signal(syscall.SIGSTOP)
-	for end := time.Now().Add(20 * time.Second); time.Now().Before(end); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(harnessTimeout); time.Now().Before(end); time.Sleep(time.Millisecond) {
 		if p.stopped() {
 			return
 		}
@@ -96,7 +90,8 @@
 	p.t.Fatal("the router does not stop")
 }
 
-func (p *process) stopped() bool {
+// stopped tells whether all threads stand still.
+func (p *routerProcess) stopped() bool {
 	tasks, err := filepath.Glob("/proc/" + strconv.Itoa(p.cmd.Process.Pid) + "/task/*/stat")
 	if err != nil || len(tasks) == 0 {
 		p.t.Fatalf("threads of the router: %v, %v", tasks, err)
@@ -114,7 +109,8 @@
 	return true
 }
 
-func (p *process) resume() {
+// resume has a stopped process go on.
+func (p *routerProcess) resume() {
 	p.t.Helper()
 	p.signal(syscall.SIGCONT)
 }
--- a/cmd/hillknot/report.go
+++ b/cmd/hillknot/report.go
@@ -27,7 +27,7 @@
 // newResult returns what came of a request, from what client.Client.Do returned.
 func newResult(resp client.Response, err error) result {
 	line := result{
-		Outcome:      outcomeOf(err).word,
+		Outcome:      outcomeOf(err).name,
 		Attempts:     resp.Tries,
 		Milliseconds: float64(resp.Took.Microseconds()) / 1000,
 		Bytes:        resp.Size,
--- /dev/null
+++ b/cmd/hillknot/stall_test.go
@@ -0,0 +1,163 @@
+package main
+
+import (
+	"fmt"
+	"strconv"
+	"syscall"
+	"testing"
+	"time"
+
+	"hillknot/loadtest"
+)
+
+// maxTimeoutExcess is how much longer the timeout in an attempt may be than the time that the client still waits.
+const maxTimeoutExcess = 150 * time.Millisecond
+
+// timeout is how long the router waits for the attempt, as the attempt says.
+func (m endpointMessage) timeout(t *testing.T) time.Duration {
+	t.Helper()
+	n, err := strconv.Atoi(m.fields["ms"])
+	if err != nil || n < 1 {
+		t.Fatalf("%s is asked to wait %q", m.endpoint.id, m.fields["ms"])
+	}
+	return time.Duration(n) * time.Millisecond
+}
+
+// The timeout in an attempt is the client's, with little excess; it was 0.2 s more once.
+func TestAttemptTimeoutFollowsTheClients(t *testing.T) {
+	r := newTestRouter(t, 2).start()
+	client := r.dial()
+	for i := range 100 {
+		id, limit := i+1, []int{300, 600, 1000, 1500, 2500}[i%5]
+		class := []string{"page", "order", "filed"}[i%3]
+		client.request(id, class, map[string]string{"limit": strconv.Itoa(limit), "unique": fmt.Sprintf("%032x", id)})
+		attempt := r.nextAttempt()
+		if wait, most := attempt.timeout(t), time.Duration(limit)*time.Millisecond+maxTimeoutExcess; wait > most {
+			t.Errorf("a client waits %d ms, and the page cache is told %v", limit, wait)
+		}
+		attempt.serve("x")
+		client.expect(id, "x")
+	}
+}
+
+// A request that came while the process stood still counts from then, not from when the process went on: the timeout of its
+// attempt is what the client has left.
+func TestAttemptTimeoutCountsAStall(t *testing.T) {
+	r := newTestRouter(t, 2)
+	process := r.startProcess()
+	client := r.dial()
+	id := 0
+	for _, stall := range []time.Duration{
+		300 * time.Millisecond, 500 * time.Millisecond, 700 * time.Millisecond, 1200 * time.Millisecond,
+	} {
+		for _, class := range []string{"page", "order", "filed"} {
+			id++
+			r.serveOne(client, id, class) // the router is at work
+			process.stop()
+			id++
+			sent := time.Now()
+			client.request(id, class, map[string]string{"limit": "2500", "unique": fmt.Sprintf("%032x", id)})
+			time.Sleep(stall)
+			left := 2500*time.Millisecond - time.Since(sent)
+			process.resume()
+			attempt := r.nextAttempt()
+			if wait := attempt.timeout(t); wait > left+maxTimeoutExcess {
+				t.Errorf("%s: %v are left to the client after a stop of %v, and the page cache is told %v", class, left, stall, wait)
+			}
+			attempt.serve("x")
+			client.expect(id, "x")
+		}
+	}
+}
+
+// No retry begins once the client has closed its connection or cancelled, also where the process stood still meanwhile and
+// finds the end of the first attempt, and what the client did, together. For a client that stays, one does.
+func TestNoAttemptForAClientThatLeftDuringAStall(t *testing.T) {
+	r := newTestRouter(t, 3)
+	process := r.startProcess()
+	for id, leave := range []func(*testClient, int){
+		func(client *testClient, id int) { client.cancel(id) },
+		func(client *testClient, _ int) { client.conn.Close() },
+		func(client *testClient, id int) { client.cancel(id) },
+		func(client *testClient, _ int) { client.conn.Close() },
+		nil,
+	} {
+		client := r.dial()
+		client.request(id, "page", nil)
+		attempt := r.nextAttempt()
+		process.stop()
+		attempt.fail()
+		if leave != nil {
+			leave(client, id)
+		}
+		time.Sleep(200 * time.Millisecond)
+		process.resume()
+		if leave != nil {
+			r.expectNoAttempt("its client has left")
+			continue
+		}
+		r.nextAttempt().serve("x")
+		client.expect(id, "x")
+	}
+}
+
+// A SIGTERM that came while the process stood still counts from then: open requests are answered, and the process ends, before
+// the platform may kill it.
+func TestShutdownTimeoutCountsAStall(t *testing.T) {
+	const (
+		stall     = 1200 * time.Millisecond
+		maxAnswer = 3500 * time.Millisecond // after SIGTERM
+		maxExit   = 3700 * time.Millisecond
+	)
+	r := newTestRouter(t, 1)
+	r.configure([]jsonMap{
+		{"name": "page", "repeat": "safe", "deadlineUs": 5000 * millisecond, "promiseUs": 2500 * millisecond, "worth": 1},
+		{"name": "order", "repeat": "unsafe", "deadlineUs": 5000 * millisecond, "promiseUs": 2500 * millisecond, "worth": 1},
+	}, "settings", "profiles")
+	process := r.startProcess()
+	client := r.dial()
+	r.serveOne(client, 1, "page")                                  // the router is at work
+	client.request(2, "order", map[string]string{"limit": "5000"}) // the endpoint never answers
+	r.nextAttempt()
+	process.stop()
+	signalled := time.Now()
+	process.signal(syscall.SIGTERM)
+	time.Sleep(stall)
+	process.resume()
+	if got, err := client.read(); err != nil || got.errorCode == "" || time.Since(signalled) > maxAnswer {
+		t.Errorf("told %q %v, %v after SIGTERM", got.errorCode, err, time.Since(signalled))
+	}
+	if err := process.cmd.Wait(); err != nil || time.Since(signalled) > maxExit {
+		t.Errorf("ended %v after SIGTERM: %v", time.Since(signalled), err)
+	}
+	process.ended = true
+}
+
+// An answer that came while the process stood still is read before the attempt times out: the client of an order that was
+// served is not told that it failed.
+func TestAnswerDuringAStallBeatsTheTimeout(t *testing.T) {
+	r := newTestRouter(t, 1)
+	process := r.startProcess()
+	for id := 1; id <= 5; id++ {
+		client := r.dial()
+		client.request(id, "order", map[string]string{"limit": "500"})
+		attempt := r.nextAttempt()
+		process.stop()
+		attempt.serve("x")
+		time.Sleep(600 * time.Millisecond) // its time is over
+		process.resume()
+		client.expect(id, "x")
+	}
+}
+
+// A process that stood still finds a purge and requests waiting together. Nothing that it then sends may be answered from a
+// copy of before the purge, not even what it had decided before.
+func TestPurgeAfterAStall(t *testing.T) {
+	p, err := loadtest.PurgeDuringStop(program(t), 8)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if p.Requests < p.Rounds || p.Stale > 0 {
+		t.Errorf("%+v", p)
+	}
+}
