--- a/internal/credit/transfers.go
+++ b/internal/credit/transfers.go
@@ -49,8 +49,8 @@
 	l.send(now, to, request, l.settings.TickInterval)
 }
 
-// receiveTransferRequest begins a transfer of rights that are not needed here: as many as are requested, or half of
-// them where that is more, so that few transfers bring rights to where they are used.
+// receiveTransferRequest begins a transfer of rights that are not needed here: as many as are requested, or half of them
+// if that is more, so that a router that uses the account needs few transfers.
 func (l *Ledger) receiveTransferRequest(from string, m message) {
 	a := l.accounts[m.Account]
 	if a == nil || l.identity.state == identityStale || l.writes.err != nil {
@@ -72,8 +72,8 @@
 	l.beginTransfer(t, a, amount)
 }
 
-// transferableRights returns the rights of an account that are not needed here. Of an account that nobody uses here
-// these are all, what was withdrawn too, once it is back on record.
+// transferableRights returns the rights of an account that are not needed here. If the account isn't used here, these
+// are all rights on record, and what is available is returned to the record, so that a later request can have it.
 func (l *Ledger) transferableRights(a *account) int64 {
 	if a.spendingRate == 0 {
 		l.returnAvailable(a, 0)
