--- a/internal/credit/account.go
+++ b/internal/credit/account.go
@@ -14,7 +14,7 @@
 	name   string
 	record accountRecord
 
-	unwritten   int64 // part of record.Rights: added, but not durable yet, so it can't be withdrawn or transferred
+	unwritten   int64 // the part of record.Rights that is not durable yet: it can neither be withdrawn nor transferred
 	withdrawing int64
 	available   int64
 	reserved    int64
@@ -22,7 +22,7 @@
 
 	spentSinceTick    int64
 	spendingRate      float64 // a second; smoothed
-	rejectedSinceTick bool
+	rejectedSinceTick bool    // a request was, as too little was available or its class was paced
 	pacer             pacer
 
 	requestedAt time.Duration // when rights were requested from another router last
@@ -34,7 +34,7 @@
 // durableRights returns the rights that can be withdrawn or transferred.
 func (a *account) durableRights() int64 { return a.record.Rights - a.unwritten }
 
-// spentWithin returns how much is spent in a time at the present rate, times a factor.
+// spentWithin returns how much is spent in a time at the present rate, times a factor, rounded up.
 func (a *account) spentWithin(window time.Duration, factor float64) int64 {
 	return int64(math.Ceil(factor * a.spendingRate * window.Seconds()))
 }
