--- a/internal/netio/write_test.go
+++ b/internal/netio/write_test.go
@@ -110,6 +110,38 @@
 	}
 }
 
+// A reader is cut off only when it reads nothing for the write time-out. This one reads something ten times within
+// it, for twice that long, and then all the rest at once.
+//
+// It fails: the system reports room in a socket only once a third of its send buffer is free, some 1.4 MB of a
+// buffer that has grown to 4 MB. The write that waits for room runs into its time-out before that.
+func TestReaderThatNeverStopsIsNotCutOff(t *testing.T) {
+	limits := lim
+	limits.WriteTimeout, limits.MaxPendingBytes = 2*time.Second, 16<<20
+	conns := make(chan *Conn, 1)
+	s := serve(t, 10, limits, func(c *Conn) Handler { conns <- c; return echo{c} })
+	nc := dial(t, s.Addr().String())
+	if err := nc.(*net.TCPConn).SetReadBuffer(64 << 10); err != nil {
+		t.Fatal(err)
+	}
+	sendAll(t, <-conns)
+	const total = slowReaderMessages * slowReaderMessageSize
+	start, last, longest := time.Now(), time.Now(), time.Duration(0)
+	got, buf := 0, make([]byte, 32<<10)
+	for got < total {
+		n, err := nc.Read(buf)
+		longest, last = max(longest, time.Since(last)), time.Now()
+		if err != nil {
+			t.Fatalf("after %d of %d bytes: %v; the reader paused for %v at most, the time-out is %v",
+				got, total, err, longest, limits.WriteTimeout)
+		}
+		got += n
+		if time.Since(start) < 2*limits.WriteTimeout {
+			time.Sleep(limits.WriteTimeout / 10)
+		}
+	}
+}
+
 // sendErrors are the errors that sendmsg(2) on a connected socket documents, with those that a broken connection
 // brings. Netpoll returns one only where the call before it took part of the message, at most: the rest is not
 // handed to the system any more, and the message never comes to the peer whole.
