--- a/balancer/balancer_test.go
+++ b/balancer/balancer_test.go
@@ -21,8 +21,10 @@
 			Kinds: []string{"box", "mid", "store"}, ParentKind: 1, OriginKind: 2},
 		Classes: []Class{
 			{Name: "page", LatencyObjective: 300 * ms, ObjectiveStretch: 2, Deadline: 3 * sec, Idempotency: Idempotent, Weight: 1},
-			{Name: "news", LatencyObjective: 300 * ms, Deadline: 3 * sec, Idempotency: Idempotent, Weight: 1, FreshnessLifetime: 20 * sec},
-			{Name: "pay", LatencyObjective: 600 * ms, Deadline: 3 * sec, Idempotency: IdempotentByKey, DedupScope: DedupEverywhere, DedupWindow: 2 * sec, Write: true},
+			{Name: "news", LatencyObjective: 300 * ms, Deadline: 3 * sec, Idempotency: Idempotent,
+				Weight: 1, FreshnessLifetime: 20 * sec},
+			{Name: "pay", LatencyObjective: 600 * ms, Deadline: 3 * sec, Idempotency: IdempotentByKey,
+				DedupScope: DedupEverywhere, DedupWindow: 2 * sec, Write: true},
 			{Name: "once", LatencyObjective: 600 * ms, Deadline: 3 * sec, Idempotency: NotIdempotent, Write: true},
 		},
 		PaceKBps: 1000, MaxAttempts: 8,
@@ -44,8 +46,12 @@
 }
 
 func fleetList() []Endpoint {
-	return []Endpoint{listedEndpoint(1, "box", "edge"), listedEndpoint(2, "box", "edge"), listedEndpoint(3, "box", "edge"), listedEndpoint(9, "box", "elsewhere"),
-		listedEndpoint(11, "mid", "hub"), listedEndpoint(12, "mid", "hub"), listedEndpoint(13, "mid", "hub"), listedEndpoint(20, "store", "hub")}
+	return []Endpoint{
+		listedEndpoint(1, "box", "edge"), listedEndpoint(2, "box", "edge"), listedEndpoint(3, "box", "edge"),
+		listedEndpoint(9, "box", "elsewhere"),
+		listedEndpoint(11, "mid", "hub"), listedEndpoint(12, "mid", "hub"), listedEndpoint(13, "mid", "hub"),
+		listedEndpoint(20, "store", "hub"),
+	}
 }
 
 func newRig(t *testing.T, s Settings, list []Endpoint) *rig {
@@ -75,15 +81,17 @@
 // ask sends a request and returns its first attempt; the zero Get if there was none.
 func (r *rig) request(class string, object uint64) SendAttempt {
 	r.lastID++
-	g := sentAttempts(r.handle(Request{ID: r.lastID, Class: class, Object: object, Group: object % 8, Remaining: 3 * sec, SizeKB: 100}))
+	g := sentAttempts(r.handle(Request{ID: r.lastID, Class: class, Object: object, Group: object % 8,
+		Remaining: 3 * sec, SizeKB: 100}))
 	if len(g) == 0 {
 		return SendAttempt{}
 	}
 	return g[0]
 }
 
-func (r *rig) finish(g SendAttempt, n int, st Status, note Detail) []Action {
-	return r.handle(Outcome{ID: g.ID, Attempt: n, Endpoint: g.Endpoint, Status: st, Answered: st == OK, Detail: note, Elapsed: 50 * ms})
+func (r *rig) finish(g SendAttempt, n int, st Status, detail Detail) []Action {
+	return r.handle(Outcome{ID: g.ID, Attempt: n, Endpoint: g.Endpoint, Status: st, Answered: st == OK, Detail: detail,
+		Elapsed: 50 * ms})
 }
 
 // wait lets time pass with the timer running.
@@ -95,8 +103,8 @@
 	return as
 }
 
-// The operators print the files that the deploy file names under policy: these are all that decide, each of a size that can be
-// read in one go, in lines that fit a page.
+// The operators print the files that the deploy file names under policy: these are all that decide, each of a size
+// that can be read in one go, in lines that fit a page.
 func TestPolicyFiles(t *testing.T) {
 	deploy, err := os.ReadFile("../deploy/balancer.toml")
 	if err != nil {
@@ -228,8 +236,9 @@
 	for o := uint64(0); o < 400; o++ {
 		key := mix(o)
 		m := r.balancer.endpoints.byID[1]
-		if b := r.balancer.pick(&request{Request: Request{Object: o}, class: newClass(Class{})}, key, r.balancer.endpoints.caches, saltCache, m); b != nil &&
-			r.balancer.score(key, m, saltCache) > r.balancer.score(key, b, saltCache) {
+		q := &request{Request: Request{Object: o}, class: newClass(Class{})}
+		next := r.balancer.pick(q, key, r.balancer.endpoints.caches, saltCache, m)
+		if next != nil && r.balancer.score(key, m, saltCache) > r.balancer.score(key, next, saltCache) {
 			all++
 			if r.balancer.inOwnRange(key, m) {
 				mine++
@@ -241,7 +250,7 @@
 	}
 }
 
-// A location's caches or a hub's parents that come back all at once are not pushed over.
+// A zone's caches or a hub's parents that come back all at once are not pushed over.
 func TestSlowStartBudget(t *testing.T) {
 	list := fleetList()
 	for i := range list[:3] {
@@ -281,11 +290,15 @@
 	}
 }
 
-// With part of the fleet lost, the usual load of one member must not seem larger.
+// With part of the fleet lost, the usual load of one endpoint must not seem larger.
 func TestSlowStartBudgetCountsLostCapacity(t *testing.T) {
 	r := newRig(t, site(), fleetList())
 	before := r.balancer.endpoints.peakCapacity[roleCache]
-	r.handle(EndpointUpdate{Endpoints: []Endpoint{{ID: 1, Kind: "box", Zone: "edge", State: Removed}, {ID: 2, Kind: "box", Zone: "edge", State: Removed}}})
+	lost := fleetList()[:2]
+	for i := range lost {
+		lost[i].State = Removed
+	}
+	r.handle(EndpointUpdate{Endpoints: lost})
 	if after := r.balancer.endpoints.peakCapacity[roleCache]; after != before || len(r.balancer.endpoints.caches) != 1 {
 		t.Errorf("fleet %v after the loss, %v before, %d listed", after, before, len(r.balancer.endpoints.caches))
 	}
@@ -367,10 +380,12 @@
 	}
 }
 
-// A repeat goes only to a cache of the group that drops it, also of a class that is read: another group would run it again.
+// A repeat goes only to a cache of the group that drops it, also of a class that is read: another group would run
+// it again.
 func TestRetryStaysInDedupScope(t *testing.T) {
 	set, list := site(), fleetList()
-	set.Classes = append(set.Classes, Class{Name: "read", LatencyObjective: 600 * ms, Deadline: 3 * sec, Idempotency: IdempotentByKey, DedupWindow: 2 * sec})
+	set.Classes = append(set.Classes, Class{Name: "read", LatencyObjective: 600 * ms, Deadline: 3 * sec,
+		Idempotency: IdempotentByKey, DedupWindow: 2 * sec})
 	for i := range list {
 		list[i].Cell = i % 2 // the caches of the location are in cells 0, 1 and 0
 	}
@@ -404,7 +419,7 @@
 		}
 	}
 	if !r.balancer.endpoints.byID[1].health.ejected || cancelled == 0 {
-		t.Fatalf("bad %v, %d attempts called off", r.balancer.endpoints.byID[1].health.ejected, cancelled)
+		t.Fatalf("bad %v, %d attempts cancelled", r.balancer.endpoints.byID[1].health.ejected, cancelled)
 	}
 	if g := sentAttempts(r.finish(stuck[0], 0, Cancelled, NoDetail)); len(g) != 1 || g[0].Endpoint == 1 {
 		t.Errorf("the stuck request went to %v", g)
@@ -420,7 +435,7 @@
 	r.advance(300 * ms)
 	for _, m := range r.balancer.endpoints.caches {
 		if m.health.ejected {
-			t.Errorf("cache %d was shunned after 300 ms", m.id)
+			t.Errorf("cache %d was ejected after 300 ms", m.id)
 		}
 	}
 }
@@ -432,7 +447,7 @@
 	r.finish(home, 0, Rejected, SourceUnreachable)
 	for o := uint64(100); !r.balancer.endpoints.byID[home.Source].health.ejected; o++ {
 		if o > 400 {
-			t.Fatal("a source that fails every fill was never shunned")
+			t.Fatal("a source that fails every fill was never ejected")
 		}
 		if g := r.request("page", o); g.Source == home.Source {
 			r.finish(g, 0, Rejected, SourceUnreachable)
@@ -452,7 +467,7 @@
 	}
 }
 
-// A burst of misses does not fill the link: over its bound requests only look, then wait, then are refused.
+// A burst of misses does not fill the link: over its bound requests only look, then wait, then are rejected.
 func TestLinkLimitBoundsFills(t *testing.T) {
 	r := newRig(t, site(), fleetList())
 	fills, looks := 0, 0
@@ -479,7 +494,7 @@
 		}
 	}
 	if refused == 0 {
-		t.Errorf("nobody was refused in time")
+		t.Errorf("nobody was rejected in time")
 	}
 }
 
@@ -542,7 +557,7 @@
 	}
 }
 
-// Where nothing is told of fills, a refusal from afar counts against the source, a quick one against nobody.
+// Where nothing is told of fills, a rejection from afar counts against the source, a quick one against nobody.
 func TestLateRejectionIsTheSources(t *testing.T) {
 	r := newRig(t, site(), fleetList())
 	first := r.request("page", 5)
@@ -557,8 +572,9 @@
 			r.finish(g, 0, OK, Filled)
 		}
 	}
-	if !r.balancer.endpoints.byID[first.Source].health.ejected || r.balancer.endpoints.byID[first.Endpoint].health.ejected {
-		t.Errorf("source bad %v, cache bad %v", r.balancer.endpoints.byID[first.Source].health.ejected, r.balancer.endpoints.byID[first.Endpoint].health.ejected)
+	source, cache := r.balancer.endpoints.byID[first.Source], r.balancer.endpoints.byID[first.Endpoint]
+	if !source.health.ejected || cache.health.ejected {
+		t.Errorf("source ejected %v, cache ejected %v", source.health.ejected, cache.health.ejected)
 	}
 	q := newRig(t, site(), fleetList())
 	for range ejectAfterFailures {
@@ -567,7 +583,7 @@
 	}
 	for _, m := range q.balancer.endpoints.byID {
 		if m.health.ejected {
-			t.Errorf("member %d was shunned for being full", m.id)
+			t.Errorf("member %d was ejected for being full", m.id)
 		}
 	}
 }
--- a/balancer/endpoints_test.go
+++ b/balancer/endpoints_test.go
@@ -8,7 +8,8 @@
 	"time"
 )
 
-// rebuilt is what the list came to when it was rebuilt at each change: members by id, and the most that was in service.
+// rebuilt is what the list came to when it was rebuilt at each change: endpoints by id, and the most that was in
+// service.
 type referenceList struct {
 	endpoints    map[EndpointID]Endpoint
 	startedAt    map[EndpointID]time.Duration
@@ -37,7 +38,8 @@
 		e := l.endpoints[id]
 		ro := b.roleOf(e)
 		m := &endpoint{role: ro, startedAt: l.startedAt[id], weight: e.Weight}
-		if e.State == InService && (l.peakCapacity[ro] == 0 || !b.isWarmingUp(m)) && (ro != roleCache || e.Zone == b.settings.Topology.Zone) {
+		local := ro != roleCache || e.Zone == b.settings.Topology.Zone
+		if e.State == InService && local && (l.peakCapacity[ro] == 0 || !b.isWarmingUp(m)) {
 			fleet[ro] += b.capacityOf(m)
 		}
 		switch {
@@ -95,7 +97,8 @@
 			}
 			b.Handle(now, ev)
 			caches, parents, origins, targets := ref.apply(b, ev)
-			got := fmt.Sprint(idsOf(b.endpoints.caches), idsOf(b.endpoints.parents), idsOf(b.endpoints.origins), b.endpoints.peakCapacity, b.endpoints.cachesListed)
+			got := fmt.Sprint(idsOf(b.endpoints.caches), idsOf(b.endpoints.parents), idsOf(b.endpoints.origins),
+				b.endpoints.peakCapacity, b.endpoints.cachesListed)
 			want := fmt.Sprint(caches, parents, origins, ref.peakCapacity, targets)
 			if got != want {
 				t.Fatalf("seed %d, step %d:\n%s, want\n%s", seed, step, got, want)
@@ -109,14 +112,16 @@
 				}
 			}
 			if len(b.endpoints.byID) != len(ref.endpoints) {
-				t.Fatalf("seed %d, step %d: %d members are held, and %d are listed", seed, step, len(b.endpoints.byID), len(ref.endpoints))
+				t.Fatalf("seed %d, step %d: %d endpoints are kept, and %d are listed", seed, step,
+					len(b.endpoints.byID), len(ref.endpoints))
 			}
 		}
 	}
 }
 
 func randomEntry(rnd *rand.Rand, now time.Duration) Endpoint {
-	e := Endpoint{ID: EndpointID(1 + rnd.IntN(40)), Zone: "edge", Weight: []float64{0.5, 1, 1.5, 2}[rnd.IntN(4)], State: EndpointState(rnd.IntN(3))}
+	e := Endpoint{ID: EndpointID(1 + rnd.IntN(40)), Zone: "edge", Weight: []float64{0.5, 1, 1.5, 2}[rnd.IntN(4)],
+		State: EndpointState(rnd.IntN(3))}
 	kinds := site().Topology.Kinds
 	e.Kind = kinds[int(e.ID)%len(kinds)]
 	if rnd.IntN(4) == 0 {
@@ -128,7 +133,7 @@
 	return e
 }
 
-// listed returns a balancer with so many page caches in its location, and one event that changes one of them.
+// listed returns a balancer with so many caches in its zone, and one event that changes one of them.
 func balancerWithCaches(tb testing.TB, size int) (*Balancer, func()) {
 	tb.Helper()
 	b, err := New(site())
@@ -137,7 +142,8 @@
 	}
 	all := EndpointUpdate{Complete: true}
 	for i := range size {
-		all.Endpoints = append(all.Endpoints, Endpoint{ID: EndpointID(mix(uint64(i + 1))), Kind: site().Topology.Kinds[0], Zone: "edge", Weight: 1, State: InService})
+		all.Endpoints = append(all.Endpoints, Endpoint{ID: EndpointID(mix(uint64(i + 1))), Kind: site().Topology.Kinds[0],
+			Zone: "edge", Weight: 1, State: InService})
 	}
 	now := 1000 * time.Hour
 	b.Handle(now, all)
@@ -155,7 +161,7 @@
 	}
 }
 
-// A change of one member costs the same number of allocations however many are listed, and they are few.
+// A change of one endpoint costs the same number of allocations however many are listed, and they are few.
 func TestListChangeCostIsConstant(t *testing.T) {
 	for _, size := range []int{200, 3200} {
 		_, change := balancerWithCaches(t, size)
--- a/balancer/example_test.go
+++ b/balancer/example_test.go
@@ -7,7 +7,7 @@
 	"hillknot/balancer"
 )
 
-// A director feeds its events in and carries out what comes back.
+// A router feeds its events in and carries out what comes back.
 func Example() {
 	b, err := balancer.New(balancer.Settings{
 		Topology: balancer.Topology{Zone: "branch", Zones: []string{"hub", "branch"},
--- a/balancer/faults_test.go
+++ b/balancer/faults_test.go
@@ -10,7 +10,7 @@
 	r.t.Helper()
 	for o := uint64(1000); !r.balancer.endpoints.byID[id].health.ejected; o++ {
 		if o > 1200 {
-			r.t.Fatalf("node %d was never shunned", id)
+			r.t.Fatalf("node %d was never ejected", id)
 		}
 		r.now += ms
 		if g := r.request("page", o); g.Endpoint == id {
@@ -71,7 +71,7 @@
 	}
 }
 
-// With all caches of the location lost, requests pass them by, within the link; when the caches are
+// With all caches of the zone lost, requests pass them by, within the link; when the caches are
 // back the ordinary path is too.
 func TestZoneLostAndBack(t *testing.T) {
 	r := newRig(t, site(), fleetList())
@@ -264,7 +264,7 @@
 	r.handle(Outcome{ID: g.ID, Endpoint: g.Endpoint, Status: OK, Answered: true, Detail: note, Elapsed: took, SourceWait: waited})
 }
 
-// share counts how many of 300 objects a member owns.
+// share counts how many of 300 objects a endpoint owns.
 func (r *rig) rangeOf(id EndpointID) (n int) {
 	for o := range uint64(300) {
 		if r.balancer.inOwnRange(o, r.balancer.endpoints.byID[id]) {
@@ -274,7 +274,7 @@
 	return n
 }
 
-// A cache that grows slower and slower while it still answers keeps ever less of its range (ageing), and has
+// A cache that grows slower and slower while it still answers keeps ever less of its range (aging), and has
 // all of it back when it answers quickly.
 func TestAgingCacheLosesRange(t *testing.T) {
 	r := newRig(t, site(), fleetList())
@@ -382,99 +382,141 @@
 	}
 }
 
-// With many directors beside, each may still have two attempts at a cache, so that chance alone moves nothing.
+// With many routers beside, each may still have two attempts at a cache, so that chance alone moves nothing.
 func TestCacheLimitHasAFloor(t *testing.T) {
 	for beside, want := range map[int]float64{1: 12, 4: 3, 20: 2, 200: 2} {
 		s := site()
 		s.Topology.RoutersPerZone = []int{0, beside}
 		r := newRig(t, s, fleetList())
 		if got := r.balancer.endpoints.caches[0].concurrencyLimit; got != want {
-			t.Errorf("%d directors: limit %.1f, want %.1f", beside, got, want)
+			t.Errorf("%d routers: limit %.1f, want %.1f", beside, got, want)
 		}
 		if r.balancer.link.limit < minLimit {
-			t.Errorf("%d directors: %.1f on the link", beside, r.balancer.link.limit)
+			t.Errorf("%d routers: %.1f on the link", beside, r.balancer.link.limit)
 		}
 	}
 }
 
-// Many directors that each see little share one cold cache and one cold parent. Nobody tells them of the
-// others, and still the sum stays within the rule in every window, while both get work well before they are
-// warm.
+// Many routers that each see few requests share one cache and one parent in slow start. No router knows of the
+// others, and still their sum stays within the rule in every window, while the endpoint gets requests well before
+// it has warmed up.
 func TestManyRoutersWarmUpOneEndpoint(t *testing.T) {
-	const directors = 60
-	for _, cold := range []EndpointID{1, 11} {
-		s := site()
-		s.Topology.RoutersPerZone = []int{0, directors}
-		var rigs []*rig
-		for range directors {
-			rigs = append(rigs, newRig(t, s, fleetList()))
+	const cache, parent = 0, 4 // places in the list
+	for _, restarted := range []Endpoint{fleetList()[cache], fleetList()[parent]} {
+		run := newWarmUpRun(t, restarted)
+		for step := 0; run.now < run.restartAt+15*sec; step++ {
+			run.step(step)
 		}
-		type sent struct{ at, work float64 }
-		var all []sent
-		busy := 0.0 // what a warm member of its kind is sent, in work a second
-		now, told := 100*sec, 130*sec
-		// Each asks about twice a second; one request in three is no hit.
-		for step := 0; now < told+15*sec; step++ {
-			now += 500 * ms / directors
-			r := rigs[step%directors]
-			r.now = now
-			if step%directors == 0 && now >= told && r.balancer.endpoints.byID[cold].startedAt == 0 {
-				for _, x := range rigs {
-					x.now = now
-					e := fleetList()[0]
-					if cold == 11 {
-						e = fleetList()[4]
-					}
-					e.StartedAt = now
-					x.handle(EndpointUpdate{Endpoints: []Endpoint{e}})
-				}
-			}
-			g := r.request("page", uint64(step)*2654435761>>8)
-			if g.Endpoint == 0 {
-				continue
-			}
-			work, kind := r.balancer.classes.byName["page"].serviceTime, Hit
-			fill := step%3 == 0
-			if fill && g.Source != g.Endpoint {
-				kind = Filled
-			}
-			hits := g.Endpoint == cold || kind == Filled && g.Source == cold
-			if hits && now < told {
-				busy += work / 30
-			} else if hits {
-				all = append(all, sent{(now - told).Seconds(), work})
-			}
-			if g.Source == g.Endpoint && fill {
-				r.finish(g, 0, Miss, NoDetail)
-			} else {
-				r.finish(g, 0, OK, kind)
+		run.checkRule()
+		run.checkEarlyLoad()
+	}
+}
+
+// warmUpRun is many routers that send requests in turn, while one endpoint restarts.
+type warmUpRun struct {
+	t         *testing.T
+	settings  Settings
+	rigs      []*rig
+	restarted Endpoint
+	now       time.Duration
+	restartAt time.Duration
+	usual     float64 // load of the endpoint before its restart, in seconds of service time per second
+	sent      []sentWork
+}
+
+// sentWork is an attempt at the endpoint after its restart.
+type sentWork struct{ at, serviceTime float64 }
+
+func newWarmUpRun(t *testing.T, restarted Endpoint) *warmUpRun {
+	t.Helper()
+	const routers = 60
+	run := &warmUpRun{t: t, settings: site(), restarted: restarted, now: 100 * sec, restartAt: 130 * sec}
+	run.settings.Topology.RoutersPerZone = []int{0, routers}
+	for range routers {
+		run.rigs = append(run.rigs, newRig(t, run.settings, fleetList()))
+	}
+	return run
+}
+
+// step lets the next router send a request: each sends about two a second, of which one in three is no hit.
+func (run *warmUpRun) step(step int) {
+	run.now += 500 * ms / time.Duration(len(run.rigs))
+	turn := step % len(run.rigs)
+	r := run.rigs[turn]
+	r.now = run.now
+	if turn == 0 && run.now >= run.restartAt && r.balancer.endpoints.byID[run.restarted.ID].startedAt == 0 {
+		run.restart()
+	}
+	a := r.request("page", uint64(step)*2654435761>>8)
+	if a.Endpoint == 0 {
+		return
+	}
+	detail, fill := Hit, step%3 == 0
+	if fill && a.Source != a.Endpoint {
+		detail = Filled
+	}
+	if a.Endpoint == run.restarted.ID || detail == Filled && a.Source == run.restarted.ID {
+		run.count(r.balancer.classes.byName["page"].serviceTime)
+	}
+	if a.Source == a.Endpoint && fill {
+		r.finish(a, 0, Miss, NoDetail)
+	} else {
+		r.finish(a, 0, OK, detail)
+	}
+}
+
+func (run *warmUpRun) restart() {
+	run.restarted.StartedAt = run.now
+	for _, r := range run.rigs {
+		r.now = run.now
+		r.handle(EndpointUpdate{Endpoints: []Endpoint{run.restarted}})
+	}
+}
+
+func (run *warmUpRun) count(serviceTime float64) {
+	if run.now < run.restartAt {
+		run.usual += serviceTime / 30
+	} else {
+		run.sent = append(run.sent, sentWork{(run.now - run.restartAt).Seconds(), serviceTime})
+	}
+}
+
+// checkRule: no window holds more than the rule allows of the capacity that the endpoint has shown, as far as it
+// has warmed up.
+func (run *warmUpRun) checkRule() {
+	run.t.Helper()
+	rule := run.settings.CacheSlowStart
+	for i, a := range run.sent {
+		total := 0.0
+		for _, x := range run.sent[:i+1] {
+			if x.at > a.at-rule.OverloadWindow.Seconds() {
+				total += x.serviceTime
 			}
 		}
-		rule, early := s.CacheSlowStart, 0.0
-		for i, a := range all {
-			total := 0.0
-			for _, x := range all[:i+1] {
-				if x.at > a.at-rule.OverloadWindow.Seconds() {
-					total += x.work
-				}
-			}
-			if a.at < 10 {
-				early += a.work
-			}
-			// The window's mean share, and the capacity at least what a warm member carried.
-			share := rule.InitialCapacity + (1-rule.InitialCapacity)*a.at/rule.WarmUpTime.Seconds()
-			if most := rule.OverloadFactor * share * rule.OverloadWindow.Seconds() * busy * 1.1; total > most {
-				t.Fatalf("member %d, %.1f s after its start: %.2f of work in a window, the rule allows %.2f",
-					cold, a.at, total, most)
-			}
+		warm := rule.InitialCapacity + (1-rule.InitialCapacity)*a.at/rule.WarmUpTime.Seconds()
+		most := rule.OverloadFactor * warm * rule.OverloadWindow.Seconds() * run.usual * 1.1
+		if total > most {
+			run.t.Fatalf("endpoint %d, %.1f s after its start: %.2f s of service time in a window, the rule allows %.2f",
+				run.restarted.ID, a.at, total, most)
 		}
-		if early < busy {
-			t.Errorf("member %d was sent %.2f of work in its first 10 s, a warm one %.2f a second", cold, early, busy)
+	}
+}
+
+func (run *warmUpRun) checkEarlyLoad() {
+	run.t.Helper()
+	early := 0.0
+	for _, a := range run.sent {
+		if a.at < 10 {
+			early += a.serviceTime
 		}
 	}
+	if early < run.usual {
+		run.t.Errorf("endpoint %d was sent %.2f s of service time in its first 10 s, before its restart %.2f a second",
+			run.restarted.ID, early, run.usual)
+	}
 }
 
-// What a slow origin owes is not called off: there is no other, so the work would be lost and asked for again.
+// What a slow origin owes is not cancelled: there is no other, so the work would be lost and asked for again.
 func TestSlowOriginIsNotRetried(t *testing.T) {
 	list := append(fleetList()[:3], fleetList()[7]) // no parents
 	r := newRig(t, site(), list)
@@ -490,7 +532,7 @@
 		}
 		for _, a := range r.handle(Timer{Token: scanToken}) {
 			if c, ok := a.(CancelAttempt); ok {
-				t.Fatalf("called off: %+v", c)
+				t.Fatalf("cancelled: %+v", c)
 			}
 		}
 	}
--- a/balancer/fleet_test.go
+++ b/balancer/fleet_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// While the location's link is half full, a client that asks again gets what its cache holds and no fill: its first
+// While the zone's link is half full, a client that asks again gets what its cache holds and no fill: its first
 // try has used up the time, and the fill would make requests late that are still in time.
 func TestClientRetryLeavesLinkToFirstAttempts(t *testing.T) {
 	s := site()
@@ -18,7 +18,8 @@
 	fills := func(again bool) (n int) {
 		for range 30 {
 			r.lastID++
-			g := sentAttempts(r.handle(Request{ID: r.lastID, Class: "page", Object: uint64(r.lastID), Remaining: 3 * sec, SizeKB: 100, Retry: again}))
+			g := sentAttempts(r.handle(Request{ID: r.lastID, Class: "page", Object: uint64(r.lastID), Remaining: 3 * sec,
+				SizeKB: 100, Retry: again}))
 			if len(g) == 1 && g[0].Source != g[0].Endpoint {
 				n++
 			}
@@ -49,7 +50,7 @@
 	}
 }
 
-// What one director learns of the origin thins out as more of them share it: each counts a slow answer for more.
+// What one router learns of the origin thins out as more of them share it: each counts a slow answer for more.
 func TestOriginScoreFallsFasterWhereManyShareIt(t *testing.T) {
 	trust := func(directors int) float64 {
 		s := site()
@@ -57,9 +58,10 @@
 		r := newRig(t, s, fleetList())
 		g := r.request("page", 1)
 		r.now += 400 * ms
-		r.handle(Outcome{ID: g.ID, Endpoint: g.Endpoint, Answered: true, Detail: FilledByOrigin, Elapsed: 400 * ms, SourceWait: 300 * ms})
+		r.handle(Outcome{ID: g.ID, Endpoint: g.Endpoint, Answered: true, Detail: FilledByOrigin,
+			Elapsed: 400 * ms, SourceWait: 300 * ms})
 		if parent := r.balancer.healthScore(r.balancer.endpoints.byID[g.Source]); parent != 1 {
-			t.Errorf("%d directors: the parent has the trust %.2f", directors, parent)
+			t.Errorf("%d routers: the parent has the trust %.2f", directors, parent)
 		}
 		return r.balancer.healthScore(r.balancer.endpoints.origin)
 	}
@@ -69,7 +71,7 @@
 	}
 }
 
-// A release lists the new members while the old ones drain. The usual load is that of as many as served at once: with
+// A release lists the new endpoints while the old ones drain. The usual load is that of as many as served at once: with
 // both counted, each new one would get half of what it may be sent for as long as the router lives.
 func TestReleaseKeepsSlowStartBudget(t *testing.T) {
 	drained, fresh := fleetList()[:3], []Endpoint{}
@@ -93,14 +95,15 @@
 	}
 }
 
-// The part of one director among many is small beside what chance brings it. A bound of just that part would leave the
-// link idle while requests are refused; one with room for chance must still keep all together near what the link fits.
+// The part of one router among many is small beside what chance brings it. A bound of just that part would leave
+// the link idle while requests are rejected; one with room for chance must still keep all together near what the
+// link fits.
 func TestLinkLimitAllowsForVariance(t *testing.T) {
 	for beside, want := range map[int][2]float64{1: {16, 16}, 4: {4.5, 5}, 16: {1.9, 2.1}} {
 		s := site()
 		s.Topology.RoutersPerZone, s.LinkKBps = []int{0, beside}, []float64{0, 8000} // the link fits 8 transfers
 		if room := newRig(t, s, fleetList()).balancer.link.limit; room < want[0] || room > want[1] {
-			t.Errorf("%d directors: room for %.2f each, not %v", beside, room, want)
+			t.Errorf("%d routers: room for %.2f each, not %v", beside, room, want)
 		}
 	}
 }
@@ -117,17 +120,19 @@
 			r.lastID++
 			for _, g := range sentAttempts(r.handle(Request{ID: r.lastID, Class: "page", Object: uint64(r.lastID), Remaining: 3 * sec})) {
 				r.now += 500 * ms
-				r.handle(Outcome{ID: g.ID, Endpoint: g.Endpoint, Answered: true, Detail: Filled, Elapsed: 2 * sec, SourceWait: 50 * ms})
+				r.handle(Outcome{ID: g.ID, Endpoint: g.Endpoint, Answered: true, Detail: Filled,
+					Elapsed: 2 * sec, SourceWait: 50 * ms})
 			}
 		}
 		if after := r.balancer.link.limit; (after < before) != shrinks {
-			t.Errorf("%d directors: room for %.2f, then %.2f", beside, before, after)
+			t.Errorf("%d routers: room for %.2f, then %.2f", beside, before, after)
 		}
 	}
 }
 
-// A router that starts beside a location that comes back, all cold, under an overload, knows nothing but what it is asked
-// for: many times what the caches ever carried. What it sends a cold one stays within what the caches' links carry.
+// A router that starts beside a zone that comes back, all cold, under an overload, knows nothing but what it is
+// asked for: many times what the caches ever carried. What it sends a cold one stays within what the caches' links
+// carry.
 func TestNewRouterUnderOverload(t *testing.T) {
 	s := site()
 	s.LinkKBps = []float64{0, 6000} // the location's link fits 6 transfers
@@ -155,12 +160,14 @@
 	}
 }
 
-// However many directors share a location's link, what all of them fill at once stays near to what it can carry in time: with
-// more room for chance for each, the answers of a bad minute come late, and the link has carried them for nothing.
+// However many routers share a zone's link, what all of them fill at once stays near to what it can carry in
+// time: with more room for chance for each, the answers of a bad minute come late, and the link has carried them
+// for nothing.
 func TestFillsOfAllRouters(t *testing.T) {
 	for _, directors := range []int{4, 8, 16} {
 		s := site()
-		s.Capabilities.DirectAttempts, s.LinkKBps, s.Topology.RoutersPerZone, s.StaticWeights = false, []float64{0, 20_000}, []int{0, directors}, true // the link fits 20 transfers
+		s.Capabilities.DirectAttempts, s.StaticWeights = false, true
+		s.LinkKBps, s.Topology.RoutersPerZone = []float64{0, 20_000}, []int{0, directors} // the link fits 20 transfers
 		list := fleetList()
 		for i := range list {
 			list[i].Weight = 100 // and the caches' own links many
@@ -177,7 +184,7 @@
 			all += r.balancer.link.inFlight
 		}
 		if all > 2.5*20 {
-			t.Errorf("%d directors: %.1f transfers on a link that fits 20", directors, all)
+			t.Errorf("%d routers: %.1f transfers on a link that fits 20", directors, all)
 		}
 	}
 }
--- a/balancer/resolve_test.go
+++ b/balancer/resolve_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// named returns the members that a resolver is told, and whether it was refused.
+// named returns the endpoints that a resolver is told, and whether it was rejected.
 func (r *rig) resolve(ev Resolve) (nodes []EndpointID, refused bool) {
 	for _, a := range r.handle(ev) {
 		switch a := a.(type) {
@@ -16,10 +16,10 @@
 			refused = true
 		}
 	}
-	return
+	return nodes, refused
 }
 
-// Resolvers' answers follow the rules of requests: the same hash, no other location, nobody who drains.
+// Resolvers' answers follow the rules of requests: the same hash, no other zone, nobody who drains.
 func TestResolve(t *testing.T) {
 	r := newRig(t, site(), fleetList())
 	seen := map[EndpointID]int{}
@@ -64,7 +64,7 @@
 				told++
 			}
 		}
-		return
+		return told
 	}
 	first := ask()
 	if second := ask(); first == 0 || first > 100 || second != 0 {
@@ -93,7 +93,7 @@
 	}
 }
 
-// A refusal comes at once and says how long to stay away.
+// A rejection comes at once and says how long to stay away.
 func TestRejectHasRetryAfter(t *testing.T) {
 	s := site()
 	s.MaxRetryAfter = 500 * time.Millisecond
--- a/balancer/rules_test.go
+++ b/balancer/rules_test.go
@@ -9,8 +9,8 @@
 // What a site's rules allow after a drain is listed, and after a client's deadline.
 const drainGrace, answerSlack = 500 * ms, 8 * ms
 
-// TestRulesUnderRandomEvents drives random but legal events and asserts the rules on every action, for the test site and
-// for the shapes of both deployments: the rules must not hold by luck of one deployment's values.
+// TestRulesUnderRandomEvents drives random but legal events and asserts the rules on every action, for the test
+// site and for the shapes of both deployments: the rules must not hold by luck of one deployment's values.
 func TestRulesUnderRandomEvents(t *testing.T) {
 	testSite := deployment{site(), fleetList(), []string{"page", "page", "page", "news", "pay", "once"}}
 	for _, d := range []deployment{testSite, scores(), episodes()} {
--- a/balancer/slowstart_test.go
+++ b/balancer/slowstart_test.go
@@ -11,46 +11,58 @@
 	"time"
 )
 
-// A trial of the rule on cold members: many routers that know nothing of each other, and what all of them send together.
+// slowStartTrial tries the slow-start rule: many routers that share no state, and what all of them send together.
 type slowStartTrial struct {
-	restarted   string        // starts: "cache", "parent", or all of them, or "caches and routers" of a location
-	routers     int           // in locations of 30 at most, with 4 caches each
-	load        float64       // part of what warm caches can do that is asked for
-	capacity    float64       // calls a second that a warm cache can do
-	serviceTime time.Duration // the sending time of a call; 200 ms is what a router supposes before it has seen any
-	uneven      bool          // a fifth of the routers see most of the traffic
+	restarted   string        // "cache", "parent", all of them, or "caches and routers" of a zone
+	routers     int           // in zones of 30 at most, with 4 caches each
+	load        float64       // what clients ask for, as part of what warmed-up caches can serve
+	capacity    float64       // calls a second that a warmed-up cache can serve
+	serviceTime time.Duration // of a call; 200 ms is what a router assumes before its first response
+	uneven      bool          // a fifth of the routers get most of the traffic
 	seed        uint64
 }
 
 const (
 	trialStart   = 100 * sec
-	trialRestart = 120 * sec // somebody starts then
+	trialRestart = 120 * sec
 	trialEnd     = 140 * sec
 	storeID      = 9
 )
 
-// fleet is the list, and the settings of a router in the first location; parents have the ids from 10, caches those from 100.
-func (c slowStartTrial) fleet() (s Settings, list []Endpoint) {
-	s = site()
-	s.Capabilities.DirectAttempts, s.Capabilities.CoalesceFills, s.Topology.Zones, s.Topology.RoutersPerZone = false, false, []string{"hub"}, []int{0}
+// zones is the number of zones with routers and caches.
+func (c slowStartTrial) zones() int { return (c.routers + 29) / 30 }
+
+// settings are those of a router in the first zone.
+func (c slowStartTrial) settings() Settings {
+	s := site()
+	s.Capabilities.DirectAttempts, s.Capabilities.CoalesceFills = false, false
+	s.Topology.Zones, s.Topology.RoutersPerZone = []string{"hub"}, []int{0}
 	s.CacheSlowStart = SlowStartRule{InitialCapacity: 0.2, WarmUpTime: 15 * sec, OverloadFactor: 3, OverloadWindow: 2 * sec}
 	s.ParentSlowStart = SlowStartRule{InitialCapacity: 0.08, WarmUpTime: 18 * sec, OverloadFactor: 2, OverloadWindow: 2 * sec}
-	places := (c.routers + 29) / 30
-	for p := range places {
-		s.Topology.Zones = append(s.Topology.Zones, fmt.Sprint("e", p))
-		s.Topology.RoutersPerZone = append(s.Topology.RoutersPerZone, (c.routers-p+places-1)/places)
+	for z := range c.zones() {
+		s.Topology.Zones = append(s.Topology.Zones, fmt.Sprint("e", z))
+		s.Topology.RoutersPerZone = append(s.Topology.RoutersPerZone, (c.routers-z+c.zones()-1)/c.zones())
+	}
+	return s
+}
+
+// endpoints is the list: parents have the ids from 10, caches those from 100.
+func (c slowStartTrial) endpoints() (list []Endpoint) {
+	for z := range c.zones() {
 		for i := range 4 {
-			list = append(list, listedEndpoint(EndpointID(100*(p+1)+i), "box", s.Topology.Zones[p+1]))
+			list = append(list, listedEndpoint(EndpointID(100*(z+1)+i), "box", fmt.Sprint("e", z)))
 		}
 	}
-	for i := range max(2, places/2) {
+	for i := range c.parents() {
 		list = append(list, listedEndpoint(EndpointID(10+i), "mid", "hub"))
 	}
-	return s, append(list, listedEndpoint(storeID, "store", "hub"))
+	return append(list, listedEndpoint(storeID, "store", "hub"))
 }
 
-// starts tells whether a member is one of those that start.
-func (c slowStartTrial) starts(e Endpoint) bool {
+func (c slowStartTrial) parents() int { return max(2, c.zones()/2) }
+
+// restarts tells whether an endpoint is one of those that restart.
+func (c slowStartTrial) restarts(e Endpoint) bool {
 	switch c.restarted {
 	case "cache":
 		return e.ID == 100
@@ -62,141 +74,191 @@
 	return e.Kind == "box" && e.Zone == "e0"
 }
 
-// member is what a page cache or a parent can do: a bucket that fills at its rate of that moment. What finds it empty is
-// turned away.
-type capacity struct {
+// server is what a cache or a parent can serve: a token bucket that fills at its rate of that moment. It rejects
+// what finds the bucket empty.
+type server struct {
 	rule       SlowStartRule
-	warm, room float64
-	filled     time.Duration
-	cold       bool
-	calls      []time.Duration // of those who knew that it is cold, since its start
+	rate       float64 // when warmed up
+	tokens     float64
+	filledAt   time.Duration
+	restarts   bool
+	knownCalls []time.Duration // since its restart, of routers that knew of it
 }
 
-func (m *capacity) share(at time.Duration) float64 {
+// warm is the part of its full rate that a server has at a time after its restart.
+func (m *server) warm(at time.Duration) float64 {
 	return min(1, m.rule.InitialCapacity+(1-m.rule.InitialCapacity)*float64(at)/float64(m.rule.WarmUpTime))
 }
 
-func (m *capacity) takes(now time.Duration, known bool) bool {
-	rate := m.warm
-	if m.cold && now >= trialRestart {
-		rate *= m.share(now - trialRestart)
+// serve takes a call, unless it has to reject it.
+func (m *server) serve(now time.Duration, known bool) bool {
+	rate := m.rate
+	if m.restarts && now >= trialRestart {
+		rate *= m.warm(now - trialRestart)
 		if known {
-			m.calls = append(m.calls, now-trialRestart)
+			m.knownCalls = append(m.knownCalls, now-trialRestart)
 		}
 	}
-	m.room = min(m.room+rate*(now-m.filled).Seconds(), max(1, rate/2))
-	m.filled = now
-	if m.room < 1 {
+	m.tokens = min(m.tokens+rate*(now-m.filledAt).Seconds(), max(1, rate/2))
+	m.filledAt = now
+	if m.tokens < 1 {
 		return false
 	}
-	m.room--
+	m.tokens--
 	return true
 }
 
-// worst is the most calls in any window, over N + 2 root N + 2: N is what the rule allows then, and the rest is what may be
-// put down to chance.
-func (m *capacity) worst() (worst float64) {
-	for i, at := range m.calls {
+// worstWindow is the most calls in any window, over N + 2 root N + 2: N is what the rule allows then, and the rest
+// is what chance may add.
+func (m *server) worstWindow() float64 {
+	worst := 0.0
+	for i, at := range m.knownCalls {
 		if at > m.rule.WarmUpTime {
 			break // the rule holds no longer
 		}
-		from, _ := slices.BinarySearch(m.calls, at-m.rule.OverloadWindow)
-		n := m.rule.OverloadFactor * m.share((max(at-m.rule.OverloadWindow, 0)+at)/2) * m.warm * m.rule.OverloadWindow.Seconds()
+		from, _ := slices.BinarySearch(m.knownCalls, at-m.rule.OverloadWindow)
+		warm := m.warm((max(at-m.rule.OverloadWindow, 0) + at) / 2)
+		n := m.rule.OverloadFactor * warm * m.rate * m.rule.OverloadWindow.Seconds()
 		worst = max(worst, float64(i-from+1)/(n+2*math.Sqrt(n)+2))
 	}
 	return worst
 }
 
-// play returns the worst of all cold members.
-func (c slowStartTrial) play(t *testing.T) (worst float64) {
+// trialRun is a trial that is being played.
+type trialRun struct {
+	slowStartTrial
+	t        *testing.T
+	rnd      *rand.Rand
+	base     Settings
+	servers  map[EndpointID]*server
+	rigs     []*rig
+	learnsAt []time.Duration // when each router learns of the restart
+	known    []bool          // which routers know of it
+	newList  []Endpoint      // the list after it
+	now      time.Duration
+}
+
+// play returns the worst window of all servers.
+func (c slowStartTrial) play(t *testing.T) float64 {
 	t.Helper()
-	rnd := rand.New(rand.NewPCG(c.seed, 17))
-	s, list := c.fleet()
-	places := len(s.Topology.Zones) - 1
-	members, parents := map[EndpointID]*capacity{}, max(2, places/2)
-	for _, e := range list {
-		m := &capacity{rule: s.CacheSlowStart, warm: c.capacity, cold: c.starts(e), filled: trialStart}
+	run := &trialRun{
+		slowStartTrial: c, t: t, rnd: rand.New(rand.NewPCG(c.seed, 17)), base: c.settings(),
+		servers: map[EndpointID]*server{}, rigs: make([]*rig, c.routers), learnsAt: make([]time.Duration, c.routers),
+		known: make([]bool, c.routers), newList: c.endpoints(), now: trialStart,
+	}
+	run.addServers()
+	for i := range run.rigs {
+		run.startRouter(i, c.endpoints())
+		run.learnsAt[i] = trialRestart + time.Duration(run.rnd.Int64N(int64(400*ms)))
+	}
+	total := c.load * c.capacity * float64(4*c.zones())
+	for run.now < trialEnd {
+		i := run.busyRouter()
+		run.spreadRestart()
+		run.request(i)
+		run.now += time.Duration(run.rnd.ExpFloat64() / total * float64(sec))
+	}
+	worst := 0.0
+	for _, m := range run.servers {
+		worst = max(worst, m.worstWindow())
+	}
+	return worst
+}
+
+func (run *trialRun) addServers() {
+	for i, e := range run.newList {
+		m := &server{rule: run.base.CacheSlowStart, rate: run.capacity, restarts: run.restarts(e), filledAt: trialStart}
 		if e.Kind == "mid" { // a third of all calls are filled
-			m.rule, m.warm = s.ParentSlowStart, c.capacity*float64(4*places)/3/float64(parents)*1.4
+			m.rule = run.base.ParentSlowStart
+			m.rate = run.capacity * float64(4*run.zones()) / 3 / float64(run.parents()) * 1.4
 		}
-		members[e.ID] = m
-	}
-	rigs, told := make([]*rig, c.routers), make([]time.Duration, c.routers)
-	started := slices.Clone(list)
-	for i, e := range started {
-		if c.starts(e) {
-			started[i].StartedAt = trialRestart
+		run.servers[e.ID] = m
+		if m.restarts {
+			run.newList[i].StartedAt = trialRestart
 		}
 	}
-	start := func(i int, now time.Duration, list []Endpoint) {
-		own := s
-		own.Topology.Zone = s.Topology.Zones[1+i%places]
-		rigs[i] = newRig(t, own, nil)
-		rigs[i].now = now
-		rigs[i].handle(EndpointUpdate{Complete: true, Endpoints: list})
-	}
-	for i := range rigs {
-		start(i, trialStart, list)
-		told[i] = trialRestart + time.Duration(rnd.Int64N(int64(400*ms))) // each at a time of its own
-	}
-	known := make([]bool, c.routers)
-	total := c.load * c.capacity * float64(4*places)
-	for now := trialStart; now < trialEnd; now += time.Duration(rnd.ExpFloat64() / total * float64(sec)) {
-		i := rnd.IntN(c.routers)
-		for c.uneven && i/places%5 > 0 && i >= places && rnd.IntN(8) > 0 {
-			i = rnd.IntN(c.routers)
-		}
-		for j := range rigs {
-			switch {
-			case known[j] || now < told[j]:
-				continue
-			case c.restarted == "caches and routers" && j%places == 0:
-				start(j, now, started)
-			default:
-				rigs[j].now = now
-				rigs[j].handle(EndpointUpdate{Complete: true, Endpoints: started})
-			}
-			known[j] = true
+}
+
+func (run *trialRun) startRouter(i int, list []Endpoint) {
+	run.t.Helper()
+	own := run.base
+	own.Topology.Zone = own.Topology.Zones[1+i%run.zones()]
+	r := newRig(run.t, own, nil)
+	r.now = run.now
+	r.handle(EndpointUpdate{Complete: true, Endpoints: list})
+	run.rigs[i] = r
+}
+
+// busyRouter draws the router that gets the next request.
+func (run *trialRun) busyRouter() int {
+	i := run.rnd.IntN(len(run.rigs))
+	for run.uneven && i/run.zones()%5 > 0 && i >= run.zones() && run.rnd.IntN(8) > 0 {
+		i = run.rnd.IntN(len(run.rigs))
+	}
+	return i
+}
+
+// spreadRestart tells the routers that learn of the restart by now, or starts them anew where they have restarted,
+// too.
+func (run *trialRun) spreadRestart() {
+	run.t.Helper()
+	for i := range run.rigs {
+		if run.known[i] || run.now < run.learnsAt[i] {
+			continue
 		}
-		r := rigs[i]
-		r.now = now
-		r.lastID++
-		class := []string{"page", "page", "news"}[rnd.IntN(3)]
-		object := rnd.Uint64() >> 8
-		asked := sentAttempts(r.handle(Request{ID: r.lastID, Class: class, Object: object, Group: object % 8, Remaining: 3 * sec}))
-		for len(asked) > 0 { // also of requests that waited
-			g := asked[0]
-			asked = asked[1:]
-			fill := rnd.IntN(3) == 0 || members[g.Endpoint].cold && now >= trialRestart && now < trialRestart+10*sec
-			status, note := OK, Hit
-			switch {
-			case !members[g.Endpoint].takes(now, known[i]):
-				status, note = Rejected, NoDetail
-			case fill && g.Source == g.Endpoint:
-				status, note = Miss, NoDetail
-			case fill && g.Source != storeID && !members[g.Source].takes(now, known[i]):
-				status, note = Rejected, SourceRejected
-			case fill:
-				note = Filled
-			}
-			asked = append(asked, sentAttempts(r.handle(Outcome{ID: g.ID, Attempt: g.Attempt, Endpoint: g.Endpoint, Status: status, Answered: status == OK,
-				Detail: note, Elapsed: c.serviceTime}))...)
+		run.known[i] = true
+		if run.restarted == "caches and routers" && i%run.zones() == 0 {
+			run.startRouter(i, run.newList)
+		} else {
+			run.rigs[i].now = run.now
+			run.rigs[i].handle(EndpointUpdate{Complete: true, Endpoints: run.newList})
 		}
 	}
-	for _, m := range members {
-		worst = max(worst, m.worst())
+}
+
+// request sends a request to a router, and ends at once all attempts that follow, also those of queued requests.
+func (run *trialRun) request(i int) {
+	r := run.rigs[i]
+	r.now = run.now
+	r.lastID++
+	class := []string{"page", "page", "news"}[run.rnd.IntN(3)]
+	object := run.rnd.Uint64() >> 8
+	attempts := sentAttempts(r.handle(Request{ID: r.lastID, Class: class, Object: object, Group: object % 8, Remaining: 3 * sec}))
+	for len(attempts) > 0 {
+		a := attempts[0]
+		status, detail := run.serve(a, run.known[i])
+		attempts = append(attempts[1:], sentAttempts(r.handle(Outcome{ID: a.ID, Attempt: a.Attempt, Endpoint: a.Endpoint,
+			Status: status, Answered: status == OK, Detail: detail, Elapsed: run.serviceTime}))...)
 	}
-	return worst
 }
 
-var printTrials = flag.Bool("cold", false, "play all trials of cold members and print them as a table")
+// serve is how an attempt ends. A third are fills; at a cache that has just restarted, all are.
+func (run *trialRun) serve(a SendAttempt, known bool) (Status, Detail) {
+	to := run.servers[a.Endpoint]
+	fill := run.rnd.IntN(3) == 0 || to.restarts && run.now >= trialRestart && run.now < trialRestart+10*sec
+	switch {
+	case !to.serve(run.now, known):
+		return Rejected, NoDetail
+	case fill && a.Source == a.Endpoint:
+		return Miss, NoDetail
+	case fill && a.Source != storeID && !run.servers[a.Source].serve(run.now, known):
+		return Rejected, SourceRejected
+	case fill:
+		return OK, Filled
+	}
+	return OK, Hit
+}
+
+var printTrials = flag.Bool("cold", false, "play all trials of slow start and print them as a table")
 
-// Without a word between them, all routers together send a cold page cache or parent no more than the rule allows and
-// chance excuses, be they one or three hundred, alike or not, and whatever they supposed of a call's work at their start.
+// All routers together send a cache or parent in slow start no more than the rule allows and chance may add,
+// although they share no state: be they one or three hundred, alike or not, and whatever service time they assumed
+// at their start.
 func TestSlowStartOfManyRouters(t *testing.T) {
 	loads, capacities, times := []float64{0.95}, []float64{2, 20}, []time.Duration{50 * ms}
 	if *printTrials {
-		loads, capacities, times = []float64{0.6, 0.95}, []float64{2, 6, 20, 80}, []time.Duration{50 * ms, 200 * ms, 600 * ms}
+		loads, capacities = []float64{0.6, 0.95}, []float64{2, 6, 20, 80}
+		times = []time.Duration{50 * ms, 200 * ms, 600 * ms}
 	}
 	for _, load := range loads {
 		for _, took := range times {
