--- a/cmd/hillknot-simulator/golden_test.go
+++ b/cmd/hillknot-simulator/golden_test.go
@@ -57,7 +57,7 @@
 
 // What the recorded replies lack: the exception of an instance that fails, and a time limit.
 func TestGoldenRare(t *testing.T) {
-	lines := handle(nil, nil, simulator.Event{Instance: "director-1", Event: balancer.ClientAborted{ID: 1}}, 1)
+	lines := appendActions(nil, nil, simulator.Event{Instance: "director-1", Event: balancer.ClientAborted{ID: 1}}, 1)
 	lines = simulator.AppendAction(lines, "director-1", balancer.SendAttempt{ID: 36, Attempt: 4, Endpoint: 5, Timeout: 900_000_000, Source: 7, CachePriority: 3, MaxAge: 1_500_000_000,
 		Coalesce: true, CachedOnly: true, Revalidate: true, MayHaveRun: true})
 	lines = simulator.AppendAction(lines, "director-1", balancer.Reject{ID: 1 << 51})
