--- a/balancer/attempts.go
+++ b/balancer/attempts.go
@@ -92,7 +92,7 @@
 	switch {
 	case timeIsUp || status == NotSent:
 		b.finish(r)
-	case status == Rejected && a.blamed == a.endpoint && len(r.attempts) < b.maxAttempts() && b.worthQueueing(r):
+	case status == Rejected && a.blamed == a.endpoint && len(r.attempts) < b.maxAttempts() && b.mayQueue(r):
 		r.phase = requestQueued // not at once: the other caches are likely as full
 	default:
 		b.route(r)
--- a/balancer/balancer_test.go
+++ b/balancer/balancer_test.go
@@ -240,7 +240,7 @@
 		next := r.balancer.pick(q, key, r.balancer.endpoints.caches, saltCache, m)
 		if next != nil && r.balancer.score(key, m, saltCache) > r.balancer.score(key, next, saltCache) {
 			all++
-			if r.balancer.inOwnRange(key, m) {
+			if r.balancer.servesKey(key, m) {
 				mine++
 			}
 		}
--- a/balancer/faults_test.go
+++ b/balancer/faults_test.go
@@ -267,7 +267,7 @@
 // share counts how many of 300 objects a endpoint owns.
 func (r *rig) rangeOf(id EndpointID) (n int) {
 	for o := range uint64(300) {
-		if r.balancer.inOwnRange(o, r.balancer.endpoints.byID[id]) {
+		if r.balancer.servesKey(o, r.balancer.endpoints.byID[id]) {
 			n++
 		}
 	}
@@ -346,7 +346,7 @@
 		}
 	}
 	for _, m := range r.balancer.endpoints.caches {
-		if !r.balancer.inOwnRange(7, m) && !r.balancer.inOwnRange(8, m) && !r.balancer.inOwnRange(9, m) {
+		if !r.balancer.servesKey(7, m) && !r.balancer.servesKey(8, m) && !r.balancer.servesKey(9, m) {
 			t.Errorf("cache %d lost its range with trust %.2f", m.id, r.balancer.healthScore(m))
 		}
 	}
--- a/balancer/hashing.go
+++ b/balancer/hashing.go
@@ -82,7 +82,7 @@
 		return ejected
 	case r.failedAt(e):
 		return failedOnce
-	case b.inOwnRange(c.key, e) && (e.role != roleCache || !c.overloaded(e)):
+	case b.servesKey(c.key, e) && (e.role != roleCache || !c.overloaded(e)):
 		return preferred
 	}
 	return spillOver
--- a/balancer/outcomes.go
+++ b/balancer/outcomes.go
@@ -94,7 +94,7 @@
 		return
 	}
 	bySource := ev.Detail == SourceRejected || ev.Detail == SourceUnreachable ||
-		ev.Detail == NoDetail && ev.Status == Rejected && ev.Elapsed > ownRejectionTime
+		ev.Detail == NoDetail && ev.Status == Rejected && ev.Elapsed > cacheRejectionTime
 	if source != nil && source.role != roleCache && bySource {
 		b.recordFailure(source)
 		a.blamed = source
--- a/balancer/requests.go
+++ b/balancer/requests.go
@@ -68,7 +68,7 @@
 	case a.endpoint != nil:
 		r.phase = requestActive
 		b.sendAttempt(r, a)
-	case len(b.endpoints.caches) > 0 && b.worthQueueing(r):
+	case len(b.endpoints.caches) > 0 && b.mayQueue(r):
 		r.phase = requestQueued
 	default:
 		b.finish(r)
@@ -80,9 +80,9 @@
 // isWrite tells whether a request runs at the origin and leaves no copy.
 func (b *Balancer) isWrite(r *request) bool { return r.class.Write || r.Write }
 
-// worthQueueing tells whether a request can still be answered in time after a wait. If not, it is ended: failing
+// mayQueue tells whether a request can still be answered in time after a wait. If not, it is ended: failing
 // late is worse than rejecting early, and its work would make others late. It must also end in time for its client.
-func (b *Balancer) worthQueueing(r *request) bool {
+func (b *Balancer) mayQueue(r *request) bool {
 	return b.now+seconds(giveUpFactor*r.serviceTime) < r.objective && b.now+2*scanInterval < r.deadline
 }
 
--- a/balancer/resolve.go
+++ b/balancer/resolve.go
@@ -14,7 +14,7 @@
 	var chosen []EndpointID
 	for len(chosen) < max(ev.MaxEndpoints, 1) {
 		e := b.pick(r, key, candidates, saltCache, nil)
-		if e == nil || len(chosen) > 0 && !b.inOwnRange(key, e) {
+		if e == nil || len(chosen) > 0 && !b.servesKey(key, e) {
 			break // a further name is worth less than keeping an endpoint in slow start to its part
 		}
 		chosen = append(chosen, e.id)
--- a/balancer/routing.go
+++ b/balancer/routing.go
@@ -177,9 +177,9 @@
 	return true
 }
 
-// inOwnRange tells whether an endpoint serves a key now. Its part of its range rises in a line after a start and
+// servesKey tells whether an endpoint serves a key now. Its part of its range rises in a line after a start and
 // shrinks while it is slower than its peers. The key's hash decides, so that all routers agree.
-func (b *Balancer) inOwnRange(key uint64, e *endpoint) bool {
+func (b *Balancer) servesKey(key uint64, e *endpoint) bool {
 	part := min(1, b.healthScore(e)/(peerScoreRatio*b.bestScore[e.role]))
 	if e.startedAt > 0 && e.role != roleOrigin {
 		part *= min(1, float64(b.now-e.startedAt)/float64(rangeRampTime))
--- a/balancer/tuning.go
+++ b/balancer/tuning.go
@@ -32,7 +32,7 @@
 	silenceTimeout     = 500 * time.Millisecond // an endpoint that owes responses and sends none this long has failed
 	ejectAfterFailures = 3                      // failures in a row that eject an endpoint
 	probeInterval      = time.Second            // an ejected endpoint gets one attempt in this time
-	ownRejectionTime   = 3 * time.Millisecond   // a rejection later than this came from a source, not from the cache
+	cacheRejectionTime = 3 * time.Millisecond   // a rejection later than this came from a source, not from the cache
 	scanInterval       = 25 * time.Millisecond  // open attempts are checked this often; finer costs CPU
 )
 
