--- a/internal/testutil/golden/golden.go
+++ b/internal/testutil/golden/golden.go
@@ -1,9 +1,8 @@
-// Package golden holds bytes that an earlier release wrote against what the code reads and writes now. Tests use it; the
-// router does not.
+// Package golden compares bytes that an earlier release wrote with what the code reads and writes now. Only tests use it.
 //
-// The files are in testdata/golden of the package that is tested. One that ends in .hex holds the bytes in hex, with line ends
-// anywhere; all others are the bytes themselves. Nothing here writes a file: a form that changes for a good reason gets a new
-// file, written by hand, beside the old one for as long as stored data or running processes may still have that.
+// The files are in testdata/golden of the package that is tested. One that ends in .hex holds the bytes in hex, with white
+// space anywhere; all others are the bytes themselves. Nothing here writes a file: a form that changes for a good reason gets
+// a new file, written by hand. The old one stays for as long as stored data or running processes may still have its form.
 package golden
 
 import (
@@ -12,11 +11,12 @@
 	"os"
 	"path/filepath"
 	"reflect"
+	"slices"
 	"strings"
 	"testing"
 )
 
-// Read returns the bytes that a file of testdata/golden holds.
+// Read returns the bytes that a file of testdata/golden holds. It fails the test where they cannot be read.
 func Read(t testing.TB, name string) []byte {
 	t.Helper()
 	text, err := os.ReadFile(filepath.Join("testdata", "golden", name))
@@ -33,7 +33,7 @@
 	return data
 }
 
-// Same fails the test where bytes written now are not those of a file.
+// Same fails the test where the bytes that the code writes now differ from those of a file.
 func Same(t testing.TB, name string, got []byte) {
 	t.Helper()
 	if want := Read(t, name); !bytes.Equal(got, want) {
@@ -41,19 +41,18 @@
 	}
 }
 
-// Nonzero fails the test where a value, or an exported or unexported part of it, is its zero value, so that no field of a
-// golden message stays untested. Fields named _ are passed over, and parts that a path names, as in "Order.Whole".
-func Nonzero(t testing.TB, v any, but ...string) {
+// Nonzero fails the test where a value, or a field or an element of it, is its zero value, so that no field of a golden message
+// stays untested. It skips fields named _, and those whose path is excepted, as in "Order.Whole".
+func Nonzero(t testing.TB, v any, except ...string) {
 	t.Helper()
-	nonzero(t, reflect.ValueOf(v), "", but)
+	nonzero(t, reflect.ValueOf(v), "", except)
 }
 
-func nonzero(t testing.TB, v reflect.Value, path string, but []string) {
+// nonzero checks the part of the value that a path leads to.
+func nonzero(t testing.TB, v reflect.Value, path string, except []string) {
 	t.Helper()
-	for _, b := range but {
-		if b == path {
-			return
-		}
+	if slices.Contains(except, path) {
+		return
 	}
 	if v.IsZero() {
 		t.Errorf("%s.%s is zero in the golden value: give it another value", v.Type(), path)
@@ -62,8 +61,8 @@
 	switch v.Kind() {
 	case reflect.Struct:
 		for i := range v.NumField() {
-			if f := v.Type().Field(i); f.Name != "_" {
-				nonzero(t, v.Field(i), strings.TrimPrefix(path+"."+f.Name, "."), but)
+			if field := v.Type().Field(i); field.Name != "_" {
+				nonzero(t, v.Field(i), strings.TrimPrefix(path+"."+field.Name, "."), except)
 			}
 		}
 	case reflect.Slice:
@@ -71,7 +70,7 @@
 			return
 		}
 		for i := range v.Len() {
-			nonzero(t, v.Index(i), path, but)
+			nonzero(t, v.Index(i), path, except)
 		}
 	}
 }
--- a/internal/testutil/simulation/simulation.go
+++ b/internal/testutil/simulation/simulation.go
@@ -1,4 +1,5 @@
-// Package simulation is what the tests in virtual time have in common.
+// Package simulation holds what the simulations in virtual time share: running many seeds, and partitions of a network. Only
+// tests use it.
 package simulation
 
 import (
@@ -7,30 +8,31 @@
 	"sync"
 )
 
-// EachSeed does something for each seed from 0, as many at a time as there are processors.
-func ForEachSeed(n int, do func(seed uint64)) {
-	var all sync.WaitGroup
-	next := make(chan uint64)
+// ForEachSeed calls run for each seed from 0 to count-1, in as many goroutines as there are processors, and waits for all.
+func ForEachSeed(count int, run func(seed uint64)) {
+	seeds := make(chan uint64)
+	var workers sync.WaitGroup
 	for range runtime.GOMAXPROCS(0) {
-		all.Go(func() {
-			for seed := range next {
-				do(seed)
+		workers.Go(func() {
+			for seed := range seeds {
+				run(seed)
 			}
 		})
 	}
-	for seed := range uint64(n) {
-		next <- seed
+	for seed := range uint64(count) {
+		seeds <- seed
 	}
-	close(next)
-	all.Wait()
+	close(seeds)
+	workers.Wait()
 }
 
-// Part draws two sides of so many nodes, and cuts all ways between them; within each nothing is cut.
-func Partition(rnd *rand.Rand, nodes int, cut map[[2]int]bool) {
-	side := rnd.IntN(1 << nodes)
-	for a := range nodes {
-		for b := range nodes {
-			cut[[2]int{a, b}] = side>>a&1 != side>>b&1
+// Partition divides nodes, numbered from 0, into two groups at random. It sets blocked, by sender and receiver, for all pairs
+// of nodes: those in different groups are blocked in both directions, all others are not.
+func Partition(random *rand.Rand, nodes int, blocked map[[2]int]bool) {
+	group := random.IntN(1 << nodes) // one bit for each node
+	for sender := range nodes {
+		for receiver := range nodes {
+			blocked[[2]int{sender, receiver}] = group>>sender&1 != group>>receiver&1
 		}
 	}
 }
--- /dev/null
+++ b/internal/testutil/timeline/draw.go
@@ -0,0 +1,56 @@
+package timeline
+
+import (
+	"fmt"
+	"slices"
+	"strings"
+)
+
+// Draw returns the timeline as a table with a column for each node: first those given, then the others in the order of their
+// first events. Times are in milliseconds since the first event. A fault stands between asterisks.
+func (t Timeline) Draw(nodes ...string) string {
+	for _, e := range t {
+		if !slices.Contains(nodes, e.Node) {
+			nodes = append(nodes, e.Node)
+		}
+	}
+	table := table{widths: make([]int, len(nodes))}
+	for column, node := range nodes {
+		table.widths[column] = len(node)
+	}
+	for _, e := range t {
+		column := slices.Index(nodes, e.Node)
+		table.widths[column] = max(table.widths[column], len(e.cell()))
+	}
+	table.writeRow("ms", nodes)
+	for _, e := range t {
+		cells := make([]string, len(nodes))
+		cells[slices.Index(nodes, e.Node)] = e.cell()
+		table.writeRow(fmt.Sprintf("%.1f", (e.Time-t[0].Time).Seconds()*1000), cells)
+	}
+	return table.text.String()
+}
+
+// cell returns the event as it stands in the column of its node.
+func (e Event) cell() string {
+	if e.Fault {
+		return "*** " + e.Action + " ***"
+	}
+	return strings.TrimPrefix(e.String(), e.Node+" ")
+}
+
+// table formats rows with columns of fixed widths.
+type table struct {
+	widths []int
+	text   strings.Builder
+}
+
+// writeRow appends a row: its label, and a cell for each column.
+func (t *table) writeRow(label string, cells []string) {
+	var row strings.Builder
+	fmt.Fprintf(&row, "%8s", label)
+	for column, cell := range cells {
+		fmt.Fprintf(&row, " | %-*s", t.widths[column], cell)
+	}
+	t.text.WriteString(strings.TrimRight(row.String(), " ") + "\n")
+}
--- a/internal/testutil/timeline/timeline_test.go
+++ b/internal/testutil/timeline/timeline_test.go
@@ -8,7 +8,7 @@
 
 const ms = time.Millisecond
 
-var some = []Event{
+var sampleEvents = []Event{
 	{Node: "n1", Time: 10 * ms, Action: "may said", Subject: "t7", Peer: "n2"},
 	{Node: "n2", Time: 9 * ms, Action: "may kept", Subject: "t7", Peer: "n1"}, // by a clock that is behind
 	{Node: "n1", Time: 12 * ms, Action: "killed", Fault: true},
@@ -16,7 +16,7 @@
 	{Node: "n2", Time: 400 * ms, Action: "taken", Subject: "t8"},
 }
 
-// Effects are drawn behind their causes, each node in its column, faults marked.
+// Effects are drawn after their causes, each node in its column, and faults are marked.
 func TestDraw(t *testing.T) {
 	const want = `      ms | n1             | n2
      0.0 | may said t7 n2 |
@@ -24,27 +24,33 @@
      2.0 | *** killed *** |
    390.0 |                | owner lost n1
 `
-	if got := Sort(some).About("t7").Draw("n1", "n2"); got != want {
+	if got := Sort(sampleEvents).About("t7").Draw("n1", "n2"); got != want {
 		t.Errorf("drawn:\n%s\nwant:\n%s", got, want)
 	}
 }
 
-// A rule that holds is kept, and what breaks it is shown up to there.
+// A rule that holds passes, and the error of a broken one shows the timeline.
 func TestCheck(t *testing.T) {
-	l := Sort(some)
-	if err := l.Check(Rule{After: "n1 killed", Then: []string{"n2 owner lost n1", "n2 taken t8"}, Never: []string{"n1 *"}}); err != nil {
+	timeline := Sort(sampleEvents)
+	kept := Rule{After: "n1 killed", Then: []string{"n2 owner lost n1", "n2 taken t8"}, Never: []string{"n1 *"}}
+	if err := timeline.Check(kept); err != nil {
 		t.Error(err)
 	}
-	for _, r := range []Rule{{After: "n3 *"}, {Then: []string{"n1 killed", "* kept *"}}, {After: "n1 killed", Never: []string{"* taken *"}}} {
-		if err := l.Check(r); err == nil || !strings.Contains(err.Error(), "n1") {
-			t.Errorf("%+v: %v", r, err)
+	for _, broken := range []Rule{
+		{After: "n3 *"},
+		{Then: []string{"n1 killed", "* kept *"}},
+		{After: "n1 killed", Never: []string{"* taken *"}},
+	} {
+		if err := timeline.Check(broken); err == nil || !strings.Contains(err.Error(), "n1") {
+			t.Errorf("%+v: %v", broken, err)
 		}
 	}
 }
 
-// Lines of a log that are no events are passed over.
-func TestRead(t *testing.T) {
-	const log = "not JSON\n" + `{"time":"2026-12-02T00:00:00.5Z","level":"DEBUG","msg":"order step","step":"taken","request_id":"t1","peer":""}` + "\n" +
+// Lines of a log that are not events are skipped.
+func TestReadLog(t *testing.T) {
+	const log = "not JSON\n" +
+		`{"time":"2026-12-02T00:00:00.5Z","level":"DEBUG","msg":"order step","step":"taken","request_id":"t1","peer":""}` + "\n" +
 		`{"time":"2026-12-02T00:00:00.6Z","level":"INFO","msg":"members"}` + "\n"
 	events, err := ReadLog("n1", "order step", strings.NewReader(log))
 	if err != nil || len(events) != 1 || events[0].String() != "n1 taken t1" {
