--- a/example/toy/main.go
+++ b/example/toy/main.go
@@ -1,13 +1,13 @@
-// Command toy plays all that a router talks to, on loopback: a journal service, two page caches, and the
-// origin that they fill from. It is for trying things out; it answers at once and keeps all it was asked for.
+// Command toy plays all that a router talks to, on loopback: the discovery service, two page caches, and the origin that they
+// fill from. It is for trying a router out: it answers at once, and its page caches never evict anything.
 package main
 
 import (
 	"flag"
+	"fmt"
 	"log"
 	"os"
 	"os/signal"
-	"strconv"
 	"strings"
 	"sync"
 	"time"
@@ -15,51 +15,65 @@
 	"hillknot/internal/testutil/fakes"
 )
 
+// firstEvent is the position of the first event of the discovery service.
+const firstEvent = 2
+
 func main() {
 	journal := flag.String("journal", "127.0.0.1:7010", "address of the journal service")
 	caches := flag.String("caches", "127.0.0.2:7001,127.0.0.3:7001", "addresses of the page caches")
 	work := flag.Duration("work", 0, "how long an order takes")
 	flag.Parse()
-	for _, addr := range strings.Split(*caches, ",") {
-		c := &cache{held: map[string]bool{}, work: *work}
-		if _, err := fakes.NewCache(addr, c.answer); err != nil {
+	for _, address := range strings.Split(*caches, ",") {
+		c := &pageCache{cached: map[string]bool{}, orderTime: *work}
+		if _, err := fakes.NewCache(address, c.answer); err != nil {
 			log.Fatal(err)
 		}
 	}
-	if _, err := fakes.NewDiscovery(*journal, 2); err != nil {
+	if _, err := fakes.NewDiscovery(*journal, firstEvent); err != nil {
 		log.Fatal(err)
 	}
 	log.Print("toy journal and page caches are up")
-	stop := make(chan os.Signal, 1)
-	signal.Notify(stop, os.Interrupt)
-	<-stop
+	interrupted := make(chan os.Signal, 1)
+	signal.Notify(interrupted, os.Interrupt)
+	<-interrupted
 }
 
-// cache is a page cache that never drops anything.
-type cache struct {
-	mu   sync.Mutex
-	held map[string]bool
-	work time.Duration
+// pageCache is a page cache that never evicts anything.
+type pageCache struct {
+	orderTime time.Duration
+
+	mu     sync.Mutex
+	cached map[string]bool // by object and part
 }
 
-func (c *cache) answer(a fakes.Request) fakes.Reply {
-	f := a.Fields
-	part := f["obj"] + "/" + f["seg"]
-	c.mu.Lock()
-	hit := c.held[part] && f["retain"] != "" // what is not kept runs anew each time
-	c.held[part] = c.held[part] || f["retain"] != ""
-	c.mu.Unlock()
-	note := "cached"
-	if !hit {
-		if note = "fetched_root"; f["fetch"] == "" {
+// answer answers a request from the cache, or as if it had been fetched from the source that the request names.
+func (c *pageCache) answer(request fakes.Request) fakes.Reply {
+	fields := request.Fields
+	part := fields["obj"] + "/" + fields["seg"]
+	result := "cached"
+	if !c.lookup(part, fields["retain"] != "") {
+		if fields["fetch"] == "" {
 			return fakes.Reply{Status: "LACK"}
 		}
+		result = "fetched_root"
+	}
+	log.Printf("%s %s: %s", fields["kind"], part, result)
+	reply := fakes.Reply{
+		Status: "DONE",
+		Fields: fmt.Sprintf("res=%s,version=%s,stamp=%d", result, fields["obj"], time.Now().UnixMilli()),
+		Body:   []byte("score " + part + "\n"),
 	}
-	log.Printf("%s %s: %s", f["kind"], part, note)
-	after := time.Duration(0)
-	if f["kind"] == "new-arrange" {
-		after = c.work
+	if fields["kind"] == "new-arrange" {
+		reply.Delay = c.orderTime
 	}
-	return fakes.Reply{Status: "DONE", Delay: after, Fields: "res=" + note + ",version=" + f["obj"] + ",stamp=" + strconv.FormatInt(time.Now().UnixMilli(), 10),
-		Body: []byte("score " + part + "\n")}
+	return reply
+}
+
+// lookup reports whether a part is cached, and caches it if it may be. What may not be cached is always fetched.
+func (c *pageCache) lookup(part string, cacheable bool) (hit bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	hit = c.cached[part] && cacheable
+	c.cached[part] = c.cached[part] || cacheable
+	return hit
 }
--- a/tools/citest/doc_test.go
+++ b/tools/citest/doc_test.go
@@ -46,11 +46,11 @@
 	}
 }
 
-// undocumented returns the places of exported items without a comment: their own, or that of the group that they stand in.
+// undocumented returns the positions of exported items without a comment, be it their own or that of their group.
 func undocumented(decl ast.Decl) (places []token.Pos) {
 	switch d := decl.(type) {
 	case *ast.FuncDecl:
-		if d.Name.IsExported() && d.Doc == nil && exportedReceiver(d) && !plumbing(d) {
+		if d.Name.IsExported() && d.Doc == nil && exportedReceiver(d) && !standardMethod(d) {
 			places = append(places, d.Pos())
 		}
 	case *ast.GenDecl:
@@ -70,24 +70,24 @@
 	return places
 }
 
-// exportedReceiver tells whether a function has no receiver, or one that others can name.
+// exportedReceiver reports whether a function has no receiver, or one of an exported type.
 func exportedReceiver(d *ast.FuncDecl) bool {
 	if d.Recv == nil {
 		return true
 	}
-	of := d.Recv.List[0].Type
-	if star, ok := of.(*ast.StarExpr); ok {
-		of = star.X
+	receiver := d.Recv.List[0].Type
+	if star, ok := receiver.(*ast.StarExpr); ok {
+		receiver = star.X
 	}
-	if generic, ok := of.(*ast.IndexExpr); ok {
-		of = generic.X
+	if generic, ok := receiver.(*ast.IndexExpr); ok {
+		receiver = generic.X
 	}
-	name, ok := of.(*ast.Ident)
+	name, ok := receiver.(*ast.Ident)
 	return !ok || name.IsExported()
 }
 
-// plumbing tells whether a method is one whose name says all, as the standard library defines it.
-func plumbing(d *ast.FuncDecl) bool {
+// standardMethod reports whether a method has a name and a meaning that the standard library defines.
+func standardMethod(d *ast.FuncDecl) bool {
 	switch d.Name.Name {
 	case "Error", "String", "Unwrap", "Is", "Len", "Less", "Swap", "Push", "Pop":
 		return d.Recv != nil
--- a/tools/citest/main.go
+++ b/tools/citest/main.go
@@ -19,17 +19,17 @@
 func main() {
 	known := flag.String("known", "KNOWN-RED.txt", "the `FILE` that lists the tests that are known to fail")
 	flag.Parse()
-	ok, err := run(*known, os.Stdin, os.Stdout)
+	passed, err := run(*known, os.Stdin, os.Stdout)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "citest:", err)
 	}
-	if err != nil || !ok {
+	if err != nil || !passed {
 		os.Exit(1)
 	}
 }
 
-// run judges the test output read from in. A list that does not exist is an empty one.
-func run(knownPath string, in io.Reader, out io.Writer) (ok bool, err error) {
+// run judges the test output read from in, and reports whether the run passed. A list that does not exist is an empty one.
+func run(knownPath string, in io.Reader, out io.Writer) (passed bool, err error) {
 	text, err := os.ReadFile(knownPath)
 	if err != nil && !errors.Is(err, fs.ErrNotExist) {
 		return false, err
--- a/tools/citest/results.go
+++ b/tools/citest/results.go
@@ -29,20 +29,20 @@
 	Output     string
 }
 
-// results are what a run of `go test -json` came to.
+// results are the outcome of a run of `go test -json`.
 type results struct {
 	passed, skipped int
 	failed          map[testName]bool   // tests that failed, without those that merely hold a subtest that did
-	seen            map[testName]string // action that ended the test
+	outcomes        map[testName]string // the action that ended each test: pass, fail or skip
 	output          map[testName]*strings.Builder
-	broken          map[string]string // packages that failed beside their tests, with what they printed
+	broken          map[string]string // packages that failed for another reason than a test, with what they printed
 	failedPackages  map[string]bool   // whether it failed, of packages that ended
 	started         map[string]bool   // packages that began
 }
 
 // readResults reads a run, and copies the closing line of each package to out as it comes.
 func readResults(in io.Reader, out io.Writer) (*results, error) {
-	r := &results{failed: map[testName]bool{}, seen: map[testName]string{}, output: map[testName]*strings.Builder{},
+	r := &results{failed: map[testName]bool{}, outcomes: map[testName]string{}, output: map[testName]*strings.Builder{},
 		broken: map[string]string{}, failedPackages: map[string]bool{}, started: map[string]bool{}}
 	lines := bufio.NewScanner(in)
 	lines.Buffer(nil, maxLine)
@@ -51,7 +51,7 @@
 		if err := json.Unmarshal(lines.Bytes(), &e); err != nil {
 			return nil, fmt.Errorf("not the output of go test -json: %q", lines.Text())
 		}
-		r.take(e, out)
+		r.record(e, out)
 	}
 	if err := lines.Err(); err != nil {
 		return nil, err
@@ -60,14 +60,14 @@
 	return r, nil
 }
 
-// take records one event.
-func (r *results) take(e event, out io.Writer) {
+// record adds one event to the results.
+func (r *results) record(e event, out io.Writer) {
 	name := testName{Package: e.Package, Test: e.Test}
 	switch e.Action {
 	case "start":
 		r.started[e.Package] = true
 	case "output", "build-output":
-		r.takeOutput(name, e, out)
+		r.recordOutput(name, e, out)
 	case "build-fail":
 		r.broken[e.ImportPath] += "build failed\n"
 	case "pass", "fail", "skip":
@@ -75,7 +75,7 @@
 			r.failedPackages[e.Package] = e.Action == "fail"
 			return
 		}
-		r.seen[name] = e.Action
+		r.outcomes[name] = e.Action
 		switch e.Action {
 		case "pass":
 			r.passed++
@@ -87,7 +87,8 @@
 	}
 }
 
-func (r *results) takeOutput(name testName, e event, out io.Writer) {
+// recordOutput keeps a line of output for the report, and notes what it says about its package.
+func (r *results) recordOutput(name testName, e event, out io.Writer) {
 	if e.ImportPath != "" && e.Package == "" {
 		r.broken[e.ImportPath] += e.Output
 		return
@@ -96,26 +97,26 @@
 		r.output[name] = &strings.Builder{}
 	}
 	r.output[name].WriteString(e.Output)
-	if crash(e.Output) { // the tests behind it have not run
+	if isCrash(e.Output) { // the tests after it have not run
 		r.broken[e.Package] += e.Output
 	}
-	if closingLine(e) {
+	if isClosingLine(e) {
 		_, _ = io.WriteString(out, e.Output) // a verdict that can't be printed still counts
 	}
 }
 
-// crash tells whether a line says that the test program ended before its time.
-func crash(line string) bool {
+// isCrash reports whether a line says that the test program ended early.
+func isCrash(line string) bool {
 	return strings.HasPrefix(line, "panic: ") || strings.HasPrefix(line, "fatal error: ") ||
 		strings.HasPrefix(line, "WARNING: DATA RACE")
 }
 
-// closingLine tells whether a line is the one that `go test` prints at the end of a package.
-func closingLine(e event) bool {
+// isClosingLine reports whether a line is the one that `go test` prints at the end of a package.
+func isClosingLine(e event) bool {
 	return e.Test == "" && (strings.HasPrefix(e.Output, "ok  \t") || strings.HasPrefix(e.Output, "FAIL\t"))
 }
 
-// dropParents takes out of the failures those that are told by a subtest of theirs.
+// dropParents removes a failed test from the failures where a subtest of it is among them.
 func (r *results) dropParents() {
 	for name := range maps.Clone(r.failed) {
 		for {
@@ -130,27 +131,43 @@
 }
 
 // judge returns what is wrong: a test that failed and is not listed, one that is listed and did not fail, and a package
-// that failed beside its tests.
-func (r *results) judge(known []knownFailure) (faults []string) {
+// that failed for another reason than its tests.
+func (r *results) judge(known []knownFailure) []string {
+	faults := append(r.judgeTests(known), r.judgePackages()...)
+	if len(r.outcomes) == 0 {
+		faults = append(faults, "no test ran")
+	}
+	return faults
+}
+
+// judgeTests returns the differences between the tests that failed and those that are listed.
+func (r *results) judgeTests(known []knownFailure) (faults []string) {
 	listed := map[testName]bool{}
 	for _, failure := range known {
 		listed[failure.Test] = true
-		switch action := r.seen[failure.Test]; {
-		case action == "":
+		switch outcome := r.outcomes[failure.Test]; {
+		case outcome == "":
 			faults = append(faults, fmt.Sprintf("%s is listed and did not run", failure.Test))
 		case !r.failed[failure.Test]:
-			faults = append(faults, fmt.Sprintf("%s is listed and did not fail by itself (%s): take it off the list", failure.Test, action))
+			faults = append(faults, fmt.Sprintf("%s is listed and did not fail by itself (%s): take it off the list", failure.Test, outcome))
 		}
 	}
-	failedIn := map[string]bool{}
 	for _, name := range slices.SortedFunc(maps.Keys(r.failed), testName.compare) {
-		failedIn[name.Package] = true
 		if !listed[name] {
 			faults = append(faults, fmt.Sprintf("%s failed and is not listed", name))
 		}
 	}
+	return faults
+}
+
+// judgePackages returns the packages that failed without a failed test, did not end or did not run to their end.
+func (r *results) judgePackages() (faults []string) {
+	hasFailedTest := map[string]bool{}
+	for name := range r.failed {
+		hasFailedTest[name.Package] = true
+	}
 	for _, pkg := range slices.Sorted(maps.Keys(r.failedPackages)) {
-		if r.failedPackages[pkg] && !failedIn[pkg] && r.broken[pkg] == "" {
+		if r.failedPackages[pkg] && !hasFailedTest[pkg] && r.broken[pkg] == "" {
 			faults = append(faults, fmt.Sprintf("package %s failed without a test that did", pkg))
 		}
 	}
@@ -162,26 +179,23 @@
 	for _, pkg := range slices.Sorted(maps.Keys(r.broken)) {
 		faults = append(faults, fmt.Sprintf("package %s did not run to its end", pkg))
 	}
-	if len(r.seen) == 0 {
-		faults = append(faults, "no test ran")
-	}
 	return faults
 }
 
 // report prints the output of what failed, the known failures, what is wrong and the counts.
 func (r *results) report(out io.Writer, known []knownFailure, faults []string) {
-	print := func(format string, args ...any) { _, _ = fmt.Fprintf(out, format, args...) } // as above
+	printf := func(format string, args ...any) { _, _ = fmt.Fprintf(out, format, args...) } // as in recordOutput
 	for _, name := range slices.SortedFunc(maps.Keys(r.failed), testName.compare) {
-		print("--- output of %s\n%s", name, r.output[name])
+		printf("--- output of %s\n%s", name, r.output[name])
 	}
 	for _, pkg := range slices.Sorted(maps.Keys(r.broken)) {
-		print("--- output of package %s\n%s%s\n", pkg, r.broken[pkg], r.output[testName{Package: pkg}])
+		printf("--- output of package %s\n%s%s\n", pkg, r.broken[pkg], r.output[testName{Package: pkg}])
 	}
 	for _, failure := range known {
-		print("known failure: %s | %s | %s\n", failure.Test, failure.Cause, failure.Issue)
+		printf("known failure: %s | %s | %s\n", failure.Test, failure.Cause, failure.Issue)
 	}
 	for _, fault := range faults {
-		print("fault: %s\n", fault)
+		printf("fault: %s\n", fault)
 	}
-	print("%d passed, %d failed, %d skipped\n", r.passed, len(r.failed), r.skipped)
+	printf("%d passed, %d failed, %d skipped\n", r.passed, len(r.failed), r.skipped)
 }
