--- a/Makefile
+++ b/Makefile
@@ -21,7 +21,7 @@
 	@go build -o bin/toy ./example/toy
 	@bin/toy & trap "kill $$!" EXIT; bin/hillknot -config example/config.json
 
-# Three routers that talk, the toy server and accounts with funds, on loopback; README, 'Try a fleet'.
+# A cluster of three routers, the toy server and accounts with funds, on loopback; README, 'Try a fleet'.
 run-fleet: build
 	@go build -o bin/ ./example/toy ./example/fleet
 	@bin/fleet -dir bin/three
@@ -42,7 +42,7 @@
 measure-fleet: build
 	bin/hillknot-loadtest scale
 
-# Two dozen router processes through troubles that overlap, 20 seeds, in some six minutes; docs/incidents.
+# Two dozen router processes through faults that overlap, 20 seeds, in some six minutes; docs/incidents.
 soak: build
 	bin/hillknot-loadtest soak
 
--- /dev/null
+++ b/cmd/hillknot-loadtest/single.go
@@ -0,0 +1,74 @@
+package main
+
+import (
+	"strings"
+	"time"
+
+	"github.com/spf13/cobra"
+
+	"hillknot/loadtest"
+)
+
+// routerFlag adds the flag that names the router's program.
+func routerFlag(c *cobra.Command, program *string) {
+	c.Flags().StringVar(program, "router", "bin/hillknot", "the router `PROGRAM`")
+}
+
+// clientsCommand compares the client library with a plain client.
+func clientsCommand() *cobra.Command {
+	var settings loadtest.ClientSettings
+	c := &cobra.Command{
+		Use: "clients", Short: "Compare the client library with a plain client, in some five minutes", Args: cobra.NoArgs,
+		RunE: func(cmd *cobra.Command, _ []string) error {
+			return loadtest.CompareClients(settings, cmd.OutOrStdout())
+		},
+	}
+	routerFlag(c, &settings.Program)
+	c.Flags().BoolVar(&settings.Quick, "quick", false, "in a fifth of the time, to see that it runs")
+	c.Flags().StringVar(&settings.Only, "only", "", "one `PART` of "+strings.Join(loadtest.ClientParts, ", "))
+	return c
+}
+
+// scaleCommand measures one router with more and more page caches.
+func scaleCommand() *cobra.Command {
+	var settings loadtest.ScaleSettings
+	seeds := []uint{1, 2}
+	c := &cobra.Command{
+		Use: "scale", Short: "Measure one router with 200, 800 and 3,200 page caches against its bounds", Args: cobra.NoArgs,
+		RunE: func(cmd *cobra.Command, _ []string) error {
+			for _, seed := range seeds {
+				settings.Seeds = append(settings.Seeds, uint64(seed))
+			}
+			return loadtest.MeasureScale(settings, cmd.OutOrStdout())
+		},
+	}
+	routerFlag(c, &settings.Program)
+	c.Flags().IntSliceVar(&settings.Sizes, "sizes", []int{200, 800, 3200}, "page caches on the list; the first is the usual size")
+	c.Flags().StringSliceVar(&settings.Days, "days", loadtest.ScaleDays, "what is measured")
+	c.Flags().DurationVar(&settings.Length, "length", 12*time.Second, "of a day")
+	c.Flags().Float64Var(&settings.Rate, "rate", 5, "requests a second")
+	c.Flags().UintSliceVar(&seeds, "seeds", seeds, "of the requests")
+	return c
+}
+
+// soakCommand runs routers through faults that overlap.
+func soakCommand() *cobra.Command {
+	var settings loadtest.SoakSettings
+	first, count := uint64(1), 20
+	c := &cobra.Command{
+		Use: "soak", Short: "Run router processes through overlapping faults, judged by invariants", Args: cobra.NoArgs,
+		RunE: func(cmd *cobra.Command, _ []string) error {
+			for i := range count {
+				settings.Seeds = append(settings.Seeds, first+uint64(i))
+			}
+			return loadtest.Soak(settings, cmd.OutOrStdout())
+		},
+	}
+	routerFlag(c, &settings.Program)
+	c.Flags().IntVar(&settings.Routers, "routers", 24, "how many routers")
+	c.Flags().IntVar(&settings.Caches, "caches", 6, "how many page caches")
+	c.Flags().DurationVar(&settings.Length, "length", 12*time.Second, "of each seed")
+	c.Flags().Uint64Var(&first, "seed", first, "the first")
+	c.Flags().IntVar(&count, "seeds", count, "how many seeds")
+	return c
+}
--- a/cmd/hillknot/cluster_test.go
+++ b/cmd/hillknot/cluster_test.go
@@ -11,7 +11,8 @@
 // cut off, cut one way, killed and stopped.
 func TestBudgetsHoldUnderFaults(t *testing.T) {
 	inParallel(t)
-	results, err := loadtest.BudgetFaults(program(t), 5, 3*time.Second, 1, []string{
+	settings := loadtest.ClusterSettings{Program: program(t), Routers: 5, FaultLength: 3 * time.Second, Seed: 1}
+	results, err := loadtest.BudgetFaults(settings, []string{
 		"two cut off from the rest",
 		"one hears, is not heard",
 		"kill and restart",
@@ -32,7 +33,7 @@
 // Routers agree that an endpoint is ejected, that it has recovered, and how often it failed.
 func TestClusterAgreesOnEndpointHealth(t *testing.T) {
 	inParallel(t)
-	if err := loadtest.CheckOutlierAgreement(program(t), 5, 1); err != nil {
+	if err := loadtest.CheckOutlierAgreement(loadtest.ClusterSettings{Program: program(t), Routers: 5, Seed: 1}); err != nil {
 		t.Error(err)
 	}
 }
--- a/cmd/hillknot/failover_test.go
+++ b/cmd/hillknot/failover_test.go
@@ -46,7 +46,7 @@
 // Where a router is killed between any two steps of an order, another one runs the order once, or tells the client its result,
 // or that it may have run; and nothing else.
 func TestKillBetweenStepsOfAnOrder(t *testing.T) {
-	cluster, err := loadtest.NewFailoverCluster(program(t), 4, true, "debug", 1)
+	cluster, err := loadtest.StartFailoverCluster(loadtest.ClusterSettings{Program: program(t), Routers: 4, Seed: 1}, "debug")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -116,7 +116,7 @@
 // Orders outlive their routers, once, through kills, stops, cuts and restarts.
 func TestOrdersOutliveTheirRouters(t *testing.T) {
 	inParallel(t)
-	cluster, err := loadtest.NewFailoverCluster(program(t), 5, true, "", 1)
+	cluster, err := loadtest.StartFailoverCluster(loadtest.ClusterSettings{Program: program(t), Routers: 5, Seed: 1}, "")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -147,7 +147,8 @@
 // A balance that all routers share is never overspent, while some are cut off, killed and read a top-up late.
 func TestSharedBalanceIsNotOverspent(t *testing.T) {
 	inParallel(t)
-	cluster, err := loadtest.NewCreditCluster(program(t), 4, map[string]float64{"poor": 50, "rich": 1e5}, 1)
+	settings := loadtest.ClusterSettings{Program: program(t), Routers: 4, Seed: 1}
+	cluster, err := loadtest.StartCreditCluster(settings, map[string]float64{"poor": 50, "rich": 1e5})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -182,13 +183,14 @@
 func TestRollingRestart(t *testing.T) {
 	inParallel(t)
 	for discoveryDown, routers := range map[bool]int{false: 9, true: 3} {
-		restart, pipelined, err := loadtest.RollingRestart(program(t), routers, discoveryDown, 1)
+		settings := loadtest.ClusterSettings{Program: program(t), Routers: routers, Seed: 1}
+		restart, pipelined, err := loadtest.RollingRestart(settings, discoveryDown)
 		if err != nil {
 			t.Fatal(err)
 		}
 		t.Logf("discovery down %v: %+v %+v", discoveryDown, restart, pipelined)
 		wrong := pipelined.Unanswered + pipelined.AnsweredTwice
-		if wrong > 0 || pipelined.Answered < 500 || pipelined.Disconnected*100 > pipelined.Sent {
+		if wrong > 0 || pipelined.Answered() < 500 || pipelined.Disconnected*100 > pipelined.Sent {
 			t.Errorf("discovery down %v: sent down open connections: %+v", discoveryDown, pipelined)
 		}
 		readsLost := restart.ReadsServed*100 < restart.Reads*99
--- a/internal/testutil/faultnet/network.go
+++ b/internal/testutil/faultnet/network.go
@@ -35,12 +35,12 @@
 }
 
 // direction is the way from one process to another. The sender is unknownProcess where its address is not one of a process.
-type direction struct{ from, to int }
+type direction struct{ sender, receiver int }
 
 const unknownProcess = -1
 
 // reverse returns the way back.
-func (d direction) reverse() direction { return direction{from: d.to, to: d.from} }
+func (d direction) reverse() direction { return direction{sender: d.receiver, receiver: d.sender} }
 
 // proxy receives what is for one process.
 type proxy struct {
--- a/internal/testutil/faultnet/relay.go
+++ b/internal/testutil/faultnet/relay.go
@@ -41,8 +41,8 @@
 func (n *Network) forwardConnection(client net.Conn, to int, target netip.AddrPort) {
 	defer client.Close()
 	source, _ := netip.ParseAddrPort(client.RemoteAddr().String()) // the address of a TCP connection always parses
-	way := direction{n.sender(source.Addr()), to}
-	if _, forwarded := n.draw(way); !forwarded {
+	d := direction{n.sender(source.Addr()), to}
+	if _, forwarded := n.draw(d); !forwarded {
 		holdUnanswered(client)
 		return
 	}
@@ -50,16 +50,16 @@
 	if err != nil {
 		return
 	}
-	r := &relay{direction: way, client: client, server: server}
+	r := &relay{direction: d, client: client, server: server}
 	defer n.removeRelay(r)
 	if !n.addRelay(r) {
 		return
 	}
 	n.goroutines.Go(func() {
-		n.copyBytes(r.client, r.server, way.reverse())
+		n.copyBytes(r.client, r.server, d.reverse())
 		r.close()
 	})
-	n.copyBytes(r.server, r.client, way)
+	n.copyBytes(r.server, r.client, d)
 }
 
 // holdUnanswered discards what comes on a connection for a while.
@@ -89,7 +89,7 @@
 
 // copyBytes copies one direction of a connection until either end is closed. It drops what comes while the direction is
 // blocked.
-func (n *Network) copyBytes(to, from net.Conn, way direction) {
+func (n *Network) copyBytes(to, from net.Conn, d direction) {
 	buf := make([]byte, packetBufferSize)
 	for {
 		size, err := from.Read(buf)
@@ -97,7 +97,7 @@
 			return
 		}
 		n.mu.Lock()
-		blocked, maxDelay := n.blocked[way], n.maxDelay
+		blocked, maxDelay := n.blocked[d], n.maxDelay
 		n.mu.Unlock()
 		if blocked {
 			continue
--- /dev/null
+++ b/loadtest/budget.go
@@ -0,0 +1,157 @@
+package loadtest
+
+import (
+	"fmt"
+	"math"
+	"sync"
+	"time"
+
+	"hillknot/internal/testutil/fakes"
+)
+
+// budget bounds attempts of all routers of a cluster together.
+type budget struct {
+	rate  float64 // attempts a second
+	burst float64 // attempts
+}
+
+// The budgets that a BudgetCluster shares: so little that its load would spend more all the time.
+var (
+	slowStartBudget = budget{rate: 5, burst: 14} // for attempts at page caches that warm up
+	retryBudget     = budget{rate: 14, burst: 14}
+)
+
+// burstPerRouter is the least burst of a budget for each router that shares it.
+const burstPerRouter = 2.0
+
+// forRouters returns the budget as a number of routers share it.
+func (b budget) forRouters(count int) budget {
+	return budget{rate: b.rate, burst: max(b.burst, burstPerRouter*float64(count))}
+}
+
+// block returns the budget as a block of the operator's file.
+func (b budget) block(name string) string {
+	return fmt.Sprintf("  %s {\n    rate  = %g\n    burst = %g\n  }\n", name, b.rate, b.burst)
+}
+
+const (
+	budgetLoadRate    = 25.0 // requests a second on each router
+	brokenFraction    = 0.2  // of the requests fail at the page caches, and may have run
+	budgetRequestTime = 10 * time.Millisecond
+	budgetBodySize    = 1 << 10         // bytes
+	leaseExpiryWait   = 3 * time.Second // after it, no share that was lent before the start is valid
+)
+
+// BudgetCluster is a cluster whose routers share budgets: one for attempts at page caches that warm up, one for retries.
+type BudgetCluster struct {
+	*Cluster
+	recorder *attemptRecorder
+}
+
+// startBudgetCluster starts a cluster that shares budgets, with a number of unlisted page caches.
+func startBudgetCluster(settings ClusterSettings, unlistedCaches int) (*BudgetCluster, error) {
+	blocks := slowStartBudget.forRouters(settings.Routers).block("cold") + retryBudget.forRouters(settings.Routers).block("retries")
+	c, err := newBudgetCluster(settings, unlistedCaches, blocks)
+	if err != nil {
+		return nil, err
+	}
+	time.Sleep(leaseExpiryWait)
+	if err := c.waitForMembership(); err != nil {
+		return nil, c.closeAfter(err)
+	}
+	return c, nil
+}
+
+// startWithoutBudgets starts routers that share nothing, for comparison.
+func startWithoutBudgets(settings ClusterSettings) (*BudgetCluster, error) {
+	return newBudgetCluster(settings, 0, "")
+}
+
+// newBudgetCluster starts routers with blocks for the block fleet of their operator's files.
+func newBudgetCluster(settings ClusterSettings, unlistedCaches int, blocks string) (*BudgetCluster, error) {
+	cluster, err := newCluster(settings.Seed)
+	if err != nil {
+		return nil, err
+	}
+	c := &BudgetCluster{Cluster: cluster, recorder: newAttemptRecorder(settings.Seed)}
+	options := clusterFleet(settings.Routers)
+	options.UnlistedCaches, options.Answer = unlistedCaches, c.recorder.answer
+	if err := c.start(settings.Program, options, func(int) string { return blocks }); err != nil {
+		return nil, c.closeAfter(err)
+	}
+	return c, nil
+}
+
+// attemptRecorder records the attempts that page caches are sent, and fails some of them.
+type attemptRecorder struct {
+	mu           sync.Mutex
+	slowStarts   []time.Time     // attempts at the page cache that warms up
+	retries      []time.Time     // attempts that follow one that may have run
+	mayHaveRun   map[string]bool // by request id
+	orderRuns    map[string]int  // by object
+	warming      int             // number of the page cache that warms up; negative: none
+	warmingSince time.Time
+	outlier      int     // number of the page cache that fails all requests, or noOutlier
+	failFraction float64 // of the requests that the others fail
+	outlierCount int     // attempts at the outlier
+	randomState  uint64
+}
+
+const noOutlier = -1
+
+func newAttemptRecorder(seed uint64) *attemptRecorder {
+	return &attemptRecorder{mayHaveRun: map[string]bool{}, orderRuns: map[string]int{}, warming: math.MinInt, outlier: noOutlier,
+		failFraction: brokenFraction, randomState: seed}
+}
+
+// answer records an attempt, and fails it or serves it.
+func (r *attemptRecorder) answer(cache int, request fakes.Request) fakes.Reply {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	now := time.Now()
+	if cache == r.warming && now.Sub(r.warmingSince) < slowStart {
+		r.slowStarts = append(r.slowStarts, now)
+	}
+	if request.Fields["kind"] == classOrder {
+		r.orderRuns[request.Fields["obj"]]++
+	}
+	if r.mayHaveRun[request.ID] {
+		r.retries = append(r.retries, now)
+	}
+	if cache == r.outlier {
+		r.outlierCount++
+	}
+	if cache == r.outlier || r.random() < r.failFraction {
+		r.mayHaveRun[request.ID] = true
+		return fakes.Reply{Status: "BROKE"}
+	}
+	return fakes.Reply{Status: "DONE", Body: make([]byte, budgetBodySize), Delay: budgetRequestTime,
+		Fields: fmt.Sprintf("res=cached,version=1,stamp=%d", now.UnixMilli())}
+}
+
+// random draws a number from 0 to 1, the same ones from the same seed.
+func (r *attemptRecorder) random() float64 {
+	r.randomState = r.randomState*6364136223846793005 + 1442695040888963407
+	return float64(r.randomState>>11) / (1 << 53)
+}
+
+// startWarming forgets the attempts so far: from now on a page cache warms up.
+func (r *attemptRecorder) startWarming(cache int) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.slowStarts, r.retries, r.warming, r.warmingSince = nil, nil, cache, time.Now()
+}
+
+// setOutlier has one page cache fail all requests, and no other any.
+func (r *attemptRecorder) setOutlier(cache int) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.outlier, r.failFraction = cache, 0
+}
+
+// outlierAttempts returns how many attempts the outlier was sent.
+func (r *attemptRecorder) outlierAttempts() int {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.outlierCount
+}
--- /dev/null
+++ b/loadtest/budgetresult.go
@@ -0,0 +1,96 @@
+package loadtest
+
+import (
+	"fmt"
+	"io"
+	"slices"
+	"time"
+)
+
+// BudgetResult is what one fault did to shared budgets.
+type BudgetResult struct {
+	Fault              string
+	SlowStart, Retries Peak
+	Sent, Answered     int // requests; those with a final answer
+	Disconnected       int // requests on connections that a kill ended
+	Unanswered         int
+	AnsweredTwice      int
+	OrdersRunTwice     int
+	PacketRate         float64 // packets a second that each router sent to others
+}
+
+// Broken reports whether a budget was overspent, a request lost or answered twice, or an order run twice.
+func (r BudgetResult) Broken() bool {
+	return r.SlowStart.Utilization > 1 || r.Retries.Utilization > 1 || r.Unanswered+r.AnsweredTwice+r.OrdersRunTwice > 0
+}
+
+// Peak is the highest use of a budget in any window of time.
+type Peak struct {
+	Utilization float64 // Count as a fraction of Bound
+	Count       int     // attempts in that window
+	Bound       float64 // attempts that the budget allows there
+	Window      time.Duration
+	Attempts    int // in all
+}
+
+const (
+	// clockDrift is by how much the clocks of routers may differ in speed.
+	clockDrift = 0.02
+	// arrivalJitter is by how much attempts may come closer together than they were sent.
+	arrivalJitter = 50 * time.Millisecond
+)
+
+// findPeak compares attempts with a budget in windows of three lengths.
+func findPeak(attempts []time.Time, b budget) (peak Peak) {
+	slices.SortFunc(attempts, time.Time.Compare)
+	peak.Attempts = len(attempts)
+	for _, window := range []time.Duration{250 * time.Millisecond, time.Second, 4 * time.Second} {
+		bound := b.burst + b.rate*(window+arrivalJitter).Seconds()*(1+clockDrift)
+		first := 0
+		for last := range attempts {
+			for attempts[last].Sub(attempts[first]) >= window {
+				first++
+			}
+			count := last - first + 1
+			if utilization := float64(count) / bound; utilization > peak.Utilization {
+				peak.Utilization, peak.Count, peak.Bound, peak.Window = utilization, count, bound, window
+			}
+		}
+	}
+	return peak
+}
+
+// MeasureBudgets runs a cluster that shares budgets through all faults, and writes a table. It then compares how often a page
+// cache that fails everything is tried, by routers that share nothing and by a cluster.
+func MeasureBudgets(settings ClusterSettings, out io.Writer) error {
+	results, err := BudgetFaults(settings, nil)
+	if err != nil {
+		return err
+	}
+	writeBudgetTable(results, out)
+	for _, shared := range []bool{false, true} {
+		attempts, err := countOutlierAttempts(settings, shared)
+		if err != nil {
+			return err
+		}
+		_, _ = fmt.Fprintf(out, "\nAttempts at a page cache that fails all, in %v, %d routers, talk %v: %d\n", settings.FaultLength,
+			settings.Routers, shared, attempts)
+	}
+	return nil
+}
+
+// writeBudgetTable writes results as a table.
+func writeBudgetTable(results []BudgetResult, out io.Writer) {
+	_, _ = fmt.Fprintf(out, "| fault | attempts at the new page cache, most in a window | of the bound | repeats, most in a window "+
+		"| of the bound | requests | answered once | cut by a kill | lost | orders twice | packets a second, a router |\n"+
+		"|---|---|---|---|---|---|---|---|---|---|---|\n")
+	for _, r := range results {
+		_, _ = fmt.Fprintf(out, "| %s | %s | %s | %d | %d | %d | %d | %d | %.0f |\n", r.Fault, r.SlowStart.cells(), r.Retries.cells(),
+			r.Sent, r.Answered, r.Disconnected, r.Unanswered+r.AnsweredTwice, r.OrdersRunTwice, r.PacketRate)
+	}
+}
+
+// cells formats a peak as two cells of a table.
+func (p Peak) cells() string {
+	return fmt.Sprintf("%d in %v (bound %.1f) | %.2f", p.Count, p.Window, p.Bound, p.Utilization)
+}
--- /dev/null
+++ b/loadtest/endpoints.go
@@ -0,0 +1,57 @@
+package loadtest
+
+import (
+	"encoding/json"
+	"fmt"
+)
+
+// endpoint is an endpoint as the discovery service lists it.
+type endpoint struct {
+	ID              string `json:"instanceId"`
+	Address         string `json:"hostPort,omitempty"`
+	Zone            string `json:"zone,omitempty"`
+	MachineType     string `json:"machineType,omitempty"`
+	State           string `json:"lifecycle"`
+	Weight          int    `json:"weight,omitempty"`
+	StartedAtMillis int64  `json:"startedAtMs,omitempty"` // Unix time; 0: before the list
+}
+
+const (
+	zoneEdge      = "edge"
+	zoneHub       = "hub"
+	machineSmall  = "small"
+	machineOrigin = "origin"
+
+	stateReady    = "ready"
+	stateDraining = "draining"
+	stateGone     = "gone"
+)
+
+// endpointName is the name of an endpoint by its number in the fleet.
+func endpointName(number int) string { return fmt.Sprintf("s-%d", number+1) }
+
+// newEndpoint describes a page cache.
+func newEndpoint(id, address, state string) endpoint {
+	return endpoint{ID: id, Address: address, Zone: zoneEdge, MachineType: machineSmall, State: state, Weight: 1}
+}
+
+// endpointList is an event of the discovery service.
+type endpointList struct {
+	Generation int        `json:"generation"`
+	Reset      bool       `json:"reset"` // it is the complete list
+	Endpoints  []endpoint `json:"instances"`
+}
+
+// endpointsEvent returns what follows "pos" in the data of an event about endpoints.
+func endpointsEvent(generation int, complete bool, endpoints []endpoint) string {
+	return `"hosts":` + string(mustMarshal(endpointList{Generation: generation, Reset: complete, Endpoints: endpoints}))
+}
+
+// mustMarshal encodes what holds only strings and numbers, which can't fail.
+func mustMarshal(v any) []byte {
+	text, err := json.Marshal(v)
+	if err != nil {
+		panic(err)
+	}
+	return text
+}
--- /dev/null
+++ b/loadtest/failover.go
@@ -0,0 +1,162 @@
+package loadtest
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"os"
+	"slices"
+	"sync"
+	"time"
+
+	"hillknot/internal/testutil/fakes"
+	"hillknot/internal/testutil/timeline"
+)
+
+// FailoverCluster is a cluster whose routers take over each other's orders.
+type FailoverCluster struct {
+	*Cluster
+	orders  *orderRecorder
+	clients uint64 // made so far; each has a seed of its own
+}
+
+const (
+	failoverOrderTime = 30 * time.Millisecond
+	failoverBlock     = "  takeover {\n    strict = true\n  }\n"
+	orderStepMessage  = "order step" // of the log lines of a timeline
+)
+
+// StartFailoverCluster starts a cluster whose routers take over each other's orders. The least level that routers log is
+// error where logLevel is empty; a Timeline needs debug.
+func StartFailoverCluster(settings ClusterSettings, logLevel string) (*FailoverCluster, error) {
+	c, err := newFailoverCluster(settings, logLevel, failoverBlock)
+	if err != nil {
+		return nil, err
+	}
+	if err := c.waitForMembership(); err != nil {
+		return nil, c.closeAfter(err)
+	}
+	return c, nil
+}
+
+// startWithoutFailover starts routers that do not know each other, for comparison.
+func startWithoutFailover(settings ClusterSettings) (*FailoverCluster, error) {
+	return newFailoverCluster(settings, "", "")
+}
+
+// newFailoverCluster starts routers with blocks for the block fleet of their operator's files.
+func newFailoverCluster(settings ClusterSettings, logLevel, blocks string) (*FailoverCluster, error) {
+	cluster, err := newCluster(settings.Seed)
+	if err != nil {
+		return nil, err
+	}
+	c := &FailoverCluster{Cluster: cluster, orders: newOrderRecorder(failoverOrderTime, settings.Seed)}
+	options := clusterFleet(settings.Routers)
+	options.Answer, options.LogLevel = c.orders.answer, logLevel
+	if err := c.start(settings.Program, options, func(int) string { return blocks }); err != nil {
+		return nil, c.closeAfter(err)
+	}
+	return c, nil
+}
+
+// nextClient returns the number of the next client, from 1.
+func (c *FailoverCluster) nextClient() uint64 {
+	c.clients++
+	return c.clients
+}
+
+// nextClientSeed returns the seed of the next client.
+func (c *FailoverCluster) nextClientSeed() uint64 { return c.seed<<32 + c.nextClient() }
+
+// Timeline returns what the routers logged of the steps of orders, with some faults. It needs the log level debug.
+func (c *FailoverCluster) Timeline(faults ...timeline.Event) (timeline.Timeline, error) {
+	events := slices.Clone(faults)
+	for _, r := range c.Routers {
+		logged, err := r.readEvents()
+		if err != nil {
+			return nil, err
+		}
+		events = append(events, logged...)
+	}
+	return timeline.Sort(events), nil
+}
+
+// readEvents reads the steps of orders from a router's log.
+func (r *Router) readEvents() ([]timeline.Event, error) {
+	file, err := os.Open(r.logPath())
+	if err != nil {
+		return nil, err
+	}
+	defer file.Close()
+	return timeline.ReadLog(r.name, orderStepMessage, file)
+}
+
+// orderRecorder answers as all page caches of a cluster do, and records which orders they ran.
+type orderRecorder struct {
+	mu         sync.Mutex
+	runs       map[string]int // by object
+	orderTime  time.Duration  // that an order takes at least
+	quickPages bool           // pages are small and answered at once
+	random     *rand.Rand
+}
+
+const (
+	orderTimeSpread = 20 * time.Millisecond // an order takes up to so much longer
+	slowPageTime    = 20 * time.Millisecond
+	slowPageSize    = 1 << 10 // bytes
+	quickPageSize   = 64      // bytes
+)
+
+func newOrderRecorder(orderTime time.Duration, seed uint64) *orderRecorder {
+	return &orderRecorder{runs: map[string]int{}, orderTime: orderTime, random: rand.New(rand.NewPCG(seed, 9))}
+}
+
+// answer answers a request; that to an order, which runs, comes after the time that it takes.
+func (r *orderRecorder) answer(_ int, request fakes.Request) fakes.Reply {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	reply := fakes.Reply{Status: "DONE", Fields: fmt.Sprintf("res=cached,version=1,stamp=%d", time.Now().UnixMilli())}
+	switch object := request.Fields["obj"]; {
+	case request.Fields["kind"] == classOrder:
+		r.runs[object]++
+		reply.Body = []byte("done " + object)
+		reply.Delay = r.orderTime + time.Duration(r.random.Int64N(int64(orderTimeSpread)))
+	case r.quickPages:
+		reply.Body = make([]byte, quickPageSize)
+	default:
+		reply.Body, reply.Delay = make([]byte, slowPageSize), slowPageTime
+	}
+	return reply
+}
+
+// ran returns how often an order ran.
+func (r *orderRecorder) ran(item uint64) int {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.runs[objectName(item)]
+}
+
+// answerPagesQuickly has pages from now on small and without delay.
+func (r *orderRecorder) answerPagesQuickly() {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.quickPages = true
+}
+
+// runTwice returns how many orders ran more than once.
+func (r *orderRecorder) runTwice() (count int) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	for _, runs := range r.runs {
+		if runs > 1 {
+			count++
+		}
+	}
+	return count
+}
+
+// randomItem draws the item of an order, which no other order has; number is that of its client.
+func (r *orderRecorder) randomItem(number uint64) uint64 {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return number<<32 + r.random.Uint64()>>32
+}
--- /dev/null
+++ b/loadtest/failoverfaults.go
@@ -0,0 +1,189 @@
+package loadtest
+
+import (
+	"fmt"
+	"io"
+	"math/rand/v2"
+	"slices"
+	"time"
+
+	"hillknot/internal/testutil/faultnet"
+)
+
+const (
+	failoverClients = 24 // of MeasureFailover
+	// routersSettle is for how long routers have to be up so that no client waits for what was before.
+	routersSettle = 4 * time.Second
+	// killInterval is about the time from one kill of MeasureFailover to the next.
+	killInterval = 600 * time.Millisecond
+)
+
+// faultScript does something to a cluster under load. It calls lost right before it takes routers away.
+type faultScript func(lost func(routers ...int)) error
+
+// failoverFault is a fault that a cluster goes through.
+type failoverFault struct {
+	name   string
+	script faultScript
+}
+
+// failoverFaults returns the faults, in the order in which they are applied. Those of the network last until one that heals it.
+func (c *FailoverCluster) failoverFaults(length time.Duration) []failoverFault {
+	network := func(apply func()) faultScript {
+		return func(func(...int)) error {
+			apply()
+			time.Sleep(length)
+			return nil
+		}
+	}
+	healed := func(apply func()) faultScript { return network(func() { c.Network.Heal(); apply() }) }
+	return []failoverFault{
+		{"none", network(func() {})},
+		{"two killed at once", func(lost func(...int)) error { return c.killPairs(lost, length) }},
+		{"stopped for longer than a lease", func(lost func(...int)) error { return c.stopThree(lost, length) }},
+		{"two cut off from the rest", network(func() { c.Network.Partition([]int{0, 1}) })},
+		{"one isolated", healed(func() { c.Network.Partition([]int{0}) })},
+		{"one not heard", healed(func() { c.Network.Block([]int{0}, c.others(0)) })},
+		{"one deaf", healed(func() { c.Network.Block(c.others(0), []int{0}) })},
+		{"a third of the packets lost, others late", healed(func() { c.Network.Impair(0.33, 100*time.Millisecond) })},
+		{"keys rotated", func(func(...int)) error { c.Network.Heal(); return c.rotateKeys() }},
+		{"rolling restart (SIGTERM)", func(func(...int)) error { return c.rollingRestart() }},
+		{"drawn from the seed", func(func(...int)) error {
+			return c.runSchedule(faultnet.Schedule(c.seed, len(c.Routers), 2*length, length/8))
+		}},
+	}
+}
+
+// killPairs kills two routers at once, three times.
+func (c *FailoverCluster) killPairs(lost func(...int), length time.Duration) error {
+	for i := range 3 {
+		if err := c.killAndStart(lost, length/8, i, (i+1)%len(c.Routers)); err != nil {
+			return err
+		}
+		time.Sleep(length / 5)
+	}
+	return nil
+}
+
+// stopThree stops three routers, one after the other.
+func (c *FailoverCluster) stopThree(lost func(...int), length time.Duration) error {
+	for i := range 3 {
+		lost(i)
+		c.Routers[i].stopFor(length / 4)
+		time.Sleep(length / 12)
+	}
+	return nil
+}
+
+// killAndStart kills routers at once, and starts them again after a delay.
+func (c *FailoverCluster) killAndStart(lost func(...int), delay time.Duration, routers ...int) error {
+	lost(routers...)
+	for _, i := range routers {
+		c.Routers[i].Kill()
+	}
+	time.Sleep(delay)
+	for _, i := range routers {
+		if err := c.Routers[i].Start(); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// RunFailoverFaults runs the cluster under load through the faults that are named, or all. The network is healed in the end.
+func (c *FailoverCluster) RunFailoverFaults(length time.Duration, clients int, only []string) ([]FailoverResult, error) {
+	var results []FailoverResult
+	for _, fault := range c.failoverFaults(length) {
+		if only != nil && !slices.Contains(only, fault.name) {
+			continue
+		}
+		result, err := c.runFault(fault, clients)
+		if err != nil {
+			return results, fmt.Errorf("%s: %w", fault.name, err)
+		}
+		results = append(results, result)
+	}
+	c.Network.Heal()
+	return results, nil
+}
+
+// RunKills kills one router after the other, so many times, and starts each again.
+func (c *FailoverCluster) RunKills(count int, interval time.Duration, clients int) (FailoverResult, error) {
+	random := rand.New(rand.NewPCG(c.seed, 4))
+	return c.runFault(failoverFault{"kill and restart, one after the other", func(lost func(...int)) error {
+		for range count {
+			if err := c.killAndStart(lost, interval/3, random.IntN(len(c.Routers))); err != nil {
+				return err
+			}
+			time.Sleep(interval/2 + time.Duration(random.Int64N(int64(interval/3))))
+		}
+		return nil
+	}}, clients)
+}
+
+// runFault runs clients during a fault, and counts what they got.
+func (c *FailoverCluster) runFault(fault failoverFault, clients int) (FailoverResult, error) {
+	result := FailoverResult{Fault: fault.name}
+	load, err := c.startClaimingClients(clients, 0.5, 20*time.Millisecond)
+	if err != nil {
+		return result, err
+	}
+	defer load.close()
+	time.Sleep(500 * time.Millisecond)
+	err = fault.script(func(routers ...int) {
+		result.Kills++
+		var addresses []string
+		for _, i := range routers {
+			addresses = append(addresses, c.Routers[i].ListenAddress)
+		}
+		load.routersLost(addresses)
+	})
+	load.finish()
+	time.Sleep(100 * time.Millisecond) // what was on its way to a page cache has arrived
+	for _, w := range load.clients {
+		result.add(w.done, c.orders.ran)
+	}
+	return result, err
+}
+
+// RollingRestart restarts one independent router after the other on SIGTERM under load, and counts what clients got. With
+// discoveryDown, the discovery service is down meanwhile.
+//
+// Beside the library's clients, which leave a router that announces its shutdown, others go on sending down each open
+// connection, many requests at a time: what these got is the second result.
+func RollingRestart(settings ClusterSettings, discoveryDown bool) (FailoverResult, PipelinedResult, error) {
+	c, err := startWithoutFailover(settings)
+	if err != nil {
+		return FailoverResult{}, PipelinedResult{}, err
+	}
+	defer c.Close()
+	c.startLoads(func(int) float64 { return 100 }, settings.Seed)
+	if discoveryDown {
+		c.discovery.Close()
+	}
+	result, err := c.runFault(failoverFault{"rolling restart", func(func(...int)) error { return c.rollingRestart() }}, 16)
+	return result, c.stopLoads(), err
+}
+
+// MeasureFailover measures what failover costs, and what faults and a number of kills do to orders. It writes a table.
+func MeasureFailover(settings ClusterSettings, kills int, out io.Writer) error {
+	if err := measureFailoverCost(settings, out); err != nil {
+		return err
+	}
+	c, err := StartFailoverCluster(settings, "")
+	if err != nil {
+		return err
+	}
+	defer c.Close()
+	time.Sleep(routersSettle)
+	results, err := c.RunFailoverFaults(settings.FaultLength, failoverClients, nil)
+	if err != nil {
+		return err
+	}
+	killed, err := c.RunKills(kills, killInterval, failoverClients)
+	if err != nil {
+		return err
+	}
+	writeFailoverTable(append(results, killed), out)
+	return nil
+}
--- /dev/null
+++ b/loadtest/failoverresult.go
@@ -0,0 +1,98 @@
+package loadtest
+
+import (
+	"errors"
+	"fmt"
+	"io"
+	"strings"
+
+	"hillknot/client"
+)
+
+// FailoverResult is what a fault did to orders and reads. What was in flight was so on a router as that was lost.
+type FailoverResult struct {
+	Fault string
+	Kills int // losses of routers
+
+	Orders, Served, Rejected, MayHaveRun, OtherErrors int // orders, and how they ended for their clients
+	RunTwice                                          int // orders that ran more than once
+	Contradictions                                    int // orders that ran, or did not, other than their client was told
+
+	Reads, ReadsServed                 int
+	ReadsInFlight, ReadsInFlightServed int
+
+	UnsentInFlight, UnsentInFlightResolved int // orders that no page cache had got; those told as run or not run
+	UnsentMayHaveRun                       int // those told as may have run
+	SentInFlight, SentInFlightServed       int // orders that a page cache had got
+}
+
+// Broken reports whether an order ran twice, or a client was told what is not so.
+func (r FailoverResult) Broken() bool { return r.RunTwice+r.Contradictions > 0 }
+
+// add counts calls.
+func (r *FailoverResult) add(calls []*call, ran func(item uint64) int) {
+	for _, k := range calls {
+		if k.order {
+			r.addOrder(k, ran(k.item))
+		} else {
+			r.addRead(k)
+		}
+	}
+}
+
+func (r *FailoverResult) addRead(k *call) {
+	served := k.err == nil
+	r.Reads++
+	r.ReadsServed += countIf(served)
+	r.ReadsInFlight += countIf(k.inFlight)
+	r.ReadsInFlightServed += countIf(k.inFlight && served)
+}
+
+func (r *FailoverResult) addOrder(k *call, ran int) {
+	r.Orders++
+	r.RunTwice += countIf(ran > 1)
+	served, mayHaveRun := k.err == nil, errors.Is(k.err, client.ErrMayHaveRun)
+	switch {
+	case served:
+		r.Served++
+		r.Contradictions += countIf(ran == 0)
+	case mayHaveRun:
+		r.MayHaveRun++
+	default:
+		rejected := errors.Is(k.err, client.ErrRefused)
+		r.Rejected += countIf(rejected)
+		r.OtherErrors += countIf(!rejected)
+		r.Contradictions += countIf(ran > 0)
+	}
+	switch {
+	case !k.inFlight:
+	case k.sentToBackend:
+		r.SentInFlight++
+		r.SentInFlightServed += countIf(served)
+	default:
+		r.UnsentInFlight++
+		r.UnsentInFlightResolved += countIf(!mayHaveRun)
+		r.UnsentMayHaveRun += countIf(mayHaveRun)
+	}
+}
+
+// countIf is 1 where a condition holds, else 0.
+func countIf(condition bool) int {
+	if condition {
+		return 1
+	}
+	return 0
+}
+
+// writeFailoverTable writes results as a table.
+func writeFailoverTable(results []FailoverResult, out io.Writer) {
+	head := []string{"fault", "orders", "served", "refused", "may have run", "other", "run twice", "contradictions", "reads served",
+		"losses", "open reads answered", "open orders not sent: answered", "open orders sent: answered"}
+	_, _ = fmt.Fprintf(out, "| %s |\n|%s\n", strings.Join(head, " | "), strings.Repeat("---|", len(head)))
+	for _, r := range results {
+		_, _ = fmt.Fprintf(out, "| %s | %d | %d | %d | %d | %d | %d | %d | %d of %d | %d", r.Fault, r.Orders, r.Served, r.Rejected,
+			r.MayHaveRun, r.OtherErrors, r.RunTwice, r.Contradictions, r.ReadsServed, r.Reads, r.Kills)
+		_, _ = fmt.Fprintf(out, " | %d of %d | %d of %d (%d may have run) | %d of %d |\n", r.ReadsInFlightServed, r.ReadsInFlight,
+			r.UnsentInFlightResolved, r.UnsentInFlight, r.UnsentMayHaveRun, r.SentInFlightServed, r.SentInFlight)
+	}
+}
--- /dev/null
+++ b/loadtest/faultsequence.go
@@ -0,0 +1,128 @@
+package loadtest
+
+import (
+	"sync"
+	"syscall"
+	"time"
+)
+
+// faultSequenceRate is in requests a second.
+const faultSequenceRate = 150
+
+// faultPhase is a part of the sequence of faults.
+type faultPhase struct {
+	name  string
+	until int                // in units of time since the start
+	begin func(*Fleet) error // changes the fleet as the phase begins; nil: it changes nothing
+}
+
+// setBackend returns a change of how the endpoints behave.
+func setBackend(load BackendLoad) func(*Fleet) error {
+	return func(f *Fleet) error {
+		f.Backend.Set(load)
+		return nil
+	}
+}
+
+// signalRouter returns a signal to a router.
+func signalRouter(router int, signal syscall.Signal) func(*Fleet) error {
+	return func(f *Fleet) error {
+		f.Routers[router].Signal(signal)
+		return nil
+	}
+}
+
+// faultPhases are sixty units of time in which one fault follows another.
+var faultPhases = []faultPhase{
+	{"calm", 5, nil},
+	{"a router hangs", 13, signalRouter(0, syscall.SIGSTOP)},
+	{"calm", 18, signalRouter(0, syscall.SIGCONT)},
+	{"a router is away", 22, func(f *Fleet) error { f.Routers[1].Kill(); return nil }},
+	{"it is back", 26, func(f *Fleet) error { return f.Routers[1].Start() }},
+	{"all is refused", 32, setBackend(BackendLoad{RejectAll: true})},
+	{"calm", 36, setBackend(BackendLoad{})},
+	{"page caches take 150 ms more", 42, setBackend(BackendLoad{Delay: 150 * time.Millisecond})},
+	{"page caches do 100/s", 54, setBackend(BackendLoad{Rate: 100})},
+	{"calm", 60, setBackend(BackendLoad{})},
+}
+
+// faultSequence measures what requests earn during the sequence of faults.
+func (c *clientComparison) faultSequence() error {
+	length := c.units(faultPhases[len(faultPhases)-1].until)
+	c.printf("| bad minute (%v), %d requests/s, 3 routers | worth earned of worth asked | tries per request "+
+		"| asked of the page caches | ran twice |\n| --- | --- | --- | --- | --- |\n", length, faultSequenceRate)
+	results := map[string]*faultSequenceResult{}
+	for _, kind := range clientKinds {
+		r, err := c.runFaultSequence(kind, length)
+		if err != nil {
+			return err
+		}
+		results[kind.name] = r
+		c.printf("| %s | %.3f | %.2f | %d | %d |\n", kind.name, earnedFraction(r.outcomes), attemptsPerRequest(r.outcomes),
+			r.backendRequests, r.ordersRunTwice)
+	}
+	c.printf("\n| part of the bad minute, up to | plain | library |\n| --- | --- | --- |\n")
+	from := time.Duration(0)
+	for _, phase := range faultPhases {
+		until := c.units(phase.until)
+		plain := dueBetween(results[plainKind.name].outcomes, from, until)
+		library := dueBetween(results[libraryKind.name].outcomes, from, until)
+		c.printf("| %v: %s | %.3f | %.3f |\n", until, phase.name, earnedFraction(plain), earnedFraction(library))
+		from = until
+	}
+	return nil
+}
+
+// faultSequenceResult is what became of the requests of one client.
+type faultSequenceResult struct {
+	outcomes        []outcome
+	backendRequests int
+	ordersRunTwice  int
+}
+
+// runFaultSequence has one client of a kind send requests during the sequence.
+func (c *clientComparison) runFaultSequence(kind clientKind, length time.Duration) (*faultSequenceResult, error) {
+	fleet, requester, err := kind.start(c.program, independentFleet(3, true))
+	if err != nil {
+		return nil, err
+	}
+	var faultErr error
+	var faults sync.WaitGroup
+	faults.Go(func() { faultErr = fleet.runFaultSequence(c.unit) })
+	r := &faultSequenceResult{outcomes: sendOpenLoop(requester, faultSequenceRate, length, 1, mixedClasses)}
+	faults.Wait()
+	requester.close()
+	fleet.Close()
+	r.backendRequests = fleet.Backend.Requests
+	for _, o := range r.outcomes {
+		if o.class == classOrder && fleet.Backend.ran(o.item) > 1 {
+			r.ordersRunTwice++
+		}
+	}
+	return r, faultErr
+}
+
+// runFaultSequence begins the phases at their times.
+func (f *Fleet) runFaultSequence(unit time.Duration) error {
+	start, begin := time.Now(), time.Duration(0)
+	for _, phase := range faultPhases {
+		time.Sleep(begin - time.Since(start))
+		if phase.begin != nil {
+			if err := phase.begin(f); err != nil {
+				return err
+			}
+		}
+		begin = time.Duration(phase.until) * unit
+	}
+	return nil
+}
+
+// earnedFraction returns which fraction of the weight that requests could have earned they did.
+func earnedFraction(outcomes []outcome) float64 {
+	earned, possible := 0.0, 0.0
+	for _, o := range outcomes {
+		earned += o.earned()
+		possible += o.weight()
+	}
+	return earned / possible
+}
--- /dev/null
+++ b/loadtest/orderkills.go
@@ -0,0 +1,105 @@
+package loadtest
+
+import (
+	"errors"
+	"time"
+
+	"hillknot/client"
+)
+
+// Orders under kills, in units of time but for the rate.
+const (
+	ordersLength = 20
+	ordersRate   = 100 // a second
+	ordersDelay  = 20 * time.Millisecond
+)
+
+// orders measures what becomes of orders while two routers are killed in turn.
+func (c *clientComparison) orders() error {
+	c.printf("| orders, %d/s for %v, routers killed in turn each %v | ran twice or more | told as served, but did not run "+
+		"| told as surely not run, but ran | served | told: may have run |\n| --- | --- | --- | --- | --- | --- |\n",
+		ordersRate, c.units(ordersLength), c.unit)
+	for _, kind := range clientKinds {
+		r, err := ordersWithRouterKills(c.program, kind, c.unit)
+		if err != nil {
+			return err
+		}
+		c.printf("| %s | %d of %d | %d | %d | %.1f%% | %d |\n", kind.name, r.RunTwice, r.Sent, r.ServedNotRun, r.DeniedButRun,
+			100*float64(r.Served)/float64(r.Sent), r.MayHaveRun)
+	}
+	c.printf("\n")
+	return nil
+}
+
+// OrderResult is what became of orders.
+type OrderResult struct {
+	Sent         int
+	RunTwice     int // ran twice or more
+	ServedNotRun int // the client was told that it was served, and it did not run
+	DeniedButRun int // the client was told that it did not run, and it ran
+	Served       int
+	MayHaveRun   int // the client was told that it may have run
+}
+
+// OrdersWithRouterKills sends orders by the client library while two routers of a program are killed in turn, each after a
+// unit of time, for twenty units.
+func OrdersWithRouterKills(program string, unit time.Duration) (OrderResult, error) {
+	return ordersWithRouterKills(program, libraryKind, unit)
+}
+
+// ordersWithRouterKills sends orders by one client of a kind.
+func ordersWithRouterKills(program string, kind clientKind, unit time.Duration) (OrderResult, error) {
+	fleet, requester, err := kind.start(program, independentFleet(2, false))
+	if err != nil {
+		return OrderResult{}, err
+	}
+	fleet.Backend.Set(BackendLoad{Delay: ordersDelay})
+	stop, ended := make(chan struct{}), make(chan error, 1)
+	go func() { ended <- fleet.killAlternately(unit, stop) }()
+	outcomes := sendOpenLoop(requester, ordersRate, ordersLength*unit, 1, onlyOrders)
+	close(stop)
+	err = <-ended
+	requester.close()
+	time.Sleep(200 * time.Millisecond) // what was on its way to the page cache has arrived
+	fleet.Close()
+	return judgeOrders(outcomes, fleet.Backend), err
+}
+
+// judgeOrders compares what clients were told with what ran at the endpoints.
+func judgeOrders(outcomes []outcome, backend *Backend) (r OrderResult) {
+	for _, o := range outcomes {
+		r.Sent++
+		ran := backend.ran(o.item)
+		if ran > 1 {
+			r.RunTwice++
+		}
+		switch {
+		case o.err == nil && ran == 0:
+			r.ServedNotRun++
+		case o.err == nil:
+			r.Served++
+		case errors.Is(o.err, client.ErrMayHaveRun):
+			r.MayHaveRun++
+		case ran > 0:
+			r.DeniedButRun++
+		}
+	}
+	return r
+}
+
+// killAlternately kills one router after the other until stop is closed, and starts each again a quarter of the interval later.
+func (f *Fleet) killAlternately(interval time.Duration, stop <-chan struct{}) error {
+	for i := 0; ; i++ {
+		select {
+		case <-stop:
+			return nil
+		case <-time.After(interval):
+		}
+		r := f.Routers[i%len(f.Routers)]
+		r.Kill()
+		time.Sleep(interval / 4)
+		if err := r.Start(); err != nil {
+			return err
+		}
+	}
+}
--- /dev/null
+++ b/loadtest/outlier.go
@@ -0,0 +1,64 @@
+package loadtest
+
+import (
+	"fmt"
+	"regexp"
+	"strings"
+	"time"
+)
+
+const (
+	outlierCache  = 0
+	outlierMetric = "app_fleet_sick{cache=\"s-1\"} 1\n"
+)
+
+var outlierErrorsMetric = regexp.MustCompile(`app_fleet_count\{of="errors s-1"\} (\d+)`)
+
+// CheckOutlierAgreement has a page cache fail everything until every router takes it for an outlier, and then answer
+// everything until none does and all have the same count of its errors. The error says what was not agreed on in time.
+func CheckOutlierAgreement(settings ClusterSettings) error {
+	c, err := startBudgetCluster(settings, 0)
+	if err != nil {
+		return err
+	}
+	defer c.Close()
+	c.startLoads(func(int) float64 { return budgetLoadRate }, settings.Seed)
+	for _, failing := range []bool{true, false} {
+		outlier := noOutlier
+		if failing {
+			outlier = outlierCache
+		}
+		c.recorder.setOutlier(outlier)
+		agreed := func(metrics string) bool { return metrics != "" && strings.Contains(metrics, outlierMetric) == failing }
+		if err := c.waitForMetrics(agreed); err != nil {
+			return fmt.Errorf("a page cache that is an outlier: %v: %w", failing, err)
+		}
+	}
+	c.stopLoads()
+	failed := fmt.Sprint(c.recorder.outlierAttempts())
+	return c.waitForMetrics(func(metrics string) bool {
+		match := outlierErrorsMetric.FindStringSubmatch(metrics)
+		return match != nil && match[1] == failed
+	})
+}
+
+// countOutlierAttempts counts how often routers try a page cache that fails everything, be it that they share what they learn
+// or that they share nothing.
+func countOutlierAttempts(settings ClusterSettings, shared bool) (int, error) {
+	c, err := startForOutlier(settings, shared)
+	if err != nil {
+		return 0, err
+	}
+	defer c.Close()
+	c.recorder.setOutlier(outlierCache)
+	c.startLoads(func(int) float64 { return budgetLoadRate }, settings.Seed)
+	time.Sleep(settings.FaultLength)
+	return c.recorder.outlierAttempts(), nil
+}
+
+func startForOutlier(settings ClusterSettings, shared bool) (*BudgetCluster, error) {
+	if shared {
+		return startBudgetCluster(settings, 0)
+	}
+	return startWithoutBudgets(settings)
+}
--- a/loadtest/purge.go
+++ b/loadtest/purge.go
@@ -12,95 +12,171 @@
 	"hillknot/internal/testutil/fakes"
 )
 
-// Purged counts what a router that was stopped asked for after it went on.
+// PurgeResult counts what a router that was stopped requested from endpoints after it continued.
 type PurgeResult struct {
-	Rounds   int // the router was stopped so often, and told of a purge meanwhile
+	Rounds   int // how often the router was stopped, with a purge meanwhile
 	Requests int // for purged objects, after that
-	Stale    int // of these, such that a copy from before the purge would have done
+	Stale    int // of these, such that a copy from before the purge would have been accepted
 
-	StaleDetails []string // how each of the old ones came to be
+	StaleDetails []string // how each of the stale ones came about
 }
 
-// PurgeAfterStop stops a router's process, as one is that gets no processor for a time, in the middle of some requests,
-// tells it of a purge between others, and lets it go on.
-func PurgeDuringStop(bin string, rounds int) (p PurgeResult, err error) {
-	f, err := NewFleet(bin, 1, true)
+const (
+	purgeConns      = 12 // of clients, each for one request of a round
+	purgeFirstConns = 4  // that send before the router is stopped
+	purgeLateConns  = 8  // from here on they send after the purge
+	purgeTimeout    = 3 * time.Second
+)
+
+// PurgeDuringStop stops a router's process, as the scheduler may, while requests are in flight. It sends the router a purge
+// between further requests, and lets it continue; so many times.
+func PurgeDuringStop(program string, rounds int) (PurgeResult, error) {
+	fleet, err := StartFleet(program, independentFleet(1, true))
 	if err != nil {
-		return p, err
+		return PurgeResult{}, err
 	}
-	defer f.Close()
-	var mu sync.Mutex
-	var object string
-	var purged, resumed time.Time
-	f.Backend.OnRequest = func(a fakes.Request) {
-		mu.Lock()
-		defer mu.Unlock()
-		if a.Fields["obj"] != object || purged.IsZero() {
-			return
-		}
-		p.Requests++
-		newer, err := strconv.Atoi(a.Fields["newer"])
-		if err != nil || time.Duration(newer)*time.Millisecond > time.Since(purged)+time.Millisecond {
-			p.Stale++
-			p.StaleDetails = append(p.StaleDetails, fmt.Sprintf("txn %s asked for %q ms, %v after the purge was told, %v after the process went on", a.ID,
-				a.Fields["newer"], time.Since(purged), time.Since(resumed)))
+	defer fleet.Close()
+	recorder := &purgeRecorder{}
+	fleet.Backend.OnRequest = recorder.record
+	if err := fleet.waitForDiscovery(); err != nil {
+		return PurgeResult{}, err
+	}
+	for round := range rounds {
+		if err := fleet.purgeRound(recorder, round); err != nil {
+			return recorder.snapshot(round), err
 		}
 	}
-	r := f.Routers[0]
-	for end := time.Now().Add(20 * time.Second); f.journal.BytesSent() == 0; time.Sleep(time.Millisecond) { // it hears the journal
+	return recorder.snapshot(rounds), nil
+}
+
+// waitForDiscovery waits until the discovery service has been called.
+func (f *Fleet) waitForDiscovery() error {
+	for end := time.Now().Add(20 * time.Second); f.discovery.BytesSent() == 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			return p, fmt.Errorf("router %s does not call the journal", r.ListenAddress)
+			return fmt.Errorf("router %s does not call the discovery service", f.Routers[0].ListenAddress)
 		}
 	}
-	for p.Rounds = range rounds {
-		item := uint64(p.Rounds + 1)
-		mu.Lock()
-		object, purged = fmt.Sprintf("%016x", item), time.Time{}
-		mu.Unlock()
-		var conns []net.Conn
-		for range 12 {
-			nc, err := net.Dial("tcp", r.ListenAddress)
-			if err != nil {
-				return p, err
-			}
-			conns = append(conns, nc)
-		}
-		send := func(from, to int) error {
-			for i, nc := range conns[from:to] {
-				q := &rpc.Request{Method: "part-page", Txn: item<<8 | uint64(from+i), TimeoutMillis: 3000, Item: item}
-				if _, err := nc.Write(rpc.AppendRequest(nil, 1, q)); err != nil {
-					return err
-				}
-			}
-			return nil
-		}
-		time.Sleep(5 * time.Millisecond)
-		if err := send(0, 4); err != nil {
-			return p, err
-		}
-		time.Sleep(time.Duration(p.Rounds%8) * 200 * time.Microsecond)
-		r.Signal(syscall.SIGSTOP)
-		time.Sleep(50 * time.Millisecond)
-		if err := send(4, 8); err != nil {
-			return p, err
-		}
-		mu.Lock()
-		purged = time.Now()
-		mu.Unlock()
-		f.Publish(`"expire":{"name":%q,"stamp":%d}`, object, purged.UnixMilli())
-		if err := send(8, 12); err != nil {
-			return p, err
+	return nil
+}
+
+// purgeRound stops the router once, and purges an object of its own meanwhile.
+func (f *Fleet) purgeRound(recorder *purgeRecorder, round int) error {
+	router := f.Routers[0]
+	requests := &purgeRequests{item: uint64(round + 1)}
+	recorder.startRound(objectName(requests.item))
+	if err := requests.connect(router.ListenAddress); err != nil {
+		return err
+	}
+	defer requests.close()
+	time.Sleep(5 * time.Millisecond)
+	if err := requests.send(0, purgeFirstConns); err != nil {
+		return err
+	}
+	time.Sleep(time.Duration(round%8) * 200 * time.Microsecond) // the stop hits each round at another point
+	router.Signal(syscall.SIGSTOP)
+	time.Sleep(50 * time.Millisecond)
+	if err := requests.send(purgeFirstConns, purgeLateConns); err != nil {
+		return err
+	}
+	f.publishPurge(objectName(requests.item), recorder.markPurged())
+	if err := requests.send(purgeLateConns, purgeConns); err != nil {
+		return err
+	}
+	time.Sleep(600 * time.Millisecond)
+	recorder.markResumed()
+	router.Signal(syscall.SIGCONT)
+	time.Sleep(100 * time.Millisecond)
+	return nil
+}
+
+// purgeRequests are the requests of a round, each on a connection of its own.
+type purgeRequests struct {
+	item  uint64
+	conns []net.Conn
+}
+
+func (p *purgeRequests) connect(address string) error {
+	for range purgeConns {
+		conn, err := net.Dial("tcp", address)
+		if err != nil {
+			p.close()
+			return err
 		}
-		time.Sleep(600 * time.Millisecond)
-		mu.Lock()
-		resumed = time.Now()
-		mu.Unlock()
-		r.Signal(syscall.SIGCONT)
-		time.Sleep(100 * time.Millisecond)
-		for _, nc := range conns {
-			_ = nc.Close() // read or not, its answers are of no matter
+		p.conns = append(p.conns, conn)
+	}
+	return nil
+}
+
+// send sends a request on each connection of a range.
+func (p *purgeRequests) send(from, to int) error {
+	for i := from; i < to; i++ {
+		request := &rpc.Request{Method: classPage, Txn: p.item<<8 | uint64(i), TimeoutMillis: purgeTimeout.Milliseconds(), Item: p.item}
+		if _, err := p.conns[i].Write(rpc.AppendRequest(nil, 1, request)); err != nil {
+			return err
 		}
 	}
-	p.Rounds++
-	return p, nil
+	return nil
+}
+
+func (p *purgeRequests) close() {
+	for _, conn := range p.conns {
+		_ = conn.Close() // the answers do not matter
+	}
+}
+
+// purgeRecorder counts what endpoints are sent for the purged object of a round.
+type purgeRecorder struct {
+	mu      sync.Mutex
+	object  string
+	purged  time.Time // zero: it is not purged yet
+	resumed time.Time
+	result  PurgeResult
+}
+
+func (r *purgeRecorder) startRound(object string) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.object, r.purged = object, time.Time{}
+}
+
+// markPurged notes that the object is purged, and returns when.
+func (r *purgeRecorder) markPurged() time.Time {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.purged = time.Now()
+	return r.purged
+}
+
+func (r *purgeRecorder) markResumed() {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.resumed = time.Now()
+}
+
+// record counts a request.
+func (r *purgeRecorder) record(request fakes.Request) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if request.Fields["obj"] != r.object || r.purged.IsZero() {
+		return
+	}
+	r.result.Requests++
+	maxAge, err := strconv.Atoi(request.Fields["newer"])
+	sincePurge := time.Since(r.purged)
+	if err == nil && time.Duration(maxAge)*time.Millisecond <= sincePurge+time.Millisecond {
+		return
+	}
+	r.result.Stale++
+	r.result.StaleDetails = append(r.result.StaleDetails, fmt.Sprintf(
+		"txn %s accepts a copy of %q ms, %v after the purge, %v after the process continued",
+		request.ID, request.Fields["newer"], sincePurge, time.Since(r.resumed)))
+}
+
+// snapshot returns the counts, after a number of rounds.
+func (r *purgeRecorder) snapshot(rounds int) PurgeResult {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	result := r.result
+	result.Rounds = rounds
+	return result
 }
--- /dev/null
+++ b/loadtest/routerconfig.go
@@ -0,0 +1,111 @@
+package loadtest
+
+import (
+	"encoding/json"
+	"time"
+)
+
+// The classes of requests that the load tests send.
+const (
+	classScore = "full-score"
+	classPage  = "part-page"
+	classOrder = "new-arrange" // not idempotent: it may run once at most
+)
+
+// slowStart is how long a page cache warms up after its start.
+const slowStart = 18 * time.Second
+
+// routerConfig is the configuration file of a router.
+type routerConfig struct {
+	Name      string         `json:"name"`
+	Listen    string         `json:"listen"`
+	Discovery string         `json:"journal"`
+	Known     knownEvents    `json:"known"`
+	Settings  routerSettings `json:"settings"`
+}
+
+// knownEvents are the events that a router has at its start.
+type knownEvents struct {
+	Position int          `json:"pos"`
+	Events   []knownEvent `json:"entries"`
+}
+
+type knownEvent struct {
+	Position  int          `json:"pos"`
+	Endpoints endpointList `json:"hosts"`
+}
+
+// routerSettings are the settings of the decision module. Times are in microseconds.
+type routerSettings struct {
+	Locality   string           `json:"locality"`
+	Zones      []string         `json:"dcs"`
+	Machines   []string         `json:"hostTypes"`
+	Allowed    routerAllowed    `json:"allowed"`
+	Invariants routerInvariants `json:"invariants"`
+	Classes    []routerClass    `json:"profiles"`
+	Specifics  routerSpecifics  `json:"specifics"`
+}
+
+type routerAllowed struct {
+	Cancel         bool  `json:"cancel"`
+	ConnectTimeout int64 `json:"connectTimeoutUs"`
+	Keepalive      int64 `json:"keepaliveUs"`
+	MaxAttempts    int   `json:"maxAttempts"`
+	RetryAfter     bool  `json:"retryAfter"`
+	MaxRetryAfter  int64 `json:"maxRetryAfterUs"`
+}
+
+type routerInvariants struct {
+	WarmUpFrom     float64 `json:"coldFrom"`
+	SlowStart      int64   `json:"coldUs"`
+	Fall           int64   `json:"fallUs"`
+	OverloadFactor int     `json:"overloadFactor"`
+}
+
+type routerClass struct {
+	Name           string `json:"name"`
+	Repeat         string `json:"repeat"` // safe: idempotent
+	Objective      int64  `json:"promiseUs"`
+	Deadline       int64  `json:"deadlineUs"`
+	PriorityWeight int    `json:"worth"`
+}
+
+type routerSpecifics struct {
+	RoutersByZone  []int   `json:"instancesByZone"`
+	MiddleMachine  int     `json:"midKind"`
+	StorageMachine int     `json:"storeKind"`
+	ClassWrites    []bool  `json:"classWrite"`
+	ClassFreshFor  []int64 `json:"classFreshUs"`
+	PurgeTakes     int64   `json:"purgeTakesUs"`
+}
+
+// routerConfig returns the text of a router's configuration file.
+func (f *Fleet) routerConfig(r *Router, endpoints []endpoint) ([]byte, error) {
+	const second = time.Second
+	micros := time.Duration.Microseconds
+	return json.Marshal(routerConfig{
+		Name:      r.name,
+		Listen:    r.ListenAddress,
+		Discovery: f.discovery.Addr(),
+		Known: knownEvents{Position: 1, Events: []knownEvent{
+			{Position: 1, Endpoints: endpointList{Reset: true, Endpoints: endpoints}},
+		}},
+		Settings: routerSettings{
+			Locality: zoneEdge,
+			Zones:    []string{zoneHub, zoneEdge},
+			Machines: []string{machineSmall, machineOrigin},
+			Allowed: routerAllowed{Cancel: true, ConnectTimeout: micros(400 * time.Millisecond), Keepalive: micros(30 * second),
+				MaxAttempts: 6, RetryAfter: f.options.RetryAfter, MaxRetryAfter: micros(500 * time.Millisecond)},
+			Invariants: routerInvariants{WarmUpFrom: 0.21, SlowStart: micros(slowStart), Fall: micros(2 * second),
+				OverloadFactor: f.options.OverloadFactor},
+			Classes: []routerClass{
+				{classScore, "safe", micros(400 * time.Millisecond), micros(5 * second), 2},
+				{classPage, "safe", micros(250 * time.Millisecond), micros(3 * second), 1},
+				{classOrder, "unsafe", micros(700 * time.Millisecond), micros(3 * second), 3},
+			},
+			Specifics: routerSpecifics{RoutersByZone: []int{0, f.options.KnownRouters}, MiddleMachine: -1, StorageMachine: 1,
+				ClassWrites: []bool{false, false, true}, ClassFreshFor: []int64{0, micros(20 * second), 0},
+				PurgeTakes: micros(6 * second)},
+		},
+	})
+}
--- a/loadtest/soak.go
+++ b/loadtest/soak.go
@@ -11,126 +11,132 @@
 	"hillknot/internal/testutil/fakes"
 )
 
-// The soak test: router processes on loopback, with page caches, a journal and clients that misbehave, stops, restarts and
-// reloads, two or three troubles at a time. A seed draws all of it. What happened is judged by invariants, from outside.
-
-// SoakSettings set up the soak test.
+// SoakSettings set up the soak test: router processes with page caches, a discovery service and clients that misbehave, while
+// processes are stopped, restarted and reloaded, several faults at a time. A seed draws all of it. What happened is judged by
+// invariants, from outside.
 type SoakSettings struct {
-	Router  string // the program
+	Program string // the router
 	Routers int
 	Caches  int
 	Length  time.Duration // of each seed
 	Seeds   []uint64
 }
 
-// soakPrinted is how many violations of a seed are printed, at most.
-const soakPrinted = 20
-
-// soakConcurrent is how many troubles there are at a time.
-const soakConcurrent = 3
+const (
+	soakMaxPrinted  = 20                     // violations of a seed that are printed
+	soakConcurrency = 3                      // faults at a time
+	soakSettleStart = 500 * time.Millisecond // after the start, for all routers to be ready
+	soakSettleEnd   = time.Second            // after the last fault, before clients stop
+)
 
-// Soak plays each seed and prints what was broken. An error says that something was, or that a seed could not be played.
-func Soak(set SoakSettings, out io.Writer) error {
-	broken := 0
-	for _, seed := range set.Seeds {
-		s, err := playSoak(set, seed)
+// Soak runs each seed, and writes which invariants were violated. The error says that some were, or that a seed could not be
+// run.
+func Soak(settings SoakSettings, out io.Writer) error {
+	total := 0
+	for _, seed := range settings.Seeds {
+		s, err := runSoak(settings, seed)
 		if err != nil {
 			return fmt.Errorf("seed %d: %w", seed, err)
 		}
 		violations := s.judge()
-		broken += len(violations)
-		fmt.Fprintf(out, "seed %d: %s; %d broken\n", seed, s.summary(), len(violations))
-		for _, v := range violations[:min(len(violations), soakPrinted)] {
-			fmt.Fprintf(out, "  %s\n", v)
+		total += len(violations)
+		_, _ = fmt.Fprintf(out, "seed %d: %s; %d broken\n", seed, s.summary(), len(violations))
+		for _, violation := range violations[:min(len(violations), soakMaxPrinted)] {
+			_, _ = fmt.Fprintf(out, "  %s\n", violation)
 		}
 	}
-	if broken > 0 {
-		return fmt.Errorf("%d invariants are broken", broken)
+	if total > 0 {
+		return fmt.Errorf("%d invariants are broken", total)
 	}
 	return nil
 }
 
-// soak is the play of one seed.
-type soak struct {
+// soakRun is the run of one seed.
+type soakRun struct {
 	*Fleet
-	set     SoakSettings
-	start   time.Time
-	history *soakHistory
-	// soakCaches are the page caches; the last one is the origin.
-	soakCaches []*soakCache
-	trouble    []string // what was done, in order
-	mu         sync.Mutex
-	faults     []string // of processes: exits, refusals to start
+	settings   SoakSettings
+	start      time.Time
+	history    *soakHistory
+	soakCaches []*soakCache // the last one is the origin
+
+	mu            sync.Mutex
+	faults        []string         // what was done, in order
+	processErrors []string         // routers that ended, or did not start, as they should
+	claimed       map[*Router]bool // routers that a fault has for itself
+	draining      map[*soakCache]bool
 }
 
-// playSoak plays one seed from its start to the end of the last answer.
-func playSoak(set SoakSettings, seed uint64) (*soak, error) {
-	s := &soak{set: set, start: time.Now(), history: newSoakHistory()}
-	for i := range set.Caches + 1 {
-		c, err := newSoakCache(fmt.Sprintf("s-%d", i+1), s.history, seed+uint64(i))
+// runSoak runs one seed from its start to the last answer.
+func runSoak(settings SoakSettings, seed uint64) (*soakRun, error) {
+	s := &soakRun{settings: settings, start: time.Now(), history: newSoakHistory(), claimed: map[*Router]bool{},
+		draining: map[*soakCache]bool{}}
+	for i := range settings.Caches + 1 {
+		cache, err := newSoakCache(endpointName(i), s.history, seed+uint64(i))
 		if err != nil {
 			return nil, err
 		}
-		defer c.close()
-		s.soakCaches = append(s.soakCaches, c)
+		defer cache.close()
+		s.soakCaches = append(s.soakCaches, cache)
 	}
 	var err error
-	s.Fleet, err = StartFleet(set.Router, Setup{Routers: set.Routers, RetryAfter: true, Caches: set.Caches, KnownRouters: set.Routers, OverloadFactor: 4,
-		Addresses: func(cache int) string { return s.soakCaches[cache].addr() },
-		Answer:    func(int, fakes.Request) fakes.Reply { return fakes.Reply{} }})
+	s.Fleet, err = StartFleet(settings.Program, FleetOptions{Routers: settings.Routers, RetryAfter: true, Caches: settings.Caches,
+		KnownRouters: settings.Routers, OverloadFactor: 4,
+		Address: func(cache int) string { return s.soakCaches[cache].address() },
+		Answer:  func(int, fakes.Request) fakes.Reply { return fakes.Reply{} }})
 	if err != nil {
 		return nil, err
 	}
 	defer s.Close()
-	time.Sleep(500 * time.Millisecond) // all are ready
-	s.play(seed)
+	time.Sleep(soakSettleStart)
+	s.run(seed)
 	return s, nil
 }
 
-// play has clients ask and troubles happen until the length is over, and then waits for what is owed.
-func (s *soak) play(seed uint64) {
+// run has clients send requests and faults happen until the length is over, and then waits for the answers that are due.
+func (s *soakRun) run(seed uint64) {
 	stop := make(chan struct{})
-	var clients, troubles sync.WaitGroup
+	var clients, faults sync.WaitGroup
 	for i, r := range s.Routers {
 		clients.Go(func() { newSoakClient(r.ListenAddress, s.history, seed<<16|uint64(i)).run(stop) })
 	}
-	for i := range soakConcurrent {
-		troubles.Go(func() { s.makeTrouble(rand.New(rand.NewPCG(seed, uint64(i))), s.start.Add(s.set.Length)) })
+	end := s.start.Add(s.settings.Length)
+	for i := range soakConcurrency {
+		faults.Go(func() { s.injectFaults(rand.New(rand.NewPCG(seed, uint64(i))), end) })
 	}
-	troubles.Wait()
-	time.Sleep(time.Second) // well again
+	faults.Wait()
+	time.Sleep(soakSettleEnd)
 	close(stop)
 	clients.Wait()
 }
 
-// summary tells how much happened.
-func (s *soak) summary() string {
+// summary says how much happened.
+func (s *soakRun) summary() string {
 	h := s.history
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	served, refused, failed := 0, 0, 0
+	served, rejected, failed := 0, 0, 0
 	for _, r := range h.requests {
-		for _, a := range r.answers {
-			switch a.word {
+		for _, answer := range r.answers {
+			switch answer.code {
 			case "":
 				served++
 			case "Throttled":
-				refused++
+				rejected++
 			default:
 				failed++
 			}
 		}
 	}
-	return fmt.Sprintf("%d requests, %d served, %d refused, %d failed, %d attempts, %d troubles (%s)", len(h.requests), served, refused, failed,
-		len(h.asks), len(s.trouble), kindsOf(s.trouble))
+	return fmt.Sprintf("%d requests, %d served, %d rejected, %d failed, %d attempts, %d faults (%s)", len(h.requests), served,
+		rejected, failed, len(h.attempts), len(s.faults), countKinds(s.faults))
 }
 
-// kindsOf counts troubles by their first word.
-func kindsOf(troubles []string) string {
+// countKinds counts faults by their first word.
+func countKinds(faults []string) string {
 	counts := map[string]int{}
 	var order []string
-	for _, t := range troubles {
-		kind, _, _ := strings.Cut(t, " ")
+	for _, fault := range faults {
+		kind, _, _ := strings.Cut(fault, " ")
 		if counts[kind] == 0 {
 			order = append(order, kind)
 		}
--- /dev/null
+++ b/loadtest/soakfaults.go
@@ -0,0 +1,220 @@
+package loadtest
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"syscall"
+	"time"
+)
+
+// soakExitTimeout is how long a router has to end after SIGTERM: the longest deadline, taken as 3 s, and 0.7 s.
+const soakExitTimeout = 3700 * time.Millisecond
+
+// soakFault injects one fault and waits for its end. It returns what it did, of which the first word is the kind; empty: it
+// did nothing.
+type soakFault func(*rand.Rand) string
+
+// injectFaults injects one fault after the other until a time. Those that stand twice are drawn twice as often.
+func (s *soakRun) injectFaults(random *rand.Rand, until time.Time) {
+	faults := []soakFault{s.pauseRouter, s.pauseRouter, s.terminateRouter, s.killRouter, s.reloadRouter, s.misbehave, s.misbehave,
+		s.resetCache, s.drainCache, s.drainCache, s.purgeObject, s.purgeObject, s.pauseDiscovery, s.breakDiscovery}
+	for time.Now().Before(until) {
+		if what := faults[random.IntN(len(faults))](random); what != "" {
+			s.mu.Lock()
+			s.faults = append(s.faults, what)
+			s.mu.Unlock()
+		}
+		time.Sleep(time.Duration(20+random.IntN(300)) * time.Millisecond)
+	}
+}
+
+// reportProcess records that a router did not end or start as it should.
+func (s *soakRun) reportProcess(format string, args ...any) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.processErrors = append(s.processErrors, fmt.Sprintf(format, args...))
+}
+
+// withRouter calls inject for a router that no other fault has; empty: it has drawn one that another fault has.
+func (s *soakRun) withRouter(random *rand.Rand, inject func(*Router) string) string {
+	r := s.Routers[random.IntN(len(s.Routers))]
+	s.mu.Lock()
+	taken := s.claimed[r]
+	s.claimed[r] = true
+	s.mu.Unlock()
+	if taken {
+		return ""
+	}
+	defer func() {
+		s.mu.Lock()
+		defer s.mu.Unlock()
+		delete(s.claimed, r)
+	}()
+	return inject(r)
+}
+
+// pauseRouter stops a router's process for a while.
+func (s *soakRun) pauseRouter(random *rand.Rand) string {
+	return s.withRouter(random, func(r *Router) string {
+		length := time.Duration(50+random.IntN(1150)) * time.Millisecond
+		s.stopProcess(r, length, func() {})
+		return fmt.Sprintf("stop %v", length)
+	})
+}
+
+// stopProcess stops a router's process for a time, and calls happen right after the stop.
+func (s *soakRun) stopProcess(r *Router, length time.Duration, happen func()) {
+	address := r.ListenAddress
+	s.history.update(func() { s.history.stops[address] = append(s.history.stops[address], interval{start: time.Now()}) })
+	r.Signal(syscall.SIGSTOP)
+	happen()
+	time.Sleep(length)
+	s.history.update(func() { // before the process continues, so that nothing counts as late that is not
+		stops := s.history.stops[address]
+		stops[len(stops)-1].end = time.Now()
+	})
+	r.Signal(syscall.SIGCONT)
+}
+
+// terminateRouter restarts a router on SIGTERM.
+func (s *soakRun) terminateRouter(random *rand.Rand) string {
+	return s.withRouter(random, func(r *Router) string {
+		start := time.Now()
+		how := "term"
+		switch random.IntN(4) {
+		case 0:
+			r.Signal(syscall.SIGTERM)
+			r.Signal(syscall.SIGHUP)
+		case 1: // while the process is stopped
+			how = "stop+term"
+			length := time.Duration(100+random.IntN(1400)) * time.Millisecond
+			s.stopProcess(r, length, func() { start = time.Now(); r.Signal(syscall.SIGTERM) })
+		default:
+			r.Signal(syscall.SIGTERM)
+		}
+		if err := r.wait(); err != nil {
+			s.reportProcess("%s: exit after SIGTERM: %v", r.ListenAddress, err)
+		}
+		if took := time.Since(start); took > soakExitTimeout {
+			s.reportProcess("%s: took %v to end after SIGTERM", r.ListenAddress, took)
+		}
+		s.startProcess(r)
+		return how
+	})
+}
+
+// killRouter restarts a router by SIGKILL. The requests that it had accepted are lost.
+func (s *soakRun) killRouter(random *rand.Rand) string {
+	return s.withRouter(random, func(r *Router) string {
+		address := r.ListenAddress
+		s.history.update(func() { s.history.kills[address] = append(s.history.kills[address], time.Now()) })
+		r.Kill()
+		s.startProcess(r)
+		return "kill"
+	})
+}
+
+// startProcess starts a router from the configuration of its first start: it receives what has changed since when it calls the
+// discovery service.
+func (s *soakRun) startProcess(r *Router) {
+	address := r.ListenAddress
+	s.history.update(func() { s.history.starts[address] = append(s.history.starts[address], time.Now()) })
+	if err := r.Start(); err != nil {
+		s.reportProcess("%s: not started again: %v", address, err)
+	}
+}
+
+// reloadRouter has a router reload its configuration, a few times in a row.
+func (s *soakRun) reloadRouter(random *rand.Rand) string {
+	return s.withRouter(random, func(r *Router) string {
+		for range 1 + random.IntN(3) {
+			r.Signal(syscall.SIGHUP)
+		}
+		return "reload"
+	})
+}
+
+// misbehave has a page cache misbehave for a while.
+func (s *soakRun) misbehave(random *rand.Rand) string {
+	cache := s.soakCaches[random.IntN(len(s.soakCaches))]
+	mode := cacheMode(1 + random.IntN(int(modeCount)-1))
+	length := time.Duration(200+random.IntN(2500)) * time.Millisecond
+	cache.misbehave(mode, length)
+	time.Sleep(length / 2)
+	return mode.String() + " " + cache.name
+}
+
+// resetCache resets all connections of a page cache.
+func (s *soakRun) resetCache(random *rand.Rand) string {
+	cache := s.soakCaches[random.IntN(len(s.soakCaches))]
+	cache.resetConns()
+	return "reset " + cache.name
+}
+
+// drainCache publishes that a page cache drains or is gone, and after a while that it is back as another process.
+func (s *soakRun) drainCache(random *rand.Rand) string {
+	cache := s.soakCaches[random.IntN(s.settings.Caches)]
+	s.mu.Lock()
+	taken := s.draining[cache]
+	s.draining[cache] = true
+	s.mu.Unlock()
+	if taken {
+		return ""
+	}
+	state := []string{stateDraining, stateGone}[random.IntN(2)]
+	s.publishDrain(cache, state)
+	time.Sleep(time.Duration(1000+random.IntN(3000)) * time.Millisecond)
+	s.publishReturn(cache)
+	s.mu.Lock()
+	delete(s.draining, cache)
+	s.mu.Unlock()
+	return state + " " + cache.name
+}
+
+// publishDrain publishes that a page cache drains or is gone, and records it right after that.
+func (s *soakRun) publishDrain(cache *soakCache, state string) {
+	s.publishEndpoints(newEndpoint(cache.name, cache.address(), state))
+	s.history.update(func() {
+		s.history.drains[cache.name] = append(s.history.drains[cache.name], interval{start: time.Now()})
+	})
+}
+
+// publishReturn publishes that a page cache is back, and records it right before that.
+func (s *soakRun) publishReturn(cache *soakCache) {
+	s.history.update(func() {
+		drains := s.history.drains[cache.name]
+		drains[len(drains)-1].end = time.Now()
+	})
+	e := newEndpoint(cache.name, cache.address(), stateReady)
+	e.StartedAtMillis = time.Now().UnixMilli()
+	s.publishEndpoints(e)
+}
+
+// purgeObject publishes a purge.
+func (s *soakRun) purgeObject(random *rand.Rand) string {
+	object := objectName(random.Uint64N(soakItems))
+	at := time.Now()
+	s.publishPurge(object, at)
+	s.history.update(func() { s.history.purges[object] = append(s.history.purges[object], at) })
+	return "purge " + object
+}
+
+// pauseDiscovery takes the discovery service down for a while.
+func (s *soakRun) pauseDiscovery(random *rand.Rand) string {
+	length := time.Duration(100+random.IntN(700)) * time.Millisecond
+	s.recordOutage(length)
+	s.discovery.StartOutage(length)
+	return "outage"
+}
+
+// breakDiscovery closes the streams of the discovery service.
+func (s *soakRun) breakDiscovery(*rand.Rand) string {
+	s.recordOutage(0)
+	s.discovery.CloseStreams()
+	return "break"
+}
+
+func (s *soakRun) recordOutage(length time.Duration) {
+	now := time.Now()
+	s.history.update(func() { s.history.outages = append(s.history.outages, interval{now, now.Add(length)}) })
+}
--- /dev/null
+++ b/loadtest/soaksession.go
@@ -0,0 +1,143 @@
+package loadtest
+
+import (
+	"bufio"
+	"fmt"
+	"io"
+	"net"
+	"strconv"
+	"strings"
+	"sync"
+	"time"
+)
+
+// soakSession is one connection of a router to a page cache.
+type soakSession struct {
+	cache *soakCache
+	conn  net.Conn
+
+	mu       sync.Mutex
+	inFlight map[string]*soakAttempt // by request id
+}
+
+func newSoakSession(cache *soakCache, conn net.Conn) *soakSession {
+	return &soakSession{cache: cache, conn: conn, inFlight: map[string]*soakAttempt{}}
+}
+
+// serve reads commands until the connection ends or a command can't be parsed.
+func (s *soakSession) serve() {
+	defer s.end()
+	for in := bufio.NewReader(s.conn); ; {
+		line, err := in.ReadString('\n')
+		words := strings.Fields(line)
+		if err != nil || len(words) < 2 {
+			return
+		}
+		switch {
+		case words[0] == "QUIT":
+			s.finish(words[1])
+		case words[0] == "ASK" && len(words) == 4:
+			if !skipBody(in, words[3]) {
+				return
+			}
+			s.receive(words[1], words[2])
+		}
+	}
+}
+
+// skipBody reads the body of a request and its line end; it reports whether both were there.
+func skipBody(in *bufio.Reader, size string) bool {
+	const lineEnd = "\r\n"
+	n, err := strconv.Atoi(size)
+	if err != nil {
+		return false
+	}
+	_, err = io.CopyN(io.Discard, in, int64(n+len(lineEnd)))
+	return err == nil
+}
+
+// end closes the connection: all attempts on it are over.
+func (s *soakSession) end() {
+	s.cache.remove(s.conn)
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.cache.history.update(func() {
+		for _, attempt := range s.inFlight {
+			attempt.ended = time.Now()
+		}
+	})
+}
+
+// finish ends the attempt that is in flight under an id, and reports whether there was one.
+func (s *soakSession) finish(id string) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	attempt := s.inFlight[id]
+	if attempt == nil {
+		return false
+	}
+	delete(s.inFlight, id)
+	s.cache.history.update(func() { attempt.ended = time.Now() })
+	return true
+}
+
+// receive records a request, and answers it as the page cache's mode says.
+func (s *soakSession) receive(id, fields string) {
+	attempt := parseSoakAttempt(id, fields)
+	attempt.cache = s.cache.name
+	mode, delay := s.cache.drawAnswer()
+	attempt.ran = mode != modeFull
+	s.cache.history.update(func() { s.cache.history.attempts = append(s.cache.history.attempts, attempt) })
+	s.mu.Lock()
+	s.inFlight[id] = attempt
+	s.mu.Unlock()
+	if mode != modeHang {
+		time.AfterFunc(delay, func() { s.answer(id, mode) })
+	}
+}
+
+// parseSoakAttempt parses a request that has arrived now. What can't be parsed stays 0, which the judge finds.
+func parseSoakAttempt(id, fields string) *soakAttempt {
+	attempt := &soakAttempt{arrived: time.Now()}
+	attempt.txn, _ = strconv.ParseUint(id, 16, 64)
+	for _, field := range strings.Split(fields, ",") {
+		name, value, _ := strings.Cut(field, "=")
+		number, _ := strconv.Atoi(value)
+		millis := time.Duration(number) * time.Millisecond
+		switch name {
+		case "kind":
+			attempt.class = value
+		case "obj":
+			attempt.object = value
+		case "fetch":
+			attempt.source = value
+		case "ms":
+			attempt.timeout = millis
+		case "newer":
+			attempt.maxAge = millis
+		}
+	}
+	return attempt
+}
+
+// answer answers a request, unless it is over.
+func (s *soakSession) answer(id string, mode cacheMode) {
+	if !s.finish(id) {
+		return
+	}
+	text := fmt.Sprintf("%s DONE res=cached,version=v1,stamp=%d 5\r\nhello\r\n", id, time.Now().UnixMilli())
+	switch mode {
+	case modeErrors:
+		text = id + " BROKE - 0\r\n\r\n"
+	case modeFull:
+		text = id + " WAIT - 0\r\n\r\n"
+	case modeTwice:
+		text += text
+	case modeTruncated:
+		text = text[:len(text)-4]
+	}
+	_, _ = io.WriteString(s.conn, text) // a router that has gone reads nothing
+	if mode == modeTruncated {
+		_ = s.conn.Close()
+	}
+}
