--- a/cmd/hillknot/failover_test.go
+++ b/cmd/hillknot/failover_test.go
@@ -20,9 +20,10 @@
 // milliseconds after it, and a step, or none, at which it pauses first: "STEP,MS,STEP".
 const killAtKey = "HILLKNOT_TEST_KILL_AT"
 
-// stepPause is how long a router pauses at a step, so that the other routers hold its records before it goes on: 5 ms were
-// too short on a busy machine, where the confirmation came after 6 ms.
-const stepPause = 40 * time.Millisecond
+// stepPause is how long a router pauses at a step, so that the other routers hold its records before it goes on: it forces
+// the order of events that a case is about. On a busy machine the confirmation came after 6 ms, and once after more than
+// 40 ms. It must stay well under the lease, 300 ms, which would expire.
+const stepPause = 120 * time.Millisecond
 
 // init arms the kill in a process that plays a router.
 func init() {
@@ -146,7 +147,6 @@
 
 // A balance that all routers share is never overspent, while some are cut off, killed and read a top-up late.
 func TestSharedBalanceIsNotOverspent(t *testing.T) {
-	inParallel(t)
 	settings := loadtest.ClusterSettings{Program: program(t), Routers: 4, Seed: 1}
 	cluster, err := loadtest.StartCreditCluster(settings, map[string]float64{"poor": 50, "rich": 1e5})
 	if err != nil {
