--- a/internal/cluster/keyring/keyring.go
+++ b/internal/cluster/keyring/keyring.go
@@ -17,8 +17,8 @@
 	fileMost = 4096
 )
 
-// ErrOpenToOthers says that others than its owner may read the file of keys.
-var ErrOpenToOthers = errors.New("others than its owner may read it: chmod 600")
+// ErrInsecurePermissions says that others than its owner may read the file of keys.
+var ErrInsecurePermissions = errors.New("others than its owner may read it: chmod 600")
 
 // Read reads the keys: one a line, in hex, of 16, 24 or 32 bytes; the first encrypts, all decrypt. Empty lines and
 // those that begin with # are passed over.
@@ -35,7 +35,7 @@
 	case !info.Mode().IsRegular() || info.Size() > fileMost:
 		return nil, fmt.Errorf("no file of up to %d bytes", fileMost)
 	case info.Mode().Perm()&0o077 != 0:
-		return nil, ErrOpenToOthers
+		return nil, ErrInsecurePermissions
 	}
 	in := bufio.NewScanner(f)
 	for n := 1; in.Scan(); n++ {
--- a/internal/cluster/keyring/keyring_test.go
+++ b/internal/cluster/keyring/keyring_test.go
@@ -33,7 +33,7 @@
 		if len(keys) != c.keys || (err == nil) != (c.keys > 0) {
 			t.Errorf("%.70q with mode %o: %d keys, %v", c.text, c.mode, len(keys), err)
 		}
-		if c.mode&0o077 != 0 && !errors.Is(err, ErrOpenToOthers) {
+		if c.mode&0o077 != 0 && !errors.Is(err, ErrInsecurePermissions) {
 			t.Errorf("mode %o: %v", c.mode, err)
 		}
 		if err != nil && len(c.text) > 16 && strings.Contains(err.Error(), c.text[:16]) {
--- a/internal/cluster/membership/golden_test.go
+++ b/internal/cluster/membership/golden_test.go
@@ -45,8 +45,8 @@
 		cfg  config.Cluster
 		want told
 	}{
-		"meta.txt":       {config.Cluster{Location: "hall 2", State: state.Settings{Size: 12}, Failover: config.Failover{Enabled: true}}, told{"12", true, "hall 2"}},
-		"meta-guest.txt": {config.Cluster{Location: "hall;2", State: state.Settings{Size: 12, Guest: true}}, told{"guest", false, "hall;2"}},
+		"meta.txt":       {config.Cluster{Location: "hall 2", State: state.Settings{ClusterSize: 12}, Failover: config.Failover{Enabled: true}}, told{"12", true, "hall 2"}},
+		"meta-guest.txt": {config.Cluster{Location: "hall;2", State: state.Settings{ClusterSize: 12, Guest: true}}, told{"guest", false, "hall;2"}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			m, _, _ := member(t, c.cfg)
@@ -59,14 +59,14 @@
 }
 
 var goldenMessages = []state.Message{
-	{Kind: state.KindCount, From: "r1", Process: 11, Key: "hits edge-7", Value: 129},
-	{Kind: state.KindEvidence, From: "r2", Process: 22, Key: "edge-7", Round: 6, Ill: true, Left: 3 * time.Second},
+	{Kind: state.KindCounterUpdate, From: "r1", Process: 11, Key: "hits edge-7", Value: 129},
+	{Kind: state.KindHealthEvidence, From: "r2", Process: 22, Key: "edge-7", Sequence: 6, Unhealthy: true, ValidFor: 3 * time.Second},
 }
 
 // What is sent to one or to all, and how another takes it.
 func TestGoldenSent(t *testing.T) {
 	m, heard, packets := member(t, config.Cluster{})
-	m.Send([]state.Letter{{To: "r2", Key: "count hits edge-7", Msg: goldenMessages[0]}})
+	m.Send([]state.OutgoingMessage{{To: "r2", ReplaceKey: "count hits edge-7", Message: goldenMessages[0]}})
 	m.SendOrderPackets([]messaging.Packet{{To: "r2", Data: []byte("a packet of orders")}})
 	m.CarryCredit([]messaging.Packet{{To: "r2", Data: []byte("a packet of credit")}})
 	for _, name := range []string{"letter.hex", "orders.hex", "credit.hex"} {
--- a/internal/cluster/membership/membership.go
+++ b/internal/cluster/membership/membership.go
@@ -209,9 +209,9 @@
 }
 
 // Send puts letters on the way. It never blocks.
-func (m *Members) Send(letters []state.Letter) {
+func (m *Members) Send(letters []state.OutgoingMessage) {
 	for _, l := range letters {
-		m.put(post{l.To, l.Key, l.Msg.Append(nil)})
+		m.put(post{l.To, l.ReplaceKey, l.Message.Append(nil)})
 	}
 }
 
@@ -310,12 +310,12 @@
 		if d.size != guestMeta {
 			owners++
 		}
-		if size, err := strconv.Atoi(d.size); err == nil && size <= state.SizeMost {
+		if size, err := strconv.Atoi(d.size); err == nil && size <= state.MaxClusterSize {
 			told = max(told, size)
 		}
 	}
-	if told > m.cfg.State.Size && !m.warned.Swap(true) {
-		slog.Error("another router was given a larger size of the fleet: all must have the same; the larger one counts", "own", m.cfg.State.Size, "other", told)
+	if told > m.cfg.State.ClusterSize && !m.warned.Swap(true) {
+		slog.Error("another router was given a larger size of the fleet: all must have the same; the larger one counts", "own", m.cfg.State.ClusterSize, "other", told)
 	}
 	slices.Sort(others)
 	return others, max(owners, told)
@@ -373,7 +373,7 @@
 func (d delegate) NodeMeta(int) []byte {
 	size, keeps := guestMeta, ""
 	if !d.m.guest {
-		size = strconv.Itoa(d.m.cfg.State.Size)
+		size = strconv.Itoa(d.m.cfg.State.ClusterSize)
 	}
 	if d.m.cfg.Failover.Enabled {
 		keeps = "keeps"
--- a/internal/cluster/state/budget.go
+++ b/internal/cluster/state/budget.go
@@ -12,15 +12,15 @@
 // part is how many shares a router has of a budget for good, where nobody is over the configured size.
 const part = 64
 
-// Terms are what all routers together may spend.
-type Terms struct {
+// BudgetLimits are what all routers together may spend.
+type BudgetLimits struct {
 	Rate  float64 // a second
 	Burst float64 // at once, after a rest; at least 2 for each router, so that half of each part still buys one
 }
 
 // budget is this router's holding of one budget.
 type budget struct {
-	terms  Terms
+	terms  BudgetLimits
 	tokens float64
 	at     time.Duration
 	had    int           // shares held then
@@ -55,9 +55,9 @@
 	leasesMost = 256 // that run of one budget
 )
 
-// Open opens a budget, or keeps it open, until a time (0: for good). It tells whether there is room for it: where there
+// OpenBudget opens a budget, or keeps it open, until a time (0: for good). It tells whether there is room for it: where there
 // is none, nothing is shared of it, and May says no.
-func (s *State) Open(now time.Duration, key string, t Terms, until time.Duration) bool {
+func (s *State) OpenBudget(now time.Duration, key string, t BudgetLimits, until time.Duration) bool {
 	if b := s.budgets[key]; b != nil {
 		b.end = until
 		return true
@@ -70,14 +70,14 @@
 	return true
 }
 
-// Close closes a budget.
-func (s *State) Close(key string) { delete(s.budgets, key) }
+// CloseBudget closes a budget.
+func (s *State) CloseBudget(key string) { delete(s.budgets, key) }
 
 // whole is how many shares a budget is cut into.
 func (s *State) whole() int { return part * s.crowd }
 
 // sure is when nothing that an earlier process of this router lent is held by anybody any more.
-func (s *State) sure() time.Duration { return s.born + s.set.outlasts(s.set.Lease) }
+func (s *State) sure() time.Duration { return s.born + s.set.outlasts(s.set.LeaseDuration) }
 
 // own is how many shares are this router's to use or to lend. It guards against two processes of one router that spend
 // the same part: one that has been followed spends nothing, and one that has just started leaves alone the half that
@@ -127,8 +127,8 @@
 	b.at, b.had = max(b.at, now), have
 }
 
-// May tells whether one more may be spent of a budget now. A budget that is not open allows all.
-func (s *State) May(now time.Duration, key string) bool {
+// CanSpend tells whether one more may be spent of a budget now. A budget that is not open allows all.
+func (s *State) CanSpend(now time.Duration, key string) bool {
 	b := s.budgets[key]
 	if b == nil {
 		return true
@@ -171,10 +171,10 @@
 			continue
 		}
 		s.fill(b, now)
-		over := s.set.Lease.Seconds()
+		over := s.set.LeaseDuration.Seconds()
 		gone := func(l lease) bool { return now >= l.until }
 		b.lent, b.got = slices.DeleteFunc(b.lent, gone), slices.DeleteFunc(b.got, gone)
-		b.used = b.used*math.Exp(-s.set.Beat.Seconds()/over) + b.spent/over
+		b.used = b.used*math.Exp(-s.set.TickInterval.Seconds()/over) + b.spent/over
 		s.borrow(now, key, b)
 		b.spent, b.denied = 0, false
 	}
@@ -186,7 +186,7 @@
 	if len(s.live) == 0 || s.born == 0 || s.retired {
 		return
 	}
-	sure := max(s.own(now)-b.lentOut(now), 0) + held(b.got, now+s.set.Lease/2)
+	sure := max(s.own(now)-b.lentOut(now), 0) + held(b.got, now+s.set.LeaseDuration/2)
 	want := s.needs(b, now) - sure
 	if want <= 0 {
 		return
@@ -201,7 +201,7 @@
 			b.asks = slices.Delete(b.asks, 0, 1)
 		}
 		b.asks = append(b.asks, ask{s.round, to, shares, now})
-		s.say(to, "", Message{Kind: KindAsk, Key: key, Round: s.round, Shares: shares})
+		s.say(to, "", Message{Kind: KindLeaseRequest, Key: key, Sequence: s.round, Shares: shares})
 	}
 }
 
@@ -219,9 +219,9 @@
 		return
 	}
 	s.fill(b, now)
-	b.lent = append(b.lent, lease{m.From, m.Process, shares, now + s.set.outlasts(s.set.Lease)})
+	b.lent = append(b.lent, lease{m.From, m.Process, shares, now + s.set.outlasts(s.set.LeaseDuration)})
 	s.fill(b, now) // what was saved on the shares lent goes with them
-	s.say(m.From, "", Message{Kind: KindGrant, Key: m.Key, Round: m.Round, Value: m.Process, Shares: shares})
+	s.say(m.From, "", Message{Kind: KindLeaseGrant, Key: m.Key, Sequence: m.Sequence, Value: m.Process, Shares: shares})
 }
 
 // granted takes shares that were asked for. Their time runs from the asking, which came before the lender's grant: so it
@@ -231,29 +231,29 @@
 	if b == nil || m.Shares <= 0 || m.Shares > part/2 || m.Value != s.set.Process { // or lent to a process before this one
 		return
 	}
-	i := slices.IndexFunc(b.asks, func(a ask) bool { return a.round == m.Round && a.to == m.From })
+	i := slices.IndexFunc(b.asks, func(a ask) bool { return a.round == m.Sequence && a.to == m.From })
 	if i < 0 {
 		return
 	}
 	s.fill(b, now)
-	b.got = append(b.got, lease{m.From, m.Process, m.Shares, b.asks[i].sent + s.set.Lease})
+	b.got = append(b.got, lease{m.From, m.Process, m.Shares, b.asks[i].sent + s.set.LeaseDuration})
 	b.asks = slices.Delete(b.asks, i, i+1)
 	s.fill(b, now) // they earn from now on
 }
 
-// Holding is how a budget stands with this router.
-type Holding struct {
-	Key            string
-	Own, Lent, Got int // shares: of its own, lent to others, borrowed
-	Whole          int // shares that the budget is cut into
-	Spent          uint64
+// BudgetStatus is how a budget stands with this router.
+type BudgetStatus struct {
+	Key                                   string
+	OwnShares, LentShares, BorrowedShares int // shares: of its own, lent to others, borrowed
+	TotalShares                           int // shares that the budget is cut into
+	Spent                                 uint64
 }
 
-// Holdings are the budgets that are open, in order.
-func (s *State) Holdings(now time.Duration) (all []Holding) {
+// BudgetStatuses are the budgets that are open, in order.
+func (s *State) BudgetStatuses(now time.Duration) (all []BudgetStatus) {
 	for _, key := range slices.Sorted(maps.Keys(s.budgets)) {
 		b := s.budgets[key]
-		all = append(all, Holding{key, s.own(now), b.lentOut(now), held(b.got, now), s.whole(), b.total})
+		all = append(all, BudgetStatus{key, s.own(now), b.lentOut(now), held(b.got, now), s.whole(), b.total})
 	}
 	return all
 }
--- a/internal/cluster/state/counts.go
+++ b/internal/cluster/state/counts.go
@@ -23,8 +23,8 @@
 	said  uint64 // own part as it was said last
 }
 
-// Count adds to this router's part of a count.
-func (s *State) Count(key string, n uint64) {
+// IncrementCounter adds to this router's part of a count.
+func (s *State) IncrementCounter(key string, n uint64) {
 	if c := s.count(key); c != nil {
 		c.parts[writer{s.set.Self, s.set.Process}] += n
 	}
@@ -39,8 +39,8 @@
 	return c
 }
 
-// Total is a count over all routers, as far as this one has heard.
-func (s *State) Total(key string) (n uint64) {
+// CounterTotal is a count over all routers, as far as this one has heard.
+func (s *State) CounterTotal(key string) (n uint64) {
 	if c := s.counts[key]; c != nil {
 		for _, v := range c.parts {
 			n += v
@@ -49,17 +49,17 @@
 	return n
 }
 
-// Counts are the keys that were counted, in order.
-func (s *State) Counts() []string { return slices.Sorted(maps.Keys(s.counts)) }
+// CounterKeys are the keys that were counted, in order.
+func (s *State) CounterKeys() []string { return slices.Sorted(maps.Keys(s.counts)) }
 
 func (s *State) beatCounts() {
 	left := saidAtATime
-	for _, key := range s.Counts() {
+	for _, key := range s.CounterKeys() {
 		c, self := s.counts[key], writer{s.set.Self, s.set.Process}
 		if v := c.parts[self]; v != c.said && left > 0 {
 			left--
 			c.said = v
-			s.say("", "count "+key, Message{Kind: KindCount, Key: key, Value: v})
+			s.say("", "count "+key, Message{Kind: KindCounterUpdate, Key: key, Value: v})
 		}
 	}
 }
@@ -81,7 +81,7 @@
 				older = append(older, o.process)
 			}
 		}
-		if len(older) == 0 && len(others) >= s.set.Size+namesMost {
+		if len(older) == 0 && len(others) >= s.set.ClusterSize+namesMost {
 			return
 		}
 		if slices.Sort(older); len(older) >= processesKept {
@@ -95,9 +95,9 @@
 }
 
 func (s *State) wholeCounts() (all []Message) {
-	for _, key := range s.Counts() {
+	for _, key := range s.CounterKeys() {
 		for w, v := range s.counts[key].parts {
-			all = append(all, Message{Kind: KindCount, From: w.name, Process: w.process, Key: key, Value: v})
+			all = append(all, Message{Kind: KindCounterUpdate, From: w.name, Process: w.process, Key: key, Value: v})
 		}
 	}
 	return all
--- a/internal/cluster/state/golden_test.go
+++ b/internal/cluster/state/golden_test.go
@@ -14,12 +14,12 @@
 // budgets and "hits NODE", "misses NODE", "errors NODE" for counts (tested there), and evidence has the name of the page cache.
 
 var goldenMessages = map[string]Message{
-	"message.hex":  {Kind: KindEvidence, From: "r1", Process: 1 << 60, Key: "edge-7", Round: 300, Shares: 64, Value: 70000, Ill: true, Left: 3 * time.Second},
-	"ask.hex":      {Kind: KindAsk, From: "r1", Process: 11, Key: "retries", Round: 5, Shares: 32},
-	"grant.hex":    {Kind: KindGrant, From: "r2", Process: 22, Key: "cold edge-7", Round: 5, Shares: 16, Value: 11},
-	"count.hex":    {Kind: KindCount, From: "r1", Process: 11, Key: "hits edge-7", Value: 129},
-	"evidence.hex": {Kind: KindEvidence, From: "r1", Process: 11, Key: "edge-7", Round: 6, Ill: true, Left: 3 * time.Second},
-	"well.hex":     {Kind: KindEvidence, From: "r1", Process: 11, Key: "edge-7", Round: 7, Left: 3 * time.Second},
+	"message.hex":  {Kind: KindHealthEvidence, From: "r1", Process: 1 << 60, Key: "edge-7", Sequence: 300, Shares: 64, Value: 70000, Unhealthy: true, ValidFor: 3 * time.Second},
+	"ask.hex":      {Kind: KindLeaseRequest, From: "r1", Process: 11, Key: "retries", Sequence: 5, Shares: 32},
+	"grant.hex":    {Kind: KindLeaseGrant, From: "r2", Process: 22, Key: "cold edge-7", Sequence: 5, Shares: 16, Value: 11},
+	"count.hex":    {Kind: KindCounterUpdate, From: "r1", Process: 11, Key: "hits edge-7", Value: 129},
+	"evidence.hex": {Kind: KindHealthEvidence, From: "r1", Process: 11, Key: "edge-7", Sequence: 6, Unhealthy: true, ValidFor: 3 * time.Second},
+	"well.hex":     {Kind: KindHealthEvidence, From: "r1", Process: 11, Key: "edge-7", Sequence: 7, ValidFor: 3 * time.Second},
 }
 
 func TestGoldenMessages(t *testing.T) {
@@ -42,18 +42,18 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.Live([]string{"r2"}, 2)
-	s.Count("hits edge-7", 129)
-	s.Observe(time.Second, "edge-7", 3, 0)
-	s.Beat(time.Second)
+	s.SetPeers([]string{"r2"}, 2)
+	s.IncrementCounter("hits edge-7", 129)
+	s.ObserveHealth(time.Second, "edge-7", 3, 0)
+	s.Tick(time.Second)
 	var said []byte
-	for _, l := range s.Outbox() {
-		said = append(said, l.To+"\n"+l.Key+"\n"...)
-		said = append(l.Msg.Append(said), '\n')
+	for _, l := range s.OutgoingMessages() {
+		said = append(said, l.To+"\n"+l.ReplaceKey+"\n"...)
+		said = append(l.Message.Append(said), '\n')
 	}
 	golden.Same(t, "said.hex", said)
 	var whole []byte
-	for _, m := range s.Whole(time.Second) {
+	for _, m := range s.FullState(time.Second) {
 		whole = m.Append(whole)
 	}
 	golden.Same(t, "whole.hex", whole)
--- a/internal/cluster/state/message.go
+++ b/internal/cluster/state/message.go
@@ -11,24 +11,24 @@
 
 // The messages.
 const (
-	kindNone     Kind = iota
-	KindAsk           // asks for shares of the budget Key
-	KindGrant         // lends them; Round repeats that of the ask, and Value is the process that asked
-	KindCount         // the sender's own part of the count Key is Value
-	KindEvidence      // the sender has found the page cache Key ill, or well
+	kindNone           Kind = iota
+	KindLeaseRequest        // asks for shares of the budget Key
+	KindLeaseGrant          // lends them; Round repeats that of the ask, and Value is the process that asked
+	KindCounterUpdate       // the sender's own part of the count Key is Value
+	KindHealthEvidence      // the sender has found the page cache Key ill, or well
 )
 
 // Message goes between routers.
 type Message struct {
-	Kind    Kind
-	From    string
-	Process uint64
-	Key     string
-	Round   uint64 // of KindAsk and KindGrant; of KindEvidence, its number among the sender's
-	Shares  int
-	Value   uint64
-	Ill     bool
-	Left    time.Duration // of KindEvidence: how long it has still to count
+	Kind      Kind
+	From      string
+	Process   uint64
+	Key       string
+	Sequence  uint64 // of KindAsk and KindGrant; of KindEvidence, its number among the sender's
+	Shares    int
+	Value     uint64
+	Unhealthy bool
+	ValidFor  time.Duration // of KindEvidence: how long it has still to count
 }
 
 var errBad = errors.New("message not understood")
@@ -37,12 +37,12 @@
 // each, the two texts, then five varints. It is under 350 bytes long.
 func (m Message) Append(b []byte) []byte {
 	ill := byte(0)
-	if m.Ill {
+	if m.Unhealthy {
 		ill = 1
 	}
 	b = append(b, byte(m.Kind), ill, byte(len(m.From)), byte(len(m.Key)))
 	b = append(append(b, m.From...), m.Key...)
-	for _, n := range []uint64{m.Process, m.Round, uint64(max(m.Shares, 0)), m.Value, uint64(max(m.Left, 0))} {
+	for _, n := range []uint64{m.Process, m.Sequence, uint64(max(m.Shares, 0)), m.Value, uint64(max(m.ValidFor, 0))} {
 		b = binary.AppendUvarint(b, n)
 	}
 	return b
@@ -50,14 +50,14 @@
 
 // ParseMessage decodes one message and returns what follows it. Texts are copied.
 func ParseMessage(b []byte) (m Message, rest []byte, err error) {
-	if len(b) < 4 || Kind(b[0]) <= kindNone || Kind(b[0]) > KindEvidence || b[1] > 1 {
+	if len(b) < 4 || Kind(b[0]) <= kindNone || Kind(b[0]) > KindHealthEvidence || b[1] > 1 {
 		return m, nil, errBad
 	}
 	from, key := int(b[2]), int(b[3])
 	if len(b) < 4+from+key {
 		return m, nil, errBad
 	}
-	m = Message{Kind: Kind(b[0]), Ill: b[1] == 1, From: string(b[4 : 4+from]), Key: string(b[4+from : 4+from+key])}
+	m = Message{Kind: Kind(b[0]), Unhealthy: b[1] == 1, From: string(b[4 : 4+from]), Key: string(b[4+from : 4+from+key])}
 	b = b[4+from+key:]
 	var ns [5]uint64
 	for i := range ns {
@@ -70,6 +70,6 @@
 	if ns[2] > 1<<20 || ns[4] > uint64(time.Hour) {
 		return m, nil, errBad
 	}
-	m.Process, m.Round, m.Shares, m.Value, m.Left = ns[0], ns[1], int(ns[2]), ns[3], time.Duration(ns[4])
+	m.Process, m.Sequence, m.Shares, m.Value, m.ValidFor = ns[0], ns[1], int(ns[2]), ns[3], time.Duration(ns[4])
 	return m, b, nil
 }
--- a/internal/cluster/state/sim_test.go
+++ b/internal/cluster/state/sim_test.go
@@ -28,7 +28,7 @@
 	cut     map[[2]int]bool
 	loss    float64
 	spends  []time.Duration // of the one budget, in true time
-	terms   Terms
+	terms   BudgetLimits
 	made    uint64
 }
 
@@ -57,7 +57,7 @@
 }
 
 func newFleet(seed uint64, n int) *fleet {
-	f := &fleet{rnd: rand.New(rand.NewPCG(seed, 7)), cut: map[[2]int]bool{}, terms: Terms{Rate: 20 * float64(n), Burst: 3 * float64(n)}}
+	f := &fleet{rnd: rand.New(rand.NewPCG(seed, 7)), cut: map[[2]int]bool{}, terms: BudgetLimits{Rate: 20 * float64(n), Burst: 3 * float64(n)}}
 	for i := range n {
 		f.routers = append(f.routers, &router{i: i})
 		f.start(f.routers[i])
@@ -71,13 +71,13 @@
 	r.process, r.stopped = f.made, 0
 	r.pace, r.offset = 1+drift*(2*f.rnd.Float64()-1), time.Duration(f.rnd.Int64N(int64(time.Hour)))
 	set := Defaults(name(r.i), r.process, len(f.routers))
-	set.Drift = drift
+	set.ClockDrift = drift
 	var err error
 	if r.state, err = New(set); err != nil {
 		panic(err)
 	}
 	r.beat = f.now
-	r.state.Open(r.clock(f.now), "b", f.terms, 0)
+	r.state.OpenBudget(r.clock(f.now), "b", f.terms, 0)
 }
 
 // step moves time on by 10 ms.
@@ -92,7 +92,7 @@
 			f.mail = append(f.mail, m)
 			slices.SortStableFunc(f.mail, func(a, b mail) int { return cmp.Compare(a.at, b.at) })
 		} else {
-			r.state.Take(r.clock(f.now), m.msg)
+			r.state.ReceiveMessage(r.clock(f.now), m.msg)
 		}
 	}
 	for _, r := range f.routers {
@@ -108,29 +108,29 @@
 					live = append(live, name(o.i))
 				}
 			}
-			r.state.Live(live, len(f.routers))
-			r.state.Beat(now)
+			r.state.SetPeers(live, len(f.routers))
+			r.state.Tick(now)
 		}
 		for r.owed = min(r.owed+r.demand/100, 20); r.owed >= 1; r.owed-- {
-			if r.state.May(now, "b") {
+			if r.state.CanSpend(now, "b") {
 				r.state.Spend(now, "b")
 				f.spends = append(f.spends, f.now)
 			}
 		}
-		for _, l := range r.state.Outbox() {
+		for _, l := range r.state.OutgoingMessages() {
 			f.post(r.i, l)
 		}
 	}
 }
 
-func (f *fleet) post(from int, l Letter) {
+func (f *fleet) post(from int, l OutgoingMessage) {
 	for i := range f.routers {
 		if i == from || l.To != "" && l.To != name(i) || f.cut[[2]int{from, i}] {
 			continue
 		}
 		for range 1 + f.rnd.IntN(10)/9 { // now and then twice
 			if f.rnd.Float64() >= f.loss {
-				f.mail = append(f.mail, mail{f.now + time.Duration(f.rnd.ExpFloat64()*float64(20*ms)), from, i, l.Msg})
+				f.mail = append(f.mail, mail{f.now + time.Duration(f.rnd.ExpFloat64()*float64(20*ms)), from, i, l.Message})
 			}
 		}
 	}
@@ -261,25 +261,25 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	g.Open(0, "b", Terms{30, 30}, 0)
-	g.Live([]string{"a"}, 3)
-	g.Beat(time.Second)
-	if g.May(2*time.Second, "b") {
+	g.OpenBudget(0, "b", BudgetLimits{30, 30}, 0)
+	g.SetPeers([]string{"a"}, 3)
+	g.Tick(time.Second)
+	if g.CanSpend(2*time.Second, "b") {
 		t.Error("a guest spends without a loan")
 	}
-	g.Beat(2 * time.Second)
-	out := g.Outbox()
-	if len(out) == 0 || out[0].Msg.Kind != KindAsk {
+	g.Tick(2 * time.Second)
+	out := g.OutgoingMessages()
+	if len(out) == 0 || out[0].Message.Kind != KindLeaseRequest {
 		t.Fatalf("a guest that was denied says %+v", out)
 	}
-	g.Take(2*time.Second, Message{Kind: KindGrant, From: "a", Process: 9, Key: "b", Round: out[0].Msg.Round, Value: 1, Shares: 32})
-	if !g.May(3*time.Second, "b") {
+	g.ReceiveMessage(2*time.Second, Message{Kind: KindLeaseGrant, From: "a", Process: 9, Key: "b", Sequence: out[0].Message.Sequence, Value: 1, Shares: 32})
+	if !g.CanSpend(3*time.Second, "b") {
 		t.Error("a guest can't spend what it was lent")
 	}
-	if g.Retire(true); g.May(3*time.Second, "b") {
+	if g.SetReplaced(true); g.CanSpend(3*time.Second, "b") {
 		t.Error("a process that is followed spends")
 	}
-	if g.Retire(false); g.May(5*time.Second, "b") {
+	if g.SetReplaced(false); g.CanSpend(5*time.Second, "b") {
 		t.Error("a loan outlasts its time")
 	}
 }
@@ -290,11 +290,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.Beat(time.Second)
-	s.Open(time.Second, "b", Terms{Rate: 100, Burst: 4}, 0)
+	s.Tick(time.Second)
+	s.OpenBudget(time.Second, "b", BudgetLimits{Rate: 100, Burst: 4}, 0)
 	spend := func(from time.Duration) (n int) {
 		for now := from; now < from+10*time.Second; now += 10 * ms {
-			if s.May(now, "b") {
+			if s.CanSpend(now, "b") {
 				s.Spend(now, "b")
 				n++
 			}
@@ -304,8 +304,8 @@
 	if n := spend(10 * time.Second); n < 495 || n > 502 {
 		t.Errorf("half of 100 a second: %d in 10 s", n)
 	}
-	s.Live(nil, 4)
-	s.Live(nil, 1)
+	s.SetPeers(nil, 4)
+	s.SetPeers(nil, 1)
 	if n := spend(30 * time.Second); n < 245 || n > 252 {
 		t.Errorf("a quarter of 100 a second, as one of four: %d in 10 s", n)
 	}
@@ -317,16 +317,16 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.Beat(time.Second)
-	s.Open(time.Second, "b", Terms{Rate: 2, Burst: 1000}, 0)
-	if s.May(time.Second, "b") {
+	s.Tick(time.Second)
+	s.OpenBudget(time.Second, "b", BudgetLimits{Rate: 2, Burst: 1000}, 0)
+	if s.CanSpend(time.Second, "b") {
 		t.Error("a budget that was just opened can be spent")
 	}
-	s.Beat(4 * time.Second)
+	s.Tick(4 * time.Second)
 	s.fill(s.budgets["b"], 4*time.Second)
-	s.Take(4*time.Second, Message{Kind: KindAsk, From: "z", Process: 1, Key: "b", Round: 1, Shares: 32})
+	s.ReceiveMessage(4*time.Second, Message{Kind: KindLeaseRequest, From: "z", Process: 1, Key: "b", Sequence: 1, Shares: 32})
 	had := s.budgets["b"].tokens
-	s.May(24*time.Second, "b") // the loan ended soon after 6 s; the process was stopped until now
+	s.CanSpend(24*time.Second, "b") // the loan ended soon after 6 s; the process was stopped until now
 	if got, want := s.budgets["b"].tokens-had, 20*0.5; got > want {
 		t.Errorf("half of the part, while the other half was lent, earned %.1f in 20 s, over %.1f", got, want)
 	}
@@ -341,17 +341,17 @@
 		t.Fatal(err)
 	}
 	ill := func(from string, number uint64) Message {
-		return Message{Kind: KindEvidence, From: from, Process: 1, Key: "c", Round: number, Ill: true, Left: time.Second}
+		return Message{Kind: KindHealthEvidence, From: from, Process: 1, Key: "c", Sequence: number, Unhealthy: true, ValidFor: time.Second}
 	}
 	first := ill("b", 1)
-	s.Take(0, first)
-	s.Take(0, Message{Kind: KindEvidence, From: "b", Process: 1, Key: "c", Round: 2})
-	s.Take(0, first)
-	s.Take(0, ill("z", 1))
-	if s.Sick(0, "c") {
+	s.ReceiveMessage(0, first)
+	s.ReceiveMessage(0, Message{Kind: KindHealthEvidence, From: "b", Process: 1, Key: "c", Sequence: 2})
+	s.ReceiveMessage(0, first)
+	s.ReceiveMessage(0, ill("z", 1))
+	if s.Ejected(0, "c") {
 		t.Error("a verdict on the evidence of one and what another has taken back")
 	}
-	if s.Take(0, ill("b", 3)); !s.Sick(0, "c") {
+	if s.ReceiveMessage(0, ill("b", 3)); !s.Ejected(0, "c") {
 		t.Error("no verdict on the evidence of two")
 	}
 }
@@ -363,10 +363,10 @@
 		f.loss = 0.3
 		for f.now < 5*time.Second {
 			r := f.routers[f.rnd.IntN(4)]
-			r.state.Count("hits", 1)
+			r.state.IncrementCounter("hits", 1)
 			if want++; f.rnd.IntN(200) == 0 {
-				for _, m := range r.state.Whole(0) { // what a peer learns in full as the process ends
-					f.routers[(r.i+1)%4].state.Take(0, m)
+				for _, m := range r.state.FullState(0) { // what a peer learns in full as the process ends
+					f.routers[(r.i+1)%4].state.ReceiveMessage(0, m)
 				}
 				f.start(r)
 			}
@@ -375,14 +375,14 @@
 		for range 2 {
 			for _, a := range f.routers {
 				for _, b := range f.routers {
-					for _, m := range a.state.Whole(0) {
-						b.state.Take(0, m)
+					for _, m := range a.state.FullState(0) {
+						b.state.ReceiveMessage(0, m)
 					}
 				}
 			}
 		}
 		for _, r := range f.routers {
-			if got, first := r.state.Total("hits"), f.routers[0].state.Total("hits"); got != first || f.made < 4+processesKept && got != want {
+			if got, first := r.state.CounterTotal("hits"), f.routers[0].state.CounterTotal("hits"); got != first || f.made < 4+processesKept && got != want {
 				t.Fatalf("seed %d: %s has %d, r0 %d, counted were %d", seed, name(r.i), got, first, want)
 			}
 		}
@@ -395,10 +395,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.Count("hits", 2)
-	s.Take(0, Message{Kind: KindCount, From: "a", Process: 5, Key: "hits", Value: 100})
-	s.Take(0, Message{Kind: KindCount, From: "a", Process: 4, Key: "hits", Value: 30})
-	if n := s.Total("hits"); n != 32 {
+	s.IncrementCounter("hits", 2)
+	s.ReceiveMessage(0, Message{Kind: KindCounterUpdate, From: "a", Process: 5, Key: "hits", Value: 100})
+	s.ReceiveMessage(0, Message{Kind: KindCounterUpdate, From: "a", Process: 4, Key: "hits", Value: 30})
+	if n := s.CounterTotal("hits"); n != 32 {
 		t.Errorf("counted 32, told %d", n)
 	}
 }
@@ -407,10 +407,10 @@
 func (f *fleet) verdicts() (sick, shun int) {
 	for _, r := range f.routers {
 		now := r.clock(f.now)
-		if r.state.Sick(now, "c") {
+		if r.state.Ejected(now, "c") {
 			sick++
 		}
-		if r.state.Shun(now, "c") {
+		if r.state.ProbedByPeer(now, "c") {
 			shun++
 		}
 	}
@@ -424,7 +424,7 @@
 	f.run(time.Second)
 	see := func(i, fails int, well time.Duration) {
 		r := f.routers[i]
-		r.state.Observe(r.clock(f.now), "c", fails, well)
+		r.state.ObserveHealth(r.clock(f.now), "c", fails, well)
 	}
 	see(0, 2, 0)
 	see(1, 3, 0)
@@ -476,7 +476,7 @@
 			if f.rnd.IntN(20) == 0 && f.now < 5*time.Second {
 				r := f.routers[f.rnd.IntN(5)]
 				latest = f.now
-				r.state.Observe(r.clock(f.now), "c", 3+int(f.now/ms), 0)
+				r.state.ObserveHealth(r.clock(f.now), "c", 3+int(f.now/ms), 0)
 			}
 			// The latest message comes 6 s late at most, and then waits for the end of a stop of 5 s.
 			if sick, _ := f.verdicts(); sick > 0 && f.now > latest+3*time.Second*102/98+11*time.Second+300*ms {
@@ -488,7 +488,7 @@
 
 // Messages come back as they were, and nothing that is not one is taken.
 func FuzzMessage(f *testing.F) {
-	f.Add(Message{Kind: KindEvidence, From: "a", Process: 1 << 60, Key: "s-1", Round: 7, Ill: true, Left: time.Second}.Append(nil))
+	f.Add(Message{Kind: KindHealthEvidence, From: "a", Process: 1 << 60, Key: "s-1", Sequence: 7, Unhealthy: true, ValidFor: time.Second}.Append(nil))
 	f.Add([]byte{1, 0, 200, 200})
 	f.Fuzz(func(t *testing.T, b []byte) {
 		m, rest, err := ParseMessage(b)
@@ -499,7 +499,7 @@
 			t.Errorf("%+v came back as %+v, %v", m, again, err)
 		}
 		s, _ := New(Defaults("self", 5, 3))
-		s.Open(0, m.Key, Terms{10, 10}, 0)
-		s.Take(time.Second, m)
+		s.OpenBudget(0, m.Key, BudgetLimits{10, 10}, 0)
+		s.ReceiveMessage(time.Second, m)
 	})
 }
--- a/internal/cluster/state/state.go
+++ b/internal/cluster/state/state.go
@@ -19,21 +19,21 @@
 
 // Settings set up one router's part of what is shared.
 type Settings struct {
-	Self    string        // the router's name
-	Process uint64        // of the router; a later process of the name has a higher one
-	Size    int           // routers that have a part of each budget of their own, as the operator configured
-	Guest   bool          // this one has none, and lives on what it borrows
-	Lease   time.Duration // how long a share is lent
-	Beat    time.Duration // between two looks at what is wanted and known
-	Drift   float64       // how much quicker or slower than true a clock may run, as a share
-	Verdict time.Duration // how long a verdict outlives the last evidence
-	Quorum  int           // routers whose evidence makes one; 0: more than half of those alive, two at least
+	Self             string        // the router's name
+	Process          uint64        // of the router; a later process of the name has a higher one
+	ClusterSize      int           // routers that have a part of each budget of their own, as the operator configured
+	Guest            bool          // this one has none, and lives on what it borrows
+	LeaseDuration    time.Duration // how long a share is lent
+	TickInterval     time.Duration // between two looks at what is wanted and known
+	ClockDrift       float64       // how much quicker or slower than true a clock may run, as a share
+	EjectionDuration time.Duration // how long a verdict outlives the last evidence
+	Quorum           int           // routers whose evidence makes one; 0: more than half of those alive, two at least
 }
 
 // Defaults returns settings for a fleet of so many routers.
 func Defaults(self string, process uint64, size int) Settings {
-	return Settings{Self: self, Process: process, Size: size, Lease: 2 * time.Second, Beat: 200 * time.Millisecond, Drift: 0.02,
-		Verdict: 3 * time.Second}
+	return Settings{Self: self, Process: process, ClusterSize: size, LeaseDuration: 2 * time.Second, TickInterval: 200 * time.Millisecond, ClockDrift: 0.02,
+		EjectionDuration: 3 * time.Second}
 }
 
 // Check names the first setting that can't be used.
@@ -41,15 +41,15 @@
 	switch {
 	case !validName(s.Self):
 		return fmt.Errorf("setting Self is %q, not a name of up to %d bytes", s.Self, nameMost)
-	case s.Size < 1 || s.Size > SizeMost:
-		return fmt.Errorf("setting Size is %d, not 1 to %d", s.Size, SizeMost)
-	case s.Beat < 10*time.Millisecond || s.Lease < 4*s.Beat || s.Lease > time.Minute:
-		return fmt.Errorf("setting Beat %v, Lease %v: four beats at least must fit in a lease, and that in a minute", s.Beat, s.Lease)
-	case s.Verdict < 2*s.Beat || s.Verdict > time.Minute:
-		return fmt.Errorf("setting Verdict is %v, not two beats to a minute", s.Verdict)
-	case !(s.Drift >= 0 && s.Drift <= 0.2):
-		return fmt.Errorf("setting Drift is %v, not 0 to 0.2", s.Drift)
-	case s.Quorum != 0 && (s.Quorum < 2 || s.Quorum > s.Size):
+	case s.ClusterSize < 1 || s.ClusterSize > MaxClusterSize:
+		return fmt.Errorf("setting Size is %d, not 1 to %d", s.ClusterSize, MaxClusterSize)
+	case s.TickInterval < 10*time.Millisecond || s.LeaseDuration < 4*s.TickInterval || s.LeaseDuration > time.Minute:
+		return fmt.Errorf("setting Beat %v, Lease %v: four beats at least must fit in a lease, and that in a minute", s.TickInterval, s.LeaseDuration)
+	case s.EjectionDuration < 2*s.TickInterval || s.EjectionDuration > time.Minute:
+		return fmt.Errorf("setting Verdict is %v, not two beats to a minute", s.EjectionDuration)
+	case !(s.ClockDrift >= 0 && s.ClockDrift <= 0.2):
+		return fmt.Errorf("setting Drift is %v, not 0 to 0.2", s.ClockDrift)
+	case s.Quorum != 0 && (s.Quorum < 2 || s.Quorum > s.ClusterSize):
 		return fmt.Errorf("setting Quorum is %d, neither 0 nor 2 to the size", s.Quorum)
 	}
 	return nil
@@ -57,11 +57,11 @@
 
 // outlasts is a time on the own clock after which the same time has surely passed on any other that is allowed.
 func (s Settings) outlasts(d time.Duration) time.Duration {
-	return time.Duration(math.Ceil(float64(d) * (1 + s.Drift) / (1 - s.Drift)))
+	return time.Duration(math.Ceil(float64(d) * (1 + s.ClockDrift) / (1 - s.ClockDrift)))
 }
 
-// SizeMost is the largest fleet.
-const SizeMost = 1000
+// MaxClusterSize is the largest fleet.
+const MaxClusterSize = 1000
 
 // The bounds of what is held, whatever others say.
 const (
@@ -74,11 +74,11 @@
 
 func validName(s string) bool { return s != "" && len(s) <= nameMost }
 
-// Letter is a message to be sent: to one router, or to all where To is empty. For all, a later one with the same Key
+// OutgoingMessage is a message to be sent: to one router, or to all where To is empty. For all, a later one with the same Key
 // takes the place of an earlier one.
-type Letter struct {
-	To, Key string
-	Msg     Message
+type OutgoingMessage struct {
+	To, ReplaceKey string
+	Message        Message
 }
 
 // State is one router's part. It is not safe for concurrent use.
@@ -93,7 +93,7 @@
 	budgets map[string]*budget
 	counts  map[string]*count
 	judged  map[string]*judgement
-	out     []Letter
+	out     []OutgoingMessage
 }
 
 // New returns the part of a router that has just started. Until it has beaten once it spends nothing.
@@ -101,11 +101,11 @@
 	if err := set.Check(); err != nil {
 		return nil, fmt.Errorf("fleet: %w", err)
 	}
-	return &State{set: set, crowd: set.Size, next: -1, budgets: map[string]*budget{}, counts: map[string]*count{}, judged: map[string]*judgement{}}, nil
+	return &State{set: set, crowd: set.ClusterSize, next: -1, budgets: map[string]*budget{}, counts: map[string]*count{}, judged: map[string]*judgement{}}, nil
 }
 
-// Outbox returns what is to be sent, and forgets it.
-func (s *State) Outbox() []Letter {
+// OutgoingMessages returns what is to be sent, and forgets it.
+func (s *State) OutgoingMessages() []OutgoingMessage {
 	out := s.out
 	s.out = nil
 	return out
@@ -113,12 +113,12 @@
 
 func (s *State) say(to, key string, m Message) {
 	m.From, m.Process = s.set.Self, s.set.Process
-	s.out = append(s.out, Letter{To: to, Key: key, Msg: m})
+	s.out = append(s.out, OutgoingMessage{To: to, ReplaceKey: key, Message: m})
 }
 
-// Beat looks at what is wanted and what has run out. It is due every Settings.Beat; one that comes late, as after a
+// Tick looks at what is wanted and what has run out. It is due every Settings.Tick; one that comes late, as after a
 // stop of the process, does no harm.
-func (s *State) Beat(now time.Duration) {
+func (s *State) Tick(now time.Duration) {
 	if s.born == 0 {
 		s.born = max(now, 1)
 	}
@@ -127,35 +127,35 @@
 	s.beatVerdicts(now)
 }
 
-// Live tells who else is alive: their names in order, without the own one, and how many routers with a part of their
+// SetPeers tells who else is alive: their names in order, without the own one, and how many routers with a part of their
 // own there are, this one counted: as many as are seen, or as any of them was told. Where that is more than the operator
 // configured here, each part shrinks, for good: parts that add up to more than the whole would break every bound.
-func (s *State) Live(others []string, owners int) {
+func (s *State) SetPeers(others []string, owners int) {
 	s.live = others
 	s.crowd = max(s.crowd, owners)
 }
 
-// Retire tells whether a successor of this process spends in its place. What has been lent stays lent.
-func (s *State) Retire(yes bool) { s.retired = yes }
+// SetReplaced tells whether a successor of this process spends in its place. What has been lent stays lent.
+func (s *State) SetReplaced(yes bool) { s.retired = yes }
 
-// Take takes a message of another router, or of an earlier process of this one. What makes no sense is passed over.
-func (s *State) Take(now time.Duration, m Message) {
+// ReceiveMessage takes a message of another router, or of an earlier process of this one. What makes no sense is passed over.
+func (s *State) ReceiveMessage(now time.Duration, m Message) {
 	if !validName(m.From) || !validName(m.Key) {
 		return
 	}
 	switch m.Kind {
-	case KindAsk:
+	case KindLeaseRequest:
 		s.asked(now, m)
-	case KindGrant:
+	case KindLeaseGrant:
 		s.granted(now, m)
-	case KindCount:
+	case KindCounterUpdate:
 		s.heardCount(m)
-	case KindEvidence:
+	case KindHealthEvidence:
 		s.heardEvidence(now, m)
 	}
 }
 
-// Whole is all that a router which has heard nothing should know: counts and evidence, never leases.
-func (s *State) Whole(now time.Duration) []Message {
+// FullState is all that a router which has heard nothing should know: counts and evidence, never leases.
+func (s *State) FullState(now time.Duration) []Message {
 	return append(s.wholeCounts(), s.wholeEvidence(now)...)
 }
--- a/internal/cluster/state/verdict.go
+++ b/internal/cluster/state/verdict.go
@@ -27,9 +27,9 @@
 	until           time.Duration // it counts before
 }
 
-// Observe tells what this router itself has seen of a page cache: how many failures in a row, and when the latest sign
+// ObserveHealth tells what this router itself has seen of a page cache: how many failures in a row, and when the latest sign
 // of life came. Only what is new is evidence.
-func (s *State) Observe(now time.Duration, node string, fails int, well time.Duration) {
+func (s *State) ObserveHealth(now time.Duration, node string, fails int, well time.Duration) {
 	j := s.judged[node]
 	if j == nil {
 		if fails < illAfter || len(s.judged) >= judgedMost || !validName(node) {
@@ -51,8 +51,8 @@
 
 func (s *State) evidence(now time.Duration, node string, j *judgement, ill bool) {
 	s.round++
-	s.say("", "evidence "+node, Message{Kind: KindEvidence, Key: node, Round: s.round, Ill: ill, Left: s.set.Verdict})
-	s.weigh(now, j, s.set.Self, vote{s.set.Process, s.round, now + s.set.Verdict}, ill)
+	s.say("", "evidence "+node, Message{Kind: KindHealthEvidence, Key: node, Sequence: s.round, Unhealthy: ill, ValidFor: s.set.EjectionDuration})
+	s.weigh(now, j, s.set.Self, vote{s.set.Process, s.round, now + s.set.EjectionDuration}, ill)
 }
 
 // weigh takes evidence. Enough of it makes a verdict. While that holds, any new evidence prolongs it: those who keep away
@@ -104,33 +104,33 @@
 	switch {
 	case m.From == s.set.Self && m.Process >= s.set.Process: // our own, by way of others
 		return
-	case known && (m.Process < old.process || m.Process == old.process && m.Round <= old.number):
+	case known && (m.Process < old.process || m.Process == old.process && m.Sequence <= old.number):
 		return
-	case !known && len(j.votes) >= s.set.Size+namesMost:
+	case !known && len(j.votes) >= s.set.ClusterSize+namesMost:
 		return
 	}
-	s.weigh(now, j, m.From, vote{m.Process, m.Round, now + min(m.Left, s.set.Verdict)}, m.Ill)
+	s.weigh(now, j, m.From, vote{m.Process, m.Sequence, now + min(m.ValidFor, s.set.EjectionDuration)}, m.Unhealthy)
 }
 
-// Sick tells whether the routers agree that a page cache is sick.
-func (s *State) Sick(now time.Duration, node string) bool {
+// Ejected tells whether the routers agree that a page cache is sick.
+func (s *State) Ejected(now time.Duration, node string) bool {
 	j := s.judged[node]
 	return j != nil && now < j.until
 }
 
-// Shun tells whether this router should keep away from a page cache: all agree that it is sick, and another one tries it
+// ProbedByPeer tells whether this router should keep away from a page cache: all agree that it is sick, and another one tries it
 // for all. Who that is follows from the names of those alive, the same for all who see the same.
-func (s *State) Shun(now time.Duration, node string) bool {
-	if !s.Sick(now, node) {
+func (s *State) ProbedByPeer(now time.Duration, node string) bool {
+	if !s.Ejected(now, node) {
 		return false
 	}
 	return len(s.live) > 0 && placement.First("try "+node, append([]string{s.set.Self}, s.live...)) != s.set.Self
 }
 
-// Verdicts are the page caches that are held to be sick now, in order, and how many verdicts there were in all.
-func (s *State) Verdicts(now time.Duration) (sick []string, made uint64) {
+// Ejections are the page caches that are held to be sick now, in order, and how many verdicts there were in all.
+func (s *State) Ejections(now time.Duration) (sick []string, made uint64) {
 	for _, node := range slices.Sorted(maps.Keys(s.judged)) {
-		if made += s.judged[node].verdict; s.Sick(now, node) {
+		if made += s.judged[node].verdict; s.Ejected(now, node) {
 			sick = append(sick, node)
 		}
 	}
@@ -141,7 +141,7 @@
 // Verdict at most, by whatever way it comes.
 func (s *State) beatVerdicts(now time.Duration) {
 	maps.DeleteFunc(s.judged, func(_ string, j *judgement) bool {
-		return now >= j.until && now > j.tried+4*s.set.Verdict && j.fails < illAfter
+		return now >= j.until && now > j.tried+4*s.set.EjectionDuration && j.fails < illAfter
 	})
 }
 
@@ -149,7 +149,7 @@
 	for node, j := range s.judged {
 		for who, v := range j.votes {
 			if now < v.until {
-				all = append(all, Message{Kind: KindEvidence, From: who, Process: v.process, Key: node, Round: v.number, Ill: true, Left: v.until - now})
+				all = append(all, Message{Kind: KindHealthEvidence, From: who, Process: v.process, Key: node, Sequence: v.number, Unhealthy: true, ValidFor: v.until - now})
 			}
 		}
 	}
--- a/internal/config/cluster.go
+++ b/internal/config/cluster.go
@@ -13,14 +13,14 @@
 // Cluster configures what the router shares with other routers. In the files it is the block fleet.
 type Cluster struct {
 	Enabled    bool
-	Listen     netip.AddrPort // for gossip, over UDP and TCP
-	Advertise  netip.AddrPort // where other routers reach it
-	Peers      []string       // addresses of some other routers, to join by
-	KeyFile    string         // keys of the encrypted gossip
-	State      state.Settings // its incarnation is set at the start of the process
-	WarmUp     state.Terms    // the budget of endpoints in slow start; a rate of 0: not shared
-	Retries    state.Terms    // the budget of retries; a rate of 0: not shared
-	Location   string         // such as a rack: replicas are kept elsewhere
+	Listen     netip.AddrPort     // for gossip, over UDP and TCP
+	Advertise  netip.AddrPort     // where other routers reach it
+	Peers      []string           // addresses of some other routers, to join by
+	KeyFile    string             // keys of the encrypted gossip
+	State      state.Settings     // its incarnation is set at the start of the process
+	WarmUp     state.BudgetLimits // the budget of endpoints in slow start; a rate of 0: not shared
+	Retries    state.BudgetLimits // the budget of retries; a rate of 0: not shared
+	Location   string             // such as a rack: replicas are kept elsewhere
 	Failover   Failover
 	LedgerFile string // of prepaid credit; it must survive a kill
 	Credit     Credit
@@ -41,11 +41,11 @@
 	b.Require("listen", "key_file", "size")
 	c := Cluster{Enabled: true, State: state.Defaults(name, 0, b.Count("size", 1, 1))}
 	c.State.Guest = b.Bool("guest")
-	c.State.Lease = b.Duration("lease_ms", ms, c.State.Lease)
-	c.State.Verdict = b.Duration("verdict_ms", ms, c.State.Verdict)
+	c.State.LeaseDuration = b.Duration("lease_ms", ms, c.State.LeaseDuration)
+	c.State.EjectionDuration = b.Duration("verdict_ms", ms, c.State.EjectionDuration)
 	c.State.Quorum = b.Count("quorum", 0, 0)
-	c.WarmUp = readBudget(b, "cold", c.State.Size)
-	c.Retries = readBudget(b, "retries", c.State.Size)
+	c.WarmUp = readBudget(b, "cold", c.State.ClusterSize)
+	c.Retries = readBudget(b, "retries", c.State.ClusterSize)
 	c.readAddresses(b)
 	if c.Location = b.String("place", ""); len(c.Location) > maxLocationBytes {
 		b.Fail("place", "is over 64 bytes")
@@ -92,9 +92,9 @@
 	defaults := state.Defaults(name, 0, 1)
 	key := "size"
 	switch {
-	case b.Has("lease_ms") && c.State.Lease != defaults.Lease:
+	case b.Has("lease_ms") && c.State.LeaseDuration != defaults.LeaseDuration:
 		key = "lease_ms"
-	case b.Has("verdict_ms") && c.State.Verdict != defaults.Verdict:
+	case b.Has("verdict_ms") && c.State.EjectionDuration != defaults.EjectionDuration:
 		key = "verdict_ms"
 	case c.State.Quorum != 0:
 		key = "quorum"
@@ -106,14 +106,14 @@
 
 // readBudget reads what all routers together may spend. The least burst is two for each router, so that half of a
 // router's share still allows one.
-func readBudget(b jsonfields.Object, name string, size int) state.Terms {
+func readBudget(b jsonfields.Object, name string, size int) state.BudgetLimits {
 	if !b.Has(name) {
-		return state.Terms{}
+		return state.BudgetLimits{}
 	}
 	o := b.Object(name)
 	o.Require("rate")
 	leastBurst := 2 * float64(size)
-	t := state.Terms{Rate: o.Number("rate", 0)}
+	t := state.BudgetLimits{Rate: o.Number("rate", 0)}
 	if t.Burst = o.Number("burst", max(t.Rate/4, leastBurst)); t.Burst < leastBurst || t.Burst > maxBudget {
 		o.Fail("burst", fmt.Sprintf("is not from 2 for each of %d routers to a million", size))
 	}
--- a/internal/config/cluster_test.go
+++ b/internal/config/cluster_test.go
@@ -27,7 +27,7 @@
 		t.Errorf("nothing set up: %+v, %v", f, err)
 	}
 	f, err := parse("fleet {\n" + good + "cold {\n rate = 40\n}\n}\n")
-	if err != nil || !f.Enabled || f.State.Size != 7 || f.State.Lease != 2*time.Second || f.WarmUp.Rate != 40 || f.WarmUp.Burst != 14 || f.Retries.Rate != 0 ||
+	if err != nil || !f.Enabled || f.State.ClusterSize != 7 || f.State.LeaseDuration != 2*time.Second || f.WarmUp.Rate != 40 || f.WarmUp.Burst != 14 || f.Retries.Rate != 0 ||
 		f.Advertise != f.Listen {
 		t.Errorf("%+v, %v", f, err)
 	}
--- a/internal/config/failover.go
+++ b/internal/config/failover.go
@@ -47,7 +47,7 @@
 	if c.State.Guest {
 		cluster.Fail("takeover", "does not go with guest: every router that takes orders must be one of size")
 	}
-	if c.State.Size < 2 {
+	if c.State.ClusterSize < 2 {
 		cluster.Fail("size", "is 1: with takeover another router has to keep the orders")
 	}
 	return f
--- a/internal/core/cluster.go
+++ b/internal/core/cluster.go
@@ -10,14 +10,14 @@
 // ClusterSettings sets up the state that the routers of a cluster share.
 type ClusterSettings struct {
 	State   state.Settings
-	WarmUp  state.Terms // the budget of each endpoint that is warming up; a rate of 0: not shared
-	Retries state.Terms // the budget of attempts that follow one that may have run; a rate of 0: not shared
+	WarmUp  state.BudgetLimits // the budget of each endpoint that is warming up; a rate of 0: not shared
+	Retries state.BudgetLimits // the budget of attempts that follow one that may have run; a rate of 0: not shared
 }
 
 // Peers sends to the other routers of the cluster. No method may block.
 type Peers interface {
 	// Send sends messages, or drops them where too many wait.
-	Send(letters []state.Letter)
+	Send(letters []state.OutgoingMessage)
 	// PublishFullState sets what a router is sent that knows nothing of this one yet.
 	PublishFullState(all []state.Message)
 	// DroppedMessages returns how many messages were dropped.
@@ -61,7 +61,7 @@
 func (c *Core) JoinCluster(s *ClusterState, peers Peers) {
 	c.extensions.cluster, s.core, s.peers = s, c, peers
 	if s.settings.Retries.Rate > 0 {
-		s.state.Open(c.iteration.now, retryBudget, s.settings.Retries, 0)
+		s.state.OpenBudget(c.iteration.now, retryBudget, s.settings.Retries, 0)
 	}
 	for _, e := range c.endpoints.byID {
 		s.updateWarmUp(e)
@@ -76,7 +76,7 @@
 		return
 	}
 	for _, m := range msgs {
-		s.state.Take(c.iteration.now, m)
+		s.state.ReceiveMessage(c.iteration.now, m)
 	}
 	s.flush()
 }
@@ -84,21 +84,21 @@
 // heartbeat tells the other routers what this one has seen. It calls itself at the interval of the settings.
 func (s *ClusterState) heartbeat() {
 	now := s.core.iteration.now
-	s.core.Schedule(now+s.settings.State.Beat, s.heartbeat)
-	s.state.Live(s.peers.Alive())
+	s.core.Schedule(now+s.settings.State.TickInterval, s.heartbeat)
+	s.state.SetPeers(s.peers.Alive())
 	s.core.module.VisitHealth(func(id balancer.EndpointID, failures int, healthyFor time.Duration) {
 		if e := s.endpoint(id); e != nil {
-			s.state.Observe(now, e.ID, failures, healthyFor)
+			s.state.ObserveHealth(now, e.ID, failures, healthyFor)
 		}
 	})
-	s.state.Beat(now)
-	s.peers.PublishFullState(s.state.Whole(now))
+	s.state.Tick(now)
+	s.peers.PublishFullState(s.state.FullState(now))
 	s.metrics = s.collectMetrics()
 	s.flush()
 }
 
 func (s *ClusterState) flush() {
-	if out := s.state.Outbox(); len(out) > 0 {
+	if out := s.state.OutgoingMessages(); len(out) > 0 {
 		s.peers.Send(out)
 	}
 }
@@ -110,9 +110,9 @@
 	switch {
 	case s.settings.WarmUp.Rate <= 0:
 	case e.State == balancer.Removed:
-		s.state.Close(warmUpBudgetPrefix + e.ID)
+		s.state.CloseBudget(warmUpBudgetPrefix + e.ID)
 	case e.startedAt > 0 && now < warmAt:
-		s.state.Open(now, warmUpBudgetPrefix+e.ID, s.settings.WarmUp, warmAt)
+		s.state.OpenBudget(now, warmUpBudgetPrefix+e.ID, s.settings.WarmUp, warmAt)
 	}
 }
 
@@ -123,27 +123,27 @@
 	}
 	switch {
 	case result.Status == balancer.OK && (result.Detail == balancer.Hit || result.Detail == balancer.Stale):
-		s.state.Count(hitsPrefix+a.Endpoint.ID, 1)
+		s.state.IncrementCounter(hitsPrefix+a.Endpoint.ID, 1)
 	case result.Status == balancer.OK, result.Status == balancer.Miss:
-		s.state.Count(missesPrefix+a.Endpoint.ID, 1)
+		s.state.IncrementCounter(missesPrefix+a.Endpoint.ID, 1)
 	case !result.Status.NeverRan() && result.Status != balancer.Cancelled:
-		s.state.Count(errorsPrefix+a.Endpoint.ID, 1)
+		s.state.IncrementCounter(errorsPrefix+a.Endpoint.ID, 1)
 	}
 }
 
 // AdmitWarmingUp implements balancer.Coordinator.
 func (s *ClusterState) AdmitWarmingUp(now time.Duration, id balancer.EndpointID) bool {
 	e := s.endpoint(id)
-	return e == nil || s.state.May(now, warmUpBudgetPrefix+e.ID)
+	return e == nil || s.state.CanSpend(now, warmUpBudgetPrefix+e.ID)
 }
 
 // AdmitRetry implements balancer.Coordinator.
-func (s *ClusterState) AdmitRetry(now time.Duration) bool { return s.state.May(now, retryBudget) }
+func (s *ClusterState) AdmitRetry(now time.Duration) bool { return s.state.CanSpend(now, retryBudget) }
 
 // ProbedByPeer implements balancer.Coordinator.
 func (s *ClusterState) ProbedByPeer(now time.Duration, id balancer.EndpointID) bool {
 	e := s.endpoint(id)
-	return e != nil && s.state.Shun(now, e.ID)
+	return e != nil && s.state.ProbedByPeer(now, e.ID)
 }
 
 // AttemptSent implements balancer.Coordinator.
--- a/internal/core/clustermetrics.go
+++ b/internal/core/clustermetrics.go
@@ -9,7 +9,7 @@
 	Ejected         []string // endpoints that every router avoids but the one that probes them
 	Ejections       uint64   // ejections so far
 	Counters        []ClusterCounter
-	Budgets         []state.Holding
+	Budgets         []state.BudgetStatus
 }
 
 // ClusterCounter is a counter over all routers.
@@ -24,11 +24,11 @@
 	m := &ClusterMetrics{
 		Peers:           len(others),
 		DroppedMessages: s.peers.DroppedMessages(),
-		Budgets:         s.state.Holdings(now),
+		Budgets:         s.state.BudgetStatuses(now),
 	}
-	m.Ejected, m.Ejections = s.state.Verdicts(now)
-	for _, key := range s.state.Counts() {
-		m.Counters = append(m.Counters, ClusterCounter{key, s.state.Total(key)})
+	m.Ejected, m.Ejections = s.state.Ejections(now)
+	for _, key := range s.state.CounterKeys() {
+		m.Counters = append(m.Counters, ClusterCounter{key, s.state.CounterTotal(key)})
 	}
 	return m
 }
--- a/internal/core/golden_test.go
+++ b/internal/core/golden_test.go
@@ -19,16 +19,16 @@
 // hash of EndpointIDOf. A key that is worded otherwise splits one budget or count in two.
 
 // recordingPeers are a cluster of two routers, and record what is sent.
-type recordingPeers struct{ said []state.Letter }
+type recordingPeers struct{ said []state.OutgoingMessage }
 
-func (p *recordingPeers) Send(l []state.Letter)            { p.said = append(p.said, l...) }
+func (p *recordingPeers) Send(l []state.OutgoingMessage)   { p.said = append(p.said, l...) }
 func (p *recordingPeers) PublishFullState([]state.Message) {}
 func (p *recordingPeers) DroppedMessages() uint64          { return 0 }
 func (p *recordingPeers) Alive() ([]string, int)           { return []string{"r2"}, 2 }
 func (p *recordingPeers) keys(kind state.Kind) (text string) {
 	for _, l := range p.said {
-		if l.Msg.Kind == kind {
-			text += fmt.Sprintf("%q %q\n", l.Key, l.Msg.Key)
+		if l.Message.Kind == kind {
+			text += fmt.Sprintf("%q %q\n", l.ReplaceKey, l.Message.Key)
 		}
 	}
 	return text
@@ -36,7 +36,7 @@
 
 func TestGoldenKeys(t *testing.T) {
 	h := newHarness(t)
-	terms := state.Terms{Rate: 1, Burst: 256}
+	terms := state.BudgetLimits{Rate: 1, Burst: 256}
 	s, err := NewClusterState(ClusterSettings{State: state.Defaults("r1", 11, 2), WarmUp: terms, Retries: terms})
 	if err != nil {
 		t.Fatal(err)
@@ -44,7 +44,7 @@
 	p := &recordingPeers{}
 	h.core.JoinCluster(s, p)
 	cache := h.core.endpoints.byID[EndpointIDOf("a")]
-	s.state.Open(h.now, warmUpBudgetPrefix+cache.ID, terms, 0)
+	s.state.OpenBudget(h.now, warmUpBudgetPrefix+cache.ID, terms, 0)
 	for _, e := range []AttemptResult{{Status: balancer.OK, Detail: balancer.Hit}, {Status: balancer.Miss}, {Status: balancer.Error}} {
 		s.countResult(&Attempt{Endpoint: cache}, e)
 	}
@@ -57,20 +57,20 @@
 		for s.AdmitWarmingUp(h.now, cache.moduleID) {
 			s.AttemptSent(h.now, balancer.SendAttempt{Endpoint: cache.moduleID})
 		}
-		s.state.Live([]string{"r2"}, 2)
-		s.state.Beat(h.now)
+		s.state.SetPeers([]string{"r2"}, 2)
+		s.state.Tick(h.now)
 		s.flush()
 	}
 	asks := map[string]bool{}
 	for _, l := range p.said {
-		if l.Msg.Kind == state.KindAsk {
-			asks[l.Msg.Key] = true
+		if l.Message.Kind == state.KindLeaseRequest {
+			asks[l.Message.Key] = true
 		}
 	}
 	if len(asks) != 2 || !asks["retries"] || !asks["cold a"] {
 		t.Errorf("asked for shares of %v, want retries and cold a", asks)
 	}
-	golden.Same(t, "counts.txt", []byte(p.keys(state.KindCount)))
+	golden.Same(t, "counts.txt", []byte(p.keys(state.KindCounterUpdate)))
 }
 
 // All routers derive the same id of a member: the choices that have to agree, and the state that a successor is
--- a/internal/core/lifecycle.go
+++ b/internal/core/lifecycle.go
@@ -155,7 +155,7 @@
 func (c *Core) SetSuccessorReady(ready bool) {
 	c.lifecycle.successorReady = ready
 	if c.extensions.cluster != nil {
-		c.extensions.cluster.state.Retire(ready)
+		c.extensions.cluster.state.SetReplaced(ready)
 	}
 }
 
