--- a/cmd/hillknot/cluster.go
+++ b/cmd/hillknot/cluster.go
@@ -25,14 +25,14 @@
 	var received packetReceivers
 	members, err := membership.New(cfg.Name, cfg.Cluster,
 		func(msgs []state.Message) { c.Post(func() { c.ReceiveGossip(msgs) }) },
-		membership.Lanes{
+		membership.PacketHandlers{
 			Orders: func(packet []byte) { c.Post(func() { received.orderPacket(packet) }) },
 			Credit: func(packet []byte) { c.Post(func() { received.creditPacket(packet) }) },
 		})
 	if err != nil {
 		return nil, err
 	}
-	cluster := &clusterMember{Members: members}
+	cluster := &clusterMember{Agent: members}
 	if cfg.Cluster.Credit.Enabled {
 		if cluster.credit, err = openPrepaidCredit(cfg, c, members); err != nil {
 			return nil, err
@@ -78,13 +78,13 @@
 
 // clusterMember is what SIGHUP reloads of a router in a cluster.
 type clusterMember struct {
-	*membership.Members
+	*membership.Agent
 	credit *prepaidcredit.Extension // nil: requests are free
 }
 
 // Reload implements reloader: it reads the keys and the top-ups again.
 func (m *clusterMember) Reload() error {
-	err := m.ReadKeys()
+	err := m.ReloadKeys()
 	if m.credit != nil {
 		err = errors.Join(err, m.credit.ReloadTopUps())
 	}
--- a/internal/cluster/failover/coordinator.go
+++ b/internal/cluster/failover/coordinator.go
@@ -193,7 +193,7 @@
 			}
 		}
 		if len(names) > 0 {
-			return placement.First(replicaDuty+c.settings.Self, names)
+			return placement.Assign(replicaDuty+c.settings.Self, names)
 		}
 	}
 	return ""
--- a/internal/cluster/membership/golden_test.go
+++ b/internal/cluster/membership/golden_test.go
@@ -23,14 +23,14 @@
 // credit, and has golden files there. All around it, with the router's name and the encryption, is memberlist's own.
 
 // member returns a router that takes no part yet; what it hears is noted.
-func member(t *testing.T, cfg config.Cluster) (m *Members, heard *[]state.Message, packets map[string][]byte) {
+func member(t *testing.T, cfg config.Cluster) (m *Agent, heard *[]state.Message, packets map[string][]byte) {
 	t.Helper()
 	cfg.KeyFile = filepath.Join(t.TempDir(), "keys")
 	if err := os.WriteFile(cfg.KeyFile, []byte("000102030405060708090a0b0c0d0e0f\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	heard, packets = new([]state.Message), map[string][]byte{}
-	m, err := New("r1", cfg, func(msgs []state.Message) { *heard = append(*heard, msgs...) }, Lanes{
+	m, err := New("r1", cfg, func(msgs []state.Message) { *heard = append(*heard, msgs...) }, PacketHandlers{
 		Orders: func(b []byte) { packets["orders"] = b },
 		Credit: func(b []byte) { packets["credit"] = b }})
 	if err != nil {
@@ -68,7 +68,7 @@
 	m, heard, packets := member(t, config.Cluster{})
 	m.Send([]state.OutgoingMessage{{To: "r2", ReplaceKey: "count hits edge-7", Message: goldenMessages[0]}})
 	m.SendOrderPackets([]messaging.Packet{{To: "r2", Data: []byte("a packet of orders")}})
-	m.CarryCredit([]messaging.Packet{{To: "r2", Data: []byte("a packet of credit")}})
+	m.SendCreditPackets([]messaging.Packet{{To: "r2", Data: []byte("a packet of credit")}})
 	for _, name := range []string{"letter.hex", "orders.hex", "credit.hex"} {
 		golden.Same(t, name, (<-m.letter).text)
 		delegate{m}.NotifyMsg(golden.Read(t, name))
--- a/internal/cluster/membership/membership.go
+++ b/internal/cluster/membership/membership.go
@@ -45,13 +45,13 @@
 	wholeMost   = 1 << 20 // bytes of all that is known, as it is read from others
 )
 
-// Members is this router among the others.
-type Members struct {
+// Agent is this router among the others.
+type Agent struct {
 	name   string
 	guest  bool // it has no part of its own in what is shared
 	cfg    config.Cluster
 	heard  func([]state.Message)
-	lanes  Lanes
+	lanes  PacketHandlers
 	ring   *memberlist.Keyring
 	letter chan post
 	large  chan struct{} // places for what goes over a connection of its own
@@ -69,18 +69,18 @@
 	text    []byte
 }
 
-// Lanes take the packets of parcels that come, on goroutines of the gossip; nil: there are none.
-type Lanes struct {
+// PacketHandlers take the packets of parcels that come, on goroutines of the gossip; nil: there are none.
+type PacketHandlers struct {
 	Orders, Credit func([]byte)
 }
 
 // New reads the keys. What others say is handed to heard, on goroutines of the gossip, and packets of parcels to the lanes.
-func New(name string, cfg config.Cluster, heard func([]state.Message), lanes Lanes) (*Members, error) {
+func New(name string, cfg config.Cluster, heard func([]state.Message), lanes PacketHandlers) (*Agent, error) {
 	keys, err := keyring.Read(cfg.KeyFile)
 	if err != nil {
 		return nil, fmt.Errorf("fleet keys %s: %w", cfg.KeyFile, err)
 	}
-	m := &Members{name: name, guest: cfg.State.Guest, cfg: cfg, heard: heard, lanes: lanes, letter: make(chan post, queueMost), large: make(chan struct{}, largeMost)}
+	m := &Agent{name: name, guest: cfg.State.Guest, cfg: cfg, heard: heard, lanes: lanes, letter: make(chan post, queueMost), large: make(chan struct{}, largeMost)}
 	if m.ring, err = memberlist.NewKeyring(keys, keys[0]); err != nil {
 		return nil, fmt.Errorf("fleet keys %s: %w", cfg.KeyFile, err)
 	}
@@ -90,8 +90,8 @@
 	return m, nil
 }
 
-// ReadKeys reads the keys again and uses them from now on. A faulty file changes nothing.
-func (m *Members) ReadKeys() error {
+// ReloadKeys reads the keys again and uses them from now on. A faulty file changes nothing.
+func (m *Agent) ReloadKeys() error {
 	m.keyMu.Lock()
 	defer m.keyMu.Unlock()
 	keys, err := keyring.Read(m.cfg.KeyFile)
@@ -119,7 +119,7 @@
 
 // Run takes part until stop is closed. An address that another process of this router still has is taken once that ends.
 // Others that are not in the list are called again and again, so that a fleet that was cut meets again.
-func (m *Members) Run(stop <-chan struct{}) {
+func (m *Agent) Run(stop <-chan struct{}) {
 	tick := time.NewTicker(bindEvery)
 	defer tick.Stop()
 	for told := false; ; {
@@ -151,13 +151,13 @@
 	}
 }
 
-func (m *Members) close() {
+func (m *Agent) close() {
 	list := m.list.Load()
 	_ = list.Leave(50 * time.Millisecond) // others find out by themselves
 	_ = list.Shutdown()                   // it closes sockets, which the process's end does too
 }
 
-func (m *Members) open() (*memberlist.Memberlist, error) {
+func (m *Agent) open() (*memberlist.Memberlist, error) {
 	logger := log.New(gossipLog{}, "", 0)
 	nt, err := memberlist.NewNetTransport(&memberlist.NetTransportConfig{
 		BindAddrs: []string{m.cfg.Listen.Addr().String()}, BindPort: int(m.cfg.Listen.Port()), Logger: logger})
@@ -180,11 +180,11 @@
 }
 
 // rejoin calls those of the configured peers that are not in the list.
-func (m *Members) rejoin(stop <-chan struct{}) {
+func (m *Agent) rejoin(stop <-chan struct{}) {
 	select { // a fleet that starts all at once does not call all at once
 	case <-stop:
 		return
-	case <-time.After(placement.Turn(m.name, "meet", nil, meetEvery/4)):
+	case <-time.After(placement.PhaseOffset(m.name, "meet", nil, meetEvery/4)):
 	}
 	tick := time.NewTicker(meetEvery / 2)
 	defer tick.Stop()
@@ -209,21 +209,21 @@
 }
 
 // Send puts letters on the way. It never blocks.
-func (m *Members) Send(letters []state.OutgoingMessage) {
+func (m *Agent) Send(letters []state.OutgoingMessage) {
 	for _, l := range letters {
 		m.put(post{l.To, l.ReplaceKey, l.Message.Append(nil)})
 	}
 }
 
 // SendOrderPackets puts packets of parcels on the way. It never blocks.
-func (m *Members) SendOrderPackets(packets []messaging.Packet) {
+func (m *Agent) SendOrderPackets(packets []messaging.Packet) {
 	for _, p := range packets {
 		m.put(post{to: p.To, text: append([]byte{parcelLane}, p.Data...)})
 	}
 }
 
-// CarryCredit is SendOrderPackets for what routers say to each other of credit.
-func (m *Members) CarryCredit(packets []messaging.Packet) {
+// SendCreditPackets is SendOrderPackets for what routers say to each other of credit.
+func (m *Agent) SendCreditPackets(packets []messaging.Packet) {
 	for _, p := range packets {
 		m.put(post{to: p.To, text: append([]byte{creditLane}, p.Data...)})
 	}
@@ -235,7 +235,7 @@
 	creditLane
 )
 
-func (m *Members) put(p post) {
+func (m *Agent) put(p post) {
 	select {
 	case m.letter <- p:
 	default:
@@ -244,9 +244,9 @@
 }
 
 // DroppedMessages is how many letters were dropped because too many waited.
-func (m *Members) DroppedMessages() uint64 { return m.lost.Load() }
+func (m *Agent) DroppedMessages() uint64 { return m.lost.Load() }
 
-func (m *Members) post(p post) {
+func (m *Agent) post(p post) {
 	if p.to == "" {
 		m.queue.QueueBroadcast(broadcast{p.key, p.text})
 		return
@@ -280,7 +280,7 @@
 }
 
 // PublishFullState is all that one who has heard nothing is told when this router meets it.
-func (m *Members) PublishFullState(all []state.Message) {
+func (m *Agent) PublishFullState(all []state.Message) {
 	var b []byte
 	for _, msg := range all {
 		if b = msg.Append(b); len(b) > wholeMost/2 {
@@ -292,7 +292,7 @@
 
 // Alive names the others that are alive, in order, and tells how many routers with a part of their own there are: as many
 // as are alive, this one counted, or as any of them was configured to count on, where that is more.
-func (m *Members) Alive() (others []string, owners int) {
+func (m *Agent) Alive() (others []string, owners int) {
 	if !m.guest {
 		owners++
 	}
@@ -322,7 +322,7 @@
 }
 
 // OrderPeers are those alive that keep orders for others, in the order of their names.
-func (m *Members) OrderPeers() (out []failover.Peer) {
+func (m *Agent) OrderPeers() (out []failover.Peer) {
 	list := m.list.Load()
 	if list == nil {
 		return nil
@@ -336,7 +336,7 @@
 	return out
 }
 
-func (m *Members) count() int {
+func (m *Agent) count() int {
 	if list := m.list.Load(); list != nil {
 		return list.NumMembers()
 	}
@@ -344,7 +344,7 @@
 }
 
 // take hands on all messages of a text, up to the first that can't be read.
-func (m *Members) take(text []byte) {
+func (m *Agent) take(text []byte) {
 	if len(text) > 0 && text[0] >= parcelLane {
 		if f := map[byte]func([]byte){parcelLane: m.lanes.Orders, creditLane: m.lanes.Credit}[text[0]]; f != nil {
 			f(bytes.Clone(text[1:])) // the buffer is the gossip's
@@ -368,7 +368,7 @@
 const guestMeta = "guest"
 
 // delegate is what memberlist asks and tells.
-type delegate struct{ m *Members }
+type delegate struct{ m *Agent }
 
 func (d delegate) NodeMeta(int) []byte {
 	size, keeps := guestMeta, ""
--- a/internal/cluster/placement/golden_test.go
+++ b/internal/cluster/placement/golden_test.go
@@ -20,15 +20,15 @@
 	for _, salt := range []string{"subset", "bound", "turn", "start", "backoff", ""} {
 		fmt.Fprintf(&text, "score %q %.15f\n", salt, score("r1", "edge-1", salt))
 	}
-	fmt.Fprintln(&text, "subsets", Subsets(routers, caches, 3), Size(4, 6, 2), Own("r2", routers, caches, 2))
+	fmt.Fprintln(&text, "subsets", Subsets(routers, caches, 3), SubsetSize(4, 6, 2), SubsetOf("r2", routers, caches, 2))
 	for _, duty := range []string{"keeper of r1", "meet", "ramp edge-1"} {
-		fmt.Fprintln(&text, duty, "first", First(duty, routers), "start", Start("r1", duty, 1000), "turn", Turn("r2", duty, routers, time.Second),
-			"alone", Turn("r2", duty, nil, time.Second).Round(time.Microsecond), "backoff", Backoff("r1", duty, 5, time.Second, time.Hour).Round(time.Millisecond))
+		fmt.Fprintln(&text, duty, "first", Assign(duty, routers), "start", StartIndex("r1", duty, 1000), "turn", PhaseOffset("r2", duty, routers, time.Second),
+			"alone", PhaseOffset("r2", duty, nil, time.Second).Round(time.Microsecond), "backoff", Backoff("r1", duty, 5, time.Second, time.Hour).Round(time.Millisecond))
 	}
 	for _, r := range routers {
 		for age := range 5 {
-			fmt.Fprint(&text, " ", Ramp(r, "edge-1", routers, time.Duration(age)*time.Second, 4*time.Second),
-				Ramp(r, "edge-1", nil, time.Duration(age)*time.Second, 4*time.Second))
+			fmt.Fprint(&text, " ", JoinedWarmUp(r, "edge-1", routers, time.Duration(age)*time.Second, 4*time.Second),
+				JoinedWarmUp(r, "edge-1", nil, time.Duration(age)*time.Second, 4*time.Second))
 		}
 		fmt.Fprintln(&text)
 	}
--- a/internal/cluster/placement/placement.go
+++ b/internal/cluster/placement/placement.go
@@ -31,10 +31,10 @@
 	return (float64(x>>11) + 0.5) / (1 << 53)
 }
 
-// Size is how many page caches each router should choose, at least want, so that the bound of routers for each page cache
+// SubsetSize is how many page caches each router should choose, at least want, so that the bound of routers for each page cache
 // is over the mean by half a one: without such room a page cache that is full pushes others aside in a long chain. It
 // is to be kept as routers come and go: another figure moves all.
-func Size(routers, caches, want int) int {
+func SubsetSize(routers, caches, want int) int {
 	for k := max(want, 1); k < caches; k++ {
 		if mean := float64(k*routers) / float64(caches); math.Floor(fair*mean) >= mean+0.5 {
 			return k
@@ -102,8 +102,8 @@
 	return out
 }
 
-// Own returns the names of the page caches that one of the routers holds to; nothing where it is not among them.
-func Own(self string, routers, caches []string, k int) (names []string) {
+// SubsetOf returns the names of the page caches that one of the routers holds to; nothing where it is not among them.
+func SubsetOf(self string, routers, caches []string, k int) (names []string) {
 	if i := slices.Index(routers, self); i >= 0 {
 		for _, c := range Subsets(routers, caches, k)[i] {
 			names = append(names, caches[c])
@@ -127,8 +127,8 @@
 	return before
 }
 
-// First names the router that comes first at a duty, the same for all who know the same names; empty where there are none.
-func First(duty string, routers []string) (first string) {
+// Assign names the router that comes first at a duty, the same for all who know the same names; empty where there are none.
+func Assign(duty string, routers []string) (first string) {
 	best := 2.0
 	for _, r := range routers {
 		if s := score(r, duty, "turn"); s < best || s == best && r < first {
@@ -138,21 +138,21 @@
 	return first
 }
 
-// Start is the place at which a router begins to go round n others, so that not all begin with the same one.
-func Start(self, duty string, n int) int { return int(score(self, duty, "start") * float64(n)) }
+// StartIndex is the place at which a router begins to go round n others, so that not all begin with the same one.
+func StartIndex(self, duty string, n int) int { return int(score(self, duty, "start") * float64(n)) }
 
-// Turn is when in each period a router takes its turn at a duty: the routers that are known share the period evenly, in
+// PhaseOffset is when in each period a router takes its turn at a duty: the routers that are known share the period evenly, in
 // an order that the duty's name draws, so that not the same one is always first. A router that knows no others, or is not
 // among those it knows, draws its place from its own name: then the turns are spread by chance.
-func Turn(self, duty string, routers []string, period time.Duration) time.Duration {
+func PhaseOffset(self, duty string, routers []string, period time.Duration) time.Duration {
 	if before := place(self, duty, routers); before >= 0 {
 		return period * time.Duration(before) / time.Duration(len(routers))
 	}
 	return time.Duration(float64(period) * score(self, duty, "turn"))
 }
 
-// Next is the first turn after a time that is not over yet, counted on any clock that routers share, or each on its own.
-func Next(now, turn, period time.Duration) time.Duration {
+// NextRun is the first turn after a time that is not over yet, counted on any clock that routers share, or each on its own.
+func NextRun(now, turn, period time.Duration) time.Duration {
 	if period <= 0 {
 		return now
 	}
@@ -163,11 +163,11 @@
 	return at
 }
 
-// Ramp tells whether a router may use a page cache so long after that has started. The routers come in one after the
+// JoinedWarmUp tells whether a router may use a page cache so long after that has started. The routers come in one after the
 // other over a time, in an order that the page cache's name draws: the first ones send it enough each to warm it, where a
 // tiny part from each of all would come in step. Of those who are known, exactly their share has come in; a router that
 // knows no others goes by its own draw, and the share is right on average.
-func Ramp(self, cache string, routers []string, age, over time.Duration) bool {
+func JoinedWarmUp(self, cache string, routers []string, age, over time.Duration) bool {
 	if before := place(self, "ramp "+cache, routers); before >= 0 {
 		return before < in(len(routers), age, over)
 	}
@@ -182,9 +182,9 @@
 	return min(n, int(float64(n)*float64(max(age, 0))/float64(over))+1)
 }
 
-// Part is what a router may spend of what a page cache bears from all routers, as it ramps up: those who have come in share
+// WarmUpShare is what a router may spend of what a page cache bears from all routers, as it ramps up: those who have come in share
 // it. Where only a guess of all routers is known, up to four deviations more than on average may have come in.
-func Part(routers []string, guess int, age, over time.Duration) float64 {
+func WarmUpShare(routers []string, guess int, age, over time.Duration) float64 {
 	if n := len(routers); n > 1 {
 		return 1 / float64(in(n, age, over))
 	}
--- a/internal/cluster/placement/placement_test.go
+++ b/internal/cluster/placement/placement_test.go
@@ -47,7 +47,7 @@
 // name that comes or goes moves no more than twice its share. The sizes are those of the smallest and largest fleets.
 func TestSubsets(t *testing.T) {
 	for _, c := range []struct{ routers, caches, want int }{{9, 12, 4}, {9, 20, 6}, {5, 8, 3}, {20, 14, 5}, {60, 40, 8}, {300, 200, 20}, {300, 200, 8}} {
-		k := Size(c.routers, c.caches, c.want)
+		k := SubsetSize(c.routers, c.caches, c.want)
 		rs, cs := names("r", 0, c.routers), names("s", 0, c.caches)
 		even, held := stats(rs, cs, k)
 		if even > fair || len(held) != c.routers*min(k, c.caches) {
@@ -78,14 +78,14 @@
 	rs, cs := names("r", 0, 9), names("s", 0, 14)
 	want := map[string][]string{}
 	for _, r := range rs {
-		want[r] = Own(r, rs, cs, 5)
+		want[r] = SubsetOf(r, rs, cs, 5)
 		slices.Sort(want[r])
 	}
 	for range 50 {
 		rnd.Shuffle(len(rs), func(i, j int) { rs[i], rs[j] = rs[j], rs[i] })
 		rnd.Shuffle(len(cs), func(i, j int) { cs[i], cs[j] = cs[j], cs[i] })
 		for _, r := range rs {
-			got := Own(r, rs, cs, 5)
+			got := SubsetOf(r, rs, cs, 5)
 			if slices.Sort(got); !slices.Equal(got, want[r]) {
 				t.Fatalf("%s finds %v, and %v in another order", r, want[r], got)
 			}
@@ -106,7 +106,7 @@
 			}
 		}
 	}
-	if Own("stranger", names("r", 0, 3), names("s", 0, 3), 2) != nil {
+	if SubsetOf("stranger", names("r", 0, 3), names("s", 0, 3), 2) != nil {
 		t.Error("a router that is not among them has a subset")
 	}
 }
@@ -117,7 +117,7 @@
 	for d := range 20 {
 		duty, seen := fmt.Sprint("duty", d), map[time.Duration]bool{}
 		for _, r := range rs {
-			at := Turn(r, duty, rs, 9*time.Second)
+			at := PhaseOffset(r, duty, rs, 9*time.Second)
 			if seen[at] || at%time.Second != 0 {
 				t.Errorf("%s at %v of nine", r, at)
 			}
@@ -131,12 +131,12 @@
 	}
 	tenth := [10]int{}
 	for _, r := range names("r", 0, 300) {
-		tenth[int(Turn(r, "x", nil, time.Second)*10/time.Second)]++
+		tenth[int(PhaseOffset(r, "x", nil, time.Second)*10/time.Second)]++
 	}
 	if top := slices.Max(tenth[:]); top > 50 {
 		t.Errorf("of 300 routers that know no others, %d come in one tenth: %v", top, tenth)
 	}
-	if at := Next(2500*time.Millisecond, 200*time.Millisecond, time.Second); at != 3200*time.Millisecond {
+	if at := NextRun(2500*time.Millisecond, 200*time.Millisecond, time.Second); at != 3200*time.Millisecond {
 		t.Errorf("next turn at %v", at)
 	}
 }
@@ -154,8 +154,8 @@
 			for age := time.Duration(0); age <= 10*time.Second; age += 500 * time.Millisecond {
 				sum := 0.0
 				for _, r := range rs {
-					if Ramp(r, cache, list, age, 10*time.Second) {
-						sum += Part(list, len(rs), age, 10*time.Second)
+					if JoinedWarmUp(r, cache, list, age, 10*time.Second) {
+						sum += WarmUpShare(list, len(rs), age, 10*time.Second)
 					}
 				}
 				if sum > 1.0001 || known && sum < 0.9 {
--- a/internal/cluster/state/budget.go
+++ b/internal/cluster/state/budget.go
@@ -192,7 +192,7 @@
 		return
 	}
 	if s.next < 0 {
-		s.next = placement.Start(s.set.Self, "borrow", len(s.live))
+		s.next = placement.StartIndex(s.set.Self, "borrow", len(s.live))
 	}
 	for range min(askedOf, len(s.live)) {
 		s.next, s.round = (s.next+1)%len(s.live), s.round+1
--- a/internal/cluster/state/verdict.go
+++ b/internal/cluster/state/verdict.go
@@ -124,7 +124,7 @@
 	if !s.Ejected(now, node) {
 		return false
 	}
-	return len(s.live) > 0 && placement.First("try "+node, append([]string{s.set.Self}, s.live...)) != s.set.Self
+	return len(s.live) > 0 && placement.Assign("try "+node, append([]string{s.set.Self}, s.live...)) != s.set.Self
 }
 
 // Ejections are the page caches that are held to be sick now, in order, and how many verdicts there were in all.
--- a/internal/extension/prepaidcredit/extension.go
+++ b/internal/extension/prepaidcredit/extension.go
@@ -23,8 +23,8 @@
 
 // Transport sends packets to other routers. No method may block.
 type Transport interface {
-	// CarryCredit sends packets of the ledger. Packets may be lost.
-	CarryCredit([]messaging.Packet)
+	// SendCreditPackets sends packets of the ledger. Packets may be lost.
+	SendCreditPackets([]messaging.Packet)
 	// Alive returns the names of the other routers that are alive, in order, and how many routers keep orders.
 	Alive() (others []string, owners int)
 }
@@ -135,7 +135,7 @@
 		e.write()
 	}
 	if packets := e.ledger.OutgoingPackets(e.core.LoopTime()); len(packets) > 0 {
-		e.transport.CarryCredit(packets)
+		e.transport.SendCreditPackets(packets)
 	}
 }
 
