--- a/internal/cluster/state/golden_test.go
+++ b/internal/cluster/state/golden_test.go
@@ -9,17 +9,22 @@
 
 // Routers of different releases exchange these messages. The files of testdata/golden were written at commit 86ccf0f.
 //
-// What reaches the bytes: no name of Go. The form is written out by hand in Message.Append; the constants of Kind are sent as
-// numbers, so their order counts. Keys of messages are texts that the callers choose: core has "retries", "cold NODE" for
-// budgets and "hits NODE", "misses NODE", "errors NODE" for counts (tested there), and evidence has the name of the page cache.
+// What reaches the bytes: no name of Go. The form is written out by hand in Message.Append; the constants of Kind are
+// sent as numbers, so their order counts. Keys of messages are texts that the callers choose: core has "retries",
+// "cold NODE" for budgets and "hits NODE", "misses NODE", "errors NODE" for counts (tested there), and evidence has
+// the name of the page cache.
 
 var goldenMessages = map[string]Message{
-	"message.hex":  {Kind: KindHealthEvidence, From: "r1", Process: 1 << 60, Key: "edge-7", Sequence: 300, Shares: 64, Value: 70000, Unhealthy: true, ValidFor: 3 * time.Second},
-	"ask.hex":      {Kind: KindLeaseRequest, From: "r1", Process: 11, Key: "retries", Sequence: 5, Shares: 32},
-	"grant.hex":    {Kind: KindLeaseGrant, From: "r2", Process: 22, Key: "cold edge-7", Sequence: 5, Shares: 16, Value: 11},
-	"count.hex":    {Kind: KindCounterUpdate, From: "r1", Process: 11, Key: "hits edge-7", Value: 129},
-	"evidence.hex": {Kind: KindHealthEvidence, From: "r1", Process: 11, Key: "edge-7", Sequence: 6, Unhealthy: true, ValidFor: 3 * time.Second},
-	"well.hex":     {Kind: KindHealthEvidence, From: "r1", Process: 11, Key: "edge-7", Sequence: 7, ValidFor: 3 * time.Second},
+	"message.hex": {Kind: KindHealthEvidence, From: "r1", Process: 1 << 60, Key: "edge-7", Sequence: 300, Shares: 64,
+		Value: 70000, Unhealthy: true, ValidFor: 3 * time.Second},
+	"ask.hex": {Kind: KindLeaseRequest, From: "r1", Process: 11, Key: "retries", Sequence: 5, Shares: 32},
+	"grant.hex": {Kind: KindLeaseGrant, From: "r2", Process: 22, Key: "cold edge-7", Sequence: 5,
+		Shares: 16, Value: 11},
+	"count.hex": {Kind: KindCounterUpdate, From: "r1", Process: 11, Key: "hits edge-7", Value: 129},
+	"evidence.hex": {Kind: KindHealthEvidence, From: "r1", Process: 11, Key: "edge-7", Sequence: 6,
+		Unhealthy: true, ValidFor: 3 * time.Second},
+	"well.hex": {Kind: KindHealthEvidence, From: "r1", Process: 11, Key: "edge-7", Sequence: 7,
+		ValidFor: 3 * time.Second},
 }
 
 func TestGoldenMessages(t *testing.T) {
@@ -35,8 +40,8 @@
 	}
 }
 
-// What a router says by itself to all, a count and evidence, under the keys of its queue; and all that it tells one who has heard
-// nothing.
+// What a router says by itself to all, a count and evidence, under the keys of its queue; and all that it tells one
+// who has heard nothing.
 func TestGoldenSaid(t *testing.T) {
 	s, err := New(Defaults("r1", 11, 2))
 	if err != nil {
--- /dev/null
+++ b/internal/cluster/state/health.go
@@ -0,0 +1,207 @@
+package state
+
+import (
+	"maps"
+	"slices"
+	"time"
+)
+
+const (
+	// unhealthyThreshold is how many failures in a row a router must have seen itself before it sends evidence.
+	unhealthyThreshold = 3
+
+	// forgetFactor is after how many ejection durations without evidence an endpoint is forgotten.
+	forgetFactor = 4
+)
+
+// endpointHealth is what is known of one endpoint: what this router has seen, the evidence of all, and the ejection
+// that follows from it.
+type endpointHealth struct {
+	failures     int                 // in a row, as this router saw last
+	lastResponse time.Duration       // as this router saw last
+	evidence     map[string]evidence // the latest of each router, by name
+	lastEvidence time.Duration       // when any evidence, good or bad, was last taken
+	ejectedUntil time.Duration       // 0: it is not ejected
+	ejections    uint64              // so far
+}
+
+// evidence is the latest evidence of one router. Its process and sequence tell it from an older one.
+type evidence struct {
+	process, sequence uint64
+	validUntil        time.Duration // 0: it is not, or no longer, evidence that the endpoint is unhealthy
+}
+
+func (e evidence) newerThan(other evidence) bool {
+	return e.process > other.process || e.process == other.process && e.sequence > other.sequence
+}
+
+func newEndpointHealth() *endpointHealth { return &endpointHealth{evidence: map[string]evidence{}} }
+
+// ObserveHealth takes what this router itself has seen of an endpoint: its consecutive failures, and the time of its
+// latest response. Only what is new becomes evidence.
+func (s *State) ObserveHealth(now time.Duration, endpoint string, failures int, lastResponse time.Duration) {
+	h := s.endpointsByID[endpoint]
+	if h == nil {
+		if failures < unhealthyThreshold || len(s.endpointsByID) >= maxTrackedEndpoints || !validName(endpoint) {
+			return
+		}
+		h = newEndpointHealth()
+		s.endpointsByID[endpoint] = h
+	}
+	failing := failures >= unhealthyThreshold && failures > h.failures
+	recovered := lastResponse > h.lastResponse && failures == 0
+	h.failures, h.lastResponse = failures, max(h.lastResponse, lastResponse)
+	suspected := now < h.ejectedUntil || now < h.evidence[s.settings.Self].validUntil
+	switch {
+	case failing:
+		own := s.broadcastEvidence(endpoint, true)
+		own.validUntil = now + s.settings.EjectionDuration
+		s.takeUnhealthy(now, h, s.settings.Self, own)
+	case recovered && suspected:
+		own := s.broadcastEvidence(endpoint, false)
+		h.takeHealthy(now, s.settings.Self, own)
+	}
+}
+
+// broadcastEvidence sends evidence of this router to all, and returns it, not valid yet.
+func (s *State) broadcastEvidence(endpoint string, unhealthy bool) evidence {
+	s.sequence++
+	sent := healthEvidence{
+		reporter:  s.self(),
+		endpoint:  endpoint,
+		sequence:  s.sequence,
+		unhealthy: unhealthy,
+		validFor:  s.settings.EjectionDuration,
+	}
+	s.broadcast(evidenceReplacePrefix+endpoint, sent.message())
+	return evidence{process: s.settings.Process, sequence: s.sequence}
+}
+
+func (s *State) receiveHealthEvidence(now time.Duration, received healthEvidence) {
+	h := s.endpointsByID[received.endpoint]
+	if h == nil {
+		if len(s.endpointsByID) >= maxTrackedEndpoints {
+			return
+		}
+		h = newEndpointHealth()
+		s.endpointsByID[received.endpoint] = h
+	}
+	if s.fromThisProcess(received.reporter) { // our own, through other routers
+		return
+	}
+	reporter := received.reporter.router
+	latest := evidence{process: received.reporter.number, sequence: received.sequence}
+	known, exists := h.evidence[reporter]
+	if exists && !latest.newerThan(known) {
+		return
+	}
+	if !exists && len(h.evidence) >= s.settings.ClusterSize+maxExtraRouters {
+		return
+	}
+	if !received.unhealthy {
+		h.takeHealthy(now, reporter, latest)
+		return
+	}
+	latest.validUntil = now + min(received.validFor, s.settings.EjectionDuration)
+	s.takeUnhealthy(now, h, reporter, latest)
+}
+
+// takeHealthy takes a good response that a router got: it ends the ejection, and all evidence before it.
+func (h *endpointHealth) takeHealthy(now time.Duration, reporter string, latest evidence) {
+	h.lastEvidence = now
+	h.ejectedUntil = 0
+	for router, e := range h.evidence {
+		e.validUntil = 0
+		h.evidence[router] = e
+	}
+	h.evidence[reporter] = latest
+}
+
+// takeUnhealthy takes evidence of failures. A quorum of routers ejects the endpoint. While it is ejected, any new
+// evidence prolongs that: routers that avoid the endpoint can bring none, only the one that probes it.
+func (s *State) takeUnhealthy(now time.Duration, h *endpointHealth, reporter string, latest evidence) {
+	h.lastEvidence = now
+	h.evidence[reporter] = latest
+	switch {
+	case now < h.ejectedUntil:
+		h.ejectedUntil = max(h.ejectedUntil, latest.validUntil)
+	case h.validEvidence(now) >= s.quorum():
+		h.ejectedUntil = latest.validUntil
+		h.ejections++
+	}
+}
+
+// validEvidence counts the routers whose evidence is valid.
+func (h *endpointHealth) validEvidence(now time.Duration) int {
+	n := 0
+	for _, e := range h.evidence {
+		if now < e.validUntil {
+			n++
+		}
+	}
+	return n
+}
+
+// quorum is how many routers must have evidence. It is two at least: a single one may itself be cut off.
+func (s *State) quorum() int {
+	if s.settings.Quorum > 0 {
+		return s.settings.Quorum
+	}
+	alive := len(s.peers) + 1
+	return max(2, alive/2+1)
+}
+
+// Ejected returns whether the routers agree that an endpoint is unhealthy.
+func (s *State) Ejected(now time.Duration, endpoint string) bool {
+	h := s.endpointsByID[endpoint]
+	return h != nil && now < h.ejectedUntil
+}
+
+// ProbedByPeer returns whether this router should avoid an endpoint: it is ejected, and another router probes it for
+// all.
+func (s *State) ProbedByPeer(now time.Duration, endpoint string) bool {
+	if !s.Ejected(now, endpoint) {
+		return false
+	}
+	return len(s.peers) > 0 && s.prober(endpoint) != s.settings.Self
+}
+
+// Ejections returns the endpoints that are ejected now, in order, and how many ejections there were in all.
+func (s *State) Ejections(now time.Duration) (ejected []string, total uint64) {
+	for _, endpoint := range slices.Sorted(maps.Keys(s.endpointsByID)) {
+		total += s.endpointsByID[endpoint].ejections
+		if s.Ejected(now, endpoint) {
+			ejected = append(ejected, endpoint)
+		}
+	}
+	return ejected, total
+}
+
+// expireHealth forgets endpoints of which nothing valid is known. Evidence from before can't come back by then: it is
+// valid for EjectionDuration at most, whatever way it takes.
+func (s *State) expireHealth(now time.Duration) {
+	maps.DeleteFunc(s.endpointsByID, func(_ string, h *endpointHealth) bool {
+		forgetAt := h.lastEvidence + forgetFactor*s.settings.EjectionDuration
+		return now >= h.ejectedUntil && now > forgetAt && h.failures < unhealthyThreshold
+	})
+}
+
+// evidenceMessages returns all valid evidence.
+func (s *State) evidenceMessages(now time.Duration) []Message {
+	var all []Message
+	for endpoint, h := range s.endpointsByID {
+		for router, e := range h.evidence {
+			if now >= e.validUntil {
+				continue
+			}
+			all = append(all, healthEvidence{
+				reporter:  process{router, e.process},
+				endpoint:  endpoint,
+				sequence:  e.sequence,
+				unhealthy: true,
+				validFor:  e.validUntil - now,
+			}.message())
+		}
+	}
+	return all
+}
--- a/internal/cluster/state/message.go
+++ b/internal/cluster/state/message.go
@@ -6,70 +6,158 @@
 	"time"
 )
 
-// Kind is the kind of a message.
+// Kind is the kind of a message. It is sent as a number: routers of other releases rely on the order of the constants.
 type Kind uint8
 
-// The messages.
+// The kinds of messages.
 const (
 	kindNone           Kind = iota
 	KindLeaseRequest        // asks for shares of the budget Key
-	KindLeaseGrant          // lends them; Round repeats that of the ask, and Value is the process that asked
-	KindCounterUpdate       // the sender's own part of the count Key is Value
-	KindHealthEvidence      // the sender has found the page cache Key ill, or well
+	KindLeaseGrant          // lends them; Sequence repeats that of the request, and Value is the process that asked
+	KindCounterUpdate       // the sender's own part of the counter Key is Value
+	KindHealthEvidence      // the sender has found the endpoint Key unhealthy, or healthy again
 )
 
-// Message goes between routers.
+// Message is what routers send each other, in the one form that all kinds have on the wire. A kind uses only some of
+// the fields; within the package each kind has a type of its own.
 type Message struct {
 	Kind      Kind
-	From      string
-	Process   uint64
+	From      string // the router that sent it first
+	Process   uint64 // of that router
 	Key       string
-	Sequence  uint64 // of KindAsk and KindGrant; of KindEvidence, its number among the sender's
+	Sequence  uint64 // of a request or grant, or the number of health evidence among the sender's
 	Shares    int
 	Value     uint64
 	Unhealthy bool
-	ValidFor  time.Duration // of KindEvidence: how long it has still to count
+	ValidFor  time.Duration // of health evidence: how long it still counts
 }
 
-var errBad = errors.New("message not understood")
+// leaseRequest asks a peer for shares of a budget.
+type leaseRequest struct {
+	borrower process
+	budget   string
+	sequence uint64
+	shares   int
+}
+
+func (r leaseRequest) message() Message {
+	return Message{Kind: KindLeaseRequest, From: r.borrower.router, Process: r.borrower.number, Key: r.budget,
+		Sequence: r.sequence, Shares: r.shares}
+}
+
+func (m Message) leaseRequest() leaseRequest {
+	return leaseRequest{borrower: m.sender(), budget: m.Key, sequence: m.Sequence, shares: m.Shares}
+}
+
+// leaseGrant lends shares of a budget, in answer to a request.
+type leaseGrant struct {
+	lender          process
+	budget          string
+	sequence        uint64 // of the request
+	borrowerProcess uint64 // a later process of the borrower must not use the lease
+	shares          int
+}
+
+func (g leaseGrant) message() Message {
+	return Message{Kind: KindLeaseGrant, From: g.lender.router, Process: g.lender.number, Key: g.budget,
+		Sequence: g.sequence, Shares: g.shares, Value: g.borrowerProcess}
+}
+
+func (m Message) leaseGrant() leaseGrant {
+	return leaseGrant{lender: m.sender(), budget: m.Key, sequence: m.Sequence, borrowerProcess: m.Value, shares: m.Shares}
+}
+
+// counterUpdate carries one process's part of a counter.
+type counterUpdate struct {
+	writer  process
+	counter string
+	value   uint64
+}
+
+func (u counterUpdate) message() Message {
+	return Message{Kind: KindCounterUpdate, From: u.writer.router, Process: u.writer.number, Key: u.counter,
+		Value: u.value}
+}
+
+func (m Message) counterUpdate() counterUpdate {
+	return counterUpdate{writer: m.sender(), counter: m.Key, value: m.Value}
+}
+
+// healthEvidence carries what one router has found out about an endpoint.
+type healthEvidence struct {
+	reporter  process
+	endpoint  string
+	sequence  uint64
+	unhealthy bool
+	validFor  time.Duration
+}
+
+func (e healthEvidence) message() Message {
+	return Message{Kind: KindHealthEvidence, From: e.reporter.router, Process: e.reporter.number, Key: e.endpoint,
+		Sequence: e.sequence, Unhealthy: e.unhealthy, ValidFor: e.validFor}
+}
+
+func (m Message) healthEvidence() healthEvidence {
+	return healthEvidence{reporter: m.sender(), endpoint: m.Key, sequence: m.Sequence, unhealthy: m.Unhealthy,
+		validFor: m.ValidFor}
+}
+
+func (m Message) sender() process { return process{m.From, m.Process} }
+
+// ErrMalformedMessage says that bytes hold no message of a known kind.
+var ErrMalformedMessage = errors.New("message not understood")
+
+// The encoded form, and the bounds of what is accepted in it.
+const (
+	headerBytes    = 4 // the kind, whether Unhealthy is set, the lengths of From and of Key
+	encodedNumbers = 5 // varints after the two texts
+	maxShares      = 1 << 20
+	maxValidFor    = time.Hour
+)
 
-// Append encodes a message: one byte for the kind, one that is 1 where Ill is set, the length of From and of Key in a byte
-// each, the two texts, then five varints. It is under 350 bytes long.
+// Append appends the encoded message to b: one byte for the kind, one that is 1 where Unhealthy is set, the length of
+// From and of Key in a byte each, the two texts, then five varints. A message is under 350 bytes long.
 func (m Message) Append(b []byte) []byte {
-	ill := byte(0)
+	unhealthy := byte(0)
 	if m.Unhealthy {
-		ill = 1
+		unhealthy = 1
 	}
-	b = append(b, byte(m.Kind), ill, byte(len(m.From)), byte(len(m.Key)))
+	b = append(b, byte(m.Kind), unhealthy, byte(len(m.From)), byte(len(m.Key)))
 	b = append(append(b, m.From...), m.Key...)
-	for _, n := range []uint64{m.Process, m.Sequence, uint64(max(m.Shares, 0)), m.Value, uint64(max(m.ValidFor, 0))} {
+	numbers := [encodedNumbers]uint64{m.Process, m.Sequence, uint64(max(m.Shares, 0)), m.Value, uint64(max(m.ValidFor, 0))}
+	for _, n := range numbers {
 		b = binary.AppendUvarint(b, n)
 	}
 	return b
 }
 
-// ParseMessage decodes one message and returns what follows it. Texts are copied.
+// ParseMessage decodes one message and returns the bytes that follow it. Texts are copied. The error is
+// ErrMalformedMessage.
 func ParseMessage(b []byte) (m Message, rest []byte, err error) {
-	if len(b) < 4 || Kind(b[0]) <= kindNone || Kind(b[0]) > KindHealthEvidence || b[1] > 1 {
-		return m, nil, errBad
+	if len(b) < headerBytes || Kind(b[0]) <= kindNone || Kind(b[0]) > KindHealthEvidence || b[1] > 1 {
+		return m, nil, ErrMalformedMessage
 	}
-	from, key := int(b[2]), int(b[3])
-	if len(b) < 4+from+key {
-		return m, nil, errBad
+	keyStart := headerBytes + int(b[2])
+	keyEnd := keyStart + int(b[3])
+	if len(b) < keyEnd {
+		return m, nil, ErrMalformedMessage
 	}
-	m = Message{Kind: Kind(b[0]), Unhealthy: b[1] == 1, From: string(b[4 : 4+from]), Key: string(b[4+from : 4+from+key])}
-	b = b[4+from+key:]
-	var ns [5]uint64
-	for i := range ns {
+	m.Kind, m.Unhealthy = Kind(b[0]), b[1] == 1
+	m.From, m.Key = string(b[headerBytes:keyStart]), string(b[keyStart:keyEnd])
+	b = b[keyEnd:]
+	var numbers [encodedNumbers]uint64
+	for i := range numbers {
 		v, n := binary.Uvarint(b)
 		if n <= 0 {
-			return m, nil, errBad
+			return m, nil, ErrMalformedMessage
 		}
-		ns[i], b = v, b[n:]
+		numbers[i], b = v, b[n:]
 	}
-	if ns[2] > 1<<20 || ns[4] > uint64(time.Hour) {
-		return m, nil, errBad
+	shares, validFor := numbers[2], numbers[4]
+	if shares > maxShares || validFor > uint64(maxValidFor) {
+		return m, nil, ErrMalformedMessage
 	}
-	m.Process, m.Sequence, m.Shares, m.Value, m.ValidFor = ns[0], ns[1], int(ns[2]), ns[3], time.Duration(ns[4])
+	m.Process, m.Sequence, m.Value = numbers[0], numbers[1], numbers[3]
+	m.Shares, m.ValidFor = int(shares), time.Duration(validFor)
 	return m, b, nil
 }
--- /dev/null
+++ b/internal/cluster/state/settings.go
@@ -0,0 +1,75 @@
+package state
+
+import (
+	"fmt"
+	"math"
+	"time"
+)
+
+// Settings set up one router's replica of the shared state.
+type Settings struct {
+	Self             string        // the router's name
+	Process          uint64        // of the router; a later process of the same router has a higher number
+	ClusterSize      int           // routers that own shares of each budget, as the operator configured
+	Guest            bool          // this router owns no shares, and spends only what it borrows
+	LeaseDuration    time.Duration // how long shares are lent
+	TickInterval     time.Duration // between two calls of Tick
+	ClockDrift       float64       // by how much a clock may run too fast or too slow, as a fraction
+	EjectionDuration time.Duration // how long an ejection outlives the last evidence
+	Quorum           int           // routers whose evidence ejects an endpoint; 0: over half of those alive, two at least
+}
+
+// MaxClusterSize is the largest cluster size that can be configured.
+const MaxClusterSize = 1000
+
+// The bounds of the times and of the drift in Settings.
+const (
+	minTickInterval  = 10 * time.Millisecond
+	minTicksPerLease = 4
+	maxDuration      = time.Minute // of a lease and of an ejection
+	maxClockDrift    = 0.2
+)
+
+// Defaults returns settings for a process of a router in a cluster of that size.
+func Defaults(self string, process uint64, clusterSize int) Settings {
+	return Settings{
+		Self:             self,
+		Process:          process,
+		ClusterSize:      clusterSize,
+		LeaseDuration:    2 * time.Second,
+		TickInterval:     200 * time.Millisecond,
+		ClockDrift:       0.02,
+		EjectionDuration: 3 * time.Second,
+	}
+}
+
+// Check returns an error that names the first setting that can't be used.
+func (s Settings) Check() error {
+	switch {
+	case !validName(s.Self):
+		return fmt.Errorf("setting Self is %q, not a name of up to %d bytes", s.Self, maxNameBytes)
+	case s.ClusterSize < 1 || s.ClusterSize > MaxClusterSize:
+		return fmt.Errorf("setting Size is %d, not 1 to %d", s.ClusterSize, MaxClusterSize)
+	case !s.leaseFits():
+		return fmt.Errorf("setting Beat %v, Lease %v: four beats at least must fit in a lease, and that in a minute",
+			s.TickInterval, s.LeaseDuration)
+	case s.EjectionDuration < 2*s.TickInterval || s.EjectionDuration > maxDuration:
+		return fmt.Errorf("setting Verdict is %v, not two beats to a minute", s.EjectionDuration)
+	case !(s.ClockDrift >= 0 && s.ClockDrift <= maxClockDrift): // false for NaN too
+		return fmt.Errorf("setting Drift is %v, not 0 to 0.2", s.ClockDrift)
+	case s.Quorum != 0 && (s.Quorum < 2 || s.Quorum > s.ClusterSize):
+		return fmt.Errorf("setting Quorum is %d, neither 0 nor 2 to the size", s.Quorum)
+	}
+	return nil
+}
+
+func (s Settings) leaseFits() bool {
+	return s.TickInterval >= minTickInterval && s.LeaseDuration >= minTicksPerLease*s.TickInterval &&
+		s.LeaseDuration <= maxDuration
+}
+
+// outlasting returns a duration on this router's clock after which d has passed on any other clock within the allowed
+// drift.
+func (s Settings) outlasting(d time.Duration) time.Duration {
+	return time.Duration(math.Ceil(float64(d) * (1 + s.ClockDrift) / (1 - s.ClockDrift)))
+}
--- a/internal/cluster/state/state.go
+++ b/internal/cluster/state/state.go
@@ -1,161 +1,152 @@
-// Package state decides what routers that may talk share: budgets that are spent once for the whole fleet, counts
-// of what happened, and verdicts on page caches that are sick. It does no I/O, reads no clock and draws no chance:
-// what happens is told by calls that carry the time, and what is to be said is read with Outbox.
+// Package state is one router's replica of the state that the routers of a cluster share: budgets that all of them
+// together may spend once, counters, and the ejection of endpoints that several routers find unhealthy.
+//
+// It is a pure state machine: no I/O, no clock, no randomness. The caller passes the time and the messages of other
+// routers, calls Tick at an interval, and sends what OutgoingMessages returns. Package core does this on its goroutine;
+// package membership carries the messages.
 //
 // Whatever the network does, each shared figure stays within a bound that needs no message to hold:
 //
-//   - A budget is cut into shares. Each router has its part of them for good; of that part it may lend up to half, for
-//     a time that its own clock outlasts. A share has one holder at most, so all routers together never spend more
-//     than the budget, and one that hears nothing falls back to its own part.
-//   - A count only grows, and each router writes its own part of it: what is heard late or twice changes nothing.
-//   - A verdict needs several routers' evidence and ends by itself, soon after the last evidence for it was heard.
+//   - A budget is divided into shares. Each router owns a fixed number of them, and may lend up to half of these under
+//     a lease that its own clock outlasts. No share has two holders at a time, so all routers together never spend
+//     more than the budget, and a router that hears nothing falls back to the shares that it owns.
+//   - A counter only grows, and each router writes its own part of it: a message that comes late or twice changes
+//     nothing.
+//   - An ejection needs evidence of several routers and expires by itself, soon after the last evidence was received.
 package state
 
 import (
 	"fmt"
-	"math"
 	"time"
-)
 
-// Settings set up one router's part of what is shared.
-type Settings struct {
-	Self             string        // the router's name
-	Process          uint64        // of the router; a later process of the name has a higher one
-	ClusterSize      int           // routers that have a part of each budget of their own, as the operator configured
-	Guest            bool          // this one has none, and lives on what it borrows
-	LeaseDuration    time.Duration // how long a share is lent
-	TickInterval     time.Duration // between two looks at what is wanted and known
-	ClockDrift       float64       // how much quicker or slower than true a clock may run, as a share
-	EjectionDuration time.Duration // how long a verdict outlives the last evidence
-	Quorum           int           // routers whose evidence makes one; 0: more than half of those alive, two at least
-}
+	"hillknot/internal/cluster/placement"
+)
 
-// Defaults returns settings for a fleet of so many routers.
-func Defaults(self string, process uint64, size int) Settings {
-	return Settings{Self: self, Process: process, ClusterSize: size, LeaseDuration: 2 * time.Second, TickInterval: 200 * time.Millisecond, ClockDrift: 0.02,
-		EjectionDuration: 3 * time.Second}
-}
+// The bounds of what is remembered, whatever other routers send.
+const (
+	maxNameBytes        = 128 // of a router, budget, counter or endpoint
+	maxBudgets          = 512 // open at once
+	maxCounters         = 1024
+	maxTrackedEndpoints = 512 // with health evidence
+	maxExtraRouters     = 64  // names beyond the cluster size that one counter or endpoint remembers
+)
 
-// Check names the first setting that can't be used.
-func (s Settings) Check() error {
-	switch {
-	case !validName(s.Self):
-		return fmt.Errorf("setting Self is %q, not a name of up to %d bytes", s.Self, nameMost)
-	case s.ClusterSize < 1 || s.ClusterSize > MaxClusterSize:
-		return fmt.Errorf("setting Size is %d, not 1 to %d", s.ClusterSize, MaxClusterSize)
-	case s.TickInterval < 10*time.Millisecond || s.LeaseDuration < 4*s.TickInterval || s.LeaseDuration > time.Minute:
-		return fmt.Errorf("setting Beat %v, Lease %v: four beats at least must fit in a lease, and that in a minute", s.TickInterval, s.LeaseDuration)
-	case s.EjectionDuration < 2*s.TickInterval || s.EjectionDuration > time.Minute:
-		return fmt.Errorf("setting Verdict is %v, not two beats to a minute", s.EjectionDuration)
-	case !(s.ClockDrift >= 0 && s.ClockDrift <= 0.2):
-		return fmt.Errorf("setting Drift is %v, not 0 to 0.2", s.ClockDrift)
-	case s.Quorum != 0 && (s.Quorum < 2 || s.Quorum > s.ClusterSize):
-		return fmt.Errorf("setting Quorum is %d, neither 0 nor 2 to the size", s.Quorum)
-	}
-	return nil
-}
+func validName(s string) bool { return s != "" && len(s) <= maxNameBytes }
 
-// outlasts is a time on the own clock after which the same time has surely passed on any other that is allowed.
-func (s Settings) outlasts(d time.Duration) time.Duration {
-	return time.Duration(math.Ceil(float64(d) * (1 + s.ClockDrift) / (1 - s.ClockDrift)))
+// process identifies a process of a router. Later processes of a router have higher numbers.
+type process struct {
+	router string
+	number uint64
 }
 
-// MaxClusterSize is the largest fleet.
-const MaxClusterSize = 1000
+// phase is where a process stands in its life.
+type phase uint8
 
-// The bounds of what is held, whatever others say.
 const (
-	nameMost    = 128
-	budgetsMost = 512 // budgets open at once
-	countsMost  = 1024
-	judgedMost  = 512 // page caches with evidence
-	namesMost   = 64  // more names than the size that one count, or one verdict, holds
+	phaseNew        phase = iota // before the first tick: it spends only what it has borrowed
+	phaseRecovering              // an earlier process may have lent half of the router's shares
+	phaseActive                  // every lease that an earlier process granted has expired
+	phaseReplaced                // a successor spends in its place
 )
 
-func validName(s string) bool { return s != "" && len(s) <= nameMost }
-
-// OutgoingMessage is a message to be sent: to one router, or to all where To is empty. For all, a later one with the same Key
-// takes the place of an earlier one.
-type OutgoingMessage struct {
-	To, ReplaceKey string
-	Message        Message
-}
-
-// State is one router's part. It is not safe for concurrent use.
+// State is one router's replica. It is not safe for concurrent use, and nothing of it survives a restart.
 type State struct {
-	set     Settings
-	born    time.Duration // first beat; 0: none yet
-	retired bool          // a successor spends in our place
-	live    []string      // others, in order
-	crowd   int           // the most routers with a part of their own that were seen at once
-	next    int           // of live, who is asked next; -1: nobody was asked yet
-	round   uint64
-	budgets map[string]*budget
-	counts  map[string]*count
-	judged  map[string]*judgement
-	out     []OutgoingMessage
+	settings      Settings
+	startedAt     time.Duration // the first tick; 0: none yet
+	replaced      bool          // a successor spends in place of this process
+	peers         []string      // other routers that are alive, in order of their names
+	budgetOwners  int           // the most routers with shares of their own that were seen at once
+	nextLender    int           // index in peers of the router asked last; -1: none was asked yet
+	sequence      uint64        // of the latest message that carries one
+	budgets       map[string]*budget
+	counters      map[string]*counter
+	endpointsByID map[string]*endpointHealth
+	outbox        []OutgoingMessage
 }
 
-// New returns the part of a router that has just started. Until it has beaten once it spends nothing.
-func New(set Settings) (*State, error) {
-	if err := set.Check(); err != nil {
+// New returns the replica of a process that has just started. It spends nothing before the first Tick.
+func New(settings Settings) (*State, error) {
+	if err := settings.Check(); err != nil {
 		return nil, fmt.Errorf("fleet: %w", err)
 	}
-	return &State{set: set, crowd: set.ClusterSize, next: -1, budgets: map[string]*budget{}, counts: map[string]*count{}, judged: map[string]*judgement{}}, nil
+	return &State{
+		settings:      settings,
+		budgetOwners:  settings.ClusterSize,
+		nextLender:    -1,
+		budgets:       map[string]*budget{},
+		counters:      map[string]*counter{},
+		endpointsByID: map[string]*endpointHealth{},
+	}, nil
 }
 
-// OutgoingMessages returns what is to be sent, and forgets it.
-func (s *State) OutgoingMessages() []OutgoingMessage {
-	out := s.out
-	s.out = nil
-	return out
-}
+func (s *State) self() process { return process{s.settings.Self, s.settings.Process} }
 
-func (s *State) say(to, key string, m Message) {
-	m.From, m.Process = s.set.Self, s.set.Process
-	s.out = append(s.out, OutgoingMessage{To: to, ReplaceKey: key, Message: m})
+func (s *State) phase(now time.Duration) phase {
+	switch {
+	case s.replaced:
+		return phaseReplaced
+	case s.startedAt == 0:
+		return phaseNew
+	case now < s.startedAt+s.settings.outlasting(s.settings.LeaseDuration):
+		return phaseRecovering
+	}
+	return phaseActive
 }
 
-// Tick looks at what is wanted and what has run out. It is due every Settings.Tick; one that comes late, as after a
-// stop of the process, does no harm.
+// Tick renews leases, sends what has changed and drops what has expired. It is due every Settings.TickInterval; a late
+// call, as after a stop of the process, does no harm.
 func (s *State) Tick(now time.Duration) {
-	if s.born == 0 {
-		s.born = max(now, 1)
+	if s.startedAt == 0 {
+		s.startedAt = max(now, 1)
 	}
-	s.beatBudgets(now)
-	s.beatCounts()
-	s.beatVerdicts(now)
+	s.tickBudgets(now)
+	s.broadcastCounters()
+	s.expireHealth(now)
 }
 
-// SetPeers tells who else is alive: their names in order, without the own one, and how many routers with a part of their
-// own there are, this one counted: as many as are seen, or as any of them was told. Where that is more than the operator
-// configured here, each part shrinks, for good: parts that add up to more than the whole would break every bound.
+// SetPeers sets the names of the other routers that are alive, in order, and the number of routers that own shares,
+// this one included: as many as are seen, or as any of them is configured for. Where that is more than the cluster
+// size configured here, the shares of each router shrink, for good: owned shares that add up to more than the budget
+// would break every bound.
 func (s *State) SetPeers(others []string, owners int) {
-	s.live = others
-	s.crowd = max(s.crowd, owners)
+	s.peers = others
+	s.budgetOwners = max(s.budgetOwners, owners)
 }
 
-// SetReplaced tells whether a successor of this process spends in its place. What has been lent stays lent.
-func (s *State) SetReplaced(yes bool) { s.retired = yes }
+// SetReplaced sets whether a successor of this process spends in its place. Leases that it has granted go on.
+func (s *State) SetReplaced(replaced bool) { s.replaced = replaced }
 
-// ReceiveMessage takes a message of another router, or of an earlier process of this one. What makes no sense is passed over.
+// ReceiveMessage takes a message of another router, or of an earlier process of this one. Messages that make no sense
+// are ignored.
 func (s *State) ReceiveMessage(now time.Duration, m Message) {
 	if !validName(m.From) || !validName(m.Key) {
 		return
 	}
 	switch m.Kind {
 	case KindLeaseRequest:
-		s.asked(now, m)
+		s.receiveLeaseRequest(now, m.leaseRequest())
 	case KindLeaseGrant:
-		s.granted(now, m)
+		s.receiveLeaseGrant(now, m.leaseGrant())
 	case KindCounterUpdate:
-		s.heardCount(m)
+		s.receiveCounterUpdate(m.counterUpdate())
 	case KindHealthEvidence:
-		s.heardEvidence(now, m)
+		s.receiveHealthEvidence(now, m.healthEvidence())
 	}
 }
 
-// FullState is all that a router which has heard nothing should know: counts and evidence, never leases.
+// FullState returns what a router that has received nothing so far should know: counters and health evidence, but never
+// leases, which go to their holder alone.
 func (s *State) FullState(now time.Duration) []Message {
-	return append(s.wholeCounts(), s.wholeEvidence(now)...)
+	return append(s.counterMessages(), s.evidenceMessages(now)...)
+}
+
+// Duties for which package placement chooses among the routers. All routers must use the same texts.
+const (
+	lenderDuty      = "borrow" // at which peer a router begins to ask for shares
+	probeDutyPrefix = "try "   // who probes an ejected endpoint; its id follows
+)
+
+// prober returns the router that probes an ejected endpoint for all. All routers that see the same peers find the same.
+func (s *State) prober(endpoint string) string {
+	return placement.Assign(probeDutyPrefix+endpoint, append([]string{s.settings.Self}, s.peers...))
 }
