--- a/internal/cluster/membership/golden_test.go
+++ b/internal/cluster/membership/golden_test.go
@@ -18,39 +18,39 @@
 
 // Routers of different releases gossip with each other. The files of testdata/golden were written at commit 86ccf0f.
 //
-// What reaches the bytes: no name of a type or field, but the texts of delegate.NodeMeta ("guest" of guestMeta, "keeps", divided
-// by ";") and the first bytes parcelLane and creditLane, whose order counts. What they carry is of fleetstate, takeover and
-// credit, and has golden files there. All around it, with the router's name and the encryption, is memberlist's own.
+// What reaches the bytes: no name of a type or field, but the texts of delegate.NodeMeta ("guest", "keeps", divided by
+// ";") and the first bytes orderPacket and creditPacket, whose order counts. What they carry is of state, failover and credit,
+// and has golden files there. All around it, with the router's name and the encryption, is memberlist's own.
 
-// member returns a router that takes no part yet; what it hears is noted.
-func member(t *testing.T, cfg config.Cluster) (m *Agent, heard *[]state.Message, packets map[string][]byte) {
+// newTestAgent returns an agent that has not joined yet; what it receives is recorded.
+func newTestAgent(t *testing.T, cfg config.Cluster) (a *Agent, heard *[]state.Message, packets map[string][]byte) {
 	t.Helper()
 	cfg.KeyFile = filepath.Join(t.TempDir(), "keys")
 	if err := os.WriteFile(cfg.KeyFile, []byte("000102030405060708090a0b0c0d0e0f\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	heard, packets = new([]state.Message), map[string][]byte{}
-	m, err := New("r1", cfg, func(msgs []state.Message) { *heard = append(*heard, msgs...) }, PacketHandlers{
+	a, err := New("r1", cfg, func(msgs []state.Message) { *heard = append(*heard, msgs...) }, PacketHandlers{
 		Orders: func(b []byte) { packets["orders"] = b },
 		Credit: func(b []byte) { packets["credit"] = b }})
 	if err != nil {
 		t.Fatal(err)
 	}
-	return m, heard, packets
+	return a, heard, packets
 }
 
 // What a router tells of itself with its name.
 func TestGoldenMeta(t *testing.T) {
 	for name, c := range map[string]struct {
 		cfg  config.Cluster
-		want told
+		want nodeMeta
 	}{
-		"meta.txt":       {config.Cluster{Location: "hall 2", State: state.Settings{ClusterSize: 12}, Failover: config.Failover{Enabled: true}}, told{"12", true, "hall 2"}},
-		"meta-guest.txt": {config.Cluster{Location: "hall;2", State: state.Settings{ClusterSize: 12, Guest: true}}, told{"guest", false, "hall;2"}},
+		"meta.txt":       {config.Cluster{Location: "hall 2", State: state.Settings{ClusterSize: 12}, Failover: config.Failover{Enabled: true}}, nodeMeta{"12", true, "hall 2"}},
+		"meta-guest.txt": {config.Cluster{Location: "hall;2", State: state.Settings{ClusterSize: 12, Guest: true}}, nodeMeta{"guest", false, "hall;2"}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			m, _, _ := member(t, c.cfg)
-			golden.Same(t, name, delegate{m}.NodeMeta(512))
+			a, _, _ := newTestAgent(t, c.cfg)
+			golden.Same(t, name, delegate{a}.NodeMeta(512))
 			if got := parseMeta(golden.Read(t, name)); got != c.want {
 				t.Errorf("read as %+v, want %+v", got, c.want)
 			}
@@ -65,13 +65,13 @@
 
 // What is sent to one or to all, and how another takes it.
 func TestGoldenSent(t *testing.T) {
-	m, heard, packets := member(t, config.Cluster{})
-	m.Send([]state.OutgoingMessage{{To: "r2", ReplaceKey: "count hits edge-7", Message: goldenMessages[0]}})
-	m.SendOrderPackets([]messaging.Packet{{To: "r2", Data: []byte("a packet of orders")}})
-	m.SendCreditPackets([]messaging.Packet{{To: "r2", Data: []byte("a packet of credit")}})
+	a, heard, packets := newTestAgent(t, config.Cluster{})
+	a.Send([]state.OutgoingMessage{{To: "r2", ReplaceKey: "count hits edge-7", Message: goldenMessages[0]}})
+	a.SendOrderPackets([]messaging.Packet{{To: "r2", Data: []byte("a packet of orders")}})
+	a.SendCreditPackets([]messaging.Packet{{To: "r2", Data: []byte("a packet of credit")}})
 	for _, name := range []string{"letter.hex", "orders.hex", "credit.hex"} {
-		golden.Same(t, name, (<-m.letter).text)
-		delegate{m}.NotifyMsg(golden.Read(t, name))
+		golden.Same(t, name, (<-a.outgoing.waiting).content)
+		delegate{a}.NotifyMsg(golden.Read(t, name))
 	}
 	if !reflect.DeepEqual(*heard, goldenMessages[:1]) || string(packets["orders"]) != "a packet of orders" || string(packets["credit"]) != "a packet of credit" {
 		t.Errorf("heard %+v, %q", *heard, packets)
@@ -80,10 +80,10 @@
 
 // What two routers exchange when they meet.
 func TestGoldenWhole(t *testing.T) {
-	m, heard, _ := member(t, config.Cluster{})
-	m.PublishFullState(goldenMessages)
-	golden.Same(t, "whole.hex", delegate{m}.LocalState(true))
-	delegate{m}.MergeRemoteState(golden.Read(t, "whole.hex"), true)
+	a, heard, _ := newTestAgent(t, config.Cluster{})
+	a.PublishFullState(goldenMessages)
+	golden.Same(t, "whole.hex", delegate{a}.LocalState(true))
+	delegate{a}.MergeRemoteState(golden.Read(t, "whole.hex"), true)
 	if !reflect.DeepEqual(*heard, goldenMessages) {
 		t.Errorf("heard %+v, want %+v", *heard, goldenMessages)
 	}
--- /dev/null
+++ b/internal/cluster/membership/memberlist.go
@@ -0,0 +1,96 @@
+//go:build cluster
+
+package membership
+
+import (
+	stdlog "log"
+	"net"
+	"net/netip"
+	"strings"
+	"time"
+
+	"github.com/hashicorp/memberlist"
+
+	"hillknot/internal/logging"
+)
+
+// The settings of memberlist. With them, a router that dies is no longer alive for the others within about two seconds.
+const (
+	gossipInterval          = 100 * time.Millisecond
+	probeInterval           = 300 * time.Millisecond
+	probeTimeout            = 150 * time.Millisecond
+	pushPullInterval        = 2 * time.Second // between two exchanges of the full state with another router
+	connectTimeout          = time.Second
+	maxPacketBytes          = 1200 // over UDP; longer messages go over a connection of their own
+	suspicionMultiplier     = 3
+	maxSuspicionMultiplier  = 2
+	gossipToTheDeadDuration = 10 * time.Second
+	reclaimNameAfter        = time.Second // of a dead router, by one at another address
+)
+
+// createList binds the address and starts memberlist. The caller must shut the list down.
+func (a *Agent) createList() (*memberlist.Memberlist, error) {
+	listen, advertise := a.settings.Listen, a.settings.Advertise
+	logger := stdlog.New(debugWriter{}, "", 0)
+	network, err := memberlist.NewNetTransport(&memberlist.NetTransportConfig{
+		BindAddrs: []string{listen.Addr().String()},
+		BindPort:  int(listen.Port()),
+		Logger:    logger,
+	})
+	if err != nil {
+		return nil, err
+	}
+	c := memberlist.DefaultLANConfig()
+	c.Name = a.name
+	c.Transport = transport{network, listen.Addr()}
+	c.Logger = logger
+	c.Keyring = a.keys.ring
+	c.Delegate = delegate{a}
+	c.BindAddr, c.BindPort = listen.Addr().String(), int(listen.Port())
+	c.AdvertiseAddr, c.AdvertisePort = advertise.Addr().String(), int(advertise.Port())
+	c.GossipInterval = gossipInterval
+	c.ProbeInterval = probeInterval
+	c.ProbeTimeout = probeTimeout
+	c.PushPullInterval = pushPullInterval
+	c.SuspicionMult = suspicionMultiplier
+	c.SuspicionMaxTimeoutMult = maxSuspicionMultiplier
+	c.TCPTimeout = connectTimeout
+	c.UDPBufferSize = maxPacketBytes
+	c.GossipToTheDeadTime = gossipToTheDeadDuration
+	c.DeadNodeReclaimTime = reclaimNameAfter
+	c.EnableCompression = false
+	list, err := memberlist.Create(c)
+	if err != nil {
+		_ = network.Shutdown() // the first error is the one to report
+		return nil, err
+	}
+	return list, nil
+}
+
+// transport calls other routers from the address that it listens on: on a machine with several addresses, the one that is
+// called sees which router calls.
+type transport struct {
+	*memberlist.NetTransport
+	local netip.Addr
+}
+
+// DialTimeout implements memberlist.Transport.
+func (t transport) DialTimeout(addr string, timeout time.Duration) (net.Conn, error) {
+	dialer := net.Dialer{Timeout: timeout, LocalAddr: net.TCPAddrFromAddrPort(netip.AddrPortFrom(t.local, 0))}
+	return dialer.Dial("tcp", addr)
+}
+
+// DialAddressTimeout implements memberlist.NodeAwareTransport.
+func (t transport) DialAddressTimeout(a memberlist.Address, timeout time.Duration) (net.Conn, error) {
+	return t.DialTimeout(a.Addr, timeout)
+}
+
+// debugWriter logs memberlist's lines at level debug: what it warns of are peers that are not there, which Alive and the
+// metrics show.
+type debugWriter struct{}
+
+// Write implements io.Writer.
+func (debugWriter) Write(line []byte) (int, error) {
+	log.Debug("memberlist", logging.KeyLine, strings.TrimSpace(string(line)))
+	return len(line), nil
+}
--- /dev/null
+++ b/internal/cluster/membership/peers.go
@@ -0,0 +1,123 @@
+//go:build cluster
+
+package membership
+
+import (
+	"slices"
+	"strconv"
+	"strings"
+
+	"hillknot/internal/cluster/failover"
+	"hillknot/internal/cluster/state"
+	"hillknot/internal/logging"
+)
+
+// Alive returns the names of the other routers that are alive, in order, and how many routers own a part of the budgets:
+// as many as are alive, this one counted, or as any of them is configured for, where that is more.
+func (a *Agent) Alive() (others []string, owners int) {
+	if !a.settings.State.Guest {
+		owners++
+	}
+	list := a.list.Load()
+	if list == nil {
+		return nil, owners
+	}
+	largest := 0 // configured cluster size of the others
+	for _, node := range list.Members() {
+		if node.Name == a.name {
+			continue
+		}
+		others = append(others, node.Name)
+		meta := parseMeta(node.Meta)
+		if !meta.guest() {
+			owners++
+		}
+		largest = max(largest, meta.configuredSize())
+	}
+	a.warnOfSize(largest)
+	slices.Sort(others)
+	return others, max(owners, largest)
+}
+
+// warnOfSize logs, once, that another router is configured for more routers than this one.
+func (a *Agent) warnOfSize(largest int) {
+	own := a.settings.State.ClusterSize
+	if largest > own && !a.sizeWarned.Swap(true) {
+		log.Error("cluster size differs", logging.KeyOwnSize, own, logging.KeyPeerSize, largest)
+	}
+}
+
+// OrderPeers returns the other routers that are alive and hold records of orders, in the order of their names.
+func (a *Agent) OrderPeers() []failover.Peer {
+	list := a.list.Load()
+	if list == nil {
+		return nil
+	}
+	var peers []failover.Peer
+	for _, node := range list.Members() {
+		if meta := parseMeta(node.Meta); node.Name != a.name && meta.holdsOrders {
+			peers = append(peers, failover.Peer{Name: node.Name, Place: meta.location})
+		}
+	}
+	slices.SortFunc(peers, func(x, y failover.Peer) int { return strings.Compare(x.Name, y.Name) })
+	return peers
+}
+
+// aliveCount is how many routers are alive, this one counted.
+func (a *Agent) aliveCount() int {
+	if list := a.list.Load(); list != nil {
+		return list.NumMembers()
+	}
+	return 1
+}
+
+// nodeMeta is what a router tells of itself along with its name. Its encoded form is "SIZE;ORDERS;LOCATION".
+type nodeMeta struct {
+	size        string // the cluster size that it is configured for, or guestSize
+	holdsOrders bool   // for other routers
+	location    string // anything, ";" too
+}
+
+// Texts of the encoded form.
+const (
+	guestSize       = "guest"
+	holdsOrdersText = "keeps"
+	metaSeparator   = ";"
+)
+
+func (a *Agent) meta() nodeMeta {
+	meta := nodeMeta{
+		size:        strconv.Itoa(a.settings.State.ClusterSize),
+		holdsOrders: a.settings.Failover.Enabled,
+		location:    a.settings.Location,
+	}
+	if a.settings.State.Guest {
+		meta.size = guestSize
+	}
+	return meta
+}
+
+func (m nodeMeta) guest() bool { return m.size == guestSize }
+
+// configuredSize returns the cluster size that a router is configured for, or 0 where it tells none that is valid.
+func (m nodeMeta) configuredSize() int {
+	size, err := strconv.Atoi(m.size)
+	if err != nil || size > state.MaxClusterSize {
+		return 0
+	}
+	return size
+}
+
+func (m nodeMeta) encode() []byte {
+	orders := ""
+	if m.holdsOrders {
+		orders = holdsOrdersText
+	}
+	return []byte(m.size + metaSeparator + orders + metaSeparator + m.location)
+}
+
+func parseMeta(encoded []byte) nodeMeta {
+	size, rest, _ := strings.Cut(string(encoded), metaSeparator)
+	orders, location, _ := strings.Cut(rest, metaSeparator)
+	return nodeMeta{size: size, holdsOrders: orders == holdsOrdersText, location: location}
+}
--- /dev/null
+++ b/internal/cluster/membership/send.go
@@ -0,0 +1,142 @@
+//go:build cluster
+
+package membership
+
+import (
+	"sync"
+	"sync/atomic"
+
+	"github.com/hashicorp/memberlist"
+
+	"hillknot/internal/cluster/messaging"
+	"hillknot/internal/cluster/state"
+	"hillknot/internal/logging"
+)
+
+// sendQueue is what waits to be sent.
+type sendQueue struct {
+	waiting       chan outgoingMessage
+	broadcasts    memberlist.TransmitLimitedQueue // to all routers, sent along with memberlist's own gossip
+	reliableSlots chan struct{}                   // one is taken by each reliable send
+	reliableSends sync.WaitGroup
+	dropped       atomic.Uint64 // as too many waited
+}
+
+// outgoingMessage is encoded content for one router, or for all where to is empty.
+type outgoingMessage struct {
+	to, replaceKey string
+	content        []byte
+}
+
+// The first byte of a packet of package messaging tells which handler it is for. No encoded state.Message begins with
+// these bytes.
+const (
+	orderPacket = 0xf0 + iota
+	creditPacket
+)
+
+// Send queues messages. It never blocks.
+func (a *Agent) Send(messages []state.OutgoingMessage) {
+	for _, m := range messages {
+		a.outgoing.push(outgoingMessage{to: m.To, replaceKey: m.ReplaceKey, content: m.Message.Append(nil)})
+	}
+}
+
+// SendOrderPackets queues packets of the order failover. It never blocks.
+func (a *Agent) SendOrderPackets(packets []messaging.Packet) {
+	a.outgoing.pushPackets(orderPacket, packets)
+}
+
+// SendCreditPackets queues packets of the prepaid credit. It never blocks.
+func (a *Agent) SendCreditPackets(packets []messaging.Packet) {
+	a.outgoing.pushPackets(creditPacket, packets)
+}
+
+// DroppedMessages returns how many messages were dropped because too many waited.
+func (a *Agent) DroppedMessages() uint64 { return a.outgoing.dropped.Load() }
+
+func (q *sendQueue) pushPackets(kind byte, packets []messaging.Packet) {
+	for _, p := range packets {
+		q.push(outgoingMessage{to: p.To, content: append([]byte{kind}, p.Data...)})
+	}
+}
+
+// push queues a message, or drops it where the queue is full.
+func (q *sendQueue) push(m outgoingMessage) {
+	select {
+	case q.waiting <- m:
+	default:
+		q.dropped.Add(1)
+	}
+}
+
+// sendUntil sends what is queued until stop is closed.
+func (a *Agent) sendUntil(list *memberlist.Memberlist, stop <-chan struct{}) {
+	for {
+		select {
+		case <-stop:
+			return
+		case m := <-a.outgoing.waiting:
+			a.outgoing.transmit(list, m)
+		}
+	}
+}
+
+// transmit sends a message. One for a router that is not alive is dropped.
+func (q *sendQueue) transmit(list *memberlist.Memberlist, m outgoingMessage) {
+	if m.to == "" {
+		q.broadcasts.QueueBroadcast(broadcast{m.replaceKey, m.content})
+		return
+	}
+	for _, node := range list.Members() {
+		if node.Name == m.to {
+			q.transmitTo(list, node, m.content)
+			return
+		}
+	}
+}
+
+func (q *sendQueue) transmitTo(list *memberlist.Memberlist, node *memberlist.Node, content []byte) {
+	if len(content) <= maxPacketBytes {
+		logSendError(node.Name, list.SendBestEffort(node, content))
+		return
+	}
+	select {
+	case q.reliableSlots <- struct{}{}:
+	default:
+		q.dropped.Add(1)
+		return
+	}
+	q.reliableSends.Go(func() { // it may take a while to connect, and must hold up nothing else
+		logSendError(node.Name, list.SendReliable(node, content))
+		<-q.reliableSlots
+	})
+}
+
+func logSendError(peer string, err error) {
+	if err != nil {
+		log.Debug("packet not sent", logging.KeyPeer, peer, logging.KeyError, err)
+	}
+}
+
+// broadcast is a message for all routers. A later one of the same name replaces it. It implements
+// memberlist.NamedBroadcast.
+type broadcast struct {
+	name    string
+	content []byte
+}
+
+// Invalidates implements memberlist.Broadcast.
+func (b broadcast) Invalidates(other memberlist.Broadcast) bool {
+	named, ok := other.(memberlist.NamedBroadcast)
+	return ok && named.Name() == b.name
+}
+
+// Name implements memberlist.NamedBroadcast.
+func (b broadcast) Name() string { return b.name }
+
+// Message implements memberlist.Broadcast.
+func (b broadcast) Message() []byte { return b.content }
+
+// Finished implements memberlist.Broadcast.
+func (b broadcast) Finished() {}
--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -38,6 +38,11 @@
 	KeyEndpoints     = "endpoints"      // how many endpoints are listed
 	KeyAddress       = "address"        // the network address that is called
 	KeyListen        = "listen"         // an address that the router listens on
+	KeyAdvertise     = "advertise"      // the address at which other routers reach this one
+	KeyKeys          = "keys"           // how many keys a file holds
+	KeyOwnSize       = "own_size"       // the cluster size that this router is configured for
+	KeyPeerSize      = "peer_size"      // the same of another router
+	KeyLine          = "line"           // a log line of a library
 	KeyClient        = "client"         // the network address of a client
 	KeyPeer          = "peer"           // another router
 	KeyRemote        = "remote"         // the network address of the other end of a connection, whoever opened it
