--- a/internal/cluster/placement/golden_test.go
+++ b/internal/cluster/placement/golden_test.go
@@ -9,21 +9,26 @@
 	"hillknot/internal/testutil/golden"
 )
 
-// The choices of routers of different releases have to add up, so each has to choose as before. The file of testdata/golden was
-// written at commit 86ccf0f.
+// The choices of routers of different releases have to add up, so each has to choose as before. The file of
+// testdata/golden was written at commit 86ccf0f.
 //
-// What reaches the choices: no name of Go, but the salts of score ("subset", "bound", "turn", "start", "backoff"), the duty
-// "ramp NAME" of Ramp, and the duties that the callers word ("meet" of members, "keeper of NAME" of takeover).
+// What reaches the choices: no name of Go, but the salts of score ("subset", "bound", "turn", "start",
+// "backoff"), the duty "ramp NAME" of JoinedWarmUp, and the duties that the callers name ("meet" of membership, "keeper
+// of NAME" of failover, "borrow" and "try NAME" of state).
 func TestGoldenChoices(t *testing.T) {
-	routers, caches := []string{"r1", "r2", "r3", "ünion"}, []string{"edge-1", "edge-2", "edge-3", "edge-4", "edge-5", "edge-6"}
+	routers := []string{"r1", "r2", "r3", "ünion"}
+	endpoints := []string{"edge-1", "edge-2", "edge-3", "edge-4", "edge-5", "edge-6"}
 	var text strings.Builder
 	for _, salt := range []string{"subset", "bound", "turn", "start", "backoff", ""} {
 		fmt.Fprintf(&text, "score %q %.15f\n", salt, score("r1", "edge-1", salt))
 	}
-	fmt.Fprintln(&text, "subsets", Subsets(routers, caches, 3), SubsetSize(4, 6, 2), SubsetOf("r2", routers, caches, 2))
+	fmt.Fprintln(&text, "subsets", Subsets(routers, endpoints, 3), SubsetSize(4, 6, 2), SubsetOf("r2", routers, endpoints, 2))
 	for _, duty := range []string{"keeper of r1", "meet", "ramp edge-1"} {
-		fmt.Fprintln(&text, duty, "first", Assign(duty, routers), "start", StartIndex("r1", duty, 1000), "turn", PhaseOffset("r2", duty, routers, time.Second),
-			"alone", PhaseOffset("r2", duty, nil, time.Second).Round(time.Microsecond), "backoff", Backoff("r1", duty, 5, time.Second, time.Hour).Round(time.Millisecond))
+		fmt.Fprintln(&text, duty, "first", Assign(duty, routers),
+			"start", StartIndex("r1", duty, 1000),
+			"turn", PhaseOffset("r2", duty, routers, time.Second),
+			"alone", PhaseOffset("r2", duty, nil, time.Second).Round(time.Microsecond),
+			"backoff", Backoff("r1", duty, 5, time.Second, time.Hour).Round(time.Millisecond))
 	}
 	for _, r := range routers {
 		for age := range 5 {
--- /dev/null
+++ b/internal/cluster/placement/subsets.go
@@ -0,0 +1,145 @@
+package placement
+
+import (
+	"cmp"
+	"math"
+	"slices"
+)
+
+// How many routers may use one endpoint, as a multiple of the mean.
+const (
+	maxLoadFactor     = 1.25 // never more
+	typicalLoadFactor = 1.15 // for most endpoints
+)
+
+// SubsetSize returns how many endpoints each router should use: at least want, and so many that the bound of routers for
+// each endpoint is above the mean by half a router. Without such room, an endpoint that is full would push other pairs away
+// in a long chain. The caller must keep the size as routers come and go: another one moves nearly all pairs.
+func SubsetSize(routers, endpoints, want int) int {
+	for size := max(want, 1); size < endpoints; size++ {
+		mean := float64(size*routers) / float64(endpoints)
+		if math.Floor(maxLoadFactor*mean) >= mean+0.5 {
+			return size
+		}
+	}
+	return endpoints
+}
+
+// Subsets returns the endpoints that each router uses, size for each, or all where there are no more, as indices of
+// endpoints, in order. Names must be unique; their order does not change who gets whom.
+//
+// This is rendezvous hashing with bounded loads: pairs are taken from the highest score down, as long as the router has
+// fewer endpoints than size and the endpoint fewer routers than its bound. Both sides see the same score of a pair, so
+// there is one stable result, whoever computes it, and a name that comes or goes moves few other pairs. A router that the
+// bounds leave short takes the endpoints with the fewest routers.
+func Subsets(routers, endpoints []string, size int) [][]int {
+	a := newAssignment(routers, endpoints, size)
+	for _, p := range rankedPairs(routers, endpoints) {
+		if len(a.subsets[p.router]) < a.size && a.load[p.endpoint] < a.bound[p.endpoint] {
+			a.add(p.router, p.endpoint)
+		}
+	}
+	for router := range routers {
+		for len(a.subsets[router]) < a.size {
+			a.add(router, a.leastLoaded(router))
+		}
+		slices.Sort(a.subsets[router])
+	}
+	return a.subsets
+}
+
+// SubsetOf returns the names of the endpoints that one of the routers uses, or nil where it is not among them.
+func SubsetOf(self string, routers, endpoints []string, size int) []string {
+	i := slices.Index(routers, self)
+	if i < 0 {
+		return nil
+	}
+	var names []string
+	for _, endpoint := range Subsets(routers, endpoints, size)[i] {
+		names = append(names, endpoints[endpoint])
+	}
+	return names
+}
+
+// pair is a router that may use an endpoint, both as indices.
+type pair struct {
+	router, endpoint int
+	score            float64
+}
+
+// rankedPairs returns all pairs, the highest score first.
+func rankedPairs(routers, endpoints []string) []pair {
+	pairs := make([]pair, 0, len(routers)*len(endpoints))
+	for r, router := range routers {
+		for e, endpoint := range endpoints {
+			pairs = append(pairs, pair{r, e, score(router, endpoint, saltSubset)})
+		}
+	}
+	slices.SortFunc(pairs, func(a, b pair) int {
+		return cmp.Or(
+			cmp.Compare(b.score, a.score),
+			cmp.Compare(routers[a.router], routers[b.router]),
+			cmp.Compare(endpoints[a.endpoint], endpoints[b.endpoint]),
+		)
+	})
+	return pairs
+}
+
+// assignment is the subsets as far as they are computed.
+type assignment struct {
+	routers, endpoints []string
+	size               int     // of each subset
+	subsets            [][]int // of each router
+	load               []int   // routers of each endpoint
+	bound              []int   // of load
+}
+
+func newAssignment(routers, endpoints []string, size int) *assignment {
+	a := &assignment{
+		routers:   routers,
+		endpoints: endpoints,
+		size:      min(size, len(endpoints)),
+		subsets:   make([][]int, len(routers)),
+		load:      make([]int, len(endpoints)),
+		bound:     make([]int, len(endpoints)),
+	}
+	for e, endpoint := range endpoints {
+		a.bound[e] = loadBound(len(routers), len(endpoints), a.size, endpoint)
+	}
+	return a
+}
+
+// loadBound is how many routers may use an endpoint: the typical multiple of the mean, and never over the largest one. It
+// is rounded up for some endpoints and down for others, by their names: so as routers come and go, the bounds of few
+// endpoints change at a time.
+func loadBound(routers, endpoints, size int, endpoint string) int {
+	mean := float64(size*routers) / float64(max(endpoints, 1))
+	typical := math.Floor(typicalLoadFactor*mean + score(endpoint, "", saltBound))
+	largest := max(math.Ceil(mean), math.Floor(maxLoadFactor*mean))
+	return int(min(typical, largest))
+}
+
+func (a *assignment) add(router, endpoint int) {
+	a.subsets[router] = append(a.subsets[router], endpoint)
+	a.load[endpoint]++
+}
+
+// leastLoaded returns the endpoint with the fewest routers that a router does not use yet; of several, the one with the
+// highest score.
+func (a *assignment) leastLoaded(router int) int {
+	best := -1
+	for endpoint := range a.endpoints {
+		if slices.Contains(a.subsets[router], endpoint) {
+			continue
+		}
+		if best < 0 || a.load[endpoint] < a.load[best] ||
+			a.load[endpoint] == a.load[best] && a.score(router, endpoint) > a.score(router, best) {
+			best = endpoint
+		}
+	}
+	return best
+}
+
+func (a *assignment) score(router, endpoint int) float64 {
+	return score(a.routers[router], a.endpoints[endpoint], saltSubset)
+}
