--- a/internal/cluster/keyring/keyring.go
+++ b/internal/cluster/keyring/keyring.go
@@ -1,4 +1,4 @@
-// Package keyring reads the keys with which routers that talk encrypt what they say.
+// Package keyring reads the keys with which the routers of a cluster encrypt their gossip.
 package keyring
 
 import (
@@ -7,55 +7,77 @@
 	"encoding/hex"
 	"errors"
 	"fmt"
+	"io"
 	"os"
 	"slices"
 	"strings"
 )
 
 const (
-	keysMost = 16
-	fileMost = 4096
+	maxKeys      = 16
+	maxFileBytes = 4096
 )
 
-// ErrInsecurePermissions says that others than its owner may read the file of keys.
+// ErrInsecurePermissions says that others than its owner may read or write the key file.
 var ErrInsecurePermissions = errors.New("others than its owner may read it: chmod 600")
 
-// Read reads the keys: one a line, in hex, of 16, 24 or 32 bytes; the first encrypts, all decrypt. Empty lines and
-// those that begin with # are passed over.
-func Read(path string) (keys [][]byte, err error) {
+// Read reads a key file: one key a line, in hex, of 16, 24 or 32 bytes (AES-128, AES-192, AES-256). The first key encrypts,
+// all of them decrypt. Empty lines and those that begin with # are ignored, as are repeated keys. No error repeats the
+// content of the file; ErrInsecurePermissions is one that errors.Is finds.
+func Read(path string) ([][]byte, error) {
 	f, err := os.Open(path)
 	if err != nil {
 		return nil, err
 	}
 	defer f.Close()
-	info, err := f.Stat() // of what was opened, whatever the path names by now
-	switch {
-	case err != nil:
+	if err := checkFile(f); err != nil {
 		return nil, err
-	case !info.Mode().IsRegular() || info.Size() > fileMost:
-		return nil, fmt.Errorf("no file of up to %d bytes", fileMost)
-	case info.Mode().Perm()&0o077 != 0:
-		return nil, ErrInsecurePermissions
-	}
-	in := bufio.NewScanner(f)
-	for n := 1; in.Scan(); n++ {
-		line := strings.TrimSpace(in.Text())
+	}
+	keys, err := parse(f)
+	if err != nil {
+		return nil, err
+	}
+	if len(keys) == 0 || len(keys) > maxKeys {
+		return nil, fmt.Errorf("holds %d keys, not 1 to %d", len(keys), maxKeys)
+	}
+	return keys, nil
+}
+
+// checkFile checks what was opened, rather than what the path names by now.
+func checkFile(f *os.File) error {
+	info, err := f.Stat()
+	if err != nil {
+		return err
+	}
+	if !info.Mode().IsRegular() || info.Size() > maxFileBytes {
+		return fmt.Errorf("no file of up to %d bytes", maxFileBytes)
+	}
+	const groupAndOthers = 0o077
+	if info.Mode().Perm()&groupAndOthers != 0 {
+		return ErrInsecurePermissions
+	}
+	return nil
+}
+
+func parse(in io.Reader) ([][]byte, error) {
+	var keys [][]byte
+	lines := bufio.NewScanner(in)
+	for number := 1; lines.Scan(); number++ {
+		line := strings.TrimSpace(lines.Text())
 		if line == "" || strings.HasPrefix(line, "#") {
 			continue
 		}
 		key, err := hex.DecodeString(line)
-		if err != nil || len(key) != 16 && len(key) != 24 && len(key) != 32 {
-			return nil, fmt.Errorf("line %d is no key of 16, 24 or 32 bytes in hex", n) // the line itself is a secret
+		if err != nil || !validLength(key) {
+			// The line may be a secret, and the error of the decoder quotes from it.
+			return nil, fmt.Errorf("line %d is no key of 16, 24 or 32 bytes in hex", number)
 		}
-		if !slices.ContainsFunc(keys, func(k []byte) bool { return bytes.Equal(k, key) }) {
+		known := slices.ContainsFunc(keys, func(k []byte) bool { return bytes.Equal(k, key) })
+		if !known {
 			keys = append(keys, key)
 		}
 	}
-	if err := in.Err(); err != nil {
-		return nil, err
-	}
-	if len(keys) == 0 || len(keys) > keysMost {
-		return nil, fmt.Errorf("holds %d keys, not 1 to %d", len(keys), keysMost)
-	}
-	return keys, nil
+	return keys, lines.Err()
 }
+
+func validLength(key []byte) bool { return slices.Contains([]int{16, 24, 32}, len(key)) }
--- a/internal/cluster/keyring/keyring_test.go
+++ b/internal/cluster/keyring/keyring_test.go
@@ -8,39 +8,55 @@
 	"testing"
 )
 
-// A file that others may read, or that holds anything but keys, is refused, and no error repeats what stands in it.
+// A file that others may read, or that holds anything but keys, is rejected, and no error repeats its content.
 func TestRead(t *testing.T) {
-	key := strings.Repeat("0a", 32)
-	for _, c := range []struct {
-		text string
-		mode os.FileMode
-		keys int // 0: refused
+	key, shortKey := strings.Repeat("0a", 32), strings.Repeat("0b", 16)
+	for name, c := range map[string]struct {
+		content string
+		mode    os.FileMode
+		keys    int // 0: rejected
 	}{
-		{key, 0o600, 1},
-		{"# first\n" + key + "\n\n" + strings.Repeat("0b", 16) + "\n" + key + "\n", 0o400, 2},
-		{key, 0o640, 0}, {key, 0o604, 0}, {key, 0o620, 0},
-		{"", 0o600, 0}, {key + "0a", 0o600, 0}, {strings.Repeat("zz", 32), 0o600, 0}, {key[:30], 0o600, 0},
-		{strings.Repeat("#", fileMost+1), 0o600, 0},
+		"one key":                     {key, 0o600, 1},
+		"comments and a repeated key": {"# first\n" + key + "\n\n" + shortKey + "\n" + key + "\n", 0o400, 2},
+		"group may read":              {key, 0o640, 0},
+		"others may read":             {key, 0o604, 0},
+		"group may write":             {key, 0o620, 0},
+		"empty":                       {"", 0o600, 0},
+		"key too long":                {key + "0a", 0o600, 0},
+		"not hex":                     {strings.Repeat("zz", 32), 0o600, 0},
+		"key too short":               {key[:30], 0o600, 0},
+		"file too long":               {strings.Repeat("#", maxFileBytes+1), 0o600, 0},
 	} {
-		path := filepath.Join(t.TempDir(), "keys")
-		if err := os.WriteFile(path, []byte(c.text), 0o600); err != nil {
-			t.Fatal(err)
-		}
-		if err := os.Chmod(path, c.mode); err != nil {
-			t.Fatal(err)
-		}
-		keys, err := Read(path)
-		if len(keys) != c.keys || (err == nil) != (c.keys > 0) {
-			t.Errorf("%.70q with mode %o: %d keys, %v", c.text, c.mode, len(keys), err)
-		}
-		if c.mode&0o077 != 0 && !errors.Is(err, ErrInsecurePermissions) {
-			t.Errorf("mode %o: %v", c.mode, err)
-		}
-		if err != nil && len(c.text) > 16 && strings.Contains(err.Error(), c.text[:16]) {
-			t.Errorf("the error tells a secret: %v", err)
-		}
+		t.Run(name, func(t *testing.T) {
+			path := writeFile(t, c.content, c.mode)
+			keys, err := Read(path)
+			if len(keys) != c.keys || (err == nil) != (c.keys > 0) {
+				t.Errorf("%d keys, %v", len(keys), err)
+			}
+			if c.mode&0o077 != 0 && !errors.Is(err, ErrInsecurePermissions) {
+				t.Errorf("mode %o: %v", c.mode, err)
+			}
+			if err != nil && len(c.content) > 16 && strings.Contains(err.Error(), c.content[:16]) {
+				t.Errorf("the error tells a secret: %v", err)
+			}
+		})
 	}
 	if _, err := Read(t.TempDir()); err == nil {
 		t.Error("a folder was read")
 	}
+	if _, err := Read(filepath.Join(t.TempDir(), "missing")); !errors.Is(err, os.ErrNotExist) {
+		t.Errorf("a file that does not exist: %v", err)
+	}
+}
+
+func writeFile(t *testing.T, content string, mode os.FileMode) string {
+	t.Helper()
+	path := filepath.Join(t.TempDir(), "keys")
+	if err := os.WriteFile(path, []byte(content), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	if err := os.Chmod(path, mode); err != nil {
+		t.Fatal(err)
+	}
+	return path
 }
