--- a/internal/cluster/keyring/golden_test.go
+++ b/internal/cluster/keyring/golden_test.go
@@ -9,8 +9,8 @@
 	"hillknot/internal/testutil/golden"
 )
 
-// Operators keep this file, and write it by hand: no name of Go reaches its bytes. The file of testdata/golden is as commit
-// 86ccf0f reads it; its keys protect nothing.
+// Operators keep this file, and write it by hand: no name of Go reaches its bytes. The file of testdata/golden is as
+// commit 86ccf0f reads it; its keys protect nothing.
 func TestGoldenKeys(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "keys") // a checkout is readable for others
 	if err := os.WriteFile(path, golden.Read(t, "keys.txt"), 0o600); err != nil {
--- a/internal/cluster/keyring/keyring.go
+++ b/internal/cluster/keyring/keyring.go
@@ -21,9 +21,9 @@
 // ErrInsecurePermissions says that others than its owner may read or write the key file.
 var ErrInsecurePermissions = errors.New("others than its owner may read it: chmod 600")
 
-// Read reads a key file: one key a line, in hex, of 16, 24 or 32 bytes (AES-128, AES-192, AES-256). The first key encrypts,
-// all of them decrypt. Empty lines and those that begin with # are ignored, as are repeated keys. No error repeats the
-// content of the file; ErrInsecurePermissions is one that errors.Is finds.
+// Read reads a key file: one key a line, in hex, of 16, 24 or 32 bytes (AES-128, AES-192, AES-256). The first key
+// encrypts, all of them decrypt. Empty lines and those that begin with # are ignored, as are repeated keys. No error
+// repeats the content of the file; ErrInsecurePermissions is one that errors.Is finds.
 func Read(path string) ([][]byte, error) {
 	f, err := os.Open(path)
 	if err != nil {
--- a/internal/cluster/membership/golden_test.go
+++ b/internal/cluster/membership/golden_test.go
@@ -18,9 +18,10 @@
 
 // Routers of different releases gossip with each other. The files of testdata/golden were written at commit 86ccf0f.
 //
-// What reaches the bytes: no name of a type or field, but the texts of delegate.NodeMeta ("guest", "keeps", divided by
-// ";") and the first bytes orderPacket and creditPacket, whose order counts. What they carry is of state, failover and credit,
-// and has golden files there. All around it, with the router's name and the encryption, is memberlist's own.
+// What reaches the bytes: no name of a type or field, but the texts of delegate.NodeMeta ("guest", "keeps", divided
+// by ";") and the first bytes orderPacket and creditPacket, whose order counts. What they carry is of state, failover
+// and credit, and has golden files there. All around it, with the router's name and the encryption, is memberlist's
+// own.
 
 // newTestAgent returns an agent that has not joined yet; what it receives is recorded.
 func newTestAgent(t *testing.T, cfg config.Cluster) (a *Agent, heard *[]state.Message, packets map[string][]byte) {
@@ -45,8 +46,18 @@
 		cfg  config.Cluster
 		want nodeMeta
 	}{
-		"meta.txt":       {config.Cluster{Location: "hall 2", State: state.Settings{ClusterSize: 12}, Failover: config.Failover{Enabled: true}}, nodeMeta{"12", true, "hall 2"}},
-		"meta-guest.txt": {config.Cluster{Location: "hall;2", State: state.Settings{ClusterSize: 12, Guest: true}}, nodeMeta{"guest", false, "hall;2"}},
+		"meta.txt": {
+			config.Cluster{
+				Location: "hall 2",
+				State:    state.Settings{ClusterSize: 12},
+				Failover: config.Failover{Enabled: true},
+			},
+			nodeMeta{"12", true, "hall 2"},
+		},
+		"meta-guest.txt": {
+			config.Cluster{Location: "hall;2", State: state.Settings{ClusterSize: 12, Guest: true}},
+			nodeMeta{"guest", false, "hall;2"},
+		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			a, _, _ := newTestAgent(t, c.cfg)
@@ -60,7 +71,8 @@
 
 var goldenMessages = []state.Message{
 	{Kind: state.KindCounterUpdate, From: "r1", Process: 11, Key: "hits edge-7", Value: 129},
-	{Kind: state.KindHealthEvidence, From: "r2", Process: 22, Key: "edge-7", Sequence: 6, Unhealthy: true, ValidFor: 3 * time.Second},
+	{Kind: state.KindHealthEvidence, From: "r2", Process: 22, Key: "edge-7", Sequence: 6, Unhealthy: true,
+		ValidFor: 3 * time.Second},
 }
 
 // What is sent to one or to all, and how another takes it.
@@ -73,7 +85,9 @@
 		golden.Same(t, name, (<-a.outgoing.waiting).content)
 		delegate{a}.NotifyMsg(golden.Read(t, name))
 	}
-	if !reflect.DeepEqual(*heard, goldenMessages[:1]) || string(packets["orders"]) != "a packet of orders" || string(packets["credit"]) != "a packet of credit" {
+	if !reflect.DeepEqual(*heard, goldenMessages[:1]) ||
+		string(packets["orders"]) != "a packet of orders" ||
+		string(packets["credit"]) != "a packet of credit" {
 		t.Errorf("heard %+v, %q", *heard, packets)
 	}
 }
@@ -87,7 +101,8 @@
 	if !reflect.DeepEqual(*heard, goldenMessages) {
 		t.Errorf("heard %+v, want %+v", *heard, goldenMessages)
 	}
-	if b := (broadcast{"count hits edge-7", []byte("text")}); b.Name() != "count hits edge-7" || !bytes.Equal(b.Message(), []byte("text")) {
+	b := broadcast{"count hits edge-7", []byte("text")}
+	if b.Name() != "count hits edge-7" || !bytes.Equal(b.Message(), []byte("text")) {
 		t.Errorf("broadcast %q, %q", b.Name(), b.Message())
 	}
 }
--- a/internal/cluster/membership/join.go
+++ b/internal/cluster/membership/join.go
@@ -38,8 +38,8 @@
 	}
 }
 
-// joinMissing calls each configured peer that is not alive, one after the other; a call takes connectTimeout at most, and
-// some more for the exchange of states.
+// joinMissing calls each configured peer that is not alive, one after the other; a call takes connectTimeout at most,
+// and some more for the exchange of states.
 func (a *Agent) joinMissing(list *memberlist.Memberlist, stop <-chan struct{}) {
 	alive := map[string]bool{}
 	for _, node := range list.Members() {
--- a/internal/cluster/membership/keys.go
+++ b/internal/cluster/membership/keys.go
@@ -41,8 +41,8 @@
 	return len(keys), k.replace(keys)
 }
 
-// replace makes the first key the primary one, and drops the keys that are not among the new ones. Keys are added before
-// the old ones go, so no packet arrives in between that none of them decrypts.
+// replace makes the first key the primary one, and drops the keys that are not among the new ones. Keys are added
+// before the old ones go, so no packet arrives in between that none of them decrypts.
 func (k *gossipKeys) replace(keys [][]byte) error {
 	for _, key := range keys {
 		if err := k.ring.AddKey(key); err != nil {
--- a/internal/cluster/membership/memberlist.go
+++ b/internal/cluster/membership/memberlist.go
@@ -67,8 +67,8 @@
 	return list, nil
 }
 
-// transport calls other routers from the address that it listens on: on a machine with several addresses, the one that is
-// called sees which router calls.
+// transport calls other routers from the address that it listens on: on a machine with several addresses, the one
+// that is called sees which router calls.
 type transport struct {
 	*memberlist.NetTransport
 	local netip.Addr
@@ -85,8 +85,8 @@
 	return t.DialTimeout(a.Addr, timeout)
 }
 
-// debugWriter logs memberlist's lines at level debug: what it warns of are peers that are not there, which Alive and the
-// metrics show.
+// debugWriter logs memberlist's lines at level debug: what it warns of are peers that are not there, which Alive and
+// the metrics show.
 type debugWriter struct{}
 
 // Write implements io.Writer.
--- a/internal/cluster/membership/membership.go
+++ b/internal/cluster/membership/membership.go
@@ -50,14 +50,14 @@
 	packets  PacketHandlers
 }
 
-// PacketHandlers take the packets of package messaging that other routers send; a nil one drops them. They are called on
-// goroutines of memberlist, and own the bytes.
+// PacketHandlers take the packets of package messaging that other routers send; a nil one drops them. They are called
+// on goroutines of memberlist, and own the bytes.
 type PacketHandlers struct {
 	Orders, Credit func([]byte)
 }
 
-// New reads the keys. Messages of other routers are passed to onMessages, and packets to their handlers, on goroutines of
-// memberlist. Nothing is sent or received before Run.
+// New reads the keys. Messages of other routers are passed to onMessages, and packets to their handlers, on
+// goroutines of memberlist. Nothing is sent or received before Run.
 func New(name string, settings config.Cluster, onMessages func([]state.Message), packets PacketHandlers) (*Agent, error) {
 	keys, err := keyring.Read(settings.KeyFile)
 	if err != nil {
@@ -85,11 +85,11 @@
 
 func keyFileError(file string, err error) error { return fmt.Errorf("fleet keys %s: %w", file, err) }
 
-// Run joins the cluster and takes part in it until stop is closed; then it leaves, and returns once all goroutines that it
-// has started have ended. It is called once.
+// Run joins the cluster and takes part in it until stop is closed; then it leaves, and returns once all goroutines
+// that it has started have ended. It is called once.
 //
-// An address that another process of this router still has is taken once that process ends. Configured peers that are not
-// alive are called again and again, so that a cluster that was cut joins again.
+// An address that another process of this router still has is taken once that process ends. Configured peers that are
+// not alive are called again and again, so that a cluster that was cut joins again.
 func (a *Agent) Run(stop <-chan struct{}) {
 	list := a.bind(stop)
 	if list == nil {
--- a/internal/cluster/membership/membership_test.go
+++ b/internal/cluster/membership/membership_test.go
@@ -125,8 +125,8 @@
 	}
 }
 
-// Two routers find each other, exchange messages of any length and packets, go on after the keys are replaced, and the one
-// that stays sees the other leave.
+// Two routers find each other, exchange messages of any length and packets, go on after the keys are replaced, and
+// the one that stays sees the other leave.
 func TestTwoRouters(t *testing.T) {
 	oldKey, newKey := strings.Repeat("0a", 32)+"\n", strings.Repeat("0b", 32)+"\n"
 	first := startAgent(t, "r1", freeAddress(t), oldKey)
--- a/internal/cluster/membership/peers.go
+++ b/internal/cluster/membership/peers.go
@@ -12,8 +12,8 @@
 	"hillknot/internal/logging"
 )
 
-// Alive returns the names of the other routers that are alive, in order, and how many routers own a part of the budgets:
-// as many as are alive, this one counted, or as any of them is configured for, where that is more.
+// Alive returns the names of the other routers that are alive, in order, and how many routers own a part of the
+// budgets: as many as are alive, this one counted, or as any of them is configured for, where that is more.
 func (a *Agent) Alive() (others []string, owners int) {
 	if !a.settings.State.Guest {
 		owners++
--- a/internal/cluster/placement/placement.go
+++ b/internal/cluster/placement/placement.go
@@ -1,7 +1,8 @@
-// Package placement is the choices that the routers of a cluster must make alike, or that must add up over all of them:
-// which endpoints each router uses, when each does a periodic duty, and which routers first use an endpoint that is warming
-// up. All choices follow from names alone, the same for all routers that know the same names. The package is pure: no I/O,
-// no clock, no randomness. docs/design/fleet-choices.md has the reasons and what was measured.
+// Package placement is the choices that the routers of a cluster must make alike, or that must add up over all of
+// them: which endpoints each router uses, when each does a periodic duty, and which routers first use an endpoint
+// that is warming up. All choices follow from names alone, the same for all routers that know the same names. The
+// package is pure: no I/O, no clock, no randomness. docs/design/fleet-choices.md has the reasons and what was
+// measured.
 package placement
 
 import (
@@ -33,7 +34,8 @@
 	return (float64(x>>11) + 0.5) / (1 << 53)
 }
 
-// before returns whether router a precedes router b in the order for a duty. Scores that are equal leave it to the names.
+// before returns whether router a precedes router b in the order for a duty. Scores that are equal leave it to the
+// names.
 func before(a, b string, scoreA, scoreB float64) bool {
 	return scoreA < scoreB || scoreA == scoreB && a < b
 }
@@ -56,8 +58,8 @@
 	return preceding
 }
 
-// Assign returns the router that a duty is assigned to, the same for all who know the same names (rendezvous hashing). It
-// returns "" where there are no routers.
+// Assign returns the router that a duty is assigned to, the same for all who know the same names (rendezvous
+// hashing). It returns "" where there are no routers.
 func Assign(duty string, routers []string) string {
 	assigned, lowest := "", 2.0 // above every score
 	for _, router := range routers {
@@ -68,6 +70,6 @@
 	return assigned
 }
 
-// StartIndex returns the index, from 0 to n-1, at which a router begins to go round n others, so that not all routers begin
-// with the same one.
+// StartIndex returns the index, from 0 to n-1, at which a router begins to go round n others, so that not all routers
+// begin with the same one.
 func StartIndex(self, duty string, n int) int { return int(score(self, duty, saltStart) * float64(n)) }
--- a/internal/cluster/placement/schedule.go
+++ b/internal/cluster/placement/schedule.go
@@ -28,9 +28,9 @@
 // maxBackoffSteps bounds the failures that Backoff takes into account: the wait has long reached its maximum by then.
 const maxBackoffSteps = 64
 
-// Backoff returns how long a router waits before it retries something that has failed so often: between the shortest wait
-// and three times the previous one, up to the longest (decorrelated jitter). The jitter follows from names, so that routers
-// that restart in the middle of an overload do not get in step.
+// Backoff returns how long a router waits before it retries something that has failed so often: between the shortest
+// wait and three times the previous one, up to the longest (decorrelated jitter). The jitter follows from names, so
+// that routers that restart in the middle of an overload do not get in step.
 func Backoff(self, duty string, failures int, shortest, longest time.Duration) time.Duration {
 	wait := shortest
 	for i := range min(failures, maxBackoffSteps) {
--- a/internal/cluster/placement/subsets.go
+++ b/internal/cluster/placement/subsets.go
@@ -12,9 +12,10 @@
 	typicalLoadFactor = 1.15 // for most endpoints
 )
 
-// SubsetSize returns how many endpoints each router should use: at least want, and so many that the bound of routers for
-// each endpoint is above the mean by half a router. Without such room, an endpoint that is full would push other pairs away
-// in a long chain. The caller must keep the size as routers come and go: another one moves nearly all pairs.
+// SubsetSize returns how many endpoints each router should use: at least want, and so many that the bound of routers
+// for each endpoint is above the mean by half a router. Without such room, an endpoint that is full would push other
+// pairs away in a long chain. The caller must keep the size as routers come and go: another one moves nearly all
+// pairs.
 func SubsetSize(routers, endpoints, want int) int {
 	for size := max(want, 1); size < endpoints; size++ {
 		mean := float64(size*routers) / float64(endpoints)
@@ -28,10 +29,10 @@
 // Subsets returns the endpoints that each router uses, size for each, or all where there are no more, as indices of
 // endpoints, in order. Names must be unique; their order does not change who gets whom.
 //
-// This is rendezvous hashing with bounded loads: pairs are taken from the highest score down, as long as the router has
-// fewer endpoints than size and the endpoint fewer routers than its bound. Both sides see the same score of a pair, so
-// there is one stable result, whoever computes it, and a name that comes or goes moves few other pairs. A router that the
-// bounds leave short takes the endpoints with the fewest routers.
+// This is rendezvous hashing with bounded loads: pairs are taken from the highest score down, as long as the router
+// has fewer endpoints than size and the endpoint fewer routers than its bound. Both sides see the same score of a
+// pair, so there is one stable result, whoever computes it, and a name that comes or goes moves few other pairs. A
+// router that the bounds leave short takes the endpoints with the fewest routers.
 func Subsets(routers, endpoints []string, size int) [][]int {
 	a := newAssignment(routers, endpoints, size)
 	for _, p := range rankedPairs(routers, endpoints) {
@@ -109,9 +110,9 @@
 	return a
 }
 
-// loadBound is how many routers may use an endpoint: the typical multiple of the mean, and never over the largest one. It
-// is rounded up for some endpoints and down for others, by their names: so as routers come and go, the bounds of few
-// endpoints change at a time.
+// loadBound is how many routers may use an endpoint: the typical multiple of the mean, and never over the largest
+// one. It is rounded up for some endpoints and down for others, by their names: so as routers come and go, the bounds
+// of few endpoints change at a time.
 func loadBound(routers, endpoints, size int, endpoint string) int {
 	mean := float64(size*routers) / float64(max(endpoints, 1))
 	typical := math.Floor(typicalLoadFactor*mean + score(endpoint, "", saltBound))
--- a/internal/cluster/placement/subsets_test.go
+++ b/internal/cluster/placement/subsets_test.go
@@ -33,8 +33,8 @@
 	return pairs, float64(largest) * float64(len(endpoints)) / float64(len(pairs))
 }
 
-// movedFraction is the fraction of the pairs before a change that could have stayed, as neither of their names has gone,
-// and did not.
+// movedFraction is the fraction of the pairs before a change that could have stayed, as neither of their names has
+// gone, and did not.
 func movedFraction(before, after map[namePair]bool, gone string) float64 {
 	moved, all := 0, 0
 	for p := range before {
@@ -70,9 +70,9 @@
 	return worst
 }
 
-// Each endpoint is used by at most a quarter more routers than the mean, each router has as many as it should, and a name
-// that comes or goes moves no more than twice its share (thrice, for endpoints). The sizes are those of the smallest and
-// largest clusters.
+// Each endpoint is used by at most a quarter more routers than the mean, each router has as many as it should, and a
+// name that comes or goes moves no more than twice its share (thrice, for endpoints). The sizes are those of the
+// smallest and largest clusters.
 func TestSubsets(t *testing.T) {
 	for _, c := range []struct{ routers, endpoints, want int }{
 		{9, 12, 4}, {9, 20, 6}, {5, 8, 3}, {20, 14, 5}, {60, 40, 8}, {300, 200, 20}, {300, 200, 8},
--- a/internal/cluster/placement/warmup.go
+++ b/internal/cluster/placement/warmup.go
@@ -7,10 +7,11 @@
 
 const warmUpDutyPrefix = "ramp " // the id of the endpoint follows
 
-// JoinedWarmUp returns whether a router may use an endpoint that started age ago and warms up over a time. The routers join
-// one after the other, in an order that depends on the endpoint: the first ones send it enough each to warm it, where a tiny
-// part from each router would come all at once. Of known routers exactly the fraction of the time that has passed has
-// joined. A router that knows no others goes by its own score, so that the fraction is right on average.
+// JoinedWarmUp returns whether a router may use an endpoint that started age ago and warms up over a time. The
+// routers join one after the other, in an order that depends on the endpoint: the first ones send it enough each to
+// warm it, where a tiny part from each router would come all at once. Of known routers exactly the fraction of the
+// time that has passed has joined. A router that knows no others goes by its own score, so that the fraction is right
+// on average.
 func JoinedWarmUp(self, endpoint string, routers []string, age, over time.Duration) bool {
 	duty := warmUpDutyPrefix + endpoint
 	if r := rank(self, duty, routers); r != unknownRank {
@@ -34,9 +35,9 @@
 // each other.
 const unknownDeviations = 4
 
-// WarmUpShare returns the fraction of an endpoint's capacity that a router which has joined may use. The routers that have
-// joined share it. Where they are not known but for an estimate of their number, so many share it as have joined with
-// near certainty at most.
+// WarmUpShare returns the fraction of an endpoint's capacity that a router which has joined may use. The routers that
+// have joined share it. Where they are not known but for an estimate of their number, so many share it as have joined
+// with near certainty at most.
 func WarmUpShare(routers []string, estimate int, age, over time.Duration) float64 {
 	if n := len(routers); n > 1 {
 		return 1 / float64(joinedRouters(n, age, over))
--- a/internal/cluster/placement/warmup_test.go
+++ b/internal/cluster/placement/warmup_test.go
@@ -8,8 +8,8 @@
 
 const warmUpTime = 10 * time.Second
 
-// sumOfShares is what all routers that have joined may send an endpoint, as a fraction of its capacity. Routers that don't
-// know each other go by an estimate of their number.
+// sumOfShares is what all routers that have joined may send an endpoint, as a fraction of its capacity. Routers that
+// don't know each other go by an estimate of their number.
 func sumOfShares(routers []string, endpoint string, known bool, age time.Duration) float64 {
 	var peers []string
 	if known {
@@ -24,8 +24,8 @@
 	return sum
 }
 
-// What routers may send an endpoint that is warming up adds up to no more than its capacity, whether they know each other
-// or go by an estimate; where they know each other, it is never nothing once the warm-up has begun.
+// What routers may send an endpoint that is warming up adds up to no more than its capacity, whether they know each
+// other or go by an estimate; where they know each other, it is never nothing once the warm-up has begun.
 func TestWarmUpSharesAddUp(t *testing.T) {
 	for _, known := range []bool{true, false} {
 		for i := range 200 {
