--- a/cmd/hillknot/cluster.go
+++ b/cmd/hillknot/cluster.go
@@ -92,7 +92,7 @@
 }
 
 // openPrepaidCredit opens the extension that holds requests to prepaid balances.
-func openPrepaidCredit(cfg *config.Config, c *core.Core, m *membership.Members) (*prepaidcredit.Extension, error) {
+func openPrepaidCredit(cfg *config.Config, c *core.Core, m *membership.Agent) (*prepaidcredit.Extension, error) {
 	block := cfg.Cluster.Credit
 	settings := credit.Defaults(cfg.Name, cfg.Cluster.State.Process, "")
 	settings.PacingHorizon = block.PacingHorizon
@@ -123,7 +123,7 @@
 			longestOrder = max(longestOrder, cmp.Or(class.Deadline, cfg.Limits.LongestDeadline))
 		}
 	}
-	settings := failover.Defaults(cfg.Name, cluster.State.Process, cluster.State.Size, cmp.Or(longestOrder, time.Second))
+	settings := failover.Defaults(cfg.Name, cluster.State.Process, cluster.State.ClusterSize, cmp.Or(longestOrder, time.Second))
 	settings.Place = cluster.Location
 	settings.Strict = block.Strict
 	settings.LeaseDuration = block.LeaseDuration
