--- a/balancer/attempts.go
+++ b/balancer/attempts.go
@@ -20,7 +20,7 @@
 	}
 	b.chargeAttempt(r, &a)
 	r.attempts = append(r.attempts, a)
-	b.settings.Coordinator.AttemptSent(b.now, send)
+	b.settings.ClusterState.AttemptSent(b.now, send)
 	b.emit(send)
 }
 
@@ -54,7 +54,7 @@
 	if ev.Answered {
 		b.closeRequest(r)
 	}
-	b.requests.capacityFreed = true
+	b.requests.retryQueuedAfterEvents = true
 	if r.phase != requestClosed {
 		b.continueRequest(r, a, ev.Status)
 	}
@@ -78,10 +78,10 @@
 	if status == Miss && lookup {
 		r.cacheMissed = true
 	} else if status != OK {
-		a.blamed = a.endpoint
+		a.avoidOnRetry = a.endpoint
 	}
 	if status == Miss && a.cachedOnly {
-		a.blamed = a.source
+		a.avoidOnRetry = a.source
 		r.sourceMisses++
 	}
 }
@@ -92,8 +92,8 @@
 	switch {
 	case timeIsUp || status == NotSent:
 		b.finish(r)
-	case status == Rejected && a.blamed == a.endpoint && len(r.attempts) < b.maxAttempts() && b.mayQueue(r):
-		r.phase = requestQueued // not at once: the other caches are likely as full
+	case status == Rejected && a.avoidOnRetry == a.endpoint && len(r.attempts) < b.maxAttempts() && b.mayQueue(r):
+		r.phase = requestQueued // retryQueued chooses among all queued requests: the other caches are likely as full
 	default:
 		b.route(r)
 	}
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -29,8 +29,8 @@
 	if err := s.validate(); err != nil {
 		return nil, err
 	}
-	if s.Coordinator == nil {
-		s.Coordinator = standalone{}
+	if s.ClusterState == nil {
+		s.ClusterState = standalone{}
 	}
 	b := &Balancer{
 		settings:  s,
--- a/balancer/handle.go
+++ b/balancer/handle.go
@@ -9,8 +9,8 @@
 	for _, ev := range events {
 		b.dispatch(ev)
 	}
-	if b.requests.capacityFreed { // once for all events: each pass looks at every open request
-		b.requests.capacityFreed = false
+	if b.requests.retryQueuedAfterEvents { // once for all events: each pass looks at every open request
+		b.requests.retryQueuedAfterEvents = false
 		b.retryQueued()
 	}
 	return b.actions
--- a/balancer/health.go
+++ b/balancer/health.go
@@ -12,7 +12,7 @@
 // has not left its probes to another router.
 func (b *Balancer) usable(e *endpoint) bool {
 	return e.inService() && (!e.health.ejected || b.now >= e.health.nextProbe) &&
-		!b.settings.Coordinator.ProbedByPeer(b.now, e.id)
+		!b.settings.ClusterState.ProbedByPeer(b.now, e.id)
 }
 
 func (b *Balancer) recordSuccess(e *endpoint) {
--- a/balancer/outcomes.go
+++ b/balancer/outcomes.go
@@ -16,7 +16,7 @@
 			b.updateHealthScore(source, false)
 		}
 	case Rejected, Miss:
-		b.learnRejection(a, ev)
+		b.blameSourceOfRejection(a, ev)
 	}
 }
 
@@ -74,7 +74,7 @@
 	source := a.fillSource()
 	if detail == SourceUnreachable && source != nil {
 		b.recordFailure(source)
-		a.blamed = source
+		a.avoidOnRetry = source
 		return
 	}
 	b.recordFailure(a.endpoint)
@@ -83,20 +83,20 @@
 	}
 }
 
-// learnRejection finds out whose a rejection was. Where the cache names no cause, its own rejection comes at once
+// blameSourceOfRejection finds out whose a rejection was. Where the cache names no cause, its own rejection comes at once
 // and one of its source later.
-func (b *Balancer) learnRejection(a *attempt, ev Outcome) {
+func (b *Balancer) blameSourceOfRejection(a *attempt, ev Outcome) {
 	a.endpoint.health.lastResponse = b.now
 	source := a.fillSource()
 	if ev.Detail == OriginFailed && b.endpoints.origin != nil {
 		b.recordFailure(b.endpoints.origin)
-		a.blamed = source
+		a.avoidOnRetry = source
 		return
 	}
 	bySource := ev.Detail == SourceRejected || ev.Detail == SourceUnreachable ||
 		ev.Detail == NoDetail && ev.Status == Rejected && ev.Elapsed > cacheRejectionTime
 	if source != nil && source.role != roleCache && bySource {
 		b.recordFailure(source)
-		a.blamed = source
+		a.avoidOnRetry = source
 	}
 }
--- a/balancer/requests.go
+++ b/balancer/requests.go
@@ -122,7 +122,7 @@
 			return false
 		}
 	}
-	return !r.mayHaveRun() || b.settings.Coordinator.AdmitRetry(b.now)
+	return !r.mayHaveRun() || b.settings.ClusterState.AdmitRetry(b.now)
 }
 
 // finish gives the final answer that the router itself owes: a rejection where the client may safely ask again,
--- a/balancer/routing.go
+++ b/balancer/routing.go
@@ -156,7 +156,7 @@
 
 // failedAt tells whether an endpoint has failed this request already, as server or as source.
 func (r *request) failedAt(e *endpoint) bool {
-	return slices.ContainsFunc(r.attempts, func(a attempt) bool { return a.blamed == e })
+	return slices.ContainsFunc(r.attempts, func(a attempt) bool { return a.avoidOnRetry == e })
 }
 
 // dedupAllows tells whether an attempt at an endpoint may follow the earlier ones: all that may have run must be in
--- a/balancer/settings.go
+++ b/balancer/settings.go
@@ -15,7 +15,7 @@
 	MaxRetryAfter   time.Duration // longest Retry-After of a rejected request; 0: none is sent
 	CacheSlowStart  SlowStartRule
 	ParentSlowStart SlowStartRule
-	Coordinator     Coordinator // nil: this router shares no state with others
+	ClusterState    ClusterState // nil: this router shares no state with others
 }
 
 // Topology is the site that an instance serves: its zones and the kinds of endpoints.
@@ -79,10 +79,10 @@
 	OverloadWindow  time.Duration // for this long
 }
 
-// Coordinator is what the routers of a fleet have agreed on. Its methods are called within Handle, with the time of
+// ClusterState is what the routers of a fleet have agreed on. Its methods are called within Handle, with the time of
 // that call; they must answer at once, from local state. It can only forbid what the module would do, never allow
 // more.
-type Coordinator interface {
+type ClusterState interface {
 	// AdmitWarmingUp tells whether an endpoint in slow start may be sent one more attempt.
 	AdmitWarmingUp(now time.Duration, id EndpointID) bool
 	// AdmitRetry tells whether an attempt may follow one that may have run.
--- a/balancer/slowstart.go
+++ b/balancer/slowstart.go
@@ -57,7 +57,7 @@
 	mean := b.warmUpRate(e, usual, (e.warmUp.budgetAt+b.now)/2) // since budgetAt: the rate rises in a line
 	e.warmUp.budget = min(e.warmUp.budget+mean*(b.now-e.warmUp.budgetAt).Seconds(), most)
 	e.warmUp.budgetAt = b.now
-	return e.warmUp.budget >= min(r.class.serviceTime, most) && b.settings.Coordinator.AdmitWarmingUp(b.now, e.id)
+	return e.warmUp.budget >= min(r.class.serviceTime, most) && b.settings.ClusterState.AdmitWarmingUp(b.now, e.id)
 }
 
 // usualLoad is the usual load of an endpoint's role, in seconds of service time per second. A young router takes
--- a/balancer/state.go
+++ b/balancer/state.go
@@ -142,12 +142,12 @@
 
 // requestTable holds the requests.
 type requestTable struct {
-	byID          map[RequestID]*request
-	inOrder       []*request    // by arrival; closed ones stay until the next scan
-	meanCost      float64       // moving average of request.cost
-	firstAt       time.Duration // when the first request came
-	scanScheduled bool
-	capacityFreed bool // queued requests may find capacity now
+	byID                   map[RequestID]*request
+	inOrder                []*request    // by arrival; closed ones stay until the next scan
+	meanCost               float64       // moving average of request.cost
+	firstAt                time.Duration // when the first request came
+	scanScheduled          bool
+	retryQueuedAfterEvents bool // an attempt has ended: queued requests may find capacity now
 }
 
 // attemptState is where an attempt stands.
@@ -163,11 +163,11 @@
 
 // attempt is one attempt of a request.
 type attempt struct {
-	endpoint *endpoint
-	source   *endpoint // where a miss is filled from; endpoint itself: there is no fill
-	blamed   *endpoint // whose fault its failure was
-	sentAt   time.Duration
-	state    attemptState
+	endpoint     *endpoint
+	source       *endpoint // where a miss is filled from; endpoint itself: there is no fill
+	avoidOnRetry *endpoint // whose fault its failure was
+	sentAt       time.Duration
+	state        attemptState
 
 	cachedOnly      bool    // the source answers from its cache only
 	toSecondHome    bool    // the fill goes to the second home, to keep that warm
--- a/cmd/hillknot/clusterstate.go
+++ b/cmd/hillknot/clusterstate.go
@@ -21,6 +21,6 @@
 	if err != nil {
 		return nil, err
 	}
-	cfg.Settings.Coordinator = shared
+	cfg.Settings.ClusterState = shared
 	return shared, nil
 }
--- a/cmd/hillknot/shutdown.go
+++ b/cmd/hillknot/shutdown.go
@@ -11,13 +11,13 @@
 const shutdownPollInterval = 10 * time.Millisecond
 
 // shutDown goes on accepting for the grace period, in which clients that have not yet heard of the end still send
-// requests. Then it waits until every request has its final answer, for Limits.Finish in all. Where a successor has
+// requests. Then it waits until every request has its final answer, for Limits.ShutdownTimeout in all. Where a successor has
 // taken over, new connections are left to it at once, and the open ones close as on standby.
 func (r *router) shutDown() {
 	limits := r.cfg.Limits
 	start := r.core.EarliestSignal() // the signal may have come while the process was stopped
 	r.core.Post(func() { r.core.BeginShutdown(start) })
-	for clock.Now()-start < limits.ShutdownTimeout && !r.drained(start) {
+	for clock.Now()-start < limits.ShutdownTimeout && !r.finishIfNothingOpen(start) {
 		time.Sleep(shutdownPollInterval)
 	}
 	closed := make(chan struct{})
@@ -30,8 +30,8 @@
 	r.clients.Shutdown(start + limits.ShutdownTimeout + limits.ShutdownFlush)
 }
 
-// drained tells whether a shutdown that began at start may end: nothing more is owed to any client.
-func (r *router) drained(start time.Duration) bool {
+// finishIfNothingOpen tells whether a shutdown that began at start may end: nothing more is owed to any client.
+func (r *router) finishIfNothingOpen(start time.Duration) bool {
 	if r.core.Snapshot().HasSuccessor {
 		r.clients.StopAccepting()
 		if r.clients.OpenConns() > 0 {
@@ -41,6 +41,6 @@
 		return false
 	}
 	idle := make(chan bool, 1)
-	r.core.Post(func() { idle <- r.core.CloseIfIdle() })
+	r.core.Post(func() { idle <- r.core.CloseIfNothingOpen() })
 	return <-idle
 }
--- a/internal/cluster/failover/action.go
+++ b/internal/cluster/failover/action.go
@@ -5,12 +5,12 @@
 
 // The kinds of actions.
 const (
-	ActionSend        ActionKind = iota // send the order Txn: UseLease allows it until the lease expires
-	ActionStop                          // don't send the order Txn, for the reason Err: it is no longer the caller's
-	ActionRelease                       // answer the client of the order Txn. Err is nil: no other router runs it
-	ActionRun                           // run Order, which belonged to a router that was lost
-	ActionBeginClaim                    // run Order for the claim ClaimID, within Order's time
-	ActionSettleClaim                   // answer the claim ClaimID with Outcome; Err says why nothing better is known
+	ActionSend           ActionKind = iota // send the order Txn: UseSendPermission allows it until the lease expires
+	ActionStop                             // don't send the order Txn, for the reason Err: it is no longer the caller's
+	ActionReplicaDropped                   // answer the client of the order Txn. Err is nil: no other router runs it
+	ActionRun                              // run Order, which belonged to a router that was lost
+	ActionBeginClaim                       // run Order for the claim ClaimID, within Order's time
+	ActionSettleClaim                      // answer the claim ClaimID with Outcome; Err says why nothing better is known
 )
 
 // Action is something that the caller is to do.
--- a/internal/cluster/failover/claim.go
+++ b/internal/cluster/failover/claim.go
@@ -109,7 +109,7 @@
 	if w.Name != c.settings.Self {
 		m := message{Kind: messageClaimUpdate, Txn: txn, Claim: w.claim, Update: update}
 		// A claimant that can't be reached asks again by itself.
-		_ = c.send(now, w.Name, m, now+c.settings.MaxClientWait, request{})
+		_ = c.send(now, w.Name, m, now+c.settings.MaxClientWait, sentMessage{})
 		return
 	}
 	if claim := c.claims[w.claim]; claim != nil {
@@ -146,11 +146,11 @@
 // can't be reached holds the order as given, which is safe.
 func (c *Coordinator) returnOrderTo(now time.Duration, txn, router string) {
 	m := message{Kind: messageStep, Txn: txn, Step: stepEnded, Outcome: Outcome{Kind: NeverRan}}
-	_ = c.send(now, router, m, now+c.settings.Retention, request{step: stepEnded})
+	_ = c.send(now, router, m, now+c.settings.Retention, sentMessage{step: stepEnded})
 }
 
 // receiveClaimReply takes the reply to a question, or the failure to get one.
-func (c *Coordinator) receiveClaimReply(now time.Duration, req request, err error, answer reply) {
+func (c *Coordinator) receiveClaimReply(now time.Duration, req sentMessage, err error, answer reply) {
 	claim := c.claims[req.claim]
 	if claim == nil || claim.order.Txn != req.txn {
 		if answer.Kind == replyRun && c.owned.orders[req.txn] == nil { // else the order was begun here
@@ -234,7 +234,7 @@
 	txn := claim.order.Txn
 	m := message{Kind: messageClaim, Txn: txn, Claim: id, Order: Order{Txn: txn, Digest: claim.order.Digest}}
 	until := min(claim.deadline, now+claimTimeouts*c.settings.ClaimTimeout)
-	if err := c.send(now, router, m, until, request{claim: id, txn: txn}); err == nil {
+	if err := c.send(now, router, m, until, sentMessage{claim: id, txn: txn}); err == nil {
 		claim.pending[router] = true
 	}
 }
--- a/internal/cluster/failover/coordinator.go
+++ b/internal/cluster/failover/coordinator.go
@@ -34,10 +34,10 @@
 type Coordinator struct {
 	settings  Settings
 	messenger *messaging.Messenger
-	requests  map[uint64]request // in flight, by the numbers of their messages
-	peers     []Peer             // alive, in the order of their names
-	startedAt time.Duration      // of the first SetPeers; 0: not yet
-	lastSweep time.Duration      // when what has ended was looked through
+	requests  map[uint64]sentMessage // in flight, by the numbers of their messages
+	peers     []Peer                 // alive, in the order of their names
+	startedAt time.Duration          // of the first SetPeers; 0: not yet
+	lastSweep time.Duration          // when what has ended was looked through
 	// Until then something that was forgotten early may still be asked for, so this router can't say for certain
 	// that it knows nothing of an order.
 	uncertainUntil time.Duration
@@ -62,7 +62,7 @@
 	return &Coordinator{
 		settings:  settings,
 		messenger: messaging.New(messaging.Defaults(settings.Self, settings.Process)),
-		requests:  map[uint64]request{},
+		requests:  map[uint64]sentMessage{},
 		owned:     ownedOrders{orders: map[string]*ownedOrder{}},
 		stored:    storedRecords{records: map[string]*record{}, owners: map[Incarnation]*ownerLease{}},
 		claims:    map[uint64]*openClaim{},
@@ -124,8 +124,8 @@
 	c.tickClaims(now)
 }
 
-// request is a message in flight: a step of an order for its replica, or, where claim is set, a question about a claim.
-type request struct {
+// sentMessage is a message in flight: a step of an order for its replica, or, where claim is set, a question about a claim.
+type sentMessage struct {
 	to      string
 	sentAt  time.Duration
 	txn     string // empty: the message only renews the lease
@@ -136,7 +136,7 @@
 
 // send sends a message to a router, and again until it is acknowledged or a time has come. The reply comes to the
 // role that the request is of.
-func (c *Coordinator) send(now time.Duration, to string, m message, until time.Duration, r request) error {
+func (c *Coordinator) send(now time.Duration, to string, m message, until time.Duration, r sentMessage) error {
 	body, err := cbor.Marshal(&m)
 	if err != nil {
 		return fmt.Errorf("takeover: %w", err)
--- a/internal/cluster/failover/order_state.go
+++ b/internal/cluster/failover/order_state.go
@@ -9,7 +9,7 @@
 	orderLeaseGranted                             // its caller got ActionSend; nothing was written yet
 	orderSent                                     // it may have been written
 	orderResendRequested                          // the same, and its caller waits for ActionSend again
-	orderReleasing                                // rejected unsent; its replica has yet to release it
+	orderDroppingReplica                          // rejected unsent; its replica has yet to release it
 	orderReleasingAfterSend                       // the same, after it was sent to an endpoint that rejected it
 	orderEnded                                    // its outcome is known, and it was never sent
 	orderEndedAfterSend
@@ -20,9 +20,9 @@
 type orderEvent uint8
 
 const (
-	leaseRequested    orderEvent = iota // RequestLease, where the caller has to wait
+	leaseRequested    orderEvent = iota // RequestSendPermission, where the caller has to wait
 	leaseGranted                        // ActionSend goes out
-	leaseUsed                           // UseLease allowed the caller to write
+	leaseUsed                           // UseSendPermission allowed the caller to write
 	finishedReleasing                   // Finish, where the replica could still pass the order on
 	finished                            // Finish, else
 	released                            // the wait for the replica's release is over
@@ -36,19 +36,19 @@
 		leaseRequested:    orderLeaseRequested,
 		leaseGranted:      orderLeaseGranted,
 		leaseUsed:         orderSent,
-		finishedReleasing: orderReleasing,
+		finishedReleasing: orderDroppingReplica,
 		finished:          orderEnded,
 	},
 	orderLeaseRequested: {
 		leaseGranted:      orderLeaseGranted,
 		leaseUsed:         orderSent,
-		finishedReleasing: orderReleasing,
+		finishedReleasing: orderDroppingReplica,
 		finished:          orderEnded,
 	},
 	orderLeaseGranted: {
 		leaseRequested:    orderLeaseRequested,
 		leaseUsed:         orderSent,
-		finishedReleasing: orderReleasing,
+		finishedReleasing: orderDroppingReplica,
 		finished:          orderEnded,
 	},
 	orderSent: {
@@ -62,7 +62,7 @@
 		finishedReleasing: orderReleasingAfterSend,
 		finished:          orderEndedAfterSend,
 	},
-	orderReleasing:          {released: orderEnded},
+	orderDroppingReplica:    {released: orderEnded},
 	orderReleasingAfterSend: {released: orderEndedAfterSend},
 }
 
@@ -75,10 +75,12 @@
 }
 
 // ended tells whether the outcome is known. The client may still have to wait for it: see releasing.
-func (s orderState) ended() bool { return s >= orderReleasing }
+func (s orderState) ended() bool { return s >= orderDroppingReplica }
 
 // releasing tells whether the client waits until the replica lets go of the order.
-func (s orderState) releasing() bool { return s == orderReleasing || s == orderReleasingAfterSend }
+func (s orderState) releasing() bool {
+	return s == orderDroppingReplica || s == orderReleasingAfterSend
+}
 
 // leaseRequested tells whether the caller waits for ActionSend.
 func (s orderState) leaseRequested() bool {
--- a/internal/cluster/failover/owner.go
+++ b/internal/cluster/failover/owner.go
@@ -35,9 +35,9 @@
 	return nil
 }
 
-// RequestLease asks to send an order. ActionSend or ActionStop follows, at once or later; nothing follows if the
+// RequestSendPermission asks to send an order. ActionSend or ActionStop follows, at once or later; nothing follows if the
 // order ends before.
-func (c *Coordinator) RequestLease(now time.Duration, txn string) {
+func (c *Coordinator) RequestSendPermission(now time.Duration, txn string) {
 	o := c.owned.orders[txn]
 	if o == nil || o.state.ended() {
 		c.act(Action{Kind: ActionStop, Txn: txn, Outcome: Outcome{Kind: MayHaveRun}, Err: LeaseLostError{}})
@@ -55,8 +55,8 @@
 	c.owned.changed = append(c.owned.changed, txn)
 }
 
-// UseLease tells whether an order may be written now. A caller that gets true writes it at once.
-func (c *Coordinator) UseLease(now time.Duration, txn string) bool {
+// UseSendPermission tells whether an order may be written now. A caller that gets true writes it at once.
+func (c *Coordinator) UseSendPermission(now time.Duration, txn string) bool {
 	o := c.owned.orders[txn]
 	if o == nil || o.state.ended() || !o.replication.mayBeSent(now) {
 		return false
@@ -69,7 +69,7 @@
 }
 
 // Finish takes the outcome that an order's client is about to be told. If it returns true, the caller waits for
-// ActionRelease or calls StopWaiting before it tells the client: a replica may still pass the order on.
+// ActionReplicaDropped or calls StopWaiting before it tells the client: a replica may still pass the order on.
 func (c *Coordinator) Finish(now time.Duration, txn string, outcome Outcome) (wait bool) {
 	o := c.owned.orders[txn]
 	if o == nil || o.state.ended() {
--- a/internal/cluster/failover/replica.go
+++ b/internal/cluster/failover/replica.go
@@ -21,7 +21,7 @@
 type recordState uint8
 
 const (
-	recordTaken        recordState = iota // its owner may use another replica by now
+	recordNoted        recordState = iota // its owner may use another replica by now
 	recordTransferable                    // this replica may pass it on if the owner is lost
 	recordMaySend                         // its owner may send it; nobody else ever may
 	recordSealed                          // it was taken, and its owner is lost: this replica never lets it be sent
@@ -153,7 +153,7 @@
 	case stepMaySend:
 		return recordMaySend
 	}
-	return recordTaken
+	return recordNoted
 }
 
 // storeOutcome stores how an order ended.
@@ -270,7 +270,7 @@
 	case recordMaySend:
 		c.endRecord(now, r, Outcome{Kind: MayHaveRun})
 		return
-	case recordTaken:
+	case recordNoted:
 		r.state = recordSealed
 	default:
 		r.state = recordOrphaned
@@ -304,7 +304,7 @@
 // on is given to the claimant by this reply.
 func (c *Coordinator) recordReply(now time.Duration, r *record, w waiter) reply {
 	switch r.state {
-	case recordTaken, recordTransferable, recordMaySend, recordRunning:
+	case recordNoted, recordTransferable, recordMaySend, recordRunning:
 		return addWaiter(&r.waiters, w)
 	case recordSealed:
 		r.reserveFor(w)
--- a/internal/cluster/failover/replication.go
+++ b/internal/cluster/failover/replication.go
@@ -82,7 +82,7 @@
 		return
 	}
 	m, until := c.stepMessage(now, txn, o)
-	req := request{txn: txn, step: r.target, session: r.session.number}
+	req := sentMessage{txn: txn, step: r.target, session: r.session.number}
 	if err := c.send(now, r.session.replica, m, until, req); err != nil {
 		c.replicationFailed(now, txn, o, err)
 		return
@@ -128,7 +128,7 @@
 }
 
 // receiveReplicaReply takes a replica's reply to what it was told, or the failure to get one.
-func (c *Coordinator) receiveReplicaReply(now time.Duration, req request, err error, answer reply) {
+func (c *Coordinator) receiveReplicaReply(now time.Duration, req sentMessage, err error, answer reply) {
 	c.updateSession(now, req, err, answer)
 	o := c.owned.orders[req.txn]
 	if req.txn == "" || o == nil || o.replication.session == nil || o.replication.session.number != req.session {
@@ -151,7 +151,7 @@
 }
 
 // stepAcknowledged takes that the replica holds a step, and goes on to the next.
-func (c *Coordinator) stepAcknowledged(req request, o *ownedOrder) {
+func (c *Coordinator) stepAcknowledged(req sentMessage, o *ownedOrder) {
 	r := &o.replication
 	r.acknowledged = max(r.acknowledged, req.step)
 	c.trace(req.step.String()+eventStepAcknowledged, req.txn, req.to)
@@ -219,11 +219,11 @@
 }
 
 // receiveRelease takes a replica's reply to the outcome of an order. A rejected one's client waits for it.
-func (c *Coordinator) receiveRelease(now time.Duration, req request, o *ownedOrder, err error, answer reply) {
+func (c *Coordinator) receiveRelease(now time.Duration, req sentMessage, o *ownedOrder, err error, answer reply) {
 	if !o.state.releasing() {
 		return
 	}
-	action := Action{Kind: ActionRelease, Txn: req.txn}
+	action := Action{Kind: ActionReplicaDropped, Txn: req.txn}
 	switch {
 	case err != nil:
 		action.Err = NotReleasedError{req.to}
--- a/internal/cluster/failover/scenarios_test.go
+++ b/internal/cluster/failover/scenarios_test.go
@@ -48,7 +48,7 @@
 func pauseOwnerWithLease(s *script, pause time.Duration) *simOrder {
 	o := s.order(2500 * ms)
 	s.pass(50 * ms)
-	s.owner.coordinator.RequestLease(s.owner.clock(s.now), o.txn)
+	s.owner.coordinator.RequestSendPermission(s.owner.clock(s.now), o.txn)
 	s.passUntil(stepMaySend.String()+eventStepStored, 6*time.Second)
 	s.pause(s.owner, pause)
 	return o
--- a/internal/cluster/failover/session.go
+++ b/internal/cluster/failover/session.go
@@ -52,7 +52,7 @@
 }
 
 // updateSession takes from a replica's reply, or the failure to get one, how its session stands.
-func (c *Coordinator) updateSession(now time.Duration, req request, err error, answer reply) {
+func (c *Coordinator) updateSession(now time.Duration, req sentMessage, err error, answer reply) {
 	session := c.sessionByNumber(req.session)
 	if session == nil {
 		return
@@ -124,5 +124,5 @@
 func (c *Coordinator) renewLease(now time.Duration, session *replicaSession) {
 	session.renewAt = now + c.settings.LeaseDuration/renewalsPerLease
 	m := message{Kind: messageStep, Session: session.number}
-	_ = c.send(now, session.replica, m, now+c.settings.LeaseDuration, request{session: session.number})
+	_ = c.send(now, session.replica, m, now+c.settings.LeaseDuration, sentMessage{session: session.number})
 }
--- a/internal/cluster/failover/sim_router_test.go
+++ b/internal/cluster/failover/sim_router_test.go
@@ -61,7 +61,7 @@
 			delete(r.requests, a.Txn)
 			c.answer(q, a.Outcome.Kind)
 		}
-	case ActionRelease:
+	case ActionReplicaDropped:
 		if q != nil && q.heldBack != nil {
 			delete(r.requests, a.Txn)
 			kind := q.heldBack.Kind
@@ -119,7 +119,7 @@
 			return
 		}
 		q.leaseRequested = true
-		r.coordinator.RequestLease(r.clock(c.now), q.txn)
+		r.coordinator.RequestSendPermission(r.clock(c.now), q.txn)
 		c.carryOutActions(r)
 	})
 }
@@ -140,8 +140,8 @@
 		})
 		return
 	}
-	if !r.coordinator.UseLease(now, q.txn) {
-		r.coordinator.RequestLease(now, q.txn)
+	if !r.coordinator.UseSendPermission(now, q.txn) {
+		r.coordinator.RequestSendPermission(now, q.txn)
 		return
 	}
 	c.countRun(r, q.txn)
--- a/internal/config/defaults.go
+++ b/internal/config/defaults.go
@@ -71,9 +71,9 @@
 		BacklogWait:         100 * ms,
 		OrderReleaseDelay:   250 * ms,
 
-		ShutdownGrace: 700 * ms,
-		ShutdownFlush: 100 * ms,
-		FinishMargin:  200 * ms,
+		ShutdownGrace:        700 * ms,
+		ShutdownFlush:        100 * ms,
+		ShutdownAnswerMargin: 200 * ms,
 
 		DrainCloseAfterResponse: 400 * ms,
 		DrainCloseIdle:          600 * ms,
--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -53,10 +53,10 @@
 	OrderReleaseDelay   time.Duration // how long a rejected order waits until no other router can run it
 
 	// Shutdown, in spans from SIGTERM on.
-	ShutdownGrace   time.Duration // requests are still taken
-	ShutdownTimeout time.Duration // until all is answered
-	ShutdownFlush   time.Duration // after ShutdownTimeout, to write the last answers and close the connections
-	FinishMargin    time.Duration // open requests are answered so long before ShutdownTimeout
+	ShutdownGrace        time.Duration // requests are still taken
+	ShutdownTimeout      time.Duration // until all is answered
+	ShutdownFlush        time.Duration // after ShutdownTimeout, to write the last answers and close the connections
+	ShutdownAnswerMargin time.Duration // open requests are answered so long before ShutdownTimeout
 
 	// Draining of clients, in spans from its start on.
 	DrainCloseAfterResponse time.Duration // connections close behind a response; load balancers have stopped sending by then
--- a/internal/core/api.go
+++ b/internal/core/api.go
@@ -86,7 +86,7 @@
 // Upstream carries attempts to endpoints. Its methods are called on the core's goroutine, and it reports there by
 // CompleteAttempt.
 type Upstream interface {
-	// Send sends an attempt. It must ask Core.Permit and Core.AcquireLease right before it writes.
+	// Send sends an attempt. It must ask Core.Permit and Core.AcquireSendPermission right before it writes.
 	Send(a *Attempt)
 	// Cancel gives an attempt up. Before it returns, the cancellation is written or certain to be.
 	Cancel(a *Attempt)
--- a/internal/core/attempts.go
+++ b/internal/core/attempts.go
@@ -92,7 +92,7 @@
 	}
 	a.done = true
 	r := a.owner
-	r.attempt, r.awaitingLease = nil, nil
+	r.attempt, r.awaitingPermission = nil, nil
 	if !r.mayHaveRun && !result.Status.NeverRan() {
 		r.mayHaveRun, r.firstSentAt = true, a.sentAt
 	}
@@ -134,7 +134,7 @@
 // abandonAttempt ends an attempt that is open. One that awaits its lease has surely not run.
 func (c *Core) abandonAttempt(a *Attempt, status balancer.Status) {
 	c.upstream.Cancel(a)
-	if a.owner.awaitingLease == a {
+	if a.owner.awaitingPermission == a {
 		status = balancer.NotSent
 	}
 	c.CompleteAttempt(a, AttemptResult{Status: status})
--- a/internal/core/cluster.go
+++ b/internal/core/cluster.go
@@ -28,7 +28,7 @@
 }
 
 // ClusterState is the part of this router in the state that the routers of a cluster share. It implements
-// balancer.Coordinator. It belongs to the core's goroutine.
+// balancer.ClusterState. It belongs to the core's goroutine.
 type ClusterState struct {
 	settings ClusterSettings
 	state    *state.State
@@ -131,22 +131,22 @@
 	}
 }
 
-// AdmitWarmingUp implements balancer.Coordinator.
+// AdmitWarmingUp implements balancer.ClusterState.
 func (s *ClusterState) AdmitWarmingUp(now time.Duration, id balancer.EndpointID) bool {
 	e := s.endpoint(id)
 	return e == nil || s.state.CanSpend(now, warmUpBudgetPrefix+e.ID)
 }
 
-// AdmitRetry implements balancer.Coordinator.
+// AdmitRetry implements balancer.ClusterState.
 func (s *ClusterState) AdmitRetry(now time.Duration) bool { return s.state.CanSpend(now, retryBudget) }
 
-// ProbedByPeer implements balancer.Coordinator.
+// ProbedByPeer implements balancer.ClusterState.
 func (s *ClusterState) ProbedByPeer(now time.Duration, id balancer.EndpointID) bool {
 	e := s.endpoint(id)
 	return e != nil && s.state.ProbedByPeer(now, e.ID)
 }
 
-// AttemptSent implements balancer.Coordinator.
+// AttemptSent implements balancer.ClusterState.
 func (s *ClusterState) AttemptSent(now time.Duration, sent balancer.SendAttempt) {
 	if sent.MayHaveRun {
 		s.state.Spend(now, retryBudget)
--- a/internal/core/harness_test.go
+++ b/internal/core/harness_test.go
@@ -82,12 +82,12 @@
 
 func testLimits() config.Limits {
 	return config.Limits{
-		OpenRequests:    100,
-		OpenQueries:     10,
-		AnswerMargin:    15 * time.Millisecond,
-		LongestDeadline: 5 * second,
-		AttemptGrace:    200 * time.Millisecond,
-		FinishMargin:    200 * time.Millisecond,
+		OpenRequests:         100,
+		OpenQueries:          10,
+		AnswerMargin:         15 * time.Millisecond,
+		LongestDeadline:      5 * second,
+		AttemptGrace:         200 * time.Millisecond,
+		ShutdownAnswerMargin: 200 * time.Millisecond,
 	}
 }
 
--- a/internal/core/lifecycle.go
+++ b/internal/core/lifecycle.go
@@ -122,10 +122,10 @@
 	return l.state == stateShuttingDown || l.state == stateClosed
 }
 
-// lastAnswer is when what is open must have ended, in a router that shuts down: the platform kills the process soon
+// answerBy is when what is open must have ended, in a router that shuts down: the platform kills the process soon
 // after.
-func (l *lifecycle) lastAnswer(limits *config.Limits) time.Duration {
-	return l.drainingSince + limits.ShutdownTimeout - limits.FinishMargin
+func (l *lifecycle) answerBy(limits *config.Limits) time.Duration {
+	return l.drainingSince + limits.ShutdownTimeout - limits.ShutdownAnswerMargin
 }
 
 // HoldStart keeps the router in phase Starting until ReleaseStart is called.
@@ -163,12 +163,12 @@
 // before the platform may kill the process: a request whose client waits longer than that would be lost.
 func (c *Core) BeginShutdown(since time.Duration) {
 	c.lifecycle.beginShutdown(since)
-	c.advanceDeadlines(c.lifecycle.lastAnswer(&c.limits))
+	c.advanceDeadlines(c.lifecycle.answerBy(&c.limits))
 }
 
-// CloseIfIdle reports whether nothing is open, and if so has the core reject every request from then on: a router
+// CloseIfNothingOpen reports whether nothing is open, and if so has the core reject every request from then on: a router
 // that ends writes its last answers, and what came in meanwhile could get none. It is called after BeginShutdown.
-func (c *Core) CloseIfIdle() bool {
+func (c *Core) CloseIfNothingOpen() bool {
 	if c.OpenCount() == 0 {
 		c.lifecycle.close()
 	}
--- a/internal/core/lifecycle_test.go
+++ b/internal/core/lifecycle_test.go
@@ -70,8 +70,8 @@
 	if l.leaveStandby() || l.drainingSince != 3*second {
 		t.Errorf("shutting down: draining since %v", l.drainingSince)
 	}
-	limits := config.Limits{ShutdownTimeout: 2 * second, FinishMargin: second / 2}
-	if at := l.lastAnswer(&limits); at != 4500*second/1000 {
+	limits := config.Limits{ShutdownTimeout: 2 * second, ShutdownAnswerMargin: second / 2}
+	if at := l.answerBy(&limits); at != 4500*second/1000 {
 		t.Errorf("the last answer is due at %v", at)
 	}
 }
@@ -142,11 +142,11 @@
 	h.core.limits.ShutdownTimeout = 3 * second
 	h.core.BeginShutdown(h.now)
 	h.submit("page", second)
-	if h.core.CloseIfIdle() {
+	if h.core.CloseIfNothingOpen() {
 		t.Fatal("it is closed with a request open")
 	}
 	h.finish(h.outstanding[0], AttemptResult{Status: balancer.OK})
-	if len(h.answers) != 1 || !h.core.CloseIfIdle() {
+	if len(h.answers) != 1 || !h.core.CloseIfNothingOpen() {
 		t.Fatalf("%d answers, then not closed", len(h.answers))
 	}
 	h.submit("page", second)
@@ -163,7 +163,7 @@
 	h.submit("page", 5*second)
 	h.wait(second)
 	h.core.BeginShutdown(h.now)
-	h.wait(h.core.limits.ShutdownTimeout - h.core.limits.FinishMargin + 10*time.Millisecond)
+	h.wait(h.core.limits.ShutdownTimeout - h.core.limits.ShutdownAnswerMargin + 10*time.Millisecond)
 	h.wantOneAnswer("open at SIGTERM", Rejected)
 }
 
--- a/internal/core/orders.go
+++ b/internal/core/orders.go
@@ -12,8 +12,8 @@
 // a request of a class that is not idempotent. It may be written to a page cache only under a lease, so that no two
 // routers run it.
 //
-// Its methods are called on the core's goroutine, and none may block. It reports back there by LeaseGranted,
-// LeaseDenied, ClaimGranted, ClaimAnswered, OrderReleased and OrderNotReleased.
+// Its methods are called on the core's goroutine, and none may block. It reports back there by
+// SendPermissionGranted, SendPermissionDenied, ClaimGranted, ClaimAnswered, ReplicaDropped and ReplicaNotDropped.
 type OrderFailover interface {
 	// Replicate takes an order that has some time left. After an error no other router has a replica, and it is
 	// rejected.
@@ -22,12 +22,13 @@
 	Claim(id balancer.RequestID, q *Request, left time.Duration)
 	// CancelClaim ends a claim that nobody waits for any more.
 	CancelClaim(id balancer.RequestID)
-	// RequestLease asks for the lease under which an order may be written. LeaseGranted or LeaseDenied follows.
-	RequestLease(txn string)
-	// UseLease reports whether the lease is held. Where it is, the caller writes the order at once.
-	UseLease(txn string) bool
+	// RequestSendPermission asks whether an order may be written, under the lease of this router.
+	// SendPermissionGranted or SendPermissionDenied follows.
+	RequestSendPermission(txn string)
+	// UseSendPermission reports whether the order may be written now. Where it is, the caller writes the order at once.
+	UseSendPermission(txn string) bool
 	// Finish takes the answer that an order's client is about to get. Where it returns true the answer, a
-	// rejection, is held back until OrderReleased or OrderNotReleased.
+	// rejection, is held back until ReplicaDropped or ReplicaNotDropped.
 	Finish(txn string, a Answer, mayHaveRun bool) (hold bool)
 	// StopWaiting ends the wait for what Finish holds back.
 	StopWaiting(txn string)
@@ -92,31 +93,31 @@
 	c.startRequest(r)
 }
 
-// AcquireLease reports whether an attempt may be written as far as other routers must know of it first. Where it
+// AcquireSendPermission reports whether an attempt may be written as far as other routers must know of it first. Where it
 // returns false, the attempt is sent anew once the lease is granted. An attempt of a request that is not replicated
 // needs no lease.
-func (c *Core) AcquireLease(a *Attempt) bool {
+func (c *Core) AcquireSendPermission(a *Attempt) bool {
 	r := a.owner
-	if !r.replicated || c.extensions.orders.UseLease(r.Txn) {
+	if !r.replicated || c.extensions.orders.UseSendPermission(r.Txn) {
 		return true
 	}
-	r.awaitingLease = a
-	c.extensions.orders.RequestLease(r.Txn)
+	r.awaitingPermission = a
+	c.extensions.orders.RequestSendPermission(r.Txn)
 	return false
 }
 
-// LeaseGranted reports that an order may be written now.
-func (c *Core) LeaseGranted(txn string) {
-	if r := c.requests.byTxn[txn]; r != nil && r.awaitingLease != nil {
-		a := r.awaitingLease
-		r.awaitingLease = nil
+// SendPermissionGranted reports that an order may be written now.
+func (c *Core) SendPermissionGranted(txn string) {
+	if r := c.requests.byTxn[txn]; r != nil && r.awaitingPermission != nil {
+		a := r.awaitingPermission
+		r.awaitingPermission = nil
 		c.upstream.Send(a)
 	}
 }
 
-// LeaseDenied reports that an order may not be written any more, and whether it surely has run on no other router
+// SendPermissionDenied reports that an order may not be written any more, and whether it surely has run on no other router
 // either.
-func (c *Core) LeaseDenied(txn string, neverRan bool, err error) {
+func (c *Core) SendPermissionDenied(txn string, neverRan bool, err error) {
 	r := c.requests.byTxn[txn]
 	if r == nil {
 		return
@@ -147,17 +148,17 @@
 	return false
 }
 
-// OrderReleased reports that no other router runs an order whose rejection is held back: the client gets it.
-func (c *Core) OrderReleased(txn string) {
+// ReplicaDropped reports that no other router runs an order whose rejection is held back: the client gets it.
+func (c *Core) ReplicaDropped(txn string) {
 	if r := c.requests.withPendingRejection(txn); r != nil {
 		c.requests.remove(r)
 		c.deliver(r, r.pendingRejection)
 	}
 }
 
-// OrderNotReleased reports that another router may run an order whose rejection is held back: the order fails
+// ReplicaNotDropped reports that another router may run an order whose rejection is held back: the order fails
 // instead.
-func (c *Core) OrderNotReleased(txn string) {
+func (c *Core) ReplicaNotDropped(txn string) {
 	if r := c.requests.withPendingRejection(txn); r != nil {
 		c.failPendingRejection(r)
 	}
--- a/internal/core/orders_test.go
+++ b/internal/core/orders_test.go
@@ -30,9 +30,11 @@
 
 func (k *fakeOrderFailover) CancelClaim(balancer.RequestID) { k.cancelledClaims++ }
 
-func (k *fakeOrderFailover) RequestLease(txn string) { k.leaseRequests = append(k.leaseRequests, txn) }
+func (k *fakeOrderFailover) RequestSendPermission(txn string) {
+	k.leaseRequests = append(k.leaseRequests, txn)
+}
 
-func (k *fakeOrderFailover) UseLease(string) bool { return k.leaseHeld }
+func (k *fakeOrderFailover) UseSendPermission(string) bool { return k.leaseHeld }
 
 func (k *fakeOrderFailover) Finish(_ string, a Answer, _ bool) bool {
 	k.finished = append(k.finished, a)
@@ -77,17 +79,17 @@
 	k := h.withOrderFailover()
 	h.submit("order", 2*second)
 	a := h.outstanding[0]
-	if h.core.AcquireLease(a) || len(k.leaseRequests) != 1 {
+	if h.core.AcquireSendPermission(a) || len(k.leaseRequests) != 1 {
 		t.Fatalf("written without a lease; requests %v", k.leaseRequests)
 	}
 	k.leaseHeld = true
-	h.core.LeaseGranted(a.Request.Txn)
-	if len(h.outstanding) != 2 || !h.core.AcquireLease(a) {
+	h.core.SendPermissionGranted(a.Request.Txn)
+	if len(h.outstanding) != 2 || !h.core.AcquireSendPermission(a) {
 		t.Error("it was not sent anew with the lease")
 	}
 	k.leaseHeld = false
 	h.submit("page", second)
-	if page := h.outstanding[len(h.outstanding)-1]; page.Request.Class != "page" || !h.core.AcquireLease(page) {
+	if page := h.outstanding[len(h.outstanding)-1]; page.Request.Class != "page" || !h.core.AcquireSendPermission(page) {
 		t.Error("a page waits for a lease")
 	}
 }
@@ -98,7 +100,7 @@
 	h := newHarness(t)
 	k := h.withOrderFailover()
 	h.submit("order", second)
-	h.core.AcquireLease(h.outstanding[0])
+	h.core.AcquireSendPermission(h.outstanding[0])
 	h.wait(2 * second)
 	h.wantOneAnswer("the lease never came", Rejected)
 	if len(k.finished) != 1 || k.finished[0].Verdict != Rejected {
@@ -108,7 +110,7 @@
 
 // An order without a replica is rejected at once. One whose lease is denied fails, or is rejected where it surely
 // never ran.
-func TestLeaseDenied(t *testing.T) {
+func TestSendPermissionDenied(t *testing.T) {
 	h := newHarness(t)
 	k := h.withOrderFailover()
 	k.rejects = true
@@ -118,7 +120,7 @@
 	for _, neverRan := range []bool{true, false} {
 		h.answers, h.outstanding = nil, nil
 		h.submit("order", second)
-		h.core.LeaseDenied(h.outstanding[0].Request.Txn, neverRan, errors.New("lost"))
+		h.core.SendPermissionDenied(h.outstanding[0].Request.Txn, neverRan, errors.New("lost"))
 		h.core.RunOnce()
 		h.wantOneAnswer("denied", map[bool]Verdict{true: Rejected, false: Failed}[neverRan])
 	}
@@ -131,7 +133,7 @@
 		k := h.withOrderFailover()
 		k.holdRejections = true
 		h.submit("order", 2*second)
-		h.core.AcquireLease(h.outstanding[0])
+		h.core.AcquireSendPermission(h.outstanding[0])
 		txn := h.outstanding[0].Request.Txn
 		h.finish(h.outstanding[0], AttemptResult{Status: balancer.Rejected})
 		for len(h.outstanding) > 0 { // no endpoint takes it
@@ -141,7 +143,7 @@
 			t.Fatalf("answered %+v before it was released", h.answers)
 		}
 		if released {
-			h.core.OrderReleased(txn)
+			h.core.ReplicaDropped(txn)
 			h.wantOneAnswer("released", Rejected)
 		} else {
 			h.wait(second)
--- a/internal/core/requests.go
+++ b/internal/core/requests.go
@@ -35,9 +35,9 @@
 	reservation Reservation // of credit; nil: none
 
 	// Of an order that is replicated to other routers.
-	replicated       bool     // another router has a replica
-	awaitingLease    *Attempt // is written once the lease is granted
-	pendingRejection Answer   // in state requestHeld
+	replicated         bool     // another router has a replica
+	awaitingPermission *Attempt // is written once the lease is granted
+	pendingRejection   Answer   // in state requestRejectionPending
 }
 
 // retryIsHarmless reports whether the client may be told that a retry of what has been sent so far does no harm.
@@ -98,7 +98,7 @@
 	clientDeadline := arrived + min(q.Timeout, c.limits.LongestDeadline)
 	deadline := clientDeadline - c.limits.AnswerMargin
 	if c.lifecycle.shuttingDown() { // what is open as the process ends would be lost
-		deadline = min(deadline, c.lifecycle.lastAnswer(&c.limits))
+		deadline = min(deadline, c.lifecycle.answerBy(&c.limits))
 	}
 	switch {
 	case len(c.requests.open) >= c.limits.OpenRequests || c.lifecycle.state == stateClosed || c.DrainStage() >= RejectNew:
--- a/internal/extension/orderfailover/orderfailover.go
+++ b/internal/extension/orderfailover/orderfailover.go
@@ -129,10 +129,10 @@
 func (e *Extension) carryOut(a failover.Action) {
 	switch a.Kind {
 	case failover.ActionSend:
-		e.core.LeaseGranted(a.Txn)
+		e.core.SendPermissionGranted(a.Txn)
 	case failover.ActionStop:
-		e.core.LeaseDenied(a.Txn, a.Outcome.Kind == failover.NeverRan, a.Err)
-	case failover.ActionRelease:
+		e.core.SendPermissionDenied(a.Txn, a.Outcome.Kind == failover.NeverRan, a.Err)
+	case failover.ActionReplicaDropped:
 		e.releaseOrder(a)
 	case failover.ActionRun:
 		e.runOrder(a.Order)
@@ -146,10 +146,10 @@
 func (e *Extension) releaseOrder(a failover.Action) {
 	if a.Err != nil {
 		log.Warn("order not released by its replica", logging.KeyRequestID, a.Txn, operatorhint.Attr(a.Err))
-		e.core.OrderNotReleased(a.Txn)
+		e.core.ReplicaNotDropped(a.Txn)
 		return
 	}
-	e.core.OrderReleased(a.Txn)
+	e.core.ReplicaDropped(a.Txn)
 }
 
 func (e *Extension) settleClaim(a failover.Action) {
--- a/internal/extension/orderfailover/orders.go
+++ b/internal/extension/orderfailover/orders.go
@@ -21,15 +21,15 @@
 // CancelClaim implements core.OrderFailover.
 func (e *Extension) CancelClaim(id balancer.RequestID) { e.coordinator.CancelClaim(uint64(id)) }
 
-// RequestLease implements core.OrderFailover.
-func (e *Extension) RequestLease(txn string) {
-	e.coordinator.RequestLease(e.core.LoopTime(), txn)
+// RequestSendPermission implements core.OrderFailover.
+func (e *Extension) RequestSendPermission(txn string) {
+	e.coordinator.RequestSendPermission(e.core.LoopTime(), txn)
 	e.carryOutActions()
 }
 
-// UseLease implements core.OrderFailover. It reads the clock anew, as the order is written right after.
-func (e *Extension) UseLease(txn string) bool {
-	allowed := e.coordinator.UseLease(e.core.CurrentTime(), txn)
+// UseSendPermission implements core.OrderFailover. It reads the clock anew, as the order is written right after.
+func (e *Extension) UseSendPermission(txn string) bool {
+	allowed := e.coordinator.UseSendPermission(e.core.CurrentTime(), txn)
 	e.reportSteps()
 	return allowed
 }
--- a/internal/upstream/client.go
+++ b/internal/upstream/client.go
@@ -21,7 +21,7 @@
 type Core interface {
 	Post(f func())
 	Permit(a *core.Attempt) (balancer.Status, balancer.Detail)
-	AcquireLease(a *core.Attempt) bool
+	AcquireSendPermission(a *core.Attempt) bool
 	CompleteAttempt(a *core.Attempt, result core.AttemptResult)
 	AttemptWritten(a *core.Attempt)
 }
@@ -155,7 +155,7 @@
 		cl.core.CompleteAttempt(a, core.AttemptResult{Status: status, Detail: detail})
 		return
 	}
-	if !cl.core.AcquireLease(a) { // another router must know of it first; the core sends it again then
+	if !cl.core.AcquireSendPermission(a) { // another router must know of it first; the core sends it again then
 		return
 	}
 	err := c.transport.WriteSync(appendRequest(nil, a))
--- a/internal/upstream/harness_test.go
+++ b/internal/upstream/harness_test.go
@@ -28,9 +28,9 @@
 	written atomic.Int64    // attempts that were reported as written
 }
 
-func (h *harness) Post(f func())                   { h.posts <- f }
-func (h *harness) AcquireLease(*core.Attempt) bool { return true }
-func (h *harness) AttemptWritten(*core.Attempt)    { h.written.Add(1) }
+func (h *harness) Post(f func())                            { h.posts <- f }
+func (h *harness) AcquireSendPermission(*core.Attempt) bool { return true }
+func (h *harness) AttemptWritten(*core.Attempt)             { h.written.Add(1) }
 
 func (h *harness) Permit(*core.Attempt) (balancer.Status, balancer.Detail) {
 	return h.permit, balancer.NoDetail
