--- a/Makefile
+++ b/Makefile
@@ -5,10 +5,13 @@
 build:
 	mkdir -p bin && go build -o bin/ ./cmd/... && go build -tags cluster -o bin/hillknot-cluster ./cmd/hillknot
 
+# The rules of revive and their exceptions stand in revive.toml and revive-test.toml.
 lint:
-	@unformatted=$$(gofmt -l .); if [ -n "$$unformatted" ]; then echo "not gofmt-ed: $$unformatted" >&2; exit 1; fi
+	@unformatted=$$(gofmt -l . && go tool goimports -l .); if [ -n "$$unformatted" ]; then echo "not formatted: $$unformatted" >&2; exit 1; fi
 	go vet ./... && go vet -tags cluster ./...
-	go tool staticcheck -tags cluster ./...
+	go tool staticcheck -checks all -tags cluster ./...
+	go tool revive -config revive.toml $$(find . -name '*.go' ! -name '*_test.go')
+	go tool revive -config revive-test.toml $$(find . -name '*_test.go')
 
 # Runs the operators' build command as deploy/balancer.toml has it, then all tests. Those that KNOWN-RED.txt lists must fail,
 # all others must pass.
