--- a/internal/cluster/membership/golden_test.go
+++ b/internal/cluster/membership/golden_test.go
@@ -78,7 +78,7 @@
 // What is sent to one or to all, and how another takes it.
 func TestGoldenSent(t *testing.T) {
 	a, heard, packets := newTestAgent(t, config.Cluster{})
-	a.Send([]state.OutgoingMessage{{To: "r2", ReplaceKey: "count hits edge-7", Message: goldenMessages[0]}})
+	a.Send([]state.OutgoingMessage{{Recipient: "r2", ReplaceKey: "count hits edge-7", Message: goldenMessages[0]}})
 	a.SendOrderPackets([]messaging.Packet{{To: "r2", Data: []byte("a packet of orders")}})
 	a.SendCreditPackets([]messaging.Packet{{To: "r2", Data: []byte("a packet of credit")}})
 	for _, name := range []string{"letter.hex", "orders.hex", "credit.hex"} {
--- a/internal/cluster/membership/membership_test.go
+++ b/internal/cluster/membership/membership_test.go
@@ -147,7 +147,7 @@
 	}
 	toOne := state.Message{Kind: state.KindLeaseRequest, From: "r1", Process: 1, Key: "retries", Sequence: 2, Shares: 3}
 	toAll := state.Message{Kind: state.KindCounterUpdate, From: "r1", Process: 1, Key: "hits", Value: 4}
-	first.Send([]state.OutgoingMessage{{To: "r2", Message: toOne}})
+	first.Send([]state.OutgoingMessage{{Recipient: "r2", Message: toOne}})
 	if got := receiveWithin(t, "the message for one", second.messages); got != toOne {
 		t.Errorf("received %+v, want %+v", got, toOne)
 	}
@@ -189,7 +189,7 @@
 // Messages that no longer fit into the queue are dropped and counted.
 func TestFullQueueDrops(t *testing.T) {
 	a, _, _ := newTestAgent(t, config.Cluster{})
-	message := state.OutgoingMessage{To: "r2", Message: goldenMessages[0]}
+	message := state.OutgoingMessage{Recipient: "r2", Message: goldenMessages[0]}
 	for range sendQueueLength + 3 {
 		a.Send([]state.OutgoingMessage{message})
 	}
--- a/internal/cluster/membership/send.go
+++ b/internal/cluster/membership/send.go
@@ -22,10 +22,10 @@
 	dropped       atomic.Uint64 // as too many waited
 }
 
-// outgoingMessage is encoded content for one router, or for all where to is empty.
+// outgoingMessage is encoded content for one router, or for all where recipient is empty.
 type outgoingMessage struct {
-	to, replaceKey string
-	content        []byte
+	recipient, replaceKey string
+	content               []byte
 }
 
 // The first byte of a packet of package messaging tells which handler it is for. No encoded state.Message begins with
@@ -38,7 +38,7 @@
 // Send queues messages. It never blocks.
 func (a *Agent) Send(messages []state.OutgoingMessage) {
 	for _, m := range messages {
-		a.outgoing.push(outgoingMessage{to: m.To, replaceKey: m.ReplaceKey, content: m.Message.Append(nil)})
+		a.outgoing.push(outgoingMessage{recipient: m.Recipient, replaceKey: m.ReplaceKey, content: m.Message.Append(nil)})
 	}
 }
 
@@ -57,7 +57,7 @@
 
 func (q *sendQueue) pushPackets(kind byte, packets []messaging.Packet) {
 	for _, p := range packets {
-		q.push(outgoingMessage{to: p.To, content: append([]byte{kind}, p.Data...)})
+		q.push(outgoingMessage{recipient: p.To, content: append([]byte{kind}, p.Data...)})
 	}
 }
 
@@ -84,12 +84,12 @@
 
 // transmit sends a message. One for a router that is not alive is dropped.
 func (q *sendQueue) transmit(list *memberlist.Memberlist, m outgoingMessage) {
-	if m.to == "" {
+	if m.recipient == "" {
 		q.broadcasts.QueueBroadcast(broadcast{m.replaceKey, m.content})
 		return
 	}
 	for _, node := range list.Members() {
-		if node.Name == m.to {
+		if node.Name == m.recipient {
 			q.transmitTo(list, node, m.content)
 			return
 		}
--- a/internal/cluster/placement/subsets.go
+++ b/internal/cluster/placement/subsets.go
@@ -12,12 +12,12 @@
 	typicalLoadFactor = 1.15 // for most endpoints
 )
 
-// SubsetSize returns how many endpoints each router should use: at least want, and so many that the bound of routers
+// SubsetSize returns how many endpoints each router should use: at least the minimum, and so many that the bound of routers
 // for each endpoint is above the mean by half a router. Without such room, an endpoint that is full would push other
 // pairs away in a long chain. The caller must keep the size as routers come and go: another one moves nearly all
 // pairs.
-func SubsetSize(routers, endpoints, want int) int {
-	for size := max(want, 1); size < endpoints; size++ {
+func SubsetSize(routers, endpoints, minimum int) int {
+	for size := max(minimum, 1); size < endpoints; size++ {
 		mean := float64(size*routers) / float64(endpoints)
 		if math.Floor(maxLoadFactor*mean) >= mean+0.5 {
 			return size
--- a/internal/cluster/placement/warmup.go
+++ b/internal/cluster/placement/warmup.go
@@ -35,10 +35,10 @@
 // each other.
 const unknownDeviations = 4
 
-// WarmUpShare returns the fraction of an endpoint's capacity that a router which has joined may use. The routers that
+// WarmUpQuota returns the fraction of an endpoint's capacity that a router which has joined may use. The routers that
 // have joined share it. Where they are not known but for an estimate of their number, so many share it as have joined
 // with near certainty at most.
-func WarmUpShare(routers []string, estimate int, age, over time.Duration) float64 {
+func WarmUpQuota(routers []string, estimate int, age, over time.Duration) float64 {
 	if n := len(routers); n > 1 {
 		return 1 / float64(joinedRouters(n, age, over))
 	}
--- a/internal/cluster/placement/warmup_test.go
+++ b/internal/cluster/placement/warmup_test.go
@@ -8,9 +8,9 @@
 
 const warmUpTime = 10 * time.Second
 
-// sumOfShares is what all routers that have joined may send an endpoint, as a fraction of its capacity. Routers that
+// sumOfQuotas is what all routers that have joined may send an endpoint, as a fraction of its capacity. Routers that
 // don't know each other go by an estimate of their number.
-func sumOfShares(routers []string, endpoint string, known bool, age time.Duration) float64 {
+func sumOfQuotas(routers []string, endpoint string, known bool, age time.Duration) float64 {
 	var peers []string
 	if known {
 		peers = routers
@@ -18,7 +18,7 @@
 	sum := 0.0
 	for _, r := range routers {
 		if JoinedWarmUp(r, endpoint, peers, age, warmUpTime) {
-			sum += WarmUpShare(peers, len(routers), age, warmUpTime)
+			sum += WarmUpQuota(peers, len(routers), age, warmUpTime)
 		}
 	}
 	return sum
@@ -26,12 +26,12 @@
 
 // What routers may send an endpoint that is warming up adds up to no more than its capacity, whether they know each
 // other or go by an estimate; where they know each other, it is never nothing once the warm-up has begun.
-func TestWarmUpSharesAddUp(t *testing.T) {
+func TestWarmUpQuotasAddUp(t *testing.T) {
 	for _, known := range []bool{true, false} {
 		for i := range 200 {
 			endpoint, routers := fmt.Sprint("s", i), names("r", 0, 9+i%292)
 			for age := time.Duration(0); age <= warmUpTime; age += 500 * time.Millisecond {
-				sum := sumOfShares(routers, endpoint, known, age)
+				sum := sumOfQuotas(routers, endpoint, known, age)
 				if sum > 1.0001 || known && sum < 0.9 {
 					t.Errorf("%d routers, known %v, %v after the start of %s: %.3f of its capacity",
 						len(routers), known, age, endpoint, sum)
--- a/internal/cluster/state/budget.go
+++ b/internal/cluster/state/budget.go
@@ -103,8 +103,8 @@
 	return 0
 }
 
-// heldShares is how many shares this router may spend on now.
-func (s *State) heldShares(b *budget, now time.Duration) int {
+// spendableShares is how many shares this router may spend on now.
+func (s *State) spendableShares(b *budget, now time.Duration) int {
 	if s.replaced {
 		return 0
 	}
@@ -120,7 +120,7 @@
 // saved on them, so what all routers have saved never exceeds the burst. Shares that came back since the last refill
 // earned for their borrower meanwhile.
 func (s *State) refill(b *budget, now time.Duration) {
-	held, total := s.heldShares(b, now), float64(s.totalShares())
+	held, total := s.spendableShares(b, now), float64(s.totalShares())
 	elapsed := max(now-b.bucket.refilledAt, 0).Seconds()
 	earned := float64(min(held, b.bucket.shares)) / total * b.limits.Rate * elapsed
 	b.bucket.tokens = min(b.bucket.tokens+earned, float64(held)/total*b.limits.Burst)
@@ -138,7 +138,7 @@
 func (s *State) neededShares(b *budget, now time.Duration) int {
 	needed := int(math.Ceil(b.demand.rate * demandHeadroom / b.limits.Rate * float64(s.totalShares())))
 	if b.demand.denied {
-		needed = max(needed, int(math.Ceil(deniedGrowth*float64(s.heldShares(b, now))))+1)
+		needed = max(needed, int(math.Ceil(deniedGrowth*float64(s.spendableShares(b, now))))+1)
 	}
 	return min(needed, s.totalShares())
 }
@@ -166,10 +166,10 @@
 
 // BudgetStatus is how a budget stands with this router, in shares.
 type BudgetStatus struct {
-	Key                                   string
-	OwnShares, LentShares, BorrowedShares int
-	TotalShares                           int // that the budget is divided into
-	Spent                                 uint64
+	Key                                     string
+	OwnedShares, LentShares, BorrowedShares int
+	TotalShares                             int // that the budget is divided into
+	Spent                                   uint64
 }
 
 // BudgetStatuses returns the status of each open budget, in order of their keys.
@@ -179,7 +179,7 @@
 		b := s.budgets[key]
 		all = append(all, BudgetStatus{
 			Key:            key,
-			OwnShares:      s.ownedShares(now),
+			OwnedShares:    s.ownedShares(now),
 			LentShares:     activeShares(b.lent, now),
 			BorrowedShares: activeShares(b.borrowed, now),
 			TotalShares:    s.totalShares(),
--- a/internal/cluster/state/budget_test.go
+++ b/internal/cluster/state/budget_test.go
@@ -28,7 +28,7 @@
 	held := 0
 	for _, r := range c.routers {
 		if c.now >= r.pausedUntil { // a paused one spends nothing, and its clock goes on
-			held += r.state.heldShares(r.state.budgets[testBudget], r.clock(c.now))
+			held += r.state.spendableShares(r.state.budgets[testBudget], r.clock(c.now))
 		}
 	}
 	if total := sharesPerRouter * len(c.routers); held > total {
--- a/internal/cluster/state/golden_test.go
+++ b/internal/cluster/state/golden_test.go
@@ -53,7 +53,7 @@
 	s.Tick(time.Second)
 	var said []byte
 	for _, l := range s.OutgoingMessages() {
-		said = append(said, l.To+"\n"+l.ReplaceKey+"\n"...)
+		said = append(said, l.Recipient+"\n"+l.ReplaceKey+"\n"...)
 		said = append(l.Message.Append(said), '\n')
 	}
 	golden.Same(t, "said.hex", said)
--- a/internal/cluster/state/outbox.go
+++ b/internal/cluster/state/outbox.go
@@ -1,10 +1,10 @@
 package state
 
-// OutgoingMessage is a message to be sent: to one router, or to all where To is empty. A later message for all with the
+// OutgoingMessage is a message to be sent: to one router, or to all where Recipient is empty. A later message for all with the
 // same ReplaceKey replaces an earlier one that still waits.
 type OutgoingMessage struct {
-	To, ReplaceKey string
-	Message        Message
+	Recipient, ReplaceKey string
+	Message               Message
 }
 
 // Replace keys of messages for all: the name of a counter or the id of an endpoint follows.
@@ -21,7 +21,7 @@
 }
 
 func (s *State) send(to string, m Message) {
-	s.outbox = append(s.outbox, OutgoingMessage{To: to, Message: m})
+	s.outbox = append(s.outbox, OutgoingMessage{Recipient: to, Message: m})
 }
 
 func (s *State) broadcast(replaceKey string, m Message) {
--- a/internal/cluster/state/simulation_test.go
+++ b/internal/cluster/state/simulation_test.go
@@ -171,7 +171,7 @@
 // transmit sends a message to those that it is for, now and then twice, unless it is lost. Some come very late.
 func (c *simulatedCluster) transmit(from int, out OutgoingMessage) {
 	for to := range c.routers {
-		if to == from || out.To != "" && out.To != routerName(to) || c.cut[[2]int{from, to}] {
+		if to == from || out.Recipient != "" && out.Recipient != routerName(to) || c.cut[[2]int{from, to}] {
 			continue
 		}
 		for range 1 + c.rnd.IntN(10)/9 {
--- a/internal/frontend/admin/metrics.go
+++ b/internal/frontend/admin/metrics.go
@@ -65,7 +65,7 @@
 		for _, v := range []struct {
 			what   string
 			shares int
-		}{{"own", h.OwnShares}, {"lent", h.LentShares}, {"borrowed", h.BorrowedShares}, {"whole", h.TotalShares}} {
+		}{{"own", h.OwnedShares}, {"lent", h.LentShares}, {"borrowed", h.BorrowedShares}, {"whole", h.TotalShares}} {
 			b = fmt.Appendf(b, "app_fleet_shares{budget=%s,which=%q} %d\n", strconv.Quote(h.Key), v.what, v.shares)
 		}
 	}
