--- a/internal/testutil/fakes/cache.go
+++ b/internal/testutil/fakes/cache.go
@@ -29,7 +29,7 @@
 
 // Cache plays an endpoint: a page cache, a parent or the origin.
 type Cache struct {
-	*listener
+	*Server
 	answer func(Request) Reply
 }
 
@@ -38,7 +38,7 @@
 func NewCache(address string, answer func(Request) Reply) (*Cache, error) {
 	c := &Cache{answer: answer}
 	var err error
-	c.listener, err = listen(address, c.serve)
+	c.Server, err = Listen(address, c.serve)
 	return c, err
 }
 
--- a/internal/testutil/fakes/router.go
+++ b/internal/testutil/fakes/router.go
@@ -16,7 +16,7 @@
 
 // Router plays an edge router: its handler decides what happens with each message.
 type Router struct {
-	*listener
+	*Server
 	handle func(*Peer, rpc.Message)
 }
 
@@ -32,7 +32,7 @@
 func NewRouter(address string, handle func(*Peer, rpc.Message)) (*Router, error) {
 	r := &Router{handle: handle}
 	var err error
-	r.listener, err = listen(address, r.serve)
+	r.Server, err = Listen(address, r.serve)
 	return r, err
 }
 
--- a/loadtest/endpoints.go
+++ b/loadtest/endpoints.go
@@ -13,7 +13,7 @@
 	MachineType     string `json:"machineType,omitempty"`
 	State           string `json:"lifecycle"`
 	Weight          int    `json:"weight,omitempty"`
-	StartedAtMillis int64  `json:"startedAtMs,omitempty"` // Unix time; 0: before the list
+	StartedAtMillis int64  `json:"startedAtMs"` // Unix time; 0: before the list
 }
 
 const (
--- a/loadtest/soak.go
+++ b/loadtest/soak.go
@@ -75,13 +75,13 @@
 		if err != nil {
 			return nil, err
 		}
-		defer cache.close()
+		defer cache.Close()
 		s.soakCaches = append(s.soakCaches, cache)
 	}
 	var err error
 	s.Fleet, err = StartFleet(settings.Program, FleetOptions{Routers: settings.Routers, RetryAfter: true, Caches: settings.Caches,
 		KnownRouters: settings.Routers, OverloadFactor: 4,
-		Address: func(cache int) string { return s.soakCaches[cache].address() },
+		Address: func(cache int) string { return s.soakCaches[cache].Addr() },
 		Answer:  func(int, fakes.Request) fakes.Reply { return fakes.Reply{} }})
 	if err != nil {
 		return nil, err
--- a/loadtest/soakfaults.go
+++ b/loadtest/soakfaults.go
@@ -147,7 +147,7 @@
 // resetCache resets all connections of a page cache.
 func (s *soakRun) resetCache(random *rand.Rand) string {
 	cache := s.soakCaches[random.IntN(len(s.soakCaches))]
-	cache.resetConns()
+	cache.ResetConns()
 	return "reset " + cache.name
 }
 
@@ -173,7 +173,7 @@
 
 // publishDrain publishes that a page cache drains or is gone, and records it right after that.
 func (s *soakRun) publishDrain(cache *soakCache, state string) {
-	s.publishEndpoints(newEndpoint(cache.name, cache.address(), state))
+	s.publishEndpoints(newEndpoint(cache.name, cache.Addr(), state))
 	s.history.update(func() {
 		s.history.drains[cache.name] = append(s.history.drains[cache.name], interval{start: time.Now()})
 	})
@@ -185,7 +185,7 @@
 		drains := s.history.drains[cache.name]
 		drains[len(drains)-1].end = time.Now()
 	})
-	e := newEndpoint(cache.name, cache.address(), stateReady)
+	e := newEndpoint(cache.name, cache.Addr(), stateReady)
 	e.StartedAtMillis = time.Now().UnixMilli()
 	s.publishEndpoints(e)
 }
--- a/loadtest/soaksession.go
+++ b/loadtest/soaksession.go
@@ -56,9 +56,8 @@
 	return err == nil
 }
 
-// end closes the connection: all attempts on it are over.
+// end ends all attempts of the connection, which is then closed.
 func (s *soakSession) end() {
-	s.cache.remove(s.conn)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.cache.history.update(func() {
