--- a/loadtest/creditclient.go
+++ b/loadtest/creditclient.go
@@ -2,7 +2,9 @@
 
 import (
 	"context"
+	"fmt"
 	"math/rand/v2"
+	"slices"
 	"sync"
 	"time"
 
@@ -116,6 +118,32 @@
 	return served
 }
 
+// awaitFirstServed waits until a request of each account is served: on a busy machine the clients take a while to connect.
+func (p *payingClients) awaitFirstServed() error {
+	const timeout, interval = 20 * time.Second, 10 * time.Millisecond
+	for deadline := time.Now().Add(timeout); time.Now().Before(deadline); time.Sleep(interval) {
+		if p.eachServed() {
+			return nil
+		}
+	}
+	return fmt.Errorf("an account had no request served within %v", timeout)
+}
+
+func (p *payingClients) eachServed() bool {
+	for _, clients := range p.byAccount {
+		if !slices.ContainsFunc(clients, (*payingClient).hasBeenServed) {
+			return false
+		}
+	}
+	return true
+}
+
+func (w *payingClient) hasBeenServed() bool {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	return w.served > 0
+}
+
 // finish ends all clients, and closes them.
 func (p *payingClients) finish() {
 	close(p.stop)
--- a/loadtest/creditfaults.go
+++ b/loadtest/creditfaults.go
@@ -126,6 +126,9 @@
 // measureCreditFault applies a fault, and measures what is served before it and after the funds have run out.
 func (c *CreditCluster) measureCreditFault(fault creditFault, load *payingClients, length time.Duration,
 	result *CreditResult) error {
+	if err := load.awaitFirstServed(); err != nil {
+		return err
+	}
 	before := load.servedWithin(richAccount, length/4)
 	if err := fault.apply(); err != nil {
 		return err
