--- a/Makefile
+++ b/Makefile
@@ -10,8 +10,8 @@
 	go vet ./... && go vet -tags cluster ./...
 	go tool staticcheck -tags cluster ./...
 
-# The operators' build line is tested as it stands in the deploy file. Tests that KNOWN-RED.txt lists have to fail, all others
-# to pass.
+# Runs the operators' build command as deploy/balancer.toml has it, then all tests. Those that KNOWN-RED.txt lists must fail,
+# all others must pass.
 test: lint
 	sh -c "$$(sed -n 's/^build = "\(.*\)".*$$/\1/p' deploy/balancer.toml)"
 	@readelf -d bin/hillknot | grep -q 'NEEDED.*libc\.so' || { echo "bin/hillknot is not linked dynamically" >&2; exit 1; }
@@ -26,40 +26,40 @@
 	@go build -o bin/ ./example/toy ./example/fleet
 	@bin/fleet -dir bin/three
 
-# The tables of docs/client.md, in some five minutes. Nothing else should run beside it.
+# Measures the tables of docs/client.md, in about five minutes. Nothing else should run at the same time.
 measure-clients: build
 	bin/hillknot-loadtest clients
 
-# The tables of docs/fleet-talk.md, in some three minutes. Nothing else should run beside it.
+# Measures the tables of docs/fleet-talk.md, in about three minutes. Nothing else should run at the same time.
 measure-together: build
 	bin/hillknot-loadtest together
 
-# The tables of docs/takeover.md, in some twelve minutes. Nothing else should run beside it.
+# Measures the tables of docs/takeover.md, in about twelve minutes. Nothing else should run at the same time.
 measure-outlive: build
 	bin/hillknot-loadtest outlive
 
-# One router beside 200, 800 and 3,200 page caches, against its bounds; docs/fleet.md, in some six minutes.
+# Measures one router with 200, 800 and 3,200 page caches against its bounds (docs/fleet.md), in about six minutes.
 measure-fleet: build
 	bin/hillknot-loadtest scale
 
-# Two dozen router processes through faults that overlap, 20 seeds, in some six minutes; docs/incidents.
+# Two dozen router processes under overlapping faults, 20 seeds, in about six minutes; docs/incidents.
 soak: build
 	bin/hillknot-loadtest soak
 
-# The operators' bench, quick, on both deployments in turn: the standing fleet test on the first, then the second's
-# days on real sockets. It needs their kit, which this repository does not hold: make bench KIT=DIR WHY="...".
+# The operators' bench, quick, on both deployments, one after the other: the standing fleet test on the first, then the second's
+# days on real sockets. It needs their kit, which is not in this repository: make bench KIT=DIR WHY="...".
 bench:
 	@test -n "$(KIT)" -a -n "$(WHY)" || { echo "make bench KIT=DIR WHY=\"one sentence\"" >&2; exit 2; }
 	$(KIT)/more/mass/bin/lbreal score $(KIT)/sites/south-scores.toml --quick --why "$(WHY)"
 	$(KIT)/real/bin/lbreal score $(KIT)/users/listen-ng.toml --quick
 
-# What the operators' bench wants beside the deployments of our own in deploy/sites/; git ignores it.
+# Copies the files that the operators' bench needs next to our own deployments in deploy/sites/; git ignores them.
 sites:
 	@test -n "$(KIT)" || { echo "make sites KIT=DIR" >&2; exit 2; }
 	cp $(KIT)/sites/real.json $(KIT)/sites/wire.json deploy/sites/
 	cat $(KIT)/users/unlock.txt $(KIT)/more/mass/unlock.txt > deploy/sites/unlock.txt
 
-# Both deployments of our own: the standing fleet test, quick, and the days at close range on two seeds.
+# The bench on both deployments of our own: the standing fleet test, quick, and the panel `brink` on two seeds.
 bench-sites: sites
 	@test -n "$(WHY)" || { echo "make bench-sites KIT=DIR WHY=\"one sentence\"" >&2; exit 2; }
 	for s in tram-boards slide-archive; do \
--- a/deploy/operator.hcl
+++ b/deploy/operator.hcl
@@ -1,7 +1,7 @@
-# What an operator sets up besides the platform's configuration: the fronts that are off on the platform. A key here
-# stands in place of the same key there.
+# The operator's settings, in addition to the platform's configuration: the front ends that are off on the platform.
+# A key here replaces the same key there.
 
-# Where operators call: status, figures, standby.
+# Address of the operators' front end: status, metrics, standby (docs/operations.md).
 ops = "127.0.0.1:7055"
 
 # HAProxy's agent check.
@@ -9,8 +9,8 @@
   listen = "127.0.0.1:7054"
 }
 
-# Answers to resolvers. They keep an answer for up to overstay times ttl_s, and one resolver's clients ask for
-# resolver_load seconds of sending each second.
+# Answers to DNS resolvers. A resolver is taken to cache an answer for up to overstay times ttl_s, and the clients of one
+# resolver are taken to cause resolver_load seconds of service time each second.
 dns {
   listen        = "127.0.0.1:7053"
   names         = ["scores.example.org"]
@@ -21,22 +21,22 @@
   deadline_ms   = 1000
 }
 
-# What routers that may talk to each other share (docs/fleet-talk.md). Only bin/hillknot-cluster takes it.
+# State shared with other routers by gossip (docs/fleet-talk.md). Only bin/hillknot-cluster accepts it.
 #
 # fleet {
 #   listen    = "127.0.0.1:7946"            # over UDP and TCP
 #   peers     = ["127.0.0.2:7946"]
 #   key_file  = "/etc/hillknot/fleet.keys"  # chmod 600
-#   size      = 7                           # routers in all
-#   cold {                                  # attempts that one new page cache bears from all of them
+#   size      = 7                           # number of routers
+#   cold {                                  # slow-start budget of one new page cache: attempts by all of them
 #     rate  = 40                            # a second
 #     burst = 28
 #   }
-#   place     = "rack-1"                    # orders are kept in another place, if there is one
-#   takeover {                              # orders that outlive their router (docs/takeover.md)
+#   place     = "rack-1"                    # orders are replicated to another place, if there is one
+#   takeover {                              # failover of orders whose router is lost (docs/takeover.md)
 #     strict = true
 #   }
-#   retries {                               # repeats by all of them of what may have run
+#   retries {                               # retries, by all of them, of requests that may have run
 #     rate  = 20
 #     burst = 28
 #   }
