--- a/internal/cluster/failover/action.go
+++ b/internal/cluster/failover/action.go
@@ -36,7 +36,7 @@
 	eventReplicaChosen    = "kept by"      // orders have a replica from now on
 	eventReplicaLost      = "keeper lost"  // the replica does not answer
 	eventSessionLost      = "session lost" // the replica takes this router for lost
-	eventOrderTaken       = "taken"
+	eventOrderAccepted    = "taken"
 	eventOrderSent        = "sent"
 	eventOrderEnded       = "ended "     // and the outcome
 	eventStepSent         = " said"      // after the step that the replica was told
@@ -69,7 +69,7 @@
 	return events
 }
 
-func (c *Coordinator) act(a Action) { c.actions = append(c.actions, a) }
+func (c *Coordinator) addAction(a Action) { c.actions = append(c.actions, a) }
 
 func (c *Coordinator) trace(event, txn, peer string) {
 	if len(c.events) < maxUnreadEvents {
--- a/internal/cluster/failover/bounds_test.go
+++ b/internal/cluster/failover/bounds_test.go
@@ -20,7 +20,7 @@
 // An owner whose replica took it for lost ends all orders that it has not sent, each once, however many ended ones it
 // remembers: to end an order can make it forget another one. It once looked at what it had just forgotten, and the process
 // crashed.
-func TestLostSessionForgetsEndedOrders(t *testing.T) {
+func TestLostSessionStopsUnsentOrdersOnce(t *testing.T) {
 	for _, c := range []struct{ maxRecords, open, sessions int }{
 		{16, 1, 1}, {16, 5, 1}, {16, 40, 1}, {64, 5, 1}, {maxSimRecords, 5, 1}, {maxSimRecords, 60, 1},
 		{16, 5, 2}, {16, 5, 3}, {64, 20, 3}, {maxSimRecords, 20, 3},
@@ -36,11 +36,11 @@
 				for range c.open {
 					open = append(open, s.order(maxClientWait))
 				}
-				s.pass(50 * ms)
+				s.advance(50 * ms)
 			}
 			s.fillEndedOrders()
 			s.pause(s.owner, time.Second)
-			s.pass(2 * time.Second)
+			s.advance(2 * time.Second)
 			for _, o := range open {
 				if len(o.answers) > 1 || o.runs > 1 {
 					t.Errorf("%s: told %v, ran %d times", o.txn, o.answers, o.runs)
@@ -62,7 +62,7 @@
 func TestOutcomeRenewsNoLease(t *testing.T) {
 	s := newScript(t, 4)
 	session := s.owner.coordinator.owned.session
-	for _, step := range []step{stepNone, stepTaken, stepTransferable, stepMaySend, stepEnded} {
+	for _, step := range []step{stepNone, stepOwnerOnly, stepTransferable, stepMaySend, stepEnded} {
 		now := s.owner.clock(s.now)
 		session.leaseUntil = 0
 		request := sentMessage{session: session.number, step: step, sentAt: now}
@@ -75,34 +75,34 @@
 
 // A replica that has run an order of a paused owner, and has forgotten that too early, does not tell the owner that the order
 // never ran: the client would send it again.
-func TestReplicaThatForgotReleasesNothing(t *testing.T) {
+func TestReplicaThatForgotDeniesRelease(t *testing.T) {
 	s := newBoundedScript(t, 4, 16)
 	o := s.order(2500 * ms)
-	s.pass(50 * ms)
+	s.advance(50 * ms)
 	replica, _ := s.replica()
 	s.pause(s.owner, time.Second)
-	s.pass(500 * ms) // the replica takes the owner for lost, and the order over
+	s.advance(500 * ms) // the replica takes the owner for lost, and the order over
 	s.sendOrder(replica, o)
 	s.serve(replica, o)
 	for i := range s.maxRecords { // each takes the place of a record
 		claimed := clientOrder(fmt.Sprintf("unknown %d", i), time.Second)
 		replica.coordinator.Claim(replica.clock(s.now), uint64(1000+i), claimed)
 	}
-	s.pass(s.owner.pausedUntil - stepTime - s.now)
+	s.advance(s.owner.pausedUntil - stepTime - s.now)
 	s.finish(s.owner, s.owner.requests[o.txn], Outcome{Kind: NeverRan}) // the first that the owner does as it wakes
-	s.pass(400 * ms)
+	s.advance(400 * ms)
 	s.checkAnswer(o, MayHaveRun, 1)
 }
 
 // Every bound of records, from the least on, keeps to the rules through faults of all kinds. The seeds that once broke one are
 // always run: 1430 a replica that had forgotten the order, 2229 a second replica after one that did not answer, 4292 a lease
 // renewed by an outcome.
-func TestOnceWithFewRecords(t *testing.T) {
+func TestOrdersRunAtMostOnceWithFewRecords(t *testing.T) {
 	bounds := []int{16, 17, 24, 40, 80}
-	found := []uint64{1430, 2229, 4292}
-	simulation.ForEachSeed(*seeds+len(found), func(seed uint64) {
+	regressionSeeds := []uint64{1430, 2229, 4292}
+	simulation.ForEachSeed(*seeds+len(regressionSeeds), func(seed uint64) {
 		if beyond := int(seed) - *seeds; beyond >= 0 {
-			seed = found[beyond]
+			seed = regressionSeeds[beyond]
 		}
 		maxRecords := bounds[seed%uint64(len(bounds))]
 		c, err := simulateBounded(t, seed, 10*time.Second, maxRecords)
--- a/internal/cluster/failover/claim.go
+++ b/internal/cluster/failover/claim.go
@@ -11,13 +11,13 @@
 
 // openClaim is what this router asks other routers for a client that lost one of them.
 type openClaim struct {
-	order     Order
-	deadline  time.Duration // when the client gives up
-	startedAt time.Duration
-	requested bool             // the other routers were asked
-	retryAt   time.Duration    // when those without a final reply are asked again
-	replies   map[string]reply // by router; "" is this one
-	pending   map[string]bool  // routers that were asked and have not replied
+	order      Order
+	deadline   time.Duration // when the client gives up
+	startedAt  time.Duration
+	peersAsked bool             // the other routers were asked
+	retryAt    time.Duration    // when those without a final reply are asked again
+	replies    map[string]reply // by router; "" is this one
+	pending    map[string]bool  // routers that were asked and have not replied
 }
 
 // Reasons of MayHaveRunError. docs/errors.md and tests have them.
@@ -202,7 +202,7 @@
 		}
 	}
 	betterExpected := strongest.Kind == replyPending || strongest.Kind == replyElsewhere
-	if !claim.requested || betterExpected && now >= claim.retryAt {
+	if !claim.peersAsked || betterExpected && now >= claim.retryAt {
 		c.requestReplies(now, id, claim)
 	}
 	repliesExpected := len(claim.pending) > 0 && now < claim.startedAt+c.settings.ClaimTimeout
@@ -218,7 +218,7 @@
 
 // requestReplies asks all other routers that have not given a final reply.
 func (c *Coordinator) requestReplies(now time.Duration, id uint64, claim *openClaim) {
-	claim.requested, claim.retryAt = true, now+c.settings.ClaimTimeout
+	claim.peersAsked, claim.retryAt = true, now+c.settings.ClaimTimeout
 	for _, p := range c.peers {
 		final := claim.replies[p.Name].Kind == replyMayHaveRun || claim.replies[p.Name].Kind == replyUnknown
 		if !final && !claim.pending[p.Name] {
@@ -227,13 +227,13 @@
 	}
 }
 
-// claimTimeouts is for how many ClaimTimeouts a question is repeated to a router that does not answer.
-const claimTimeouts = 4
+// maxClaimTimeouts is for how many ClaimTimeouts a question is repeated to a router that does not answer.
+const maxClaimTimeouts = 4
 
 func (c *Coordinator) requestReply(now time.Duration, id uint64, claim *openClaim, router string) {
 	txn := claim.order.Txn
 	m := message{Kind: messageClaim, Txn: txn, Claim: id, Order: Order{Txn: txn, Digest: claim.order.Digest}}
-	until := min(claim.deadline, now+claimTimeouts*c.settings.ClaimTimeout)
+	until := min(claim.deadline, now+maxClaimTimeouts*c.settings.ClaimTimeout)
 	if err := c.send(now, router, m, until, sentMessage{claim: id, txn: txn}); err == nil {
 		claim.pending[router] = true
 	}
@@ -245,7 +245,7 @@
 	order := claim.order
 	if now >= claim.deadline {
 		c.returnOrder(now, order.Txn)
-		c.act(Action{
+		c.addAction(Action{
 			Kind:    ActionSettleClaim,
 			ClaimID: id,
 			Txn:     order.Txn,
@@ -256,7 +256,7 @@
 	}
 	c.trace(eventClaimBegun, order.Txn, "")
 	order.TimeLeft = claim.deadline - now
-	c.act(Action{Kind: ActionBeginClaim, ClaimID: id, Txn: order.Txn, Order: order})
+	c.addAction(Action{Kind: ActionBeginClaim, ClaimID: id, Txn: order.Txn, Order: order})
 }
 
 // settleClaim has the caller answer a claim.
@@ -264,7 +264,7 @@
 	txn := c.claims[id].order.Txn
 	delete(c.claims, id)
 	c.trace(eventClaimSettled+outcome.Kind.String(), txn, "")
-	c.act(Action{Kind: ActionSettleClaim, ClaimID: id, Txn: txn, Outcome: outcome, Err: err})
+	c.addAction(Action{Kind: ActionSettleClaim, ClaimID: id, Txn: txn, Outcome: outcome, Err: err})
 }
 
 func (c *Coordinator) settleAsMayHaveRun(id uint64, reason string) {
--- a/internal/cluster/failover/golden_test.go
+++ b/internal/cluster/failover/golden_test.go
@@ -57,7 +57,7 @@
 		Claim:   1 << 40,
 		Update:  goldenReply,
 	},
-	"tell-taken.hex": {Kind: messageStep, Txn: "a1", Step: stepTaken, Session: 7, Order: goldenOrder},
+	"tell-taken.hex": {Kind: messageStep, Txn: "a1", Step: stepOwnerOnly, Session: 7, Order: goldenOrder},
 	"tell-left.hex":  {Kind: messageStep, Txn: "a1", Step: stepTransferable, Session: 7, Order: goldenOrder},
 	"tell-may.hex":   {Kind: messageStep, Txn: "a1", Step: stepMaySend, Session: 7},
 	"tell-ended.hex": {Kind: messageStep, Txn: "a1", Step: stepEnded, Session: 7, Outcome: Outcome{Kind: Failed}},
--- a/internal/cluster/failover/message.go
+++ b/internal/cluster/failover/message.go
@@ -20,7 +20,7 @@
 
 const (
 	stepNone         step = iota
-	stepTaken             // it waits; nobody but its owner may run it
+	stepOwnerOnly         // it waits; nobody but its owner may run it
 	stepTransferable      // it waits, and its owner uses no other replica: this one may pass it on
 	stepMaySend           // its owner may send it from now on
 	stepEnded
@@ -74,25 +74,25 @@
 	maxTxnBytes     = 64
 	maxFieldBytes   = 64
 	maxAccountBytes = 128
-	maxTime         = time.Hour
+	maxDuration     = time.Hour
 )
 
 // valid tells whether the message can be used.
 func (m *message) valid() bool {
-	onlyLease := m.Kind == messageStep && m.Step == stepNone
-	return len(m.Txn) <= maxTxnBytes && (m.Txn != "" || onlyLease) && m.Step <= stepEnded &&
+	leaseRenewal := m.Kind == messageStep && m.Step == stepNone
+	return len(m.Txn) <= maxTxnBytes && (m.Txn != "" || leaseRenewal) && m.Step <= stepEnded &&
 		m.Outcome.valid() && m.Update.valid() && m.Order.valid()
 }
 
 func (o *Order) valid() bool {
 	return len(o.Txn) <= maxTxnBytes && len(o.Class) <= maxFieldBytes && len(o.Item) <= maxFieldBytes &&
-		len(o.Account) <= maxAccountBytes && len(o.Body) <= MaxBodyLimit && validTime(o.TimeLeft)
+		len(o.Account) <= maxAccountBytes && len(o.Body) <= MaxBodyLimit && validDuration(o.TimeLeft)
 }
 
 func (o *Outcome) valid() bool {
-	return o.Kind <= NeverRan && len(o.Body) <= MaxBodyLimit && validTime(o.RetryAfter)
+	return o.Kind <= NeverRan && len(o.Body) <= MaxBodyLimit && validDuration(o.RetryAfter)
 }
 
 func (r *reply) valid() bool { return r.Kind <= replyRun && r.Outcome.valid() }
 
-func validTime(d time.Duration) bool { return d >= 0 && d <= maxTime }
+func validDuration(d time.Duration) bool { return d >= 0 && d <= maxDuration }
--- a/internal/cluster/failover/order_state.go
+++ b/internal/cluster/failover/order_state.go
@@ -4,65 +4,65 @@
 type orderState uint8
 
 const (
-	orderQueued             orderState = iota + 1 // nobody has asked to send it yet
-	orderLeaseRequested                           // its caller waits for ActionSend
-	orderLeaseGranted                             // its caller got ActionSend; nothing was written yet
-	orderSent                                     // it may have been written
-	orderResendRequested                          // the same, and its caller waits for ActionSend again
-	orderDroppingReplica                          // rejected unsent; its replica has yet to release it
-	orderReleasingAfterSend                       // the same, after it was sent to an endpoint that rejected it
-	orderEnded                                    // its outcome is known, and it was never sent
+	orderQueued              orderState = iota + 1 // nobody has asked to send it yet
+	orderPermissionRequested                       // its caller waits for ActionSend
+	orderPermissionGranted                         // its caller got ActionSend; nothing was written yet
+	orderSent                                      // it may have been written
+	orderResendRequested                           // the same, and its caller waits for ActionSend again
+	orderReleasing                                 // rejected unsent; its replica has yet to release it
+	orderReleasingAfterSend                        // the same, after it was sent to an endpoint that rejected it
+	orderEnded                                     // its outcome is known, and it was never sent
 	orderEndedAfterSend
-	orderStates
+	numOrderStates
 )
 
 // orderEvent is what changes an order's state.
 type orderEvent uint8
 
 const (
-	leaseRequested    orderEvent = iota // RequestSendPermission, where the caller has to wait
-	leaseGranted                        // ActionSend goes out
-	leaseUsed                           // UseSendPermission allowed the caller to write
-	finishedReleasing                   // Finish, where the replica could still pass the order on
-	finished                            // Finish, else
-	released                            // the wait for the replica's release is over
-	orderEvents
+	permissionRequested orderEvent = iota // RequestSendPermission, where the caller has to wait
+	permissionGranted                     // ActionSend goes out
+	permissionUsed                        // UseSendPermission allowed the caller to write
+	finishedReleasing                     // Finish, where the replica could still pass the order on
+	finished                              // Finish, else
+	released                              // the wait for the replica's release is over
+	numOrderEvents
 )
 
 // orderTransitions is the life cycle of an order: by state and event, the state that follows. Where there is none,
 // the event changes nothing.
-var orderTransitions = [orderStates][orderEvents]orderState{
+var orderTransitions = [numOrderStates][numOrderEvents]orderState{
 	orderQueued: {
-		leaseRequested:    orderLeaseRequested,
-		leaseGranted:      orderLeaseGranted,
-		leaseUsed:         orderSent,
-		finishedReleasing: orderDroppingReplica,
-		finished:          orderEnded,
+		permissionRequested: orderPermissionRequested,
+		permissionGranted:   orderPermissionGranted,
+		permissionUsed:      orderSent,
+		finishedReleasing:   orderReleasing,
+		finished:            orderEnded,
 	},
-	orderLeaseRequested: {
-		leaseGranted:      orderLeaseGranted,
-		leaseUsed:         orderSent,
-		finishedReleasing: orderDroppingReplica,
+	orderPermissionRequested: {
+		permissionGranted: orderPermissionGranted,
+		permissionUsed:    orderSent,
+		finishedReleasing: orderReleasing,
 		finished:          orderEnded,
 	},
-	orderLeaseGranted: {
-		leaseRequested:    orderLeaseRequested,
-		leaseUsed:         orderSent,
-		finishedReleasing: orderDroppingReplica,
-		finished:          orderEnded,
+	orderPermissionGranted: {
+		permissionRequested: orderPermissionRequested,
+		permissionUsed:      orderSent,
+		finishedReleasing:   orderReleasing,
+		finished:            orderEnded,
 	},
 	orderSent: {
-		leaseRequested:    orderResendRequested,
-		finishedReleasing: orderReleasingAfterSend,
-		finished:          orderEndedAfterSend,
+		permissionRequested: orderResendRequested,
+		finishedReleasing:   orderReleasingAfterSend,
+		finished:            orderEndedAfterSend,
 	},
 	orderResendRequested: {
-		leaseGranted:      orderSent,
-		leaseUsed:         orderSent,
+		permissionGranted: orderSent,
+		permissionUsed:    orderSent,
 		finishedReleasing: orderReleasingAfterSend,
 		finished:          orderEndedAfterSend,
 	},
-	orderDroppingReplica:    {released: orderEnded},
+	orderReleasing:          {released: orderEnded},
 	orderReleasingAfterSend: {released: orderEndedAfterSend},
 }
 
@@ -75,20 +75,20 @@
 }
 
 // ended tells whether the outcome is known. The client may still have to wait for it: see releasing.
-func (s orderState) ended() bool { return s >= orderDroppingReplica }
+func (s orderState) ended() bool { return s >= orderReleasing }
 
 // releasing tells whether the client waits until the replica lets go of the order.
 func (s orderState) releasing() bool {
-	return s == orderDroppingReplica || s == orderReleasingAfterSend
+	return s == orderReleasing || s == orderReleasingAfterSend
 }
 
-// leaseRequested tells whether the caller waits for ActionSend.
-func (s orderState) leaseRequested() bool {
-	return s == orderLeaseRequested || s == orderResendRequested
+// permissionRequested tells whether the caller waits for ActionSend.
+func (s orderState) permissionRequested() bool {
+	return s == orderPermissionRequested || s == orderResendRequested
 }
 
-// leaseGranted tells whether the caller got ActionSend, and has not asked anew since.
-func (s orderState) leaseGranted() bool { return s == orderLeaseGranted || s == orderSent }
+// permissionGranted tells whether the caller got ActionSend, and has not asked anew since.
+func (s orderState) permissionGranted() bool { return s == orderPermissionGranted || s == orderSent }
 
 // sent tells whether the order may have been written.
 func (s orderState) sent() bool {
--- a/internal/cluster/failover/order_state_test.go
+++ b/internal/cluster/failover/order_state_test.go
@@ -3,9 +3,9 @@
 import "testing"
 
 // The life cycle of an order: what was sent stays so, what has ended stays so, and only a release ends a wait for one.
-func TestOrderTransitions(t *testing.T) {
-	for s := orderQueued; s < orderStates; s++ {
-		for e := range orderEvents {
+func TestOrderStaysSentAndEnded(t *testing.T) {
+	for s := orderQueued; s < numOrderStates; s++ {
+		for e := range numOrderEvents {
 			next := s.after(e)
 			switch {
 			case s.sent() && !next.sent():
@@ -24,17 +24,17 @@
 }
 
 // Each event leads to the state that it is named for, from all states in which it can happen.
-func TestOrderEvents(t *testing.T) {
+func TestOrderEventLeadsToItsState(t *testing.T) {
 	for name, c := range map[string]struct {
 		event orderEvent
 		from  []orderState
 		holds func(orderState) bool
 	}{
-		"a request waits for a lease": {leaseRequested, []orderState{orderQueued, orderLeaseGranted, orderSent}, orderState.leaseRequested},
-		"a grant ends the wait": {leaseGranted, []orderState{orderQueued, orderLeaseRequested, orderResendRequested},
-			orderState.leaseGranted},
-		"a used lease counts as sent": {leaseUsed,
-			[]orderState{orderQueued, orderLeaseRequested, orderLeaseGranted, orderSent, orderResendRequested}, orderState.sent},
+		"a request waits for a lease": {permissionRequested, []orderState{orderQueued, orderPermissionGranted, orderSent}, orderState.permissionRequested},
+		"a grant ends the wait": {permissionGranted, []orderState{orderQueued, orderPermissionRequested, orderResendRequested},
+			orderState.permissionGranted},
+		"a used lease counts as sent": {permissionUsed,
+			[]orderState{orderQueued, orderPermissionRequested, orderPermissionGranted, orderSent, orderResendRequested}, orderState.sent},
 	} {
 		for _, s := range c.from {
 			if next := s.after(c.event); !c.holds(next) || next.ended() {
--- a/internal/cluster/failover/owner.go
+++ b/internal/cluster/failover/owner.go
@@ -4,12 +4,12 @@
 
 // ownedOrders is what this router knows as an owner: its clients' orders, and its sessions with their replicas.
 type ownedOrders struct {
-	orders      map[string]*ownedOrder // by txn
-	changed     []string               // orders of which a replica may have to be told
-	ended       []string               // orders that have ended, oldest first
-	session     *replicaSession        // of new orders; nil: none yet
-	sessions    []*replicaSession      // of all orders
-	lastSession uint64                 // the number of the latest
+	orders            map[string]*ownedOrder // by txn
+	changed           []string               // orders of which a replica may have to be told
+	ended             []string               // orders that have ended, oldest first
+	session           *replicaSession        // of new orders; nil: none yet
+	sessions          []*replicaSession      // of all orders
+	lastSessionNumber uint64                 // the number of the latest
 }
 
 // Replicate takes an order that a client waits for, and has a replica told of it. An error says why it can't be
@@ -28,10 +28,10 @@
 		order:       order,
 		deadline:    now + order.TimeLeft,
 		state:       orderQueued,
-		replication: replication{target: stepTaken},
+		replication: replication{target: stepOwnerOnly},
 	}
 	c.owned.changed = append(c.owned.changed, order.Txn)
-	c.trace(eventOrderTaken, order.Txn, "")
+	c.trace(eventOrderAccepted, order.Txn, "")
 	return nil
 }
 
@@ -40,17 +40,17 @@
 func (c *Coordinator) RequestSendPermission(now time.Duration, txn string) {
 	o := c.owned.orders[txn]
 	if o == nil || o.state.ended() {
-		c.act(Action{Kind: ActionStop, Txn: txn, Outcome: Outcome{Kind: MayHaveRun}, Err: LeaseLostError{}})
+		c.addAction(Action{Kind: ActionStop, Txn: txn, Outcome: Outcome{Kind: MayHaveRun}, Err: LeaseLostError{}})
 		return
 	}
 	if o.replication.mayBeSent(now) {
-		c.grantLease(txn, o)
+		c.grantPermission(txn, o)
 		return
 	}
-	if o.state.leaseGranted() { // that lease has expired
+	if o.state.permissionGranted() { // that lease has expired
 		o.replication.restart()
 	}
-	o.state = o.state.after(leaseRequested)
+	o.state = o.state.after(permissionRequested)
 	o.replication.target = stepMaySend
 	c.owned.changed = append(c.owned.changed, txn)
 }
@@ -64,7 +64,7 @@
 	if !o.state.sent() {
 		c.trace(eventOrderSent, txn, "")
 	}
-	o.state = o.state.after(leaseUsed)
+	o.state = o.state.after(permissionUsed)
 	return true
 }
 
--- a/internal/cluster/failover/replica.go
+++ b/internal/cluster/failover/replica.go
@@ -21,10 +21,10 @@
 type recordState uint8
 
 const (
-	recordNoted        recordState = iota // its owner may use another replica by now
+	recordOwnerOnly    recordState = iota // its owner may use another replica by now
 	recordTransferable                    // this replica may pass it on if the owner is lost
 	recordMaySend                         // its owner may send it; nobody else ever may
-	recordSealed                          // it was taken, and its owner is lost: this replica never lets it be sent
+	recordBlocked                         // it was taken, and its owner is lost: this replica never lets it be sent
 	recordOrphaned                        // it was transferable, and its owner is lost: one router may run it
 	recordGiven                           // to one claimant
 	recordRunning                         // here
@@ -54,8 +54,8 @@
 	givenTo  waiter // of recordGiven
 }
 
-// ownerOpen tells whether the owner still decides about the order.
-func (r *record) ownerOpen() bool { return r.state <= recordMaySend }
+// ownerDecides tells whether the owner still decides about the order.
+func (r *record) ownerDecides() bool { return r.state <= recordMaySend }
 
 // isGivenTo tells whether a claimant at that process has the order.
 func (r *record) isGivenTo(claimant Incarnation) bool {
@@ -82,10 +82,10 @@
 
 // ownerLease is the lease of a router whose orders this one holds.
 type ownerLease struct {
-	session     uint64 // the latest
-	until       time.Duration
-	lostSession uint64             // this session and those before it are lost
-	open        map[string]*record // that have not ended
+	session         uint64 // the latest
+	expiresAt       time.Duration
+	lastLostSession uint64             // this session and those before it are lost
+	openRecords     map[string]*record // that have not ended
 }
 
 // receiveStep takes what an owner tells of an order, or only that it lives.
@@ -93,19 +93,19 @@
 	from := Incarnation{delivery.From, delivery.Process}
 	lease := c.stored.owners[from]
 	if lease == nil {
-		lease = &ownerLease{open: map[string]*record{}}
+		lease = &ownerLease{openRecords: map[string]*record{}}
 		c.stored.owners[from] = lease
 	}
 	switch {
 	case m.Step == stepEnded:
 		c.reply(delivery, reply{Kind: c.storeOutcome(now, from, lease, m)})
 		return
-	case m.Session <= lease.lostSession:
+	case m.Session <= lease.lastLostSession:
 		c.reply(delivery, reply{Kind: replyLeaseLost})
 		return
 	}
 	lease.session = max(lease.session, m.Session)
-	lease.until = now + c.settings.withClockDrift(c.settings.LeaseDuration)
+	lease.expiresAt = now + c.settings.withClockDrift(c.settings.LeaseDuration)
 	answer := replyAcknowledged
 	if m.Step != stepNone {
 		answer = c.storeStep(now, from, lease, m)
@@ -127,7 +127,7 @@
 			return replyFull
 		}
 		c.counters.RecordsStored++
-	case r.owner == from && r.ownerOpen():
+	case r.owner == from && r.ownerDecides():
 		if state > r.state {
 			r.state, r.session = state, m.Session
 			c.trace(m.Step.String()+eventStepStored, m.Txn, from.Name)
@@ -141,7 +141,7 @@
 	r.owner, r.session, r.state = from, m.Session, state
 	r.deadline = now + m.Order.TimeLeft
 	r.forgetAt = r.deadline + c.settings.Retention
-	lease.open[m.Txn] = r
+	lease.openRecords[m.Txn] = r
 	c.trace(m.Step.String()+eventStepStored, m.Txn, from.Name)
 	return replyAcknowledged
 }
@@ -153,7 +153,7 @@
 	case stepMaySend:
 		return recordMaySend
 	}
-	return recordNoted
+	return recordOwnerOnly
 }
 
 // storeOutcome stores how an order ended.
@@ -181,10 +181,10 @@
 		return replyAcknowledged
 	case m.Session == 0: // it was given, begun there, and given back by mistake
 		return replyAcknowledged
-	case r.owner != from || !r.ownerOpen():
+	case r.owner != from || !r.ownerDecides():
 		return replyGivenAway
 	}
-	delete(lease.open, m.Txn)
+	delete(lease.openRecords, m.Txn)
 	c.endRecord(now, r, m.Outcome)
 	return replyAcknowledged
 }
@@ -230,7 +230,7 @@
 			return false
 		}
 		if lease := c.stored.owners[r.owner]; lease != nil {
-			delete(lease.open, r.order.Txn)
+			delete(lease.openRecords, r.order.Txn)
 		}
 		return true
 	})
@@ -242,10 +242,10 @@
 	for _, owner := range slices.SortedFunc(maps.Keys(c.stored.owners), compareIncarnations) {
 		lease := c.stored.owners[owner]
 		switch {
-		case now < lease.until:
-		case len(lease.open) > 0:
+		case now < lease.expiresAt:
+		case len(lease.openRecords) > 0:
 			c.takeOver(now, owner, lease)
-		case now >= lease.until+c.settings.Retention:
+		case now >= lease.expiresAt+c.settings.Retention:
 			delete(c.stored.owners, owner)
 		}
 	}
@@ -257,14 +257,14 @@
 
 // takeOver takes over the open orders of a router that has said nothing for a lease.
 func (c *Coordinator) takeOver(now time.Duration, owner Incarnation, lease *ownerLease) {
-	lease.lostSession = lease.session
+	lease.lastLostSession = lease.session
 	c.counters.OwnersLost++
 	c.trace(eventOwnerLost, "", owner.Name)
-	for _, txn := range slices.Sorted(maps.Keys(lease.open)) {
+	for _, txn := range slices.Sorted(maps.Keys(lease.openRecords)) {
 		c.counters.OrdersTakenOver++
-		c.takeOverRecord(now, owner, lease.open[txn])
+		c.takeOverRecord(now, owner, lease.openRecords[txn])
 	}
-	clear(lease.open)
+	clear(lease.openRecords)
 }
 
 // takeOverRecord passes an order of a lost router on to the first claimant that waits for it, or runs it here.
@@ -273,8 +273,8 @@
 	case recordMaySend:
 		c.endRecord(now, r, Outcome{Kind: MayHaveRun})
 		return
-	case recordNoted:
-		r.state = recordSealed
+	case recordOwnerOnly:
+		r.state = recordBlocked
 	default:
 		r.state = recordOrphaned
 	}
@@ -300,16 +300,16 @@
 	order.TimeLeft = r.deadline - now
 	c.counters.OrdersRun++
 	c.trace(eventRunHere, order.Txn, "")
-	c.act(Action{Kind: ActionRun, Txn: order.Txn, Order: order})
+	c.addAction(Action{Kind: ActionRun, Txn: order.Txn, Order: order})
 }
 
 // recordReply is what a claimant that has shown to know a record's order is told of it. An order that may be passed
 // on is given to the claimant by this reply.
 func (c *Coordinator) recordReply(now time.Duration, r *record, w waiter) reply {
 	switch r.state {
-	case recordNoted, recordTransferable, recordMaySend, recordRunning:
+	case recordOwnerOnly, recordTransferable, recordMaySend, recordRunning:
 		return addWaiter(&r.waiters, w)
-	case recordSealed:
+	case recordBlocked:
 		r.reserveFor(w)
 		return c.unknownReply(now)
 	case recordGiven:
--- a/internal/cluster/failover/replication.go
+++ b/internal/cluster/failover/replication.go
@@ -162,17 +162,17 @@
 	c.trace(req.step.String()+eventStepAcknowledged, req.txn, req.to)
 	switch {
 	case o.state.ended():
-	case r.acknowledged == stepMaySend && o.state.leaseRequested():
-		c.grantLease(req.txn, o)
-	case r.acknowledged == stepTaken && r.target == stepTaken: // it has to wait longer than a round trip took
+	case r.acknowledged == stepMaySend && o.state.permissionRequested():
+		c.grantPermission(req.txn, o)
+	case r.acknowledged == stepOwnerOnly && r.target == stepOwnerOnly: // it has to wait longer than a round trip took
 		r.target = stepTransferable
 		c.owned.changed = append(c.owned.changed, req.txn)
 	}
 }
 
-func (c *Coordinator) grantLease(txn string, o *ownedOrder) {
-	o.state = o.state.after(leaseGranted)
-	c.act(Action{Kind: ActionSend, Txn: txn})
+func (c *Coordinator) grantPermission(txn string, o *ownedOrder) {
+	o.state = o.state.after(permissionGranted)
+	c.addAction(Action{Kind: ActionSend, Txn: txn})
 }
 
 // replicationFailed takes that a replica could not be told of an order in time, or has no room for it.
@@ -202,8 +202,8 @@
 		r.sent = r.target
 	case !c.settings.Strict:
 		r.waived, r.sent = true, r.target
-		if o.state.leaseRequested() {
-			c.grantLease(txn, o)
+		if o.state.permissionRequested() {
+			c.grantPermission(txn, o)
 		}
 	case o.state.sent(): // there is nobody left to tell
 		r.sent = r.target
@@ -221,7 +221,7 @@
 	if c.Finish(now, txn, Outcome{Kind: kind}) {
 		c.StopWaiting(now, txn) // nobody waits for the release
 	}
-	c.act(Action{Kind: ActionStop, Txn: txn, Outcome: o.outcome, Err: err})
+	c.addAction(Action{Kind: ActionStop, Txn: txn, Outcome: o.outcome, Err: err})
 }
 
 // receiveRelease takes a replica's reply to the outcome of an order. A rejected one's client waits for it.
@@ -242,5 +242,5 @@
 		o.state = o.state.after(released)
 		c.answerWaiters(now, req.txn, o)
 	}
-	c.act(action)
+	c.addAction(action)
 }
--- a/internal/cluster/failover/script_test.go
+++ b/internal/cluster/failover/script_test.go
@@ -17,9 +17,9 @@
 // script is a cluster whose orders go as a test says. The first router owns the orders.
 type script struct {
 	*simCluster
-	t     *testing.T
-	owner *simRouter
-	line  timeline.Timeline
+	t      *testing.T
+	owner  *simRouter
+	events timeline.Timeline
 }
 
 // scriptStart is when scripts begin: all routers have been up for longer than any client waits.
@@ -39,22 +39,22 @@
 	s := &script{simCluster: newBoundedSimCluster(t, 1, routers, maxRecords), t: t}
 	s.owner = s.routers[0]
 	s.noPauses, s.scripted = true, true
-	s.onEvent = func(e timeline.Event) { s.line = append(s.line, e) }
-	s.pass(scriptStart)
+	s.onEvent = func(e timeline.Event) { s.events = append(s.events, e) }
+	s.advance(scriptStart)
 	return s
 }
 
-// pass lets time pass.
-func (s *script) pass(d time.Duration) {
+// advance lets time pass.
+func (s *script) advance(d time.Duration) {
 	for end := s.now + d; s.now < end; {
 		s.step()
 	}
 }
 
-// passUntil lets time pass until something has happened, or a time has come.
-func (s *script) passUntil(event string, end time.Duration) {
+// advanceUntil lets time pass until something has happened, or a time has come.
+func (s *script) advanceUntil(event string, end time.Duration) {
 	happened := func(e timeline.Event) bool { return e.Action == event }
-	for s.now < end && !slices.ContainsFunc(s.line, happened) {
+	for s.now < end && !slices.ContainsFunc(s.events, happened) {
 		s.step()
 	}
 }
@@ -68,7 +68,7 @@
 func (s *script) sendOrder(r *simRouter, o *simOrder) {
 	r.coordinator.RequestSendPermission(r.clock(s.now), o.txn)
 	s.carryOutActions(r)
-	s.pass(replyTime)
+	s.advance(replyTime)
 }
 
 // serve has the endpoint answer the order, if the router has it.
@@ -77,7 +77,7 @@
 		s.finish(r, q, Outcome{Kind: Served, Body: []byte("done")})
 		s.carryOutActions(r)
 	}
-	s.pass(replyTime)
+	s.advance(replyTime)
 }
 
 func (s *script) kill(r *simRouter) {
@@ -97,7 +97,7 @@
 	order := clientOrder(o.txn, o.deadline-s.now)
 	order.Digest = digest
 	s.placeClaim(r, o, order)
-	s.pass(30 * ms)
+	s.advance(30 * ms)
 }
 
 // forgetAnswer has the client ask as if it had got no answer yet.
@@ -115,8 +115,8 @@
 	return replica, other
 }
 
-// third returns the router of four that is neither the owner nor one of two others.
-func (s *script) third(a, b *simRouter) *simRouter {
+// remainingRouter returns the router of four that is neither the owner nor one of two others.
+func (s *script) remainingRouter(a, b *simRouter) *simRouter {
 	s.t.Helper()
 	i := slices.IndexFunc(s.routers, func(r *simRouter) bool { return r != s.owner && r != a && r != b })
 	return s.routers[i]
@@ -125,13 +125,13 @@
 // checkTimeline compares the timeline with the one in testdata.
 func (s *script) checkTimeline(name string) {
 	s.t.Helper()
-	var quiet timeline.Timeline // without the leases of the start
-	for _, e := range s.line {
+	var shown timeline.Timeline // without the leases of the start
+	for _, e := range s.events {
 		if e.Time >= scriptStart && e.Action != eventReplicaChosen {
-			quiet = append(quiet, e)
+			shown = append(shown, e)
 		}
 	}
-	got := []byte(timeline.Sort(quiet).Draw("client", "r0", "r1", "r2", "r3"))
+	got := []byte(timeline.Sort(shown).Draw("client", "r0", "r1", "r2", "r3"))
 	path := filepath.Join("testdata", name+".txt")
 	if *update {
 		if err := os.WriteFile(path, got, 0o644); err != nil {
@@ -153,4 +153,4 @@
 	}
 }
 
-func (s *script) timelineOf(o *simOrder) string { return timeline.Sort(s.line).About(o.txn).Draw() }
+func (s *script) timelineOf(o *simOrder) string { return timeline.Sort(s.events).About(o.txn).Draw() }
--- a/internal/cluster/failover/session.go
+++ b/internal/cluster/failover/session.go
@@ -35,8 +35,8 @@
 
 // startSession goes on with another replica, or another session at the same one.
 func (c *Coordinator) startSession(now time.Duration, replica string) *replicaSession {
-	c.owned.lastSession++
-	session := &replicaSession{replica: replica, number: c.owned.lastSession, renewAt: now}
+	c.owned.lastSessionNumber++
+	session := &replicaSession{replica: replica, number: c.owned.lastSessionNumber, renewAt: now}
 	c.owned.session = session
 	c.owned.sessions = append(c.owned.sessions, session)
 	c.trace(eventReplicaChosen, "", replica)
--- a/internal/cluster/failover/sim_client_test.go
+++ b/internal/cluster/failover/sim_client_test.go
@@ -94,7 +94,7 @@
 	if q == nil || r.process != o.process || r.down {
 		return
 	}
-	c.after(r, 0, func() {
+	c.schedule(r, 0, func() {
 		if r.requests[o.txn] == q && q.heldBack == nil {
 			delete(r.requests, o.txn)
 			r.coordinator.Cancel(r.clock(c.now), o.txn, q.sent)
--- a/internal/cluster/failover/sim_cluster_test.go
+++ b/internal/cluster/failover/sim_cluster_test.go
@@ -13,13 +13,13 @@
 )
 
 const (
-	ms             = time.Millisecond
-	clockDrift     = 0.02
-	maxClientWait  = 3 * time.Second
-	maxSimRecords  = 300
-	stepTime       = 5 * ms
-	simTickTime    = 20 * ms // as the routers do
-	forgetOrderAge = 6 * time.Second
+	ms                 = time.Millisecond
+	clockDrift         = 0.02
+	maxClientWait      = 3 * time.Second
+	maxSimRecords      = 300
+	stepTime           = 5 * ms
+	simTickInterval    = 20 * ms // as the routers do
+	openOrderRetention = 6 * time.Second
 )
 
 // simCluster is routers, each with a small core, on a network in virtual time that loses, delays, repeats and cuts, and
@@ -28,7 +28,7 @@
 	random   *rand.Rand
 	now      time.Duration
 	routers  []*simRouter
-	network  []flyingPacket
+	network  []packetInFlight
 	cut      map[[2]int]bool // directed links that carry nothing, by the indices of sender and receiver
 	loss     float64         // share of packets that are lost
 	lastID   uint64          // of a process or claim
@@ -42,7 +42,7 @@
 	maxRecords int // Settings.MaxRecords of all routers
 }
 
-type flyingPacket struct {
+type packetInFlight struct {
 	at       time.Duration
 	from, to int
 	data     []byte
@@ -99,8 +99,8 @@
 	c.onEvent(timeline.Event{Node: r.name, Time: c.now, Action: fault, Fault: true})
 }
 
-// after has a router's process do something some time later, or once it no longer pauses.
-func (c *simCluster) after(r *simRouter, wait time.Duration, run func()) {
+// schedule has a router's process do something some time later, or once it no longer pauses.
+func (c *simCluster) schedule(r *simRouter, wait time.Duration, run func()) {
 	c.timers = append(c.timers, timer{c.now + wait, r, r.process, run})
 }
 
@@ -114,7 +114,7 @@
 			c.runRouter(r)
 		}
 	}
-	c.open = slices.DeleteFunc(c.open, func(o *simOrder) bool { return c.now > o.deadline+forgetOrderAge })
+	c.open = slices.DeleteFunc(c.open, func(o *simOrder) bool { return c.now > o.deadline+openOrderRetention })
 	if c.scripted {
 		return
 	}
@@ -157,13 +157,13 @@
 }
 
 func (c *simCluster) sortNetwork() {
-	slices.SortStableFunc(c.network, func(a, b flyingPacket) int { return cmp.Compare(a.at, b.at) })
+	slices.SortStableFunc(c.network, func(a, b packetInFlight) int { return cmp.Compare(a.at, b.at) })
 }
 
 // runRouter has a router tick, if that is due, and send its packets.
 func (c *simCluster) runRouter(r *simRouter) {
 	now := r.clock(c.now)
-	if c.now%simTickTime == 0 {
+	if c.now%simTickInterval == 0 {
 		r.coordinator.SetPeers(now, c.alivePeers(r))
 		r.coordinator.Tick(now)
 		c.carryOutActions(r)
@@ -194,7 +194,7 @@
 		if c.random.IntN(60) == 0 {
 			at += c.randomTime(6 * time.Second)
 		}
-		c.network = append(c.network, flyingPacket{at, from, i, data})
+		c.network = append(c.network, packetInFlight{at, from, i, data})
 	}
 }
 
@@ -204,8 +204,8 @@
 
 // randomClientWait returns how long a client waits for an order.
 func (c *simCluster) randomClientWait() time.Duration {
-	const least = 300 * ms
-	return least + c.randomTime(maxClientWait-least)
+	const minWait = 300 * ms
+	return minWait + c.randomTime(maxClientWait-minWait)
 }
 
 // injectFault draws a fault, or ends those of the network.
@@ -243,6 +243,6 @@
 	if c.random.IntN(3) == 0 {
 		downFor = stepTime
 	}
-	nobody := &simRouter{} // the timer is no process's
-	c.after(nobody, downFor, func() { c.start(r) })
+	noProcess := &simRouter{} // the timer is no process's
+	c.schedule(noProcess, downFor, func() { c.start(r) })
 }
--- a/internal/cluster/failover/sim_router_test.go
+++ b/internal/cluster/failover/sim_router_test.go
@@ -29,13 +29,13 @@
 
 // simRequest is what a router's core has open: an order, or a claim for one.
 type simRequest struct {
-	order          *simOrder // nil: an order of a lost router, which nobody here waits for
-	txn            string
-	deadline       time.Duration // on the router's clock
-	leaseRequested bool
-	sent           bool
-	heldBack       *Outcome // its client is not told yet
-	connection     int      // of the client, that the answer is for
+	order               *simOrder // nil: an order of a lost router, which nobody here waits for
+	txn                 string
+	deadline            time.Duration // on the router's clock
+	permissionRequested bool
+	sent                bool
+	heldBack            *Outcome // its client is not told yet
+	connection          int      // of the client, that the answer is for
 }
 
 func (c *simCluster) carryOutActions(r *simRouter) {
@@ -110,7 +110,7 @@
 	if c.random.IntN(2) == 0 {
 		connectTime = c.randomTime(400 * ms)
 	}
-	c.after(r, connectTime, func() {
+	c.schedule(r, connectTime, func() {
 		if r.requests[q.txn] != q || q.heldBack != nil {
 			return
 		}
@@ -118,7 +118,7 @@
 			c.finish(r, q, Outcome{Kind: NeverRan})
 			return
 		}
-		q.leaseRequested = true
+		q.permissionRequested = true
 		r.coordinator.RequestSendPermission(r.clock(c.now), q.txn)
 		c.carryOutActions(r)
 	})
@@ -133,7 +133,7 @@
 	}
 	if !c.noPauses && c.random.IntN(30) == 0 { // the process pauses right here
 		r.pausedUntil = c.now + c.randomTime(4*time.Second)
-		c.after(r, 0, func() {
+		c.schedule(r, 0, func() {
 			if r.requests[q.txn] == q {
 				c.write(r, q)
 			}
@@ -149,7 +149,7 @@
 	if c.scripted {
 		return
 	}
-	c.after(r, c.randomTime(120*ms), func() {
+	c.schedule(r, c.randomTime(120*ms), func() {
 		if r.requests[q.txn] == q {
 			c.finish(r, q, Outcome{Kind: Served, Body: []byte("done")})
 		}
@@ -175,7 +175,7 @@
 		return
 	}
 	q.heldBack = &outcome
-	c.after(r, 250*ms, func() {
+	c.schedule(r, 250*ms, func() {
 		if r.requests[q.txn] == q {
 			delete(r.requests, q.txn)
 			r.coordinator.StopWaiting(r.clock(c.now), q.txn)
--- a/internal/cluster/failover/simulation_test.go
+++ b/internal/cluster/failover/simulation_test.go
@@ -49,7 +49,7 @@
 }
 
 // Where routers are only killed, nearly all that was not sent is answered.
-func TestKilled(t *testing.T) {
+func TestUnsentOrdersOfKilledRouterAnswered(t *testing.T) {
 	var mu sync.Mutex
 	unsent, answered := 0, 0
 	simulation.ForEachSeed(*seeds, func(seed uint64) {
@@ -90,7 +90,7 @@
 		if c.now == killAt {
 			victim.down = true
 			for _, q := range victim.requests {
-				if q.heldBack == nil && !q.leaseRequested && q.deadline-victim.clock(c.now) >= 1600*ms {
+				if q.heldBack == nil && !q.permissionRequested && q.deadline-victim.clock(c.now) >= 1600*ms {
 					unsent[q.order] = true
 				}
 			}
@@ -105,7 +105,7 @@
 
 // No order runs twice and no two answers contradict each other, through kills at every step, pauses of longer than a lease,
 // cuts of all shapes, loss, late and repeated packets, and clocks that drift; and most of what was lost is answered.
-func TestOnce(t *testing.T) {
+func TestOrdersRunAtMostOnce(t *testing.T) {
 	var mu sync.Mutex
 	var answers [4]int // by kind
 	claimed, unanswered := 0, 0
--- a/internal/extension/orderfailover/convert.go
+++ b/internal/extension/orderfailover/convert.go
@@ -9,8 +9,8 @@
 	"hillknot/internal/core"
 )
 
-// order returns a request as its replica knows it, under the given txn.
-func order(q *core.Request, txn string, timeLeft time.Duration) failover.Order {
+// failoverOrder returns a request as its replica knows it, under the given txn.
+func failoverOrder(q *core.Request, txn string, timeLeft time.Duration) failover.Order {
 	return failover.Order{
 		Txn:      txn,
 		Class:    q.Class,
@@ -37,8 +37,8 @@
 	return sum
 }
 
-// outcome returns what an answer tells of its order.
-func outcome(a core.Answer, mayHaveRun bool) failover.Outcome {
+// failoverOutcome returns what an answer tells of its order.
+func failoverOutcome(a core.Answer, mayHaveRun bool) failover.Outcome {
 	switch {
 	case a.Verdict == core.Served:
 		return failover.Outcome{Kind: failover.Served, Body: a.Body}
@@ -50,8 +50,8 @@
 	return failover.Outcome{Kind: failover.MayHaveRun}
 }
 
-// answer returns what a client is told of an outcome.
-func answer(o failover.Outcome) core.Answer {
+// clientAnswer returns what a client is told of an outcome.
+func clientAnswer(o failover.Outcome) core.Answer {
 	switch o.Kind {
 	case failover.Served:
 		return core.Answer{Verdict: core.Served, Body: o.Body}
--- a/internal/extension/orderfailover/golden_test.go
+++ b/internal/extension/orderfailover/golden_test.go
@@ -25,7 +25,7 @@
 		Group:      4,
 		Body:       []byte("two seats"),
 	}
-	o := order(q, "00000000000000c3", 1500*time.Millisecond)
+	o := failoverOrder(q, "00000000000000c3", 1500*time.Millisecond)
 	golden.Same(t, "digest.hex", o.Digest[:])
 	want := failover.Order{
 		Txn:      "00000000000000c3",
@@ -41,7 +41,7 @@
 	if !reflect.DeepEqual(o, want) {
 		t.Errorf("order %+v, want %+v", o, want)
 	}
-	empty := order(&core.Request{}, "", 0)
+	empty := failoverOrder(&core.Request{}, "", 0)
 	golden.Same(t, "digest-empty.hex", empty.Digest[:])
 }
 
@@ -73,7 +73,7 @@
 			want:       failover.Outcome{Kind: failover.Failed},
 		},
 	} {
-		if got := outcome(c.answer, c.mayHaveRun); !reflect.DeepEqual(got, c.want) {
+		if got := failoverOutcome(c.answer, c.mayHaveRun); !reflect.DeepEqual(got, c.want) {
 			t.Errorf("%s: %+v, want %+v", name, got, c.want)
 		}
 	}
--- a/internal/extension/orderfailover/orderfailover.go
+++ b/internal/extension/orderfailover/orderfailover.go
@@ -44,7 +44,7 @@
 	writeClasses map[string]bool // classes whose requests write
 	logSteps     bool            // each step of an order is logged, at level debug
 	metrics      []core.Metric
-	metricsDue   time.Duration // when metrics are made anew
+	metricsDueAt time.Duration // when metrics are made anew
 }
 
 // New returns the extension of a process that has just started. It has to know the classes of the core's requests, to
@@ -81,8 +81,8 @@
 	e.coordinator.Tick(now)
 	e.carryOutActions()
 	e.core.Schedule(now+tickInterval, e.tick)
-	if now >= e.metricsDue {
-		e.metricsDue = now + metricsInterval
+	if now >= e.metricsDueAt {
+		e.metricsDueAt = now + metricsInterval
 		e.metrics = metrics(e.coordinator.Stats())
 	}
 }
@@ -133,7 +133,7 @@
 	case failover.ActionStop:
 		e.core.SendPermissionDenied(a.Txn, a.Outcome.Kind == failover.NeverRan, a.Err)
 	case failover.ActionReplicaDropped:
-		e.releaseOrder(a)
+		e.replicaDropped(a)
 	case failover.ActionRun:
 		e.runOrder(a.Order)
 	case failover.ActionBeginClaim:
@@ -143,7 +143,7 @@
 	}
 }
 
-func (e *Extension) releaseOrder(a failover.Action) {
+func (e *Extension) replicaDropped(a failover.Action) {
 	if a.Err != nil {
 		log.Warn("order not released by its replica", logging.KeyRequestID, a.Txn, operatorhint.Attr(a.Err))
 		e.core.ReplicaNotDropped(a.Txn)
@@ -156,7 +156,7 @@
 	if a.Err != nil {
 		log.Warn("outcome of claimed order unknown", logging.KeyRequestID, a.Txn, operatorhint.Attr(a.Err))
 	}
-	e.core.ClaimAnswered(balancer.RequestID(a.ClaimID), answer(a.Outcome))
+	e.core.ClaimAnswered(balancer.RequestID(a.ClaimID), clientAnswer(a.Outcome))
 }
 
 // runOrder runs an order of a lost router. Nobody gets its answer but routers that claim the order.
--- a/internal/extension/orderfailover/orders.go
+++ b/internal/extension/orderfailover/orders.go
@@ -9,12 +9,12 @@
 
 // Replicate implements core.OrderFailover.
 func (e *Extension) Replicate(q *core.Request, timeLeft time.Duration) error {
-	return e.coordinator.Replicate(e.core.LoopTime(), order(q, q.Txn, timeLeft))
+	return e.coordinator.Replicate(e.core.LoopTime(), failoverOrder(q, q.Txn, timeLeft))
 }
 
 // Claim implements core.OrderFailover.
 func (e *Extension) Claim(id balancer.RequestID, q *core.Request, timeLeft time.Duration) {
-	e.coordinator.Claim(e.core.LoopTime(), uint64(id), order(q, q.ResumesTxn, timeLeft))
+	e.coordinator.Claim(e.core.LoopTime(), uint64(id), failoverOrder(q, q.ResumesTxn, timeLeft))
 	e.carryOutActions()
 }
 
@@ -36,7 +36,7 @@
 
 // Finish implements core.OrderFailover. The outcome is on its way to the replica before the client gets it.
 func (e *Extension) Finish(txn string, a core.Answer, mayHaveRun bool) (hold bool) {
-	hold = e.coordinator.Finish(e.core.LoopTime(), txn, outcome(a, mayHaveRun))
+	hold = e.coordinator.Finish(e.core.LoopTime(), txn, failoverOutcome(a, mayHaveRun))
 	e.Flush()
 	return hold
 }
