--- a/internal/cluster/failover/claim.go
+++ b/internal/cluster/failover/claim.go
@@ -9,27 +9,29 @@
 	"hillknot/internal/cluster/messaging"
 )
 
-// openClaim is what this router asks other routers for a client that lost one of them.
+// openClaim is a claim that is not settled yet: a client lost the router of its order and asked this router what became
+// of the order.
 type openClaim struct {
 	order      Order
 	deadline   time.Duration // when the client gives up
 	startedAt  time.Duration
 	peersAsked bool             // the other routers were asked
-	retryAt    time.Duration    // when those without a final reply are asked again
-	replies    map[string]reply // by router; "" is this one
+	retryAt    time.Duration    // when the routers without a final reply are asked again
+	replies    map[string]reply // latest reply by router; the key "" is this router
 	pending    map[string]bool  // routers that were asked and have not replied
 }
 
-// Reasons of MayHaveRunError. docs/errors.md and tests have them.
+// The reasons that a MayHaveRunError gives. docs/errors.md contains reasonBeingSent, and the tests compare with it.
 const (
 	reasonBeingSent   = "it was being sent when its router was lost"
-	reasonUnreachable = "its router can't be reached, and no other knows what became of it"
-	reasonNoTime      = "there was no time left for it"
-	reasonNoReply     = "nobody knew in its time"
+	reasonUnreachable = "its router can't be reached, and no other router knows its outcome"
+	reasonNoTime      = "its client's deadline passed before it could be run here"
+	reasonNoReply     = "no router reported its outcome before the client's deadline"
 )
 
-// Claim asks what became of an order whose router a client has lost. The order carries the lost txn, and all else as
-// the client asks for it now. ActionBeginClaim or ActionSettleClaim follows, unless CancelClaim comes before.
+// Claim asks what became of an order whose router a client has lost. The order carries the txn that was sent to the lost
+// router; its other fields are those of the client's present request. ActionBeginClaim or ActionSettleClaim with the
+// given id follows, unless CancelClaim is called first.
 func (c *Coordinator) Claim(now time.Duration, id uint64, order Order) {
 	c.counters.Claims++
 	claim := &openClaim{
@@ -41,21 +43,23 @@
 	}
 	c.claims[id] = claim
 	c.trace(eventClaimed, order.Txn, "")
-	// This router answers first: from now on it stores no record of the order for anyone but this claim.
+	// This router replies to the claim before its peers are asked. From then on it stores no record of the order for
+	// any other claim or owner.
 	self := Incarnation{c.settings.Self, c.settings.Process}
 	claim.replies[""] = c.claimReply(now, order, waiter{self, id})
 	c.decideClaim(now, id, claim)
 }
 
-// CancelClaim ends a claim whose client no longer waits.
+// CancelClaim drops a claim whose client no longer waits. No action follows for it.
 func (c *Coordinator) CancelClaim(id uint64) { delete(c.claims, id) }
 
-// claimReply is what this router itself knows of an order that is claimed.
+// claimReply returns what this router itself knows of a claimed order. If it knows nothing, it reserves the txn for the
+// claimant w.
 func (c *Coordinator) claimReply(now time.Duration, order Order, w waiter) reply {
 	own, r := c.owned.orders[order.Txn], c.stored.records[order.Txn]
 	if own != nil && (r == nil || !own.state.ended() || own.outcome.Kind != NeverRan) {
 		if own.order.Digest != order.Digest {
-			return reply{Kind: replyMayHaveRun} // whoever asks does not know the order, and learns nothing
+			return reply{Kind: replyMayHaveRun} // the claimant does not know the order's contents, so it must not learn the outcome
 		}
 		return c.ownedOrderReply(own, w)
 	}
@@ -72,8 +76,8 @@
 	return c.unknownReply(now)
 }
 
-// ownedOrderReply is what a claimant is told of an order of this router's own. An order that never ran, and that no
-// replica knows, is given to the claimant by this reply.
+// ownedOrderReply returns the reply to a claimant of an order that this router owns. If the order never ran and no
+// replica knows it, the reply gives the order to the claimant.
 func (c *Coordinator) ownedOrderReply(o *ownedOrder, w waiter) reply {
 	if !o.state.ended() {
 		return addWaiter(&o.waiters, w)
@@ -98,17 +102,17 @@
 	return reply{Kind: replyRun}
 }
 
-// receiveClaim answers a claimant.
+// receiveClaim replies to a claimant at another router.
 func (c *Coordinator) receiveClaim(now time.Duration, delivery messaging.Delivery, m message) {
 	claimant := waiter{Incarnation{delivery.From, delivery.Process}, m.Claim}
 	c.reply(delivery, c.claimReply(now, m.Order, claimant))
 }
 
-// updateClaimant tells a claimant that waits what is known of its order now.
+// updateClaimant sends a waiting claimant, which may be a claim of this router, what is now known of its order.
 func (c *Coordinator) updateClaimant(now time.Duration, txn string, w waiter, update reply) {
 	if w.Name != c.settings.Self {
 		m := message{Kind: messageClaimUpdate, Txn: txn, Claim: w.claim, Update: update}
-		// A claimant that can't be reached asks again by itself.
+		// The error is ignored because a claimant without a final reply asks again.
 		_ = c.send(now, w.Name, m, now+c.settings.MaxClientWait, sentMessage{})
 		return
 	}
@@ -120,7 +124,8 @@
 	}
 }
 
-// receiveClaimUpdate takes what a router that was asked before tells now.
+// receiveClaimUpdate handles a later reply of a router whose first reply to a claim was replyPending. An order that the
+// update gives to a claim that is no longer open is returned, unless this router has begun to run it.
 func (c *Coordinator) receiveClaimUpdate(now time.Duration, delivery messaging.Delivery, m message) {
 	c.reply(delivery, reply{Kind: replyAcknowledged})
 	claim := c.claims[m.Claim]
@@ -134,7 +139,8 @@
 	c.decideClaim(now, m.Claim, claim)
 }
 
-// returnOrder takes an order back that this router's own replica role gave to a claim whose client no longer waits.
+// returnOrder takes back an order that this router, as its replica, gave to one of its own claims, because the claim's
+// client no longer waits.
 func (c *Coordinator) returnOrder(now time.Duration, txn string) {
 	r := c.stored.records[txn]
 	if r != nil && r.state == recordGiven && r.contents != contentsReserved {
@@ -142,18 +148,18 @@
 	}
 }
 
-// returnOrderTo returns an order to the router that gave it to a claim whose client no longer waits. A router that
-// can't be reached holds the order as given, which is safe.
+// returnOrderTo returns an order to the router that gave it to a claim whose client no longer waits. If that router can't
+// be reached, its record says that the order was given away, which is safe.
 func (c *Coordinator) returnOrderTo(now time.Duration, txn, router string) {
 	m := message{Kind: messageStep, Txn: txn, Step: stepEnded, Outcome: Outcome{Kind: NeverRan}}
 	_ = c.send(now, router, m, now+c.settings.Retention, sentMessage{step: stepEnded})
 }
 
-// receiveClaimReply takes the reply to a question, or the failure to get one.
+// receiveClaimReply handles another router's reply to a claim, or the failure to get a reply in time.
 func (c *Coordinator) receiveClaimReply(now time.Duration, req sentMessage, err error, answer reply) {
 	claim := c.claims[req.claim]
 	if claim == nil || claim.order.Txn != req.txn {
-		if answer.Kind == replyRun && c.owned.orders[req.txn] == nil { // else the order was begun here
+		if answer.Kind == replyRun && c.owned.orders[req.txn] == nil { // otherwise this router runs the order
 			c.returnOrderTo(now, req.txn, req.to)
 		}
 		return
@@ -162,13 +168,14 @@
 	switch {
 	case err == nil:
 		claim.replies[req.to] = answer
-	case errors.As(err, new(messaging.ProcessReplacedError)): // its new process has not been asked yet
+	case errors.As(err, new(messaging.ProcessReplacedError)): // the router's new process has not been asked yet
 		c.requestReply(now, req.claim, claim, req.to)
 	}
 	c.decideClaim(now, req.claim, claim)
 }
 
-// strongestReply returns the strongest of the replies, and how many routers are certain that they know nothing.
+// strongestReply returns the strongest of the replies, and the number of routers that are certain that they know nothing
+// of the order.
 func (claim *openClaim) strongestReply() (strongest reply, certainUnknown int) {
 	for _, router := range slices.Sorted(maps.Keys(claim.replies)) {
 		answer := claim.replies[router]
@@ -182,7 +189,8 @@
 	return strongest, certainUnknown
 }
 
-// decideClaim acts on the strongest reply once it is strong enough, or once all have replied or their time is over.
+// decideClaim starts or settles a claim once the strongest reply is strong enough, or once all routers have replied or
+// ClaimTimeout is over. Until then it asks the other routers.
 func (c *Coordinator) decideClaim(now time.Duration, id uint64, claim *openClaim) {
 	strongest, certainUnknown := claim.strongestReply()
 	switch strongest.Kind {
@@ -194,7 +202,8 @@
 		c.settleClaim(id, strongest.Outcome, nil)
 		return
 	case replyUnknown:
-		// If all routers but the lost owner are certain, no replica ever held the order, so it was never sent.
+		// If all routers but the lost owner are certain, no replica ever held the order. With Strict set, an order is only
+		// sent once a replica holds it, so this order was never sent.
 		if c.settings.Strict && certainUnknown >= c.settings.ClusterSize-1 {
 			c.counters.ClaimsOfUnsent++
 			c.beginClaim(now, id, claim)
@@ -216,7 +225,7 @@
 	c.settleAsMayHaveRun(id, reason)
 }
 
-// requestReplies asks all other routers that have not given a final reply.
+// requestReplies asks all other routers that have not given a final reply and have no question in flight.
 func (c *Coordinator) requestReplies(now time.Duration, id uint64, claim *openClaim) {
 	claim.peersAsked, claim.retryAt = true, now+c.settings.ClaimTimeout
 	for _, p := range c.peers {
@@ -227,7 +236,8 @@
 	}
 }
 
-// maxClaimTimeouts is for how many ClaimTimeouts a question is repeated to a router that does not answer.
+// maxClaimTimeouts is how long, in multiples of ClaimTimeout, a claim is sent repeatedly to a router that does not
+// answer.
 const maxClaimTimeouts = 4
 
 func (c *Coordinator) requestReply(now time.Duration, id uint64, claim *openClaim, router string) {
@@ -239,7 +249,7 @@
 	}
 }
 
-// beginClaim has the caller run a claimed order.
+// beginClaim has the caller run a claimed order, unless the client's deadline has passed.
 func (c *Coordinator) beginClaim(now time.Duration, id uint64, claim *openClaim) {
 	delete(c.claims, id)
 	order := claim.order
@@ -259,7 +269,8 @@
 	c.addAction(Action{Kind: ActionBeginClaim, ClaimID: id, Txn: order.Txn, Order: order})
 }
 
-// settleClaim has the caller answer a claim.
+// settleClaim ends a claim, and has the caller answer its client with the outcome. The error is the reason for an unknown
+// outcome.
 func (c *Coordinator) settleClaim(id uint64, outcome Outcome, err error) {
 	txn := c.claims[id].order.Txn
 	delete(c.claims, id)
@@ -272,7 +283,7 @@
 	c.settleClaim(id, Outcome{Kind: MayHaveRun}, MayHaveRunError{reason})
 }
 
-// tickClaims asks again, and ends claims whose client's time is over.
+// tickClaims decides all open claims again, and settles those whose client's deadline has passed.
 func (c *Coordinator) tickClaims(now time.Duration) {
 	for _, id := range slices.Sorted(maps.Keys(c.claims)) {
 		claim := c.claims[id]
--- a/internal/cluster/failover/coordinator.go
+++ b/internal/cluster/failover/coordinator.go
@@ -1,13 +1,14 @@
-// Package failover decides which router may run an order when the router that took it is lost, so that no order runs
-// twice.
+// Package failover decides which router may run an order when the router that accepted it is lost, so that no order
+// runs twice.
 //
-// It is a state machine: it does no I/O, reads no clock and draws no random numbers. Each call carries the time, and
-// what is to be done is read with DuePackets and Actions. docs/design/takeover.md says what it guarantees, and why.
+// The package is a state machine: it does no I/O, reads no clock and draws no random numbers. The caller passes the time
+// to each method, sends the packets that DuePackets returns and carries out what Actions returns.
+// docs/design/takeover.md describes the guarantees and the reasons for them.
 //
-// A router has three roles here. It is the owner of the orders that its clients send to it, and replicates each to
-// another router before it is sent on. It is the replica of other routers' orders, and passes them on when their
-// owner's lease has expired. And it is the claimant for clients that lost another router and ask what became of their
-// order.
+// A router has three roles. As an owner it accepts the orders of its clients, and replicates each of them to another
+// router before it sends the order to an endpoint. As a replica it stores records of other routers' orders, and passes
+// these orders on when their owner's lease has expired. As a claimant it asks the other routers what became of an order
+// whose client has lost the order's router.
 package failover
 
 import (
@@ -21,25 +22,25 @@
 	"hillknot/internal/cluster/placement"
 )
 
-// Incarnation is one process of a router.
+// Incarnation identifies one process of a router.
 type Incarnation struct {
-	Name    string // the router's
+	Name    string // of the router
 	Process uint64
 }
 
 // Peer is another router that is alive.
 type Peer struct{ Name, Place string }
 
-// Coordinator is one router's part of failover. It is not safe for concurrent use.
+// Coordinator is the part that one router takes in failover. It is not safe for concurrent use.
 type Coordinator struct {
 	settings  Settings
 	messenger *messaging.Messenger
-	requests  map[uint64]sentMessage // in flight, by the numbers of their messages
-	peers     []Peer                 // alive, in the order of their names
-	startedAt time.Duration          // of the first SetPeers; 0: not yet
-	lastSweep time.Duration          // when what has ended was looked through
-	// Until then something that was forgotten early may still be asked for, so this router can't say for certain
-	// that it knows nothing of an order.
+	requests  map[uint64]sentMessage // in flight, by message ID
+	peers     []Peer                 // routers that are alive, sorted by name
+	startedAt time.Duration          // time of the first SetPeers; 0: not called yet
+	lastSweep time.Duration          // when expired orders and records were last removed
+	// Until this time a claim may concern an order that this router forgot early, so it can't be certain that it never
+	// held a record of an order that it does not know.
 	uncertainUntil time.Duration
 
 	owned  ownedOrders
@@ -51,13 +52,13 @@
 	counters Counters
 }
 
-// sweepInterval is how often what has ended is looked through.
+// sweepInterval is the time between two removals of expired orders and records.
 const sweepInterval = time.Second
 
-// New returns the coordinator of a process that has just started.
+// New returns the coordinator of a process that has just started. It returns an error if a setting is invalid.
 func New(settings Settings) (*Coordinator, error) {
 	if err := settings.Check(); err != nil {
-		return nil, fmt.Errorf("takeover: %w", err)
+		return nil, fmt.Errorf("order failover: %w", err)
 	}
 	return &Coordinator{
 		settings:  settings,
@@ -69,7 +70,7 @@
 	}, nil
 }
 
-// SetPeers tells which other routers are alive, in the order of their names.
+// SetPeers sets the other routers that are alive, sorted by name.
 func (c *Coordinator) SetPeers(now time.Duration, peers []Peer) {
 	if c.startedAt == 0 {
 		c.startedAt = max(now, 1)
@@ -81,13 +82,14 @@
 	return slices.ContainsFunc(c.peers, func(p Peer) bool { return p.Name == name })
 }
 
-// DuePackets returns the packets that are to be sent now.
+// DuePackets returns the packets that are to be sent now, after it has queued the messages for changed orders.
 func (c *Coordinator) DuePackets(now time.Duration) []messaging.Packet {
 	c.replicateChanges(now)
 	return c.messenger.DuePackets(now)
 }
 
-// Receive takes a packet of another router. What can't be understood is ignored.
+// Receive handles a packet of another router. It ignores packets that can't be decoded, and replies replyInvalid to
+// messages that are not valid.
 func (c *Coordinator) Receive(now time.Duration, data []byte) {
 	for _, delivery := range c.messenger.Receive(now, data) {
 		var m message
@@ -109,8 +111,8 @@
 	c.receiveReplies(now)
 }
 
-// Tick looks at what has expired. It is due every few milliseconds; a late call, as after a pause of the process, is
-// safe.
+// Tick handles timeouts, renews leases and decides open claims again. It is to be called every few milliseconds; a late
+// call, such as after a pause of the process, is safe.
 func (c *Coordinator) Tick(now time.Duration) {
 	c.messenger.Tick(now)
 	c.receiveReplies(now)
@@ -124,7 +126,8 @@
 	c.tickClaims(now)
 }
 
-// sentMessage is a message in flight: a step of an order for its replica, or, where claim is set, a question about a claim.
+// sentMessage is a message in flight: a step of an order for its replica or, if claim is not 0, a question about a
+// claimed order.
 type sentMessage struct {
 	to      string
 	sentAt  time.Duration
@@ -134,12 +137,12 @@
 	claim   uint64
 }
 
-// send sends a message to a router, and again until it is acknowledged or a time has come. The reply comes to the
-// role that the request is of.
+// send sends a message to a router, and repeats it until it is acknowledged or the time until has come. receiveReplies
+// passes the reply on together with r.
 func (c *Coordinator) send(now time.Duration, to string, m message, until time.Duration, r sentMessage) error {
 	body, err := cbor.Marshal(&m)
 	if err != nil {
-		return fmt.Errorf("takeover: %w", err)
+		return fmt.Errorf("order failover: encode message: %w", err)
 	}
 	id, err := c.messenger.Send(now, to, body, until)
 	if err != nil {
@@ -150,7 +153,7 @@
 	return nil
 }
 
-// receiveReplies hands each reply, or the failure to get one, to the role whose request it answers.
+// receiveReplies passes each reply, or the failure to get one, to the claimant or owner that sent the message.
 func (c *Coordinator) receiveReplies(now time.Duration) {
 	for _, done := range c.messenger.Completions() {
 		r, ok := c.requests[done.ID]
@@ -173,16 +176,18 @@
 }
 
 func (c *Coordinator) reply(delivery messaging.Delivery, answer reply) {
-	if body, err := cbor.Marshal(&answer); err == nil { // it can't fail for this type
+	if body, err := cbor.Marshal(&answer); err == nil { // encoding a reply can't fail
 		c.messenger.Acknowledge(delivery, body)
 	}
 }
 
-// replicaDuty and the owner's name are hashed with the names of the peers into the choice of the replica.
+// replicaDuty, followed by the owner's name, is the key that is hashed with the names of the peers to choose the owner's
+// replica.
 const replicaDuty = "keeper of "
 
-// bestReplica returns the router that is to hold this router's orders: the one with the highest score, first of those
-// in another place; those that are excluded don't count. It returns "" if there is none.
+// bestReplica returns the name of the peer that is to hold this router's orders: the one with the highest score among the
+// peers in another place or, if there are none, among all peers. Excluded peers are left out. It returns "" if no peer
+// remains.
 func (c *Coordinator) bestReplica(excluded []string) string {
 	for _, samePlace := range []bool{false, true} {
 		var names []string
--- a/internal/cluster/failover/order.go
+++ b/internal/cluster/failover/order.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Order is a request that must run once at most. Its encoding is that of a message: see there.
+// Order is a request that must run at most once. It is encoded as a part of messages, whose rules for fields apply.
 type Order struct {
 	_            struct{} `cbor:",toarray"`
 	Txn          string
@@ -11,32 +11,32 @@
 	Account      string
 	Part         uint64
 	Group        uint64
-	Digest       [32]byte      // of all that the client asked for
-	TimeLeft     time.Duration // until its client gives up
-	Body         []byte        // if BodyComplete
-	BodyComplete bool          // Body is here, so that another router can run the order without its client
+	Digest       [32]byte      // hash of everything that the client asked for
+	TimeLeft     time.Duration // until the client gives up
+	Body         []byte        // empty unless BodyComplete is set
+	BodyComplete bool          // Body is present, so that another router can run the order without the client
 }
 
-// OutcomeKind says what became of an order.
+// OutcomeKind is the kind of an Outcome. Its values are sent in messages and are fixed.
 type OutcomeKind uint8
 
 // The kinds of outcomes.
 const (
 	MayHaveRun OutcomeKind = iota
 	Served
-	Failed // it may have run
+	Failed // it was answered as failed, and may have run
 	NeverRan
 )
 
-// String returns the kind's name in events.
+// String returns the name that the kind has in events.
 func (k OutcomeKind) String() string {
 	return [...]string{"may have run", "served", "failed", "never ran"}[min(k, NeverRan)]
 }
 
-// Outcome is what became of an order.
+// Outcome describes how an order ended.
 type Outcome struct {
 	_          struct{} `cbor:",toarray"`
 	Kind       OutcomeKind
 	Body       []byte        // of Served
-	RetryAfter time.Duration // of NeverRan: how long the client is asked to wait before a retry
+	RetryAfter time.Duration // of NeverRan: the time that the client is asked to wait before a retry
 }
--- a/internal/cluster/failover/order_state.go
+++ b/internal/cluster/failover/order_state.go
@@ -1,36 +1,36 @@
 package failover
 
-// orderState is where an order of this router's own stands, from its client's request until its record is forgotten.
+// orderState is the state of an order that this router owns, from Replicate until the order is forgotten.
 type orderState uint8
 
 const (
-	orderQueued              orderState = iota + 1 // nobody has asked to send it yet
+	orderQueued              orderState = iota + 1 // its caller has not asked to send it yet
 	orderPermissionRequested                       // its caller waits for ActionSend
-	orderPermissionGranted                         // its caller got ActionSend; nothing was written yet
-	orderSent                                      // it may have been written
-	orderResendRequested                           // the same, and its caller waits for ActionSend again
-	orderReleasing                                 // rejected unsent; its replica has yet to release it
-	orderReleasingAfterSend                        // the same, after it was sent to an endpoint that rejected it
+	orderPermissionGranted                         // its caller got ActionSend, and nothing was written yet
+	orderSent                                      // it may have been written to an endpoint
+	orderResendRequested                           // it may have been written, and its caller waits for ActionSend again
+	orderReleasing                                 // it was rejected without being sent, and its replica has not released it yet
+	orderReleasingAfterSend                        // an endpoint got and rejected it, and its replica has not released it yet
 	orderEnded                                     // its outcome is known, and it was never sent
-	orderEndedAfterSend
+	orderEndedAfterSend                            // its outcome is known, and it may have been written
 	numOrderStates
 )
 
-// orderEvent is what changes an order's state.
+// orderEvent is an event that may change an order's state.
 type orderEvent uint8
 
 const (
-	permissionRequested orderEvent = iota // RequestSendPermission, where the caller has to wait
-	permissionGranted                     // ActionSend goes out
+	permissionRequested orderEvent = iota // RequestSendPermission was called, and the caller has to wait
+	permissionGranted                     // the caller gets ActionSend
 	permissionUsed                        // UseSendPermission allowed the caller to write
-	finishedReleasing                     // Finish, where the replica could still pass the order on
-	finished                              // Finish, else
+	finishedReleasing                     // Finish was called while the replica could still pass the order on
+	finished                              // Finish was called otherwise
 	released                              // the wait for the replica's release is over
 	numOrderEvents
 )
 
-// orderTransitions is the life cycle of an order: by state and event, the state that follows. Where there is none,
-// the event changes nothing.
+// orderTransitions holds the state that follows each state after each event. An event without an entry leaves the state
+// unchanged.
 var orderTransitions = [numOrderStates][numOrderEvents]orderState{
 	orderQueued: {
 		permissionRequested: orderPermissionRequested,
@@ -74,23 +74,23 @@
 	return s
 }
 
-// ended tells whether the outcome is known. The client may still have to wait for it: see releasing.
+// ended reports whether the outcome is known. The client may still have to wait for it: see releasing.
 func (s orderState) ended() bool { return s >= orderReleasing }
 
-// releasing tells whether the client waits until the replica lets go of the order.
+// releasing reports whether the client has to wait until the replica releases the order.
 func (s orderState) releasing() bool {
 	return s == orderReleasing || s == orderReleasingAfterSend
 }
 
-// permissionRequested tells whether the caller waits for ActionSend.
+// permissionRequested reports whether the caller waits for ActionSend.
 func (s orderState) permissionRequested() bool {
 	return s == orderPermissionRequested || s == orderResendRequested
 }
 
-// permissionGranted tells whether the caller got ActionSend, and has not asked anew since.
+// permissionGranted reports whether the caller got ActionSend and has not requested permission again since.
 func (s orderState) permissionGranted() bool { return s == orderPermissionGranted || s == orderSent }
 
-// sent tells whether the order may have been written.
+// sent reports whether the order may have been written to an endpoint.
 func (s orderState) sent() bool {
 	switch s {
 	case orderSent, orderResendRequested, orderReleasingAfterSend, orderEndedAfterSend:
--- a/internal/cluster/failover/owner.go
+++ b/internal/cluster/failover/owner.go
@@ -2,18 +2,19 @@
 
 import "time"
 
-// ownedOrders is what this router knows as an owner: its clients' orders, and its sessions with their replicas.
+// ownedOrders holds what this router knows as an owner: the orders that it has accepted, and its sessions at their
+// replicas.
 type ownedOrders struct {
 	orders            map[string]*ownedOrder // by txn
-	changed           []string               // orders of which a replica may have to be told
-	ended             []string               // orders that have ended, oldest first
-	session           *replicaSession        // of new orders; nil: none yet
-	sessions          []*replicaSession      // of all orders
-	lastSessionNumber uint64                 // the number of the latest
+	changed           []string               // txns of orders whose replica may have to be sent a step
+	ended             []string               // txns of orders that have ended, oldest first
+	session           *replicaSession        // for new orders; nil: none yet
+	sessions          []*replicaSession      // those with open orders, and the one for new orders
+	lastSessionNumber uint64                 // number of the session that was started last
 }
 
-// Replicate takes an order that a client waits for, and has a replica told of it. An error says why it can't be
-// taken; the order never ran then.
+// Replicate accepts an order, whose replica gets a record of it with the next packets. It returns a
+// ReplicaUnreachableError if Settings.Strict is set and no other router is alive; such an order never ran.
 func (c *Coordinator) Replicate(now time.Duration, order Order) error {
 	if c.settings.Strict && c.currentSession(now) == nil {
 		c.counters.OrdersWithoutReplica++
@@ -35,8 +36,8 @@
 	return nil
 }
 
-// RequestSendPermission asks to send an order. ActionSend or ActionStop follows, at once or later; nothing follows if the
-// order ends before.
+// RequestSendPermission asks for permission to send an order. ActionSend or ActionStop follows, at once or later, unless
+// the order ends first.
 func (c *Coordinator) RequestSendPermission(now time.Duration, txn string) {
 	o := c.owned.orders[txn]
 	if o == nil || o.state.ended() {
@@ -47,7 +48,7 @@
 		c.grantPermission(txn, o)
 		return
 	}
-	if o.state.permissionGranted() { // that lease has expired
+	if o.state.permissionGranted() { // the lease under which it was granted has expired
 		o.replication.restart()
 	}
 	o.state = o.state.after(permissionRequested)
@@ -55,7 +56,8 @@
 	c.owned.changed = append(c.owned.changed, txn)
 }
 
-// UseSendPermission tells whether an order may be written now. A caller that gets true writes it at once.
+// UseSendPermission reports whether an order may be written now. If it returns true, the caller must write the order at
+// once.
 func (c *Coordinator) UseSendPermission(now time.Duration, txn string) bool {
 	o := c.owned.orders[txn]
 	if o == nil || o.state.ended() || !o.replication.mayBeSent(now) {
@@ -68,8 +70,8 @@
 	return true
 }
 
-// Finish takes the outcome that an order's client is about to be told. If it returns true, the caller waits for
-// ActionReplicaDropped or calls StopWaiting before it tells the client: a replica may still pass the order on.
+// Finish ends an order with the outcome that its client is about to get. It returns true if the replica may still pass
+// the order on; the caller must then wait for ActionReplicaDropped, or call StopWaiting, before it answers the client.
 func (c *Coordinator) Finish(now time.Duration, txn string, outcome Outcome) (wait bool) {
 	o := c.owned.orders[txn]
 	if o == nil || o.state.ended() {
@@ -96,7 +98,7 @@
 	return o.state.releasing()
 }
 
-// replicateEnd has an order's replica told that it has ended, if it was told of the order at all.
+// replicateEnd has the outcome of an order sent to its replica, if the replica was sent any step of the order.
 func (c *Coordinator) replicateEnd(txn string, r *replication) {
 	if r.session != nil {
 		r.session.openOrders--
@@ -108,7 +110,8 @@
 	}
 }
 
-// StopWaiting ends the wait for a replica to release an order: it may still run it.
+// StopWaiting ends the wait for a replica to release an order. The outcome becomes MayHaveRun, because the replica may
+// still run the order.
 func (c *Coordinator) StopWaiting(now time.Duration, txn string) {
 	o := c.owned.orders[txn]
 	if o == nil || !o.state.releasing() {
@@ -119,7 +122,7 @@
 	c.answerWaiters(now, txn, o)
 }
 
-// Cancel ends an order whose client no longer waits. The caller says whether it may have run.
+// Cancel ends an order whose client no longer waits. The outcome is MayHaveRun if mayHaveRun is true, else NeverRan.
 func (c *Coordinator) Cancel(now time.Duration, txn string, mayHaveRun bool) {
 	o := c.owned.orders[txn]
 	if o == nil || o.state.ended() {
@@ -130,18 +133,19 @@
 		kind = MayHaveRun
 	}
 	if c.Finish(now, txn, Outcome{Kind: kind}) {
-		c.StopWaiting(now, txn) // nobody waits for the release
+		c.StopWaiting(now, txn) // no client waits for the release
 	}
 }
 
-// Abandon tells that an order of ActionRun was not run here after all, and never will be.
+// Abandon reports that an order of ActionRun was not run here and never will be.
 func (c *Coordinator) Abandon(now time.Duration, txn string) {
 	if r := c.stored.records[txn]; r != nil && r.state == recordRunning {
 		c.endRecord(now, r, Outcome{Kind: NeverRan})
 	}
 }
 
-// answerWaiters tells the claimants of an own order how it ended, and ends the record from which it was run here.
+// answerWaiters sends the waiting claimants of an owned order its outcome. If the order was run here for a lost router,
+// its record ends too.
 func (c *Coordinator) answerWaiters(now time.Duration, txn string, o *ownedOrder) {
 	waiters := o.waiters
 	o.waiters = nil
@@ -153,7 +157,7 @@
 	}
 }
 
-// forgetEndedOrders forgets the orders that have ended long ago.
+// forgetEndedOrders removes the orders that ended at least Settings.Retention ago.
 func (c *Coordinator) forgetEndedOrders(now time.Duration) {
 	for len(c.owned.ended) > 0 {
 		oldest := c.owned.orders[c.owned.ended[0]]
@@ -164,7 +168,8 @@
 	}
 }
 
-// forgetOldestOrder forgets the order that ended first. If that is too early, this router is uncertain for a while.
+// forgetOldestOrder removes the order that ended first. If its retention is not over, this router is uncertain for
+// Settings.Retention: see uncertainUntil.
 func (c *Coordinator) forgetOldestOrder(now time.Duration) {
 	txn := c.owned.ended[0]
 	c.owned.ended = c.owned.ended[1:]
--- a/internal/cluster/failover/replica.go
+++ b/internal/cluster/failover/replica.go
@@ -9,86 +9,88 @@
 	"hillknot/internal/cluster/messaging"
 )
 
-// storedRecords is what this router knows as a replica: records of other routers' orders, and the leases of their
-// owners.
+// storedRecords holds what this router knows as a replica: records of other routers' orders, and the leases of the
+// orders' owners.
 type storedRecords struct {
 	records map[string]*record // by txn
-	ended   []string           // records that have ended, oldest first
+	ended   []string           // txns of records that have ended, oldest first
 	owners  map[Incarnation]*ownerLease
 }
 
-// recordState is where a record stands.
+// recordState is the state of a record.
 type recordState uint8
 
 const (
-	recordOwnerOnly    recordState = iota // its owner may use another replica by now
+	recordOwnerOnly    recordState = iota // the owner may use another replica by now
 	recordTransferable                    // this replica may pass it on if the owner is lost
-	recordMaySend                         // its owner may send it; nobody else ever may
-	recordBlocked                         // it was taken, and its owner is lost: this replica never lets it be sent
-	recordOrphaned                        // it was transferable, and its owner is lost: one router may run it
-	recordGiven                           // to one claimant
-	recordRunning                         // here
-	recordEnded
+	recordMaySend                         // the owner may send the order; no other router ever may
+	recordBlocked                         // it was recordOwnerOnly, and the owner is lost: this replica never lets the order be sent
+	recordOrphaned                        // it was recordTransferable, and the owner is lost: one router may run the order
+	recordGiven                           // one claimant has the order
+	recordRunning                         // this router runs the order
+	recordEnded                           // the outcome is known
 )
 
-// recordContents is what a record holds of its order.
+// recordContents says how much of its order a record holds.
 type recordContents uint8
 
 const (
-	contentsUnknown  recordContents = iota // only that its owner knows it
-	contentsComplete                       // the owner's order
-	contentsReserved                       // the txn is set aside for a claimant, and no owner gets it
+	contentsUnknown  recordContents = iota // the txn, the owner and the outcome, but not the order itself
+	contentsComplete                       // the order, as its owner sent it
+	contentsReserved                       // only the txn, reserved for a claimant: no owner can store the order here
 )
 
-// record is what a replica knows of an order.
+// record is a replica's knowledge of one order.
 type record struct {
 	order    Order
 	contents recordContents
 	owner    Incarnation
 	session  uint64
 	state    recordState
-	deadline time.Duration // when its client gives up
+	deadline time.Duration // when the client gives up
 	forgetAt time.Duration
 	outcome  Outcome // of recordEnded
 	waiters  []waiter
 	givenTo  waiter // of recordGiven
 }
 
-// ownerDecides tells whether the owner still decides about the order.
+// ownerDecides reports whether the owner still decides who may run the order.
 func (r *record) ownerDecides() bool { return r.state <= recordMaySend }
 
-// isGivenTo tells whether a claimant at that process has the order.
+// isGivenTo reports whether the order was given to a claimant in that process.
 func (r *record) isGivenTo(claimant Incarnation) bool {
 	return r.state == recordGiven && r.givenTo.Incarnation == claimant
 }
 
-// giveTo gives the order, or with contentsReserved only its txn, to a claimant.
+// giveTo gives the order to a claimant, or only its txn if the contents are contentsReserved.
 func (r *record) giveTo(w waiter) { r.state, r.givenTo = recordGiven, w }
 
-// reserveFor sets the txn aside for a claimant: no other router gets the order to send from this replica.
+// reserveFor reserves the txn for a claimant. From then on no other router can get permission to send the order from this
+// replica.
 func (r *record) reserveFor(w waiter) {
 	r.contents = contentsReserved
 	r.giveTo(w)
 }
 
-// waiter is a claimant that is told what becomes of an order.
+// waiter identifies a claim whose claimant gets an update about an order.
 type waiter struct {
-	Incarnation
-	claim uint64
+	Incarnation        // of the claimant
+	claim       uint64 // the claim's number at the claimant
 }
 
 // maxWaiters bounds the claimants that wait for one order.
 const maxWaiters = 8
 
-// ownerLease is the lease of a router whose orders this one holds.
+// ownerLease is the lease of a router whose orders this router holds records of.
 type ownerLease struct {
-	session         uint64 // the latest
+	session         uint64 // the latest session that the owner has used
 	expiresAt       time.Duration
-	lastLostSession uint64             // this session and those before it are lost
-	openRecords     map[string]*record // that have not ended
+	lastLostSession uint64             // sessions up to this number are lost
+	openRecords     map[string]*record // records that have not ended, by txn
 }
 
-// receiveStep takes what an owner tells of an order, or only that it lives.
+// receiveStep handles a step of an order, or a renewal of a lease, from an owner. It renews the owner's lease unless the
+// step is the end of an order or the session is lost.
 func (c *Coordinator) receiveStep(now time.Duration, delivery messaging.Delivery, m message) {
 	from := Incarnation{delivery.From, delivery.Process}
 	lease := c.stored.owners[from]
@@ -113,13 +115,13 @@
 	c.reply(delivery, reply{Kind: answer})
 }
 
-// storeStep stores how far an open order has come.
+// storeStep stores a step of an order that has not ended, and returns the kind of the reply.
 func (c *Coordinator) storeStep(now time.Duration, from Incarnation, lease *ownerLease, m message) replyKind {
 	state := recordStateOf(m.Step)
 	r := c.stored.records[m.Txn]
 	switch {
 	case r == nil:
-		if m.Order.Txn != m.Txn { // the record that this message builds on is no longer here
+		if m.Order.Txn != m.Txn { // the record that the step refers to is no longer here
 			return replyGivenAway
 		}
 		if r = c.newRecord(now, m.Txn); r == nil {
@@ -133,7 +135,7 @@
 			c.trace(m.Step.String()+eventStepStored, m.Txn, from.Name)
 		}
 		return replyAcknowledged
-	case r.isGivenTo(from) && m.Order.Txn == m.Txn: // its new owner
+	case r.isGivenTo(from) && m.Order.Txn == m.Txn: // the claimant is the new owner
 	default:
 		return replyGivenAway
 	}
@@ -156,12 +158,13 @@
 	return recordOwnerOnly
 }
 
-// storeOutcome stores how an order ended.
+// storeOutcome stores the outcome of an order, and returns the kind of the reply.
 func (c *Coordinator) storeOutcome(now time.Duration, from Incarnation, lease *ownerLease, m message) replyKind {
 	r := c.stored.records[m.Txn]
 	switch {
 	case r == nil && m.Outcome.Kind == NeverRan && !c.certain(now):
-		// It may have been here, passed on, and forgotten too early: its owner knows only that it did not send it.
+		// This replica may have passed the order on and forgotten its record too early. The owner only knows that it
+		// did not send the order itself.
 		return replyGivenAway
 	case r == nil:
 		if r = c.newRecord(now, m.Txn); r == nil {
@@ -169,17 +172,17 @@
 			return replyAcknowledged
 		}
 		r.owner = from
-	case r.isGivenTo(from) && m.Outcome.Kind == NeverRan: // it gives the order back
+	case r.isGivenTo(from) && m.Outcome.Kind == NeverRan: // the claimant returns the order
 		c.endRecord(now, r, m.Outcome)
 		return replyAcknowledged
 	case r.state == recordEnded && r.owner == from:
-		// The owner was taken for lost, and knows better. But an order that was told as may have run must not run
-		// later.
+		// This replica considered the owner lost, but the owner knows the outcome for certain. However, an order that was
+		// reported as MayHaveRun must not run later, so NeverRan is not stored.
 		if r.outcome.Kind == MayHaveRun && m.Outcome.Kind != NeverRan {
 			c.endRecord(now, r, m.Outcome)
 		}
 		return replyAcknowledged
-	case m.Session == 0: // it was given, begun there, and given back by mistake
+	case m.Session == 0: // the order was given, begun there, and returned by mistake
 		return replyAcknowledged
 	case r.owner != from || !r.ownerDecides():
 		return replyGivenAway
@@ -189,8 +192,8 @@
 	return replyAcknowledged
 }
 
-// newRecord makes a record. If there are too many, it takes the place of the one that ended first; if none has ended,
-// newRecord returns nil.
+// newRecord adds an empty record. If there are Settings.MaxRecords already, the one that ended first is removed; if none
+// has ended, newRecord returns nil.
 func (c *Coordinator) newRecord(now time.Duration, txn string) *record {
 	for len(c.stored.records) >= c.settings.MaxRecords {
 		if len(c.stored.ended) == 0 {
@@ -210,7 +213,8 @@
 	return r
 }
 
-// endRecord ends a record, and tells its waiters. An order that never ran is given to the first of them.
+// endRecord stores the outcome of a record and sends it to the waiters. An order that never ran is given to the first
+// waiter.
 func (c *Coordinator) endRecord(now time.Duration, r *record, outcome Outcome) {
 	txn := r.order.Txn
 	r.state, r.outcome, r.forgetAt = recordEnded, outcome, now+c.settings.Retention
@@ -223,7 +227,7 @@
 	}
 }
 
-// forgetOldRecords forgets records that are past their time.
+// forgetOldRecords removes the records whose forgetAt has come.
 func (c *Coordinator) forgetOldRecords(now time.Duration) {
 	maps.DeleteFunc(c.stored.records, func(_ string, r *record) bool {
 		if now < r.forgetAt {
@@ -237,7 +241,8 @@
 	c.stored.ended = slices.DeleteFunc(c.stored.ended, func(txn string) bool { return c.stored.records[txn] == nil })
 }
 
-// checkOwnerLeases takes over the orders of owners whose lease has expired, and forgets owners without orders.
+// checkOwnerLeases takes over the orders of owners whose lease has expired. It forgets an owner without open orders once
+// its lease expired at least Settings.Retention ago.
 func (c *Coordinator) checkOwnerLeases(now time.Duration) {
 	for _, owner := range slices.SortedFunc(maps.Keys(c.stored.owners), compareIncarnations) {
 		lease := c.stored.owners[owner]
@@ -255,7 +260,7 @@
 	return cmp.Or(cmp.Compare(a.Name, b.Name), cmp.Compare(int64(a.Process-b.Process), 0))
 }
 
-// takeOver takes over the open orders of a router that has said nothing for a lease.
+// takeOver takes over the open orders of an owner whose lease has expired.
 func (c *Coordinator) takeOver(now time.Duration, owner Incarnation, lease *ownerLease) {
 	lease.lastLostSession = lease.session
 	c.counters.OwnersLost++
@@ -267,7 +272,9 @@
 	clear(lease.openRecords)
 }
 
-// takeOverRecord passes an order of a lost router on to the first claimant that waits for it, or runs it here.
+// takeOverRecord passes an order of a lost owner on to the first waiting claimant, or has it run here if no claimant
+// waits. An order that the owner may have sent ends as MayHaveRun, and one that the owner may have replicated elsewhere is
+// blocked here.
 func (c *Coordinator) takeOverRecord(now time.Duration, owner Incarnation, r *record) {
 	switch r.state {
 	case recordMaySend:
@@ -278,7 +285,7 @@
 	default:
 		r.state = recordOrphaned
 	}
-	r.owner = Incarnation{} // whatever its owner tells of it from now on is too late
+	r.owner = Incarnation{} // from now on messages of the lost owner about the order are rejected
 	c.trace(eventOrphaned, r.order.Txn, owner.Name)
 	if len(r.waiters) == 0 {
 		c.runOrphan(now, r)
@@ -289,8 +296,8 @@
 	c.updateClaimant(now, r.order.Txn, first, c.recordReply(now, r, first))
 }
 
-// runOrphan runs an order without its client, if all of it is here and there is time for it. Else a claim may bring
-// what is missing, or the order never runs.
+// runOrphan has the caller run an orphaned order without its client, if its body is here and its deadline has not passed.
+// Otherwise the order waits for a claim, which may bring the missing body; without a claim it never runs.
 func (c *Coordinator) runOrphan(now time.Duration, r *record) {
 	if r.state != recordOrphaned || !r.order.BodyComplete || now >= r.deadline {
 		return
@@ -303,8 +310,8 @@
 	c.addAction(Action{Kind: ActionRun, Txn: order.Txn, Order: order})
 }
 
-// recordReply is what a claimant that has shown to know a record's order is told of it. An order that may be passed
-// on is given to the claimant by this reply.
+// recordReply returns the reply to a claimant whose digest matches the record's order, or whose record is only reserved.
+// If the order may be passed on, the reply gives it to the claimant.
 func (c *Coordinator) recordReply(now time.Duration, r *record, w waiter) reply {
 	switch r.state {
 	case recordOwnerOnly, recordTransferable, recordMaySend, recordRunning:
@@ -334,12 +341,13 @@
 	return reply{Kind: replyRun}
 }
 
-// unknownReply says that nothing is known of an order, and whether that is certain.
+// unknownReply returns the reply that nothing is known of an order, and whether that is certain.
 func (c *Coordinator) unknownReply(now time.Duration) reply {
 	return reply{Kind: replyUnknown, Certain: c.certain(now)}
 }
 
-// addWaiter has a claimant wait for what becomes of an order.
+// addWaiter adds a claimant that waits for an update about an order, and returns the reply to the claimant. If there are
+// maxWaiters already, the claimant is not added and the reply is replyElsewhere.
 func addWaiter(waiters *[]waiter, w waiter) reply {
 	if !slices.Contains(*waiters, w) {
 		if len(*waiters) >= maxWaiters {
@@ -350,8 +358,8 @@
 	return reply{Kind: replyPending}
 }
 
-// certain tells whether this router would know of an order if any process of it had held a record of it: all clients
-// from before its start have given up, and nothing was forgotten early.
+// certain reports whether this router would know of an order if any of its processes had ever held a record of it. That is
+// so if all clients from before its start have given up, and nothing that may still be claimed was forgotten early.
 func (c *Coordinator) certain(now time.Duration) bool {
 	upLongEnough := c.startedAt > 0 && now >= c.startedAt+c.settings.withClockDrift(c.settings.MaxClientWait)
 	return upLongEnough && now >= c.uncertainUntil
--- a/internal/cluster/failover/replication.go
+++ b/internal/cluster/failover/replication.go
@@ -6,48 +6,49 @@
 	"time"
 )
 
-// ownedOrder is an order that a client of this router waits for, and later its outcome.
+// ownedOrder is an order that this router has accepted, and its outcome once it has ended.
 type ownedOrder struct {
 	order       Order
-	deadline    time.Duration // when its client gives up
+	deadline    time.Duration // when the client gives up
 	state       orderState
 	replication replication
-	outcome     Outcome // once the state is ended
+	outcome     Outcome // set once state.ended()
 	forgetAt    time.Duration
 	waiters     []waiter
-	givenTo     Incarnation // the claimant that may run it, where no replica ever knew of it
+	givenTo     Incarnation // the claimant that may run the order, if it never ran and no replica was sent it
 }
 
-// replication is how much of an order its replica knows: the step that it is to know, was told and has acknowledged.
+// replication tracks what an order's replica knows of it: the step that the replica is to know, the step that it was sent
+// and the step that it has acknowledged.
 type replication struct {
 	session      *replicaSession // nil: no replica yet
-	target       step            // what the replica is to know
-	sent         step            // what it was told
-	acknowledged step            // what it has said that it holds
+	target       step            // the step that the replica is to know
+	sent         step            // the latest step that was sent to the replica
+	acknowledged step            // the latest step that the replica acknowledged
 	exposure     exposure
-	waived       bool     // no replica is needed: there was none, and Settings.Strict is off
-	tried        []string // replicas that failed
+	waived       bool     // the order may be sent without a replica: none was found, and Settings.Strict is off
+	tried        []string // names of replicas that failed for this order
 }
 
-// exposure is how much any replica may know of an order, whether it has acknowledged that or not. It only grows.
+// exposure is the most that any replica may know of an order, acknowledged or not. It only grows.
 type exposure uint8
 
 const (
-	exposedToNone   exposure = iota // no replica was told of it, so this router may give it to a claimant
-	exposedRecord                   // a replica was told, and may not pass it on
-	exposedSend                     // a replica was told that it may be sent: if the owner is lost, it says so for good
-	exposedTransfer                 // a replica was told that it may pass it on: only that one knows more
+	exposedToNone   exposure = iota // no replica was sent the order, so this router may give it to a claimant
+	exposedRecord                   // a replica was sent the order, and may not pass it on
+	exposedSend                     // a replica was sent stepMaySend: if the owner is lost, it reports MayHaveRun for good
+	exposedTransfer                 // a replica was sent stepTransferable: only that replica can tell who runs the order
 )
 
-// mayBeSent tells whether the order may be written now.
+// mayBeSent reports whether the order may be written now.
 func (r *replication) mayBeSent(now time.Duration) bool {
 	return r.waived || r.acknowledged == stepMaySend && r.session != nil && now < r.session.leaseUntil
 }
 
-// restart has the replica told everything anew.
+// restart resets the progress, so that the replica is sent the order again.
 func (r *replication) restart() { r.sent, r.acknowledged = stepNone, stepNone }
 
-// markSent notes that the replica was told the target.
+// markSent records that the target was sent to the replica.
 func (r *replication) markSent() {
 	r.sent = r.target
 	switch r.target {
@@ -60,7 +61,8 @@
 	}
 }
 
-// leaveReplica gives up a replica that does not answer, for another one. It never had the right to pass the order on.
+// leaveReplica gives up a replica that does not answer or has no room, so that another one is chosen. The replica never
+// had the right to pass the order on.
 func (r *replication) leaveReplica() {
 	r.session.openOrders--
 	r.tried = append(r.tried, r.session.replica)
@@ -68,7 +70,7 @@
 	r.restart()
 }
 
-// replicateChanges tells the replicas what has changed of orders.
+// replicateChanges sends the replicas the new steps of changed orders.
 func (c *Coordinator) replicateChanges(now time.Duration) {
 	changed := c.owned.changed
 	c.owned.changed = nil
@@ -79,7 +81,7 @@
 	}
 }
 
-// replicateStep tells an order's replica how far the order has come.
+// replicateStep sends an order's target step to its replica, which is assigned first if there is none.
 func (c *Coordinator) replicateStep(now time.Duration, txn string, o *ownedOrder) {
 	r := &o.replication
 	if r.session == nil && !c.assignReplica(now, r) {
@@ -97,7 +99,7 @@
 	r.session.renewAt = now + c.settings.LeaseDuration/renewalsPerLease
 }
 
-// assignReplica chooses a replica that has not failed for this order before. It returns false if there is none.
+// assignReplica chooses a replica that has not failed for this order before, and reports whether there is one.
 func (c *Coordinator) assignReplica(now time.Duration, r *replication) bool {
 	session := c.currentSession(now)
 	if session != nil && slices.Contains(r.tried, session.replica) {
@@ -114,7 +116,8 @@
 	return true
 }
 
-// stepMessage returns the message for an order's replica, and until when it is worth sending.
+// stepMessage returns the message with the order's target step for its replica, and the time until which the message is
+// repeated.
 func (c *Coordinator) stepMessage(now time.Duration, txn string, o *ownedOrder) (message, time.Duration) {
 	r := &o.replication
 	m := message{Kind: messageStep, Txn: txn, Step: r.target, Session: r.session.number}
@@ -126,13 +129,13 @@
 		m.Order = o.order
 		m.Order.TimeLeft = max(o.deadline-now, 0)
 	}
-	if r.target == stepTransferable || r.exposure == exposedTransfer { // no other replica can tell what became of it
+	if r.target == stepTransferable || r.exposure == exposedTransfer { // no other replica knows what became of the order
 		until = max(until, o.deadline)
 	}
 	return m, until
 }
 
-// receiveReplicaReply takes a replica's reply to what it was told, or the failure to get one.
+// receiveReplicaReply handles a replica's reply to a step or a renewal of a lease, or the failure to get a reply in time.
 func (c *Coordinator) receiveReplicaReply(now time.Duration, req sentMessage, err error, answer reply) {
 	c.updateSession(now, req, err, answer)
 	o := c.owned.orders[req.txn]
@@ -155,7 +158,8 @@
 	}
 }
 
-// stepAcknowledged takes that the replica holds a step, and goes on to the next.
+// stepAcknowledged records that the replica holds a step. It then grants permission to send an order whose caller waits
+// for it, or makes a waiting order transferable.
 func (c *Coordinator) stepAcknowledged(req sentMessage, o *ownedOrder) {
 	r := &o.replication
 	r.acknowledged = max(r.acknowledged, req.step)
@@ -164,7 +168,7 @@
 	case o.state.ended():
 	case r.acknowledged == stepMaySend && o.state.permissionRequested():
 		c.grantPermission(req.txn, o)
-	case r.acknowledged == stepOwnerOnly && r.target == stepOwnerOnly: // it has to wait longer than a round trip took
+	case r.acknowledged == stepOwnerOnly && r.target == stepOwnerOnly: // the order has waited for longer than a round trip
 		r.target = stepTransferable
 		c.owned.changed = append(c.owned.changed, req.txn)
 	}
@@ -175,13 +179,15 @@
 	c.addAction(Action{Kind: ActionSend, Txn: txn})
 }
 
-// replicationFailed takes that a replica could not be told of an order in time, or has no room for it.
+// replicationFailed handles that a step did not reach the replica in time, or that the replica has no room for the order.
+// Another replica is tried if this one can't have the right to decide about the order.
 func (c *Coordinator) replicationFailed(now time.Duration, txn string, o *ownedOrder, err error) {
 	r := &o.replication
 	switch {
 	case o.state.ended() || o.state.sent():
 	case r.exposure == exposedTransfer, r.exposure == exposedSend && !errors.As(err, new(ReplicaFullError)):
-		// That replica may decide about it all the same, and nobody else can tell. One that is full holds nothing of it.
+		// The replica may have got the step and decide about the order, and no other router knows its decision. A full
+		// replica holds nothing of the order.
 		c.stopOrder(now, txn, o, MayHaveRun, NotReleasedError{r.session.replica})
 	case now >= o.deadline:
 		c.stopOrder(now, txn, o, NeverRan, err)
@@ -194,7 +200,8 @@
 	}
 }
 
-// continueWithoutReplica takes that no router can hold an order: it goes out all the same, or is stopped.
+// continueWithoutReplica handles that no router can hold a record of an order. The order is stopped if Settings.Strict is
+// set and it was not sent; otherwise it goes on without a replica. The error is the last failure, or nil.
 func (c *Coordinator) continueWithoutReplica(now time.Duration, txn string, o *ownedOrder, err error) {
 	r := &o.replication
 	switch {
@@ -205,7 +212,7 @@
 		if o.state.permissionRequested() {
 			c.grantPermission(txn, o)
 		}
-	case o.state.sent(): // there is nobody left to tell
+	case o.state.sent(): // no replica is left that could be sent the step
 		r.sent = r.target
 	default:
 		c.counters.OrdersWithoutReplica++
@@ -213,18 +220,19 @@
 	}
 }
 
-// stopOrder ends an order that may not be sent.
+// stopOrder ends an order that may not be sent, and has the caller answer its client with the outcome.
 func (c *Coordinator) stopOrder(now time.Duration, txn string, o *ownedOrder, kind OutcomeKind, err error) {
 	if kind == MayHaveRun {
 		c.counters.LeasesLost++
 	}
 	if c.Finish(now, txn, Outcome{Kind: kind}) {
-		c.StopWaiting(now, txn) // nobody waits for the release
+		c.StopWaiting(now, txn) // no client waits for the release
 	}
 	c.addAction(Action{Kind: ActionStop, Txn: txn, Outcome: o.outcome, Err: err})
 }
 
-// receiveRelease takes a replica's reply to the outcome of an order. A rejected one's client waits for it.
+// receiveRelease handles a replica's reply to the outcome of an order, or the failure to get one. If the order was
+// rejected, its client may be waiting for the reply.
 func (c *Coordinator) receiveRelease(now time.Duration, req sentMessage, o *ownedOrder, err error, answer reply) {
 	if !o.state.releasing() {
 		return
--- a/internal/cluster/failover/settings.go
+++ b/internal/cluster/failover/settings.go
@@ -7,34 +7,34 @@
 	"time"
 )
 
-// Settings set up one router's coordinator.
+// Settings configures one router's Coordinator.
 type Settings struct {
-	Self           string        // the router's name
-	Process        uint64        // of the router; each process has another, above 0
-	Place          string        // where this router is; its replica is elsewhere, if a router there is alive
-	ClusterSize    int           // routers that take orders, this one counted
-	Strict         bool          // no router sends an order that no replica holds
-	LeaseDuration  time.Duration // an owner that says nothing for so long counts as lost
-	ClockDrift     float64       // by how much a clock may run too fast or too slow, as a share
-	ReplicaTimeout time.Duration // for a replica's reply, before another replica is asked
-	ClaimTimeout   time.Duration // for the replies to a claim, before the strongest counts
-	Retention      time.Duration // how long a record outlives its order's time
-	MaxClientWait  time.Duration // the longest time that an order's client waits
-	MaxRecords     int           // held for other routers
-	MaxBodyBytes   int           // of a body in a record, and of an outcome
+	Self           string        // name of this router
+	Process        uint64        // number of this router's process, unique among its processes and above 0
+	Place          string        // location of this router; its replica is elsewhere if a router there is alive; empty: anywhere
+	ClusterSize    int           // number of routers that accept orders, including this one
+	Strict         bool          // no router of the cluster sends an order that no replica holds
+	LeaseDuration  time.Duration // an owner that sends its replica nothing for this long is considered lost
+	ClockDrift     float64       // the most by which a clock may run fast or slow, as a fraction (0.02 is 2 %)
+	ReplicaTimeout time.Duration // how long a replica may take to reply before another replica is tried
+	ClaimTimeout   time.Duration // how long a claim waits for all replies before the strongest one decides
+	Retention      time.Duration // how long a record is held after the order's deadline or its end
+	MaxClientWait  time.Duration // the longest time that the client of an order waits
+	MaxRecords     int           // maximum number of records held for other routers, and of own ended orders
+	MaxBodyBytes   int           // maximum size of the body in a record or in an outcome
 }
 
-// MaxBodyLimit bounds Settings.MaxBodyBytes.
+// MaxBodyLimit is the upper bound of Settings.MaxBodyBytes, in bytes.
 const MaxBodyLimit = 16 << 10
 
-// Bounds of names in Settings, in bytes.
+// Bounds of the names in Settings, in bytes.
 const (
 	maxRouterName = 128
 	maxPlaceName  = 64
 )
 
-// Defaults returns settings for a process of a router in a cluster of that size, whose clients wait for maxClientWait
-// at most.
+// Defaults returns the default settings for one process of the router self in a cluster of clusterSize routers, whose
+// clients wait for at most maxClientWait.
 func Defaults(self string, process uint64, clusterSize int, maxClientWait time.Duration) Settings {
 	return Settings{
 		Self:           self,
@@ -52,7 +52,7 @@
 	}
 }
 
-// Check returns an error that names the first setting that can't be used.
+// Check returns an error that names the first invalid setting and its bounds, or nil.
 func (s Settings) Check() error {
 	return cmp.Or(s.checkIdentity(), s.checkTimes(), s.checkLimits())
 }
@@ -60,10 +60,10 @@
 func (s Settings) checkIdentity() error {
 	switch {
 	case s.Self == "" || len(s.Self) > maxRouterName || len(s.Place) > maxPlaceName || s.Process == 0:
-		return fmt.Errorf("setting Self is %q, Place %q, Process %d: names of up to 128 and 64 bytes, a number above 0",
+		return fmt.Errorf("setting Self is %q, Place %q, Process %d; need names of at most 128 and 64 bytes and a number above 0",
 			s.Self, s.Place, s.Process)
 	case s.ClusterSize < 2:
-		return fmt.Errorf("setting Size is %d: without another router there is no keeper", s.ClusterSize)
+		return fmt.Errorf("setting ClusterSize is %d; a replica needs at least 2 routers", s.ClusterSize)
 	}
 	return nil
 }
@@ -71,13 +71,13 @@
 func (s Settings) checkTimes() error {
 	switch {
 	case s.LeaseDuration < 100*time.Millisecond || s.LeaseDuration > time.Minute:
-		return fmt.Errorf("setting Lease is %v, not 100 ms to a minute", s.LeaseDuration)
+		return fmt.Errorf("setting LeaseDuration is %v, not 100 ms to 1 minute", s.LeaseDuration)
 	case !(s.ClockDrift >= 0 && s.ClockDrift <= 0.2):
-		return fmt.Errorf("setting Drift is %v, not 0 to 0.2", s.ClockDrift)
+		return fmt.Errorf("setting ClockDrift is %v, not 0 to 0.2", s.ClockDrift)
 	case !usableTimeout(s.ReplicaTimeout) || !usableTimeout(s.ClaimTimeout):
-		return fmt.Errorf("setting Wait is %v, Claim %v, not 10 ms to 10 s", s.ReplicaTimeout, s.ClaimTimeout)
+		return fmt.Errorf("setting ReplicaTimeout is %v, ClaimTimeout %v, not 10 ms to 10 s", s.ReplicaTimeout, s.ClaimTimeout)
 	case s.MaxClientWait <= 0 || s.Retention < s.MaxClientWait || s.Retention > 10*time.Minute:
-		return fmt.Errorf("setting Keep is %v, not from the longest wait of a client (%v) to 10 minutes",
+		return fmt.Errorf("setting Retention is %v, not from the longest wait of a client (%v) to 10 minutes",
 			s.Retention, s.MaxClientWait)
 	}
 	return nil
@@ -88,15 +88,15 @@
 func (s Settings) checkLimits() error {
 	switch {
 	case s.MaxRecords < 16 || s.MaxRecords > 1<<20:
-		return fmt.Errorf("setting Records is %d, not 16 to a million", s.MaxRecords)
+		return fmt.Errorf("setting MaxRecords is %d, not 16 to 1048576", s.MaxRecords)
 	case s.MaxBodyBytes < 0 || s.MaxBodyBytes > MaxBodyLimit:
-		return fmt.Errorf("setting Body is %d, not 0 to %d", s.MaxBodyBytes, MaxBodyLimit)
+		return fmt.Errorf("setting MaxBodyBytes is %d, not 0 to %d", s.MaxBodyBytes, MaxBodyLimit)
 	}
 	return nil
 }
 
-// withClockDrift returns a time on this router's clock after which d has surely passed on every clock that drifts by
-// no more than ClockDrift.
+// withClockDrift returns a duration on this router's clock that is long enough for d to pass on every clock that drifts
+// by at most ClockDrift.
 func (s Settings) withClockDrift(d time.Duration) time.Duration {
 	return time.Duration(math.Ceil(float64(d) * (1 + s.ClockDrift) / (1 - s.ClockDrift)))
 }
