--- a/internal/cluster/failover/bounds_test.go
+++ b/internal/cluster/failover/bounds_test.go
@@ -8,7 +8,7 @@
 	"hillknot/internal/testutil/simulation"
 )
 
-// fillEndedOrders has orders of clients end as served until the owner remembers as many as it may.
+// fillEndedOrders has the owner accept and serve orders until it holds maxRecords ended ones.
 func (s *script) fillEndedOrders() {
 	for range s.maxRecords {
 		o := s.order(maxClientWait)
@@ -17,9 +17,9 @@
 	}
 }
 
-// An owner whose replica took it for lost ends all orders that it has not sent, each once, however many ended ones it
-// remembers: to end an order can make it forget another one. It once looked at what it had just forgotten, and the process
-// crashed.
+// An owner whose replica considers it lost stops every order that it has not sent, each of them once, however many ended
+// orders it holds. Stopping an order can make the owner forget another one; it once used an order that it had just
+// forgotten, and the process crashed.
 func TestLostSessionStopsUnsentOrdersOnce(t *testing.T) {
 	for _, c := range []struct{ maxRecords, open, sessions int }{
 		{16, 1, 1}, {16, 5, 1}, {16, 40, 1}, {64, 5, 1}, {maxSimRecords, 5, 1}, {maxSimRecords, 60, 1},
@@ -29,7 +29,7 @@
 			s := newBoundedScript(t, 4, c.maxRecords)
 			var open []*simOrder
 			for session := range c.sessions {
-				if session > 0 { // orders that a replica may pass on stay with it, and its answers are lost
+				if session > 0 { // the replica's replies count as lost; orders that it may pass on stay with it
 					replica, _ := s.replica()
 					s.owner.coordinator.startSession(s.owner.clock(s.now), replica.name)
 				}
@@ -43,22 +43,23 @@
 			s.advance(2 * time.Second)
 			for _, o := range open {
 				if len(o.answers) > 1 || o.runs > 1 {
-					t.Errorf("%s: told %v, ran %d times", o.txn, o.answers, o.runs)
+					t.Errorf("%s: client got the answers %v, order ran %d times", o.txn, o.answers, o.runs)
 				}
 				own := s.owner.coordinator.owned.orders[o.txn]
 				if own != nil && !own.state.ended() && own.replication.session.lost {
-					t.Errorf("%s is still open, in a session that is lost", o.txn)
+					t.Errorf("%s is still open in a lost session", o.txn)
 				}
 			}
 			if n := len(s.owner.coordinator.owned.ended); n > c.maxRecords {
-				t.Errorf("%d ended orders are remembered, of %d", n, c.maxRecords)
+				t.Errorf("owner holds %d ended orders, want at most %d", n, c.maxRecords)
 			}
 		})
 	}
 }
 
-// Only what renews a lease at the replica renews it at the owner: a replica acknowledges an outcome from an owner that it took
-// for lost, too. That once let the owner send an order that the replica had told a claimant to have been lost.
+// The owner counts a lease as renewed only after a message that renews it at the replica. A replica also acknowledges an
+// outcome from an owner that it considers lost; when the owner took that as a renewal, it sent an order that the replica had
+// reported to a claimant as lost.
 func TestOutcomeRenewsNoLease(t *testing.T) {
 	s := newScript(t, 4)
 	session := s.owner.coordinator.owned.session
@@ -68,35 +69,35 @@
 		request := sentMessage{session: session.number, step: step, sentAt: now}
 		s.owner.coordinator.updateSession(now, request, nil, reply{Kind: replyAcknowledged})
 		if renewed := session.leaseUntil > 0; renewed != (step != stepEnded) {
-			t.Errorf("an acknowledged step %q renews the lease: %t", step, renewed)
+			t.Errorf("acknowledged step %q renewed the lease: %t", step, renewed)
 		}
 	}
 }
 
-// A replica that has run an order of a paused owner, and has forgotten that too early, does not tell the owner that the order
-// never ran: the client would send it again.
+// A replica that ran the order of a paused owner and forgot its record too early does not acknowledge the owner's outcome
+// NeverRan. Otherwise the client would be told that the order never ran, and would send it again.
 func TestReplicaThatForgotDeniesRelease(t *testing.T) {
 	s := newBoundedScript(t, 4, 16)
 	o := s.order(2500 * ms)
 	s.advance(50 * ms)
 	replica, _ := s.replica()
 	s.pause(s.owner, time.Second)
-	s.advance(500 * ms) // the replica takes the owner for lost, and the order over
+	s.advance(500 * ms) // the replica considers the owner lost, and takes over the order
 	s.sendOrder(replica, o)
 	s.serve(replica, o)
-	for i := range s.maxRecords { // each takes the place of a record
+	for i := range s.maxRecords { // each claim's record replaces an older one
 		claimed := clientOrder(fmt.Sprintf("unknown %d", i), time.Second)
 		replica.coordinator.Claim(replica.clock(s.now), uint64(1000+i), claimed)
 	}
 	s.advance(s.owner.pausedUntil - stepTime - s.now)
-	s.finish(s.owner, s.owner.requests[o.txn], Outcome{Kind: NeverRan}) // the first that the owner does as it wakes
+	s.finish(s.owner, s.owner.requests[o.txn], Outcome{Kind: NeverRan}) // the owner's first step after its pause
 	s.advance(400 * ms)
 	s.checkAnswer(o, MayHaveRun, 1)
 }
 
-// Every bound of records, from the least on, keeps to the rules through faults of all kinds. The seeds that once broke one are
-// always run: 1430 a replica that had forgotten the order, 2229 a second replica after one that did not answer, 4292 a lease
-// renewed by an outcome.
+// Orders run at most once, and routers hold at most MaxRecords records, for bounds from the lowest one on and through faults
+// of all kinds. The seeds that once broke a rule always run: 1430 (a replica that had forgotten the order), 2229 (a second
+// replica after one that did not answer) and 4292 (a lease that an outcome renewed).
 func TestOrdersRunAtMostOnceWithFewRecords(t *testing.T) {
 	bounds := []int{16, 17, 24, 40, 80}
 	regressionSeeds := []uint64{1430, 2229, 4292}
@@ -112,13 +113,13 @@
 		}
 		for _, r := range c.routers {
 			if records := r.coordinator.Stats().Records; !r.down && records > maxRecords {
-				t.Errorf("seed %d: %s holds %d records of %d", seed, r.name, records, maxRecords)
+				t.Errorf("seed %d: %s holds %d records, want at most %d", seed, r.name, records, maxRecords)
 			}
 		}
 	})
 }
 
-// FuzzRecordBounds looks for a seed and a bound that break a rule, or the process.
+// FuzzRecordBounds looks for a seed and a bound of records that break a rule or crash the process.
 func FuzzRecordBounds(f *testing.F) {
 	for seed := range uint64(4) {
 		f.Add(seed, uint16(16+seed))
--- a/internal/cluster/failover/golden_test.go
+++ b/internal/cluster/failover/golden_test.go
@@ -10,15 +10,16 @@
 	"hillknot/internal/testutil/golden"
 )
 
-// Routers of different releases exchange these messages: a router that is replaced talks to others that are not yet. The
-// files of testdata/golden were written at commit 86ccf0f.
+// Routers of different releases exchange these messages, because the routers of a cluster are upgraded one after another. The
+// files in testdata/golden were written at commit 86ccf0f.
 //
-// message, Order, Outcome and reply are CBOR arrays (`cbor:",toarray"`), so that the order, the types and the number of their
-// fields reach the bytes, and no name does: message.{Kind, Txn, Step, Session, Order, Outcome, Claim, Update}, Order.{Txn,
-// Class, Item, Account, Part, Group, Digest, TimeLeft, Body, BodyComplete}, Outcome.{Kind, Body, RetryAfter}, reply.{Kind,
-// Certain, Outcome}. A struct that loses its field _ with the tag is written as a map of its fields' names. Times are
-// nanoseconds. The constants of messageKind, step, replyKind and OutcomeKind are sent as numbers, so their order counts. The
-// duty "keeper of NAME" (replicaDuty) is hashed into the choice of the replica; no router relies on another's choice.
+// message, Order, Outcome and reply are encoded as CBOR arrays (`cbor:",toarray"`), so the order, types and number of their
+// fields determine the bytes, and their names do not: message.{Kind, Txn, Step, Session, Order, Outcome, Claim, Update},
+// Order.{Txn, Class, Item, Account, Part, Group, Digest, TimeLeft, Body, BodyComplete}, Outcome.{Kind, Body, RetryAfter},
+// reply.{Kind, Certain, Outcome}. A struct without the field _ and its tag would be encoded as a map with its fields' names.
+// Times are in nanoseconds. The constants of messageKind, step, replyKind and OutcomeKind are sent as numbers, so their order
+// is fixed. The duty "keeper of NAME" (replicaDuty) is hashed to choose the replica; no router relies on another router's
+// choice.
 
 var (
 	goldenDigest = [32]byte{
@@ -45,7 +46,8 @@
 	}
 )
 
-// message has every field; the others are as the code sends them.
+// goldenMessages holds the messages by golden file. The one in message.hex sets every field; the others have the fields that
+// the code sets.
 var goldenMessages = map[string]message{
 	"message.hex": {
 		Kind:    messageClaimUpdate,
@@ -83,13 +85,13 @@
 			var got message
 			err = cbor.Unmarshal(golden.Read(t, name), &got)
 			if err != nil || !reflect.DeepEqual(got, want) || !got.valid() {
-				t.Errorf("read as %+v, %v; want %+v", got, err, want)
+				t.Errorf("decoded %+v, error %v; want %+v", got, err, want)
 			}
 		})
 	}
 }
 
-// All replies, each with its number: the code of another release takes the number, not the name.
+// Each kind of reply keeps its number, because another release decodes the number.
 func TestGoldenReplies(t *testing.T) {
 	golden.Nonzero(t, goldenReply)
 	replies := map[string]reply{"word.hex": goldenReply}
@@ -117,13 +119,13 @@
 			golden.Same(t, name, body)
 			var got reply
 			if err := cbor.Unmarshal(golden.Read(t, name), &got); err != nil || !reflect.DeepEqual(got, want) {
-				t.Errorf("read as %+v, %v; want %+v", got, err, want)
+				t.Errorf("decoded %+v, error %v; want %+v", got, err, want)
 			}
 		})
 	}
 }
 
-// All outcomes, each with its number.
+// Each kind of outcome keeps its number.
 func TestGoldenOutcomes(t *testing.T) {
 	for name, kind := range map[string]OutcomeKind{
 		"may-have-run": MayHaveRun,
@@ -141,7 +143,7 @@
 			golden.Same(t, name, body)
 			var got Outcome
 			if err := cbor.Unmarshal(golden.Read(t, name), &got); err != nil || !reflect.DeepEqual(got, want) {
-				t.Errorf("read as %+v, %v; want %+v", got, err, want)
+				t.Errorf("decoded %+v, error %v; want %+v", got, err, want)
 			}
 		})
 	}
--- a/internal/cluster/failover/scenarios_test.go
+++ b/internal/cluster/failover/scenarios_test.go
@@ -7,25 +7,25 @@
 	"time"
 )
 
-// The hard cases, each as a script. Some have their timeline in testdata.
+// Each scenario is a script of one difficult failure. Some also compare their timeline with a file in testdata.
 func TestFailoverScenarios(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		routers int
 		run     func(s *script)
 	}{
-		{"killed while it waits", 4, ownerKilledWhileOrderWaits},
-		{"stopped with the right in hand", 4, ownerPausedWithPermission},
-		{"two claims at two routers", 4, claimedAtTwoRouters},
-		{"owner and keeper killed at once", 4, ownerAndReplicaKilled},
-		{"killed before anything was said", 4, ownerKilledBeforeReplication},
-		{"outcome told and not answered", 4, ownerKilledAfterOutcome},
-		{"nobody claims it", 4, unclaimedOrderRunsAtReplica},
-		{"told as may have run for good", 4, mayHaveRunIsFinal},
-		{"forgotten too soon", 3, replicaForgetsEarly},
-		{"another's order", 4, claimOfDifferentOrder},
-		{"partition between owner and keeper", 4, ownerCutOffFromReplica},
-		{"table full", 2, replicaFull},
+		{"owner killed while order waits: claimant runs it", 4, ownerKilledWhileOrderWaits},
+		{"owner paused before permission arrives: not sent, may have run", 4, ownerPausedBeforePermission},
+		{"claimed at two routers: runs once", 4, claimedAtTwoRouters},
+		{"owner and replica killed after send: may have run", 4, ownerAndReplicaKilled},
+		{"owner killed before replication: claimant runs it", 4, ownerKilledBeforeReplication},
+		{"owner killed after outcome was replicated: claimant gets outcome", 4, ownerKilledAfterOutcome},
+		{"owner killed and order unclaimed: replica runs it", 4, unclaimedOrderRunsAtReplica},
+		{"reported as may have run: never run later", 4, mayHaveRunIsFinal},
+		{"replica forgot ended order early: may have run", 3, replicaForgetsEarly},
+		{"claim with another digest: may have run", 4, claimOfDifferentOrder},
+		{"owner cut off from replica: next order uses another replica", 4, ownerCutOffFromReplica},
+		{"replica full: order rejected unsent", 2, replicaFull},
 	} {
 		t.Run(c.name, func(t *testing.T) { c.run(newScript(t, c.routers)) })
 	}
@@ -44,8 +44,9 @@
 	s.checkTimeline("killed-while-it-waits")
 }
 
-// pauseOwnerWithPermission places an order, and pauses its owner while the reply that grants the lease is on its way.
-func pauseOwnerWithPermission(s *script, pause time.Duration) *simOrder {
+// pauseOwnerBeforePermission places an order, and pauses its owner while the replica's reply that permits the owner to send the
+// order is on its way.
+func pauseOwnerBeforePermission(s *script, pause time.Duration) *simOrder {
 	o := s.order(2500 * ms)
 	s.advance(50 * ms)
 	s.owner.coordinator.RequestSendPermission(s.owner.clock(s.now), o.txn)
@@ -54,11 +55,11 @@
 	return o
 }
 
-func ownerPausedWithPermission(s *script) {
-	o := pauseOwnerWithPermission(s, time.Second)
+func ownerPausedBeforePermission(s *script) {
+	o := pauseOwnerBeforePermission(s, time.Second)
 	_, other := s.replica()
 	s.claim(other, o)
-	s.advance(2 * time.Second) // it wakes, and sends nothing
+	s.advance(2 * time.Second) // the owner continues and sends nothing
 	s.checkAnswer(o, MayHaveRun, 0)
 	s.checkTimeline("stopped-with-the-right")
 }
@@ -130,12 +131,12 @@
 }
 
 func mayHaveRunIsFinal(s *script) {
-	o := pauseOwnerWithPermission(s, 500*ms)
+	o := pauseOwnerBeforePermission(s, 500*ms)
 	replica, other := s.replica()
 	s.claim(other, o)
 	s.advance(500*ms - 30*ms)
 	s.checkAnswer(o, MayHaveRun, 0)
-	// This is true, and too late: another client was told that the order may have run.
+	// The outcome is true but comes too late: a client was already told that the order may have run.
 	s.finish(s.owner, s.owner.requests[o.txn], Outcome{Kind: NeverRan})
 	s.advance(replyTime)
 	s.forgetAnswer(o)
@@ -149,7 +150,7 @@
 	s.sendOrder(s.owner, o)
 	s.serve(s.owner, o)
 	s.forgetAnswer(o)
-	overfillReplica(s) // the record of the first order makes room
+	overfillReplica(s) // the record of the first order is removed to make room
 	s.advance(100 * ms)
 	for _, txn := range slices.Sorted(maps.Keys(s.owner.requests)) {
 		s.finish(s.owner, s.owner.requests[txn], Outcome{Kind: NeverRan})
@@ -164,7 +165,7 @@
 	s.checkAnswer(o, MayHaveRun, 1)
 }
 
-// overfillReplica places more orders than a replica has room for.
+// overfillReplica places more orders than a replica may hold records.
 func overfillReplica(s *script) {
 	for range maxSimRecords + 10 {
 		s.order(2 * time.Second)
@@ -197,7 +198,7 @@
 	s.advance(50 * ms)
 	s.sendOrder(s.owner, next)
 	s.serve(s.owner, next)
-	s.checkAnswer(next, Served, 1) // another replica holds the orders that come after
+	s.checkAnswer(next, Served, 1) // another replica holds the later orders
 }
 
 func replicaFull(s *script) {
--- a/internal/cluster/failover/script_test.go
+++ b/internal/cluster/failover/script_test.go
@@ -12,9 +12,9 @@
 	"hillknot/internal/testutil/timeline"
 )
 
-var update = flag.Bool("update", false, "write the drawn timelines anew")
+var update = flag.Bool("update", false, "rewrite the timelines in testdata")
 
-// script is a cluster whose orders go as a test says. The first router owns the orders.
+// script is a cluster in which a test controls each step of the orders. The first router owns the orders.
 type script struct {
 	*simCluster
 	t      *testing.T
@@ -22,10 +22,10 @@
 	events timeline.Timeline
 }
 
-// scriptStart is when scripts begin: all routers have been up for longer than any client waits.
+// scriptStart is the time at which scripts begin. By then all routers have been up for longer than any client waits.
 const scriptStart = 4 * time.Second
 
-// replyTime is enough for the messages between two routers, there and back.
+// replyTime is long enough for a message between two routers and its reply.
 const replyTime = 60 * ms
 
 func newScript(t *testing.T, routers int) *script {
@@ -33,7 +33,7 @@
 	return newBoundedScript(t, routers, maxSimRecords)
 }
 
-// newBoundedScript is newScript where routers hold at most so many records.
+// newBoundedScript is like newScript, but each router holds at most maxRecords records.
 func newBoundedScript(t *testing.T, routers, maxRecords int) *script {
 	t.Helper()
 	s := &script{simCluster: newBoundedSimCluster(t, 1, routers, maxRecords), t: t}
@@ -44,14 +44,14 @@
 	return s
 }
 
-// advance lets time pass.
+// advance runs the cluster for the duration d.
 func (s *script) advance(d time.Duration) {
 	for end := s.now + d; s.now < end; {
 		s.step()
 	}
 }
 
-// advanceUntil lets time pass until something has happened, or a time has come.
+// advanceUntil runs the cluster until the event has happened, or until the time end.
 func (s *script) advanceUntil(event string, end time.Duration) {
 	happened := func(e timeline.Event) bool { return e.Action == event }
 	for s.now < end && !slices.ContainsFunc(s.events, happened) {
@@ -59,19 +59,19 @@
 	}
 }
 
-// order has the owner take an order, which waits for a connection.
+// order has the owner accept a client's order, which then waits to be sent.
 func (s *script) order(timeLeft time.Duration) *simOrder {
 	return s.placeOrder(s.owner, timeLeft)
 }
 
-// sendOrder has the router that has the order write it, as soon as it may.
+// sendOrder has the router r, which has the order, request permission and write the order once it is granted.
 func (s *script) sendOrder(r *simRouter, o *simOrder) {
 	r.coordinator.RequestSendPermission(r.clock(s.now), o.txn)
 	s.carryOutActions(r)
 	s.advance(replyTime)
 }
 
-// serve has the endpoint answer the order, if the router has it.
+// serve has the endpoint answer the order, if the router r has it.
 func (s *script) serve(r *simRouter, o *simOrder) {
 	if q := r.requests[o.txn]; q != nil {
 		s.finish(r, q, Outcome{Kind: Served, Body: []byte("done")})
@@ -90,7 +90,7 @@
 	r.pausedUntil = s.now + d
 }
 
-// claim has the client claim an order at a router, beside whatever it has claimed before.
+// claim has the client claim an order at a router. Its earlier claims stay open.
 func (s *script) claim(r *simRouter, o *simOrder) { s.claimWithDigest(r, o, clientOrder("", 0).Digest) }
 
 func (s *script) claimWithDigest(r *simRouter, o *simOrder, digest [32]byte) {
@@ -100,10 +100,10 @@
 	s.advance(30 * ms)
 }
 
-// forgetAnswer has the client ask as if it had got no answer yet.
+// forgetAnswer removes the client's answers to the order, so that a later claim can be checked as if there were none.
 func (s *script) forgetAnswer(o *simOrder) { o.answered, o.answers = false, nil }
 
-// replica returns the router that holds the owner's orders, and another one that does not.
+// replica returns the router that holds records of the owner's orders, and another router that does not.
 func (s *script) replica() (replica, other *simRouter) {
 	for _, r := range s.routers[1:] {
 		if r.name == s.owner.coordinator.Stats().Replica {
@@ -115,17 +115,17 @@
 	return replica, other
 }
 
-// remainingRouter returns the router of four that is neither the owner nor one of two others.
+// remainingRouter returns the one of four routers that is neither the owner nor a or b.
 func (s *script) remainingRouter(a, b *simRouter) *simRouter {
 	s.t.Helper()
 	i := slices.IndexFunc(s.routers, func(r *simRouter) bool { return r != s.owner && r != a && r != b })
 	return s.routers[i]
 }
 
-// checkTimeline compares the timeline with the one in testdata.
+// checkTimeline compares the timeline with the file of that name in testdata, or rewrites the file if -update is set.
 func (s *script) checkTimeline(name string) {
 	s.t.Helper()
-	var shown timeline.Timeline // without the leases of the start
+	var shown timeline.Timeline // without the start of sessions, and without the time before scriptStart
 	for _, e := range s.events {
 		if e.Time >= scriptStart && e.Action != eventReplicaChosen {
 			shown = append(shown, e)
@@ -141,15 +141,17 @@
 	}
 	want, err := os.ReadFile(path)
 	if err != nil || !bytes.Equal(got, want) {
-		s.t.Errorf("%s: %v; drawn now:\n%s\nbefore:\n%s", path, err, got, want)
+		s.t.Errorf("%s: error %v; timeline is now:\n%s\nwant:\n%s", path, err, got, want)
 	}
 }
 
-// checkAnswer fails unless the client was told just this, and the order ran that often.
+// checkAnswer fails the test unless the client got exactly one answer, of the given kind, and the order ran the given number
+// of times, none of them after a claim was settled as being sent.
 func (s *script) checkAnswer(o *simOrder, want OutcomeKind, runs int) {
 	s.t.Helper()
 	if len(o.answers) != 1 || o.answers[0] != want || o.runs != runs || o.ranTooLate {
-		s.t.Errorf("told %v, ran %d times, too late: %t; want %v, %d:\n%s", o.answers, o.runs, o.ranTooLate, want, runs, s.timelineOf(o))
+		s.t.Errorf("answers %v, ran %d times, too late: %t; want %v, %d times:\n%s",
+			o.answers, o.runs, o.ranTooLate, want, runs, s.timelineOf(o))
 	}
 }
 
--- a/internal/cluster/failover/sim_client_test.go
+++ b/internal/cluster/failover/sim_client_test.go
@@ -8,39 +8,39 @@
 	"hillknot/internal/testutil/timeline"
 )
 
-// simOrder is an order of a client, and what it is checked against.
+// simOrder is an order of a client, with the answers and runs that are checked against each other.
 type simOrder struct {
 	txn          string
 	deadline     time.Duration
-	router       *simRouter // that the client has asked last
-	process      uint64     // of that router
-	connection   int        // to it; each has another number
+	router       *simRouter // the router that the client asked last
+	process      uint64     // of that router when the client asked
+	connection   int        // number of the client's connection; each new one has another number
 	answered     bool
 	answers      []OutcomeKind
 	runs         int
-	mayHaveRunAt time.Duration // when a claim was settled as being sent; 0: it was not
-	ranTooLate   bool          // it was written after that
+	mayHaveRunAt time.Duration // when a claim was settled with reasonBeingSent; 0: never
+	ranTooLate   bool          // it was written after mayHaveRunAt
 	claims       int
 }
 
-// check returns an error if an order ran twice, or an answer contradicts what happened.
+// check returns an error if an order ran twice, or if its answers contradict each other or what happened.
 func (o *simOrder) check() error {
 	switch {
 	case o.runs > 1:
 		return fmt.Errorf("%s ran %d times", o.txn, o.runs)
 	case o.ranTooLate:
-		return fmt.Errorf("%s ran after it was told as may have run", o.txn)
+		return fmt.Errorf("%s ran after a claim was answered with may have run", o.txn)
 	case len(o.answers) > 1:
-		return fmt.Errorf("%s: told %v", o.txn, o.answers)
+		return fmt.Errorf("%s: client got the answers %v", o.txn, o.answers)
 	case slices.Contains(o.answers, Served) && o.runs != 1:
-		return fmt.Errorf("%s was told as served, and ran %d times", o.txn, o.runs)
+		return fmt.Errorf("%s was answered as served, but ran %d times", o.txn, o.runs)
 	case slices.Contains(o.answers, NeverRan) && o.runs != 0:
-		return fmt.Errorf("%s was told as never run, and ran", o.txn)
+		return fmt.Errorf("%s was answered as never run, but ran", o.txn)
 	}
 	return nil
 }
 
-// clientOrder is an order as all clients ask for it.
+// clientOrder returns the order that every client asks for, with the given txn.
 func clientOrder(txn string, timeLeft time.Duration) Order {
 	return Order{Txn: txn, Class: "order", Digest: [32]byte{1}, TimeLeft: timeLeft, Body: []byte("body")}
 }
@@ -71,7 +71,7 @@
 	c.carryOutActions(r)
 }
 
-// runClient has a client claim what it has lost, or lose patience with a router that says nothing.
+// runClient has a client claim its order at a random router if it lost its router, or at random if that router is paused.
 func (c *simCluster) runClient(o *simOrder) {
 	lost := o.router.down || o.router.process != o.process || c.now < o.router.pausedUntil && c.random.IntN(100) == 0
 	if o.answered || c.now >= o.deadline || !lost {
@@ -80,14 +80,14 @@
 	c.closeConnection(o)
 	r := c.routers[c.random.IntN(len(c.routers))]
 	if r.down || c.now < r.pausedUntil {
-		o.connection++ // it found nobody
+		o.connection++ // the connection attempt failed
 		return
 	}
 	o.claims++
 	c.placeClaim(r, o, clientOrder(o.txn, o.deadline-c.now))
 }
 
-// closeConnection has the router that a client leaves, if its process is still there, find that nobody waits any more.
+// closeConnection has the client leave its router. If the router's process is still there, it cancels the order.
 func (c *simCluster) closeConnection(o *simOrder) {
 	r := o.router
 	q := r.requests[o.txn]
@@ -102,7 +102,7 @@
 	})
 }
 
-// answer tells the client, if its connection is still there.
+// answer answers the client, if its connection is still open.
 func (c *simCluster) answer(q *simRequest, kind OutcomeKind) {
 	o := q.order
 	if o == nil || q.connection != o.connection || o.answered {
--- a/internal/cluster/failover/sim_cluster_test.go
+++ b/internal/cluster/failover/sim_cluster_test.go
@@ -18,26 +18,26 @@
 	maxClientWait      = 3 * time.Second
 	maxSimRecords      = 300
 	stepTime           = 5 * ms
-	simTickInterval    = 20 * ms // as the routers do
+	simTickInterval    = 20 * ms // the interval that routers use
 	openOrderRetention = 6 * time.Second
 )
 
-// simCluster is routers, each with a small core, on a network in virtual time that loses, delays, repeats and cuts, and
-// clients that claim at another router what they have lost.
+// simCluster simulates, in virtual time, routers with a minimal core each, a network that loses, delays and repeats packets
+// and cuts links, and clients that claim the orders of a lost router at another router.
 type simCluster struct {
 	random   *rand.Rand
 	now      time.Duration
 	routers  []*simRouter
 	network  []packetInFlight
-	cut      map[[2]int]bool // directed links that carry nothing, by the indices of sender and receiver
-	loss     float64         // share of packets that are lost
-	lastID   uint64          // of a process or claim
+	cut      map[[2]int]bool // links that carry no packets, by the indices of sender and receiver
+	loss     float64         // fraction of packets that are lost
+	lastID   uint64          // last number given to a process or a claim
 	orders   []*simOrder
-	open     []*simOrder // those that may still be answered or run
+	open     []*simOrder // orders that may still be answered or run
 	timers   []timer
 	onEvent  func(timeline.Event)
 	noPauses bool // no process pauses between ActionSend and writing
-	scripted bool // a script asks for leases and ends orders
+	scripted bool // a script requests permissions and ends orders
 
 	maxRecords int // Settings.MaxRecords of all routers
 }
@@ -48,7 +48,7 @@
 	data     []byte
 }
 
-// timer calls run at a time, unless its router's process has ended by then.
+// timer calls run at the time at, or after a pause of its router, unless the router's process has ended by then.
 type timer struct {
 	at      time.Duration
 	router  *simRouter
@@ -61,7 +61,7 @@
 	return newBoundedSimCluster(tb, seed, routers, maxSimRecords)
 }
 
-// newBoundedSimCluster is newSimCluster where routers hold at most so many records.
+// newBoundedSimCluster is like newSimCluster, but each router holds at most maxRecords records.
 func newBoundedSimCluster(tb testing.TB, seed uint64, routers, maxRecords int) *simCluster {
 	tb.Helper()
 	c := &simCluster{
@@ -79,7 +79,7 @@
 	return c
 }
 
-// start starts a new process of a router, with a clock of its own.
+// start starts a new process of a router, with a random clock rate and clock offset.
 func (c *simCluster) start(r *simRouter) {
 	c.lastID++
 	r.process, r.pausedUntil, r.down = c.lastID, 0, false
@@ -89,7 +89,7 @@
 	settings.Place, settings.ClockDrift, settings.MaxRecords = r.place, clockDrift, c.maxRecords
 	coordinator, err := New(settings)
 	if err != nil {
-		panic(err) // these settings are the test's own
+		panic(err) // the settings are chosen by the test
 	}
 	r.coordinator = coordinator
 	r.requests, r.claims = map[string]*simRequest{}, map[uint64]*simRequest{}
@@ -99,12 +99,12 @@
 	c.onEvent(timeline.Event{Node: r.name, Time: c.now, Action: fault, Fault: true})
 }
 
-// schedule has a router's process do something some time later, or once it no longer pauses.
+// schedule has a router's process call run after some time, or after its pause if that ends later.
 func (c *simCluster) schedule(r *simRouter, wait time.Duration, run func()) {
 	c.timers = append(c.timers, timer{c.now + wait, r, r.process, run})
 }
 
-// step moves time on by stepTime.
+// step advances the time by stepTime, and runs what is due.
 func (c *simCluster) step() {
 	c.now += stepTime
 	c.runTimers()
@@ -145,7 +145,7 @@
 		r := c.routers[packet.to]
 		switch {
 		case r.down:
-		case c.now < r.pausedUntil: // it waits in the socket
+		case c.now < r.pausedUntil: // the packet waits in the socket buffer
 			packet.at = r.pausedUntil
 			c.network = append(c.network, packet)
 			c.sortNetwork()
@@ -160,7 +160,7 @@
 	slices.SortStableFunc(c.network, func(a, b packetInFlight) int { return cmp.Compare(a.at, b.at) })
 }
 
-// runRouter has a router tick, if that is due, and send its packets.
+// runRouter calls a router's Tick if that is due, and sends the router's packets.
 func (c *simCluster) runRouter(r *simRouter) {
 	now := r.clock(c.now)
 	if c.now%simTickInterval == 0 {
@@ -173,7 +173,7 @@
 	}
 }
 
-// alivePeers returns the other routers that a router hears of.
+// alivePeers returns the other routers that run and whose packets can reach the router r.
 func (c *simCluster) alivePeers(r *simRouter) (alive []Peer) {
 	for _, o := range c.routers {
 		if o != r && !o.down && !c.cut[[2]int{o.index, r.index}] && c.now >= o.pausedUntil {
@@ -183,7 +183,7 @@
 	return alive
 }
 
-// send puts a packet on the network, now and then twice, or very late.
+// send puts a packet on the network. One in 10 packets is sent twice, and one in 60 is delayed by up to 6 s.
 func (c *simCluster) send(from int, to string, data []byte) {
 	i := slices.IndexFunc(c.routers, func(r *simRouter) bool { return r.name == to })
 	for range 1 + c.random.IntN(10)/9 {
@@ -202,19 +202,19 @@
 	return time.Duration(c.random.Int64N(int64(below)))
 }
 
-// randomClientWait returns how long a client waits for an order.
+// randomClientWait returns how long a client waits for an order, from 300 ms to maxClientWait.
 func (c *simCluster) randomClientWait() time.Duration {
 	const minWait = 300 * ms
 	return minWait + c.randomTime(maxClientWait-minWait)
 }
 
-// injectFault draws a fault, or ends those of the network.
+// injectFault injects a random fault, or ends the faults of the network.
 func (c *simCluster) injectFault() {
 	r := c.routers[c.random.IntN(len(c.routers))]
 	switch c.random.IntN(8) {
 	case 0:
 		simulation.Partition(c.random, len(c.routers), c.cut)
-	case 1: // one way
+	case 1: // cut one direction of a link
 		c.cut[[2]int{r.index, c.random.IntN(len(c.routers))}] = true
 	case 2:
 		c.loss = c.random.Float64() * 0.4
@@ -235,7 +235,7 @@
 	c.loss = 0
 }
 
-// killAndRestart kills a router, which comes back at once or in a while.
+// killAndRestart kills a router, which restarts at the next step or within 3 s.
 func (c *simCluster) killAndRestart(r *simRouter) {
 	r.down = true
 	c.recordFault(r, "killed")
@@ -243,6 +243,6 @@
 	if c.random.IntN(3) == 0 {
 		downFor = stepTime
 	}
-	noProcess := &simRouter{} // the timer is no process's
+	noProcess := &simRouter{} // the timer must run although the killed process has ended
 	c.schedule(noProcess, downFor, func() { c.start(r) })
 }
--- a/internal/cluster/failover/sim_router_test.go
+++ b/internal/cluster/failover/sim_router_test.go
@@ -16,7 +16,7 @@
 	process     uint64
 	clockRate   float64
 	clockOffset time.Duration
-	pausedUntil time.Duration // its process does nothing before
+	pausedUntil time.Duration // the process does nothing before this time
 	down        bool
 	requests    map[string]*simRequest // by txn
 	claims      map[uint64]*simRequest
@@ -27,15 +27,15 @@
 	return r.clockOffset + time.Duration(float64(now)*r.clockRate)
 }
 
-// simRequest is what a router's core has open: an order, or a claim for one.
+// simRequest is an order or a claim that a router's core has open.
 type simRequest struct {
-	order               *simOrder // nil: an order of a lost router, which nobody here waits for
+	order               *simOrder // nil: an order of a lost router, for which no client waits here
 	txn                 string
 	deadline            time.Duration // on the router's clock
 	permissionRequested bool
 	sent                bool
-	heldBack            *Outcome // its client is not told yet
-	connection          int      // of the client, that the answer is for
+	heldBack            *Outcome // the outcome that the client does not get before the replica releases the order
+	connection          int      // of the client; the answer goes to this connection
 }
 
 func (c *simCluster) carryOutActions(r *simRouter) {
@@ -95,7 +95,7 @@
 	c.answer(q, a.Outcome.Kind)
 }
 
-// submit takes an order, for a client or for nobody.
+// submit has a router accept an order, for a client or without one.
 func (c *simCluster) submit(r *simRouter, q *simRequest, o Order) {
 	if err := r.coordinator.Replicate(r.clock(c.now), o); err != nil {
 		r.coordinator.Abandon(r.clock(c.now), q.txn)
@@ -114,7 +114,7 @@
 		if r.requests[q.txn] != q || q.heldBack != nil {
 			return
 		}
-		if c.random.IntN(8) == 0 { // no connection
+		if c.random.IntN(8) == 0 { // no connection to an endpoint
 			c.finish(r, q, Outcome{Kind: NeverRan})
 			return
 		}
@@ -124,14 +124,14 @@
 	})
 }
 
-// write writes an order, if it may still be written. An endpoint answers it a little later.
+// write writes an order, if it may still be written. An endpoint answers within 120 ms.
 func (c *simCluster) write(r *simRouter, q *simRequest) {
 	now := r.clock(c.now)
 	if now >= q.deadline {
 		c.finish(r, q, Outcome{Kind: NeverRan})
 		return
 	}
-	if !c.noPauses && c.random.IntN(30) == 0 { // the process pauses right here
+	if !c.noPauses && c.random.IntN(30) == 0 { // the process pauses between ActionSend and writing
 		r.pausedUntil = c.now + c.randomTime(4*time.Second)
 		c.schedule(r, 0, func() {
 			if r.requests[q.txn] == q {
@@ -156,7 +156,7 @@
 	})
 }
 
-// countRun notes that an endpoint got an order.
+// countRun counts that an endpoint got an order.
 func (c *simCluster) countRun(r *simRouter, txn string) {
 	for _, o := range c.open {
 		if o.txn == txn {
@@ -167,7 +167,8 @@
 	}
 }
 
-// finish ends an order. Its client is told at once, or when the replica has released the order.
+// finish ends an order. The client gets its answer at once, or once the replica has released the order or 250 ms have
+// passed.
 func (c *simCluster) finish(r *simRouter, q *simRequest, outcome Outcome) {
 	if !r.coordinator.Finish(r.clock(c.now), q.txn, outcome) {
 		delete(r.requests, q.txn)
--- a/internal/cluster/failover/simulation_test.go
+++ b/internal/cluster/failover/simulation_test.go
@@ -10,15 +10,15 @@
 	"hillknot/internal/testutil/simulation"
 )
 
-var seeds = flag.Int("seeds", 60, "seeds of the simulated fleets")
+var seeds = flag.Int("seeds", 60, "number of seeds of the simulated clusters")
 
-// simulate runs a cluster of a seed through faults that end after some time, and checks all orders at each step.
+// simulate runs the cluster of a seed with faults until faultsEnd, then 8 s without, and checks all open orders at each step.
 func simulate(tb testing.TB, seed uint64, faultsEnd time.Duration) (*simCluster, error) {
 	tb.Helper()
 	return simulateBounded(tb, seed, faultsEnd, maxSimRecords)
 }
 
-// simulateBounded is simulate where routers hold at most so many records.
+// simulateBounded is like simulate, but each router holds at most maxRecords records.
 func simulateBounded(tb testing.TB, seed uint64, faultsEnd time.Duration, maxRecords int) (*simCluster, error) {
 	tb.Helper()
 	const (
@@ -48,7 +48,7 @@
 	return c, nil
 }
 
-// Where routers are only killed, nearly all that was not sent is answered.
+// If a router is killed, at least 95 % of its orders that were not being sent get an answer other than MayHaveRun.
 func TestUnsentOrdersOfKilledRouterAnswered(t *testing.T) {
 	var mu sync.Mutex
 	unsent, answered := 0, 0
@@ -69,14 +69,14 @@
 			}
 		}
 	})
-	t.Logf("%d of %d not sent were answered", answered, unsent)
+	t.Logf("%d of %d unsent orders were answered", answered, unsent)
 	if answered*100 < unsent*95 || unsent < *seeds/4 {
-		t.Errorf("%d of %d not sent were answered", answered, unsent)
+		t.Errorf("%d of %d unsent orders were answered", answered, unsent)
 	}
 }
 
-// simulateKill runs a cluster of a seed and kills one router. It returns the router's orders that were not being sent then,
-// and had time left.
+// simulateKill runs the cluster of a seed and kills one router. It returns the orders of that router that were not being sent
+// at that time and had at least 1600 ms left.
 func simulateKill(tb testing.TB, seed uint64) (*simCluster, map[*simOrder]bool) {
 	tb.Helper()
 	const routers = 5
@@ -103,8 +103,9 @@
 	return c, unsent
 }
 
-// No order runs twice and no two answers contradict each other, through kills at every step, pauses of longer than a lease,
-// cuts of all shapes, loss, late and repeated packets, and clocks that drift; and most of what was lost is answered.
+// No order runs twice and no two answers contradict each other, while routers are killed at any step or paused for longer than
+// a lease, links are cut in all patterns, packets are lost, late or repeated, and clocks drift. On average at least
+// one claimed order of each seed gets an answer other than MayHaveRun.
 func TestOrdersRunAtMostOnce(t *testing.T) {
 	var mu sync.Mutex
 	var answers [4]int // by kind
@@ -132,14 +133,14 @@
 			checkBounded(t, seed, r)
 		}
 	})
-	t.Logf("told as may have run %d, served %d, failed %d, never run %d; of %d claimed, %d without an answer",
+	t.Logf("answered as may have run %d, served %d, failed %d, never run %d; of %d claimed orders, %d got no certain answer",
 		answers[MayHaveRun], answers[Served], answers[Failed], answers[NeverRan], claimed, unanswered)
 	if answers[Served] < 50**seeds || claimed < 5**seeds || claimed-unanswered < *seeds {
-		t.Error("too little was served, claimed or answered for this to say anything")
+		t.Error("too few orders were served, claimed or answered for a meaningful test")
 	}
 }
 
-// checkBounded fails if a router that is up holds more than its settings allow.
+// checkBounded fails the test if a router that is up holds more than its settings allow, or still has an open claim.
 func checkBounded(t *testing.T, seed uint64, r *simRouter) {
 	t.Helper()
 	if r.down {
@@ -147,6 +148,6 @@
 	}
 	s := r.coordinator.Stats()
 	if s.OpenOrders > maxSimRecords || s.Records > maxSimRecords || s.OpenClaims > 0 || s.MaxQueued > 512 {
-		t.Errorf("seed %d: %s holds %+v at the end", seed, r.name, s)
+		t.Errorf("seed %d: %s exceeds its bounds at the end: %+v", seed, r.name, s)
 	}
 }
--- a/internal/extension/orderfailover/convert.go
+++ b/internal/extension/orderfailover/convert.go
@@ -9,7 +9,7 @@
 	"hillknot/internal/core"
 )
 
-// failoverOrder returns a request as its replica knows it, under the given txn.
+// failoverOrder converts a request to the order that its replica stores, under the given txn.
 func failoverOrder(q *core.Request, txn string, timeLeft time.Duration) failover.Order {
 	return failover.Order{
 		Txn:      txn,
@@ -24,8 +24,8 @@
 	}
 }
 
-// digest returns a hash of what the client asked for. Routers of different releases compare these, so its input never
-// changes.
+// digest returns a hash of everything that the client asked for. Routers of different releases compare these hashes, so the
+// input of the hash must never change.
 func digest(q *core.Request) (sum [sha256.Size]byte) {
 	hash := sha256.New()
 	for _, field := range [][]byte{[]byte(q.Class), []byte(q.ObjectText), []byte(q.Account), q.Body} {
@@ -37,7 +37,8 @@
 	return sum
 }
 
-// failoverOutcome returns what an answer tells of its order.
+// failoverOutcome converts the answer to an order to the order's outcome. mayHaveRun says whether the order may have
+// run.
 func failoverOutcome(a core.Answer, mayHaveRun bool) failover.Outcome {
 	switch {
 	case a.Verdict == core.Served:
@@ -50,7 +51,7 @@
 	return failover.Outcome{Kind: failover.MayHaveRun}
 }
 
-// clientAnswer returns what a client is told of an outcome.
+// clientAnswer converts an order's outcome to the answer that its client gets.
 func clientAnswer(o failover.Outcome) core.Answer {
 	switch o.Kind {
 	case failover.Served:
--- a/internal/extension/orderfailover/golden_test.go
+++ b/internal/extension/orderfailover/golden_test.go
@@ -10,11 +10,11 @@
 	"hillknot/internal/testutil/golden"
 )
 
-// A claim is checked against the record of its order by a hash of what the client asked for, which two routers of different
-// releases compute. The file of testdata/golden was written at commit 86ccf0f.
+// A claim is compared with the record of its order by a hash of what the client asked for, which two routers of different
+// releases compute. The files of testdata/golden were written at commit 86ccf0f.
 //
-// No name reaches the bytes, but what function digest hashes, in its order: the length (8 bytes, highest first) and the bytes
-// of Class, Item, Account and Body, then Part and Group.
+// The hash covers no names, only the values that function digest hashes, in this order: the length (8 bytes, big-endian) and
+// the bytes of each of Class, Item, Account and Body, then Part and Group (8 bytes each, big-endian).
 func TestGoldenDigest(t *testing.T) {
 	q := &core.Request{
 		Txn:        "00000000000000a1",
@@ -45,7 +45,7 @@
 	golden.Same(t, "digest-empty.hex", empty.Digest[:])
 }
 
-// What a replica is told of an answer.
+// Each answer is converted to the outcome that the replica stores.
 func TestGoldenOutcomes(t *testing.T) {
 	rejected := core.Answer{Verdict: core.Rejected, RetryAfter: time.Second}
 	for name, c := range map[string]struct {
--- a/internal/extension/orderfailover/metrics.go
+++ b/internal/extension/orderfailover/metrics.go
@@ -5,7 +5,7 @@
 	"hillknot/internal/core"
 )
 
-// metrics returns a coordinator's figures under the names that operators know.
+// metrics returns the statistics of a coordinator as metrics, under their published names.
 func metrics(s failover.Stats) []core.Metric {
 	counter := func(name, help string, value uint64) core.Metric {
 		return core.Metric{Name: name, Help: help, Value: value, Counter: true}
--- a/internal/extension/orderfailover/orderfailover.go
+++ b/internal/extension/orderfailover/orderfailover.go
@@ -1,5 +1,5 @@
-// Package orderfailover ties failover of orders into the core: it carries out what a failover.Coordinator decides,
-// and passes the core's orders and other routers' packets to it. Only programs built with the tag cluster contain it.
+// Package orderfailover connects a failover.Coordinator to the core. It passes the core's orders and the packets of other
+// routers to the coordinator, and carries out the coordinator's actions. Only programs built with the tag cluster contain it.
 package orderfailover
 
 import (
@@ -18,37 +18,37 @@
 
 var log = logging.For("failover")
 
-// Transport sends packets to other routers. No method may block.
+// Transport sends packets to other routers. Its methods must not block.
 type Transport interface {
-	// SendOrderPackets sends packets of the coordinator. Packets may be lost.
+	// SendOrderPackets sends packets of the coordinator, any of which may be lost.
 	SendOrderPackets([]messaging.Packet)
-	// OrderPeers returns the other routers that are alive and hold records of orders, in the order of their names.
+	// OrderPeers returns the other routers that are alive and hold records of orders, sorted by name.
 	OrderPeers() []failover.Peer
 }
 
-// StepHook is called at each step of an order, unless it is nil, with one of the texts of failover.Event. Tests kill
-// the process there.
+// StepHook is called at each step of an order, with the Step and Txn of the failover.Event, unless it is nil. Tests use it to
+// kill the process at a given step.
 var StepHook func(step, txn string)
 
-// tickInterval is how often the coordinator looks at what has expired.
+// tickInterval is the time between two calls of Coordinator.Tick.
 const tickInterval = 20 * time.Millisecond
 
-// metricsInterval is how old metrics may be.
+// metricsInterval is the minimum time between two updates of the metrics.
 const metricsInterval = 200 * time.Millisecond
 
-// Extension implements core.OrderFailover. All its methods are called on the core's goroutine, and it starts none.
+// Extension implements core.OrderFailover. All its methods must be called on the core's goroutine; it starts no goroutine.
 type Extension struct {
 	core         *core.Core
 	coordinator  *failover.Coordinator
 	transport    Transport
-	writeClasses map[string]bool // classes whose requests write
-	logSteps     bool            // each step of an order is logged, at level debug
+	writeClasses map[string]bool // by class name: requests of the class write
+	logSteps     bool            // log each step of an order at level debug
 	metrics      []core.Metric
-	metricsDueAt time.Duration // when metrics are made anew
+	metricsDueAt time.Duration // when the metrics are updated next
 }
 
-// New returns the extension of a process that has just started. It has to know the classes of the core's requests, to
-// run those of lost routers. An error says which setting can't be used.
+// New returns the extension of a process that has just started. It needs the classes of the core's requests to run orders of
+// lost routers. It returns an error that names the first invalid setting.
 func New(
 	c *core.Core, settings failover.Settings, classes []balancer.Class, transport Transport,
 ) (*Extension, error) {
@@ -69,7 +69,8 @@
 	return e, nil
 }
 
-// Start has the core replicate its orders, and begins to hold other routers'. It ends with the core's goroutine.
+// Start has the core replicate its orders, and starts to tick and to accept records of other routers' orders. The ticks end
+// with the core's goroutine.
 func (e *Extension) Start() {
 	e.core.SetOrderFailover(e)
 	e.tick()
@@ -87,7 +88,7 @@
 	}
 }
 
-// Receive takes a packet of another router.
+// Receive handles a packet of another router.
 func (e *Extension) Receive(data []byte) {
 	e.coordinator.Receive(e.core.LoopTime(), data)
 	e.carryOutActions()
@@ -99,13 +100,13 @@
 	if packets := e.coordinator.DuePackets(e.core.LoopTime()); len(packets) > 0 {
 		e.transport.SendOrderPackets(packets)
 	}
-	e.carryOutActions() // of orders that no replica could be told of
+	e.carryOutActions() // DuePackets may have stopped orders for which there is no replica
 }
 
-// carryOutActions does what the coordinator decides, until it decides nothing more.
+// carryOutActions carries out the coordinator's actions until there are no more. An action may cause further ones.
 func (e *Extension) carryOutActions() {
 	for actions := e.coordinator.Actions(); len(actions) > 0; actions = e.coordinator.Actions() {
-		e.reportSteps() // before what follows from them
+		e.reportSteps() // report steps before the actions that follow from them
 		for _, action := range actions {
 			e.carryOut(action)
 		}
@@ -159,10 +160,10 @@
 	e.core.ClaimAnswered(balancer.RequestID(a.ClaimID), clientAnswer(a.Outcome))
 }
 
-// runOrder runs an order of a lost router. Nobody gets its answer but routers that claim the order.
+// runOrder runs an order of a lost router. No client here gets its answer; only routers that claim the order do.
 func (e *Extension) runOrder(o failover.Order) {
 	log.Info("order of lost router runs here", logging.KeyRequestID, o.Txn, logging.KeyClass, o.Class)
-	object, _ := strconv.ParseUint(o.Item, 16, 64) // a faulty number counts as 0, as at the router that took the order
+	object, _ := strconv.ParseUint(o.Item, 16, 64) // an invalid number counts as 0, as on the router that accepted the order
 	e.core.Submit(e.core.NewID(), core.Request{
 		Txn:        o.Txn,
 		ObjectText: o.Item,
@@ -176,7 +177,7 @@
 		Body:       o.Body,
 		Write:      e.writeClasses[o.Class],
 		Reply: func(a core.Answer) core.Verdict {
-			e.coordinator.Abandon(e.core.LoopTime(), o.Txn) // it does nothing unless the order was rejected at once
+			e.coordinator.Abandon(e.core.LoopTime(), o.Txn) // does nothing unless the order was rejected at once
 			return a.Verdict
 		},
 	})
--- a/internal/extension/orderfailover/orders.go
+++ b/internal/extension/orderfailover/orders.go
@@ -27,14 +27,15 @@
 	e.carryOutActions()
 }
 
-// UseSendPermission implements core.OrderFailover. It reads the clock anew, as the order is written right after.
+// UseSendPermission implements core.OrderFailover. It reads the clock again instead of using the loop time, because the
+// order is written immediately afterwards.
 func (e *Extension) UseSendPermission(txn string) bool {
 	allowed := e.coordinator.UseSendPermission(e.core.CurrentTime(), txn)
 	e.reportSteps()
 	return allowed
 }
 
-// Finish implements core.OrderFailover. The outcome is on its way to the replica before the client gets it.
+// Finish implements core.OrderFailover. It sends the outcome to the replica before the client gets it.
 func (e *Extension) Finish(txn string, a core.Answer, mayHaveRun bool) (hold bool) {
 	hold = e.coordinator.Finish(e.core.LoopTime(), txn, failoverOutcome(a, mayHaveRun))
 	e.Flush()
