--- a/cmd/hillknot/replacement.go
+++ b/cmd/hillknot/replacement.go
@@ -52,7 +52,7 @@
 	}
 	done := make(chan struct{})
 	r.core.Post(func() {
-		r.core.ImportSnapshot(state.Snapshot)
+		r.core.ImportModuleSnapshot(state.Snapshot)
 		close(done)
 	})
 	<-done
@@ -86,7 +86,7 @@
 func (r *replacement) State() handover.State {
 	exported := make(chan handover.State, 1)
 	r.core.Post(func() {
-		exported <- handover.State{DiscoveryPosition: r.watcher.Position(), Snapshot: r.core.ExportSnapshot()}
+		exported <- handover.State{DiscoveryPosition: r.watcher.Position(), Snapshot: r.core.ExportModuleSnapshot()}
 	})
 	timeout := time.NewTimer(r.limits.HandoverTimeout / 2)
 	defer timeout.Stop()
--- a/internal/core/memory.go
+++ b/internal/core/memory.go
@@ -7,9 +7,10 @@
 	"hillknot/balancer"
 )
 
-// ExportSnapshot returns what the decision module has learned, for ImportSnapshot of the successor. Its times are
-// relative to now; the start of an endpoint is the stamp of the endpoint list, by which both processes know it.
-func (c *Core) ExportSnapshot() balancer.Snapshot {
+// ExportModuleSnapshot returns what the decision module has learned, for ImportModuleSnapshot of the
+// successor. Its times are relative to now; the start of an endpoint is the stamp of the endpoint list, by which both
+// processes know it.
+func (c *Core) ExportModuleSnapshot() balancer.Snapshot {
 	memory := c.module.ExportSnapshot()
 	memory.Relative(c.iteration.now)
 	for i := range memory.Endpoints {
@@ -22,9 +23,9 @@
 	return memory
 }
 
-// ImportSnapshot goes on from what the predecessor has learned. Pending events come first, as the endpoint list must
-// be known. What was learned of an endpoint that has restarted since is dropped.
-func (c *Core) ImportSnapshot(memory balancer.Snapshot) {
+// ImportModuleSnapshot goes on from what the predecessor has learned. Pending events come first, as the endpoint list
+// must be known. What was learned of an endpoint that has restarted since is dropped.
+func (c *Core) ImportModuleSnapshot(memory balancer.Snapshot) {
 	c.decide()
 	memory.Absolute(c.iteration.now)
 	memory.Endpoints = slices.DeleteFunc(memory.Endpoints, func(learned balancer.EndpointSnapshot) bool {
--- a/internal/core/snapshot_test.go
+++ b/internal/core/snapshot_test.go
@@ -14,7 +14,7 @@
 	for range 3 {
 		h.submit("page", 3*second)
 	}
-	if s := h.core.Snapshot(); s.OpenRequests != 3 || s.Endpoints != 2 || s.AvoidedEndpoints != 0 {
+	if s := h.core.Snapshot(); s.OpenRequests != 3 || s.PageCaches != 2 || s.AvoidedPageCaches != 0 {
 		t.Errorf("three are open, two page caches are healthy: %+v", s)
 	}
 	h.finish(h.outstanding[0], AttemptResult{Status: balancer.OK})
@@ -39,8 +39,8 @@
 	h := newHarness(t)
 	h.core.UpdateEndpoints(draining("a", "127.1.0.1:1"))
 	h.core.RunOnce()
-	if s := h.core.Snapshot(); s.Endpoints != 2 || s.AvoidedEndpoints != 1 {
-		t.Errorf("one drains: %d of %d are avoided", s.AvoidedEndpoints, s.Endpoints)
+	if s := h.core.Snapshot(); s.PageCaches != 2 || s.AvoidedPageCaches != 1 {
+		t.Errorf("one drains: %d of %d are avoided", s.AvoidedPageCaches, s.PageCaches)
 	}
 	for range 3 {
 		h.submit("page", second)
@@ -48,13 +48,13 @@
 			h.finish(h.outstanding[0], AttemptResult{Status: balancer.Error})
 		}
 	}
-	if s := h.core.Snapshot(); s.AvoidedEndpoints != 2 {
-		t.Errorf("the other fails: %d are avoided", s.AvoidedEndpoints)
+	if s := h.core.Snapshot(); s.AvoidedPageCaches != 2 {
+		t.Errorf("the other fails: %d are avoided", s.AvoidedPageCaches)
 	}
 	h.wait(2 * second)
 	h.submit("page", second)
 	h.finish(h.outstanding[0], AttemptResult{Status: balancer.OK, Detail: balancer.Hit})
-	if s := h.core.Snapshot(); s.AvoidedEndpoints != 1 {
-		t.Errorf("the other is healthy again: %d are avoided", s.AvoidedEndpoints)
+	if s := h.core.Snapshot(); s.AvoidedPageCaches != 1 {
+		t.Errorf("the other is healthy again: %d are avoided", s.AvoidedPageCaches)
 	}
 }
--- a/internal/frontend/admin/metrics.go
+++ b/internal/frontend/admin/metrics.go
@@ -29,8 +29,8 @@
 		{"dispatches", "Attempts written whole to page caches.", "counter", s.AttemptsWritten},
 		{"violations", "Rules that did not hold, as the router checks them; 0 in a router that is well.", "counter", s.RuleViolations},
 		{"concurrent", "Requests taken and not ended.", "gauge", uint64(s.OpenRequests)},
-		{"targets", "Page caches on the list.", "gauge", uint64(s.Endpoints)},
-		{"targets_disabled", "Page caches on the list that the router avoids.", "gauge", uint64(s.AvoidedEndpoints)},
+		{"targets", "Page caches on the list.", "gauge", uint64(s.PageCaches)},
+		{"targets_disabled", "Page caches on the list that the router avoids.", "gauge", uint64(s.AvoidedPageCaches)},
 	} {
 		b = fmt.Appendf(appendHeader(b, f.name, f.help, f.kind), "app_%s %d\n", f.name, f.value)
 	}
--- a/internal/frontend/admin/server_test.go
+++ b/internal/frontend/admin/server_test.go
@@ -143,7 +143,7 @@
 func TestMetrics(t *testing.T) {
 	d, addr := open(t, 16)
 	d.snap.Store(&core.Snapshot{ByClass: []core.ClassCounts{{Class: "page", Success: 812, Overload: 3, Error: 4}, {Class: `a"b`, Error: 1}},
-		AttemptsWritten: 900, OpenRequests: 14, Endpoints: 12, AvoidedEndpoints: 2})
+		AttemptsWritten: 900, OpenRequests: 14, PageCaches: 12, AvoidedPageCaches: 2})
 	_, body := ask(t, addr, line("GET", "/status/metrics"))
 	for _, want := range []string{`app_success{type="page"} 812`, `app_overload{type="page"} 3`, `app_error{type="page"} 4`, `app_error{type="a\"b"} 1`,
 		"app_dispatches 900", "app_concurrent 14", "app_targets 12", "app_targets_disabled 2", "# TYPE app_success counter"} {
