--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -26,10 +26,10 @@
 
 // Deadline returns the time that lies a duration from now, for calls that take a time.Time. It carries a monotonic
 // reading.
-func Deadline(in time.Duration) time.Time { return time.Now().Add(in) }
+func Deadline(timeout time.Duration) time.Time { return time.Now().Add(timeout) }
 
 // Until returns the duration until a time that carries a monotonic reading, as the deadline of a context does.
-func Until(at time.Time) time.Duration { return time.Until(at) }
+func Until(deadline time.Time) time.Duration { return time.Until(deadline) }
 
 // Past returns a time that is over on any clock, for deadlines that end a call at once.
 func Past() time.Time { return time.Unix(1, 0) }
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -46,8 +46,8 @@
 	}
 }
 
-// wallReads are functions and methods that read a wall clock or turn one into a number.
-var wallReads = map[string]bool{
+// clockFuncs are functions and methods that read a wall clock or turn one into a number.
+var clockFuncs = map[string]bool{
 	"UnixNano": true, "UnixMilli": true, "UnixMicro": true, "Unix": true,
 	"Now": true, "Since": true, "Until": true,
 }
@@ -58,12 +58,12 @@
 	roots := []string{"../../internal", "../../balancer", "../../cmd/hillknot", "../../cmd/hillknot-simulator", "../../client"}
 	for _, root := range roots {
 		err := filepath.WalkDir(root, func(path string, d fs.DirEntry, err error) error {
-			source := strings.HasSuffix(path, ".go") && !strings.HasSuffix(path, "_test.go")
-			if err != nil || d.IsDir() || !source || exempt(path) {
+			isSource := strings.HasSuffix(path, ".go") && !strings.HasSuffix(path, "_test.go")
+			if err != nil || d.IsDir() || !isSource || mayReadClock(path) {
 				return err
 			}
-			for _, at := range clockReads(t, path) {
-				t.Errorf("%s reads a clock", at)
+			for _, position := range clockReads(t, path) {
+				t.Errorf("%s reads a clock", position)
 			}
 			return nil
 		})
@@ -73,8 +73,8 @@
 	}
 }
 
-// exempt tells whether a file belongs to the clock package itself, or plays another party in tests.
-func exempt(path string) bool {
+// mayReadClock tells whether a file belongs to the clock package itself, or plays another party in tests.
+func mayReadClock(path string) bool {
 	dirs := []string{"internal/clock", "internal/testutil/faultnet", "internal/testutil/fakes", "internal/testutil/timeline"}
 	for _, dir := range dirs {
 		if strings.Contains(filepath.ToSlash(filepath.Dir(path))+"/", dir+"/") {
@@ -89,20 +89,20 @@
 func clockReads(t *testing.T, path string) []string {
 	t.Helper()
 	var places []string
-	files := token.NewFileSet()
-	file, err := parser.ParseFile(files, path, nil, 0)
+	fileSet := token.NewFileSet()
+	file, err := parser.ParseFile(fileSet, path, nil, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
 	ast.Inspect(file, func(n ast.Node) bool {
 		s, ok := n.(*ast.SelectorExpr)
-		if !ok || !wallReads[s.Sel.Name] {
+		if !ok || !clockFuncs[s.Sel.Name] {
 			return true
 		}
-		pkg, named := s.X.(*ast.Ident)
-		ofTime := named && pkg.Name == "time"
-		if ofTime || strings.HasPrefix(s.Sel.Name, "Unix") && !(named && (pkg.Name == "net" || pkg.Name == "unix")) {
-			places = append(places, files.Position(s.Pos()).String())
+		pkg, isIdent := s.X.(*ast.Ident)
+		isTimePkg := isIdent && pkg.Name == "time"
+		if isTimePkg || strings.HasPrefix(s.Sel.Name, "Unix") && !(isIdent && (pkg.Name == "net" || pkg.Name == "unix")) {
+			places = append(places, fileSet.Position(s.Pos()).String())
 		}
 		return true
 	})
--- a/internal/core/attempts.go
+++ b/internal/core/attempts.go
@@ -20,7 +20,7 @@
 		return
 	}
 	r.attempt = a
-	for _, p := range c.iteration.purges {
+	for _, p := range c.iteration.pendingPurges {
 		c.excludeOlderCopies(a, p)
 	}
 	c.traceAttempt(a)
@@ -65,7 +65,7 @@
 	switch {
 	case a.done || now >= a.deadline:
 		return balancer.NotSent, balancer.NoDetail
-	case r.mayHaveRun && !r.policy.mayRetry(now-r.firstSentAt):
+	case r.mayHaveRun && !r.policy.mayRetry(now-r.mayHaveRunSince):
 		return balancer.NotSent, balancer.NoDetail
 	case a.Endpoint.State != balancer.InService:
 		return balancer.ConnectFailed, balancer.NoDetail
@@ -92,9 +92,9 @@
 	}
 	a.done = true
 	r := a.owner
-	r.attempt, r.awaitingPermission = nil, nil
+	r.attempt, r.attemptAwaitingLease = nil, nil
 	if !r.mayHaveRun && !result.Status.NeverRan() {
-		r.mayHaveRun, r.firstSentAt = true, a.sentAt
+		r.mayHaveRun, r.mayHaveRunSince = true, a.sentAt
 	}
 	c.traceAttemptEnd(a, result)
 	if c.extensions.cluster != nil {
@@ -134,7 +134,7 @@
 // abandonAttempt ends an attempt that is open. One that awaits its lease has surely not run.
 func (c *Core) abandonAttempt(a *Attempt, status balancer.Status) {
 	c.upstream.Cancel(a)
-	if a.owner.awaitingPermission == a {
+	if a.owner.attemptAwaitingLease == a {
 		status = balancer.NotSent
 	}
 	c.CompleteAttempt(a, AttemptResult{Status: status})
--- a/internal/core/attempts_test.go
+++ b/internal/core/attempts_test.go
@@ -21,7 +21,7 @@
 
 // An endpoint is told the time that the client has left, to the millisecond, and no more. The router still ends the
 // attempt first: its own deadline is a margin earlier.
-func TestAttemptTimeoutIsWhatTheClientHasLeft(t *testing.T) {
+func TestAttemptTimeoutIsClientTimeLeft(t *testing.T) {
 	const ms = time.Millisecond
 	for _, waited := range []time.Duration{0, 200 * ms, 700 * ms} {
 		h := newHarness(t)
@@ -77,7 +77,7 @@
 
 // Where a client cancels its request as the module decides on it, the module must learn that the attempt was not
 // sent. It once counted such attempts for good, and after some hundreds rejected all other requests.
-func TestCancelAsItIsDecidedReportsNotSent(t *testing.T) {
+func TestCancelDuringDecisionReportsNotSent(t *testing.T) {
 	h := newHarness(t)
 	for range 500 {
 		id := h.core.NewID()
--- a/internal/core/cluster.go
+++ b/internal/core/cluster.go
@@ -17,9 +17,9 @@
 // Peers sends to the other routers of the cluster. No method may block.
 type Peers interface {
 	// Send sends messages, or drops them where too many wait.
-	Send(letters []state.OutgoingMessage)
+	Send(messages []state.OutgoingMessage)
 	// PublishFullState sets what a router is sent that knows nothing of this one yet.
-	PublishFullState(all []state.Message)
+	PublishFullState(fullState []state.Message)
 	// DroppedMessages returns how many messages were dropped.
 	DroppedMessages() uint64
 	// Alive returns the names of the other routers that are alive, in order, and how many routers own a part of the
@@ -49,11 +49,11 @@
 // NewClusterState returns the state of a router that has just started. It goes into the settings of the decision
 // module, as its Coordinator, before the core is made.
 func NewClusterState(settings ClusterSettings) (*ClusterState, error) {
-	own, err := state.New(settings.State)
+	shared, err := state.New(settings.State)
 	if err != nil {
 		return nil, err
 	}
-	return &ClusterState{settings: settings, state: own}, nil
+	return &ClusterState{settings: settings, state: shared}, nil
 }
 
 // JoinCluster begins to share. It is called once, as soon as no predecessor of this process spends from the budgets
@@ -86,9 +86,9 @@
 	now := s.core.iteration.now
 	s.core.Schedule(now+s.settings.State.TickInterval, s.heartbeat)
 	s.state.SetPeers(s.peers.Alive())
-	s.core.module.VisitHealth(func(id balancer.EndpointID, failures int, healthyFor time.Duration) {
+	s.core.module.VisitHealth(func(id balancer.EndpointID, consecutiveFailures int, lastResponse time.Duration) {
 		if e := s.endpoint(id); e != nil {
-			s.state.ObserveHealth(now, e.ID, failures, healthyFor)
+			s.state.ObserveHealth(now, e.ID, consecutiveFailures, lastResponse)
 		}
 	})
 	s.state.Tick(now)
@@ -98,21 +98,21 @@
 }
 
 func (s *ClusterState) flush() {
-	if out := s.state.OutgoingMessages(); len(out) > 0 {
-		s.peers.Send(out)
+	if messages := s.state.OutgoingMessages(); len(messages) > 0 {
+		s.peers.Send(messages)
 	}
 }
 
 // updateWarmUp opens the budget of an endpoint that is warming up, or closes that of one that is removed.
 func (s *ClusterState) updateWarmUp(e *Endpoint) {
 	now := s.core.iteration.now
-	warmAt := e.startedAt + s.core.policy.warmUp[e.kind]
+	warmUpEnd := e.startedAt + s.core.policy.warmUpTimes[e.kind]
 	switch {
 	case s.settings.WarmUp.Rate <= 0:
 	case e.State == balancer.Removed:
 		s.state.CloseBudget(warmUpBudgetPrefix + e.ID)
-	case e.startedAt > 0 && now < warmAt:
-		s.state.OpenBudget(now, warmUpBudgetPrefix+e.ID, s.settings.WarmUp, warmAt)
+	case e.startedAt > 0 && now < warmUpEnd:
+		s.state.OpenBudget(now, warmUpBudgetPrefix+e.ID, s.settings.WarmUp, warmUpEnd)
 	}
 }
 
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -20,16 +20,16 @@
 // Core is the event loop of one router and all that belongs to it. Its methods are called on the loop's goroutine,
 // which Run is, unless they say that any goroutine may call them.
 type Core struct {
-	module    *balancer.Balancer
-	upstream  Upstream
-	clock     func() time.Duration
-	limits    config.Limits
-	policy    requestPolicy
-	queue     eventQueue // any goroutine
-	stalls    stallMonitor
-	backlog   func() bool // reports whether sockets hold unread input; nil: not known
-	iteration iteration
-	timers    timers
+	module     *balancer.Balancer
+	upstream   Upstream
+	clock      func() time.Duration
+	limits     config.Limits
+	policy     requestPolicy
+	queue      eventQueue // any goroutine
+	stalls     stallMonitor
+	hasBacklog func() bool // reports whether sockets hold unread input; nil: not known
+	iteration  iteration
+	timers     timers
 
 	requests   requestTable
 	queries    map[balancer.RequestID]*query
@@ -37,17 +37,17 @@
 	lifecycle  lifecycle
 	extensions extensions
 
-	stats statistics
-	trace bool // the log takes debug lines
+	stats        statistics
+	traceEnabled bool // the log takes debug lines
 }
 
 // iteration is what one iteration of the loop works on.
 type iteration struct {
 	now    time.Duration    // its time, which stands still during it
 	events []balancer.Event // that the module has yet to handle
-	// purges are those that came in after the module had decided what is being carried out: they count for that,
+	// pendingPurges are those that came in after the module had decided what is being carried out: they count for that,
 	// too.
-	purges []purge
+	pendingPurges []purge
 }
 
 // extensions are the optional parts of a router that takes part in a cluster. Each is nil where it is off.
@@ -65,19 +65,19 @@
 		return nil, err
 	}
 	c := &Core{
-		module:    module,
-		clock:     clock,
-		limits:    limits,
-		policy:    newRequestPolicy(&settings),
-		queue:     newEventQueue(),
-		stalls:    stallMonitor{threshold: limits.LoopInterval + limits.LoopSlack, recovery: limits.BacklogWait},
-		iteration: iteration{now: clock()},
-		requests:  newRequestTable(),
-		queries:   map[balancer.RequestID]*query{},
-		endpoints: endpointList{byID: map[balancer.EndpointID]*Endpoint{}},
-		lifecycle: newLifecycle(),
-		stats:     newStatistics(settings.Classes),
-		trace:     debugEnabled(),
+		module:       module,
+		clock:        clock,
+		limits:       limits,
+		policy:       newRequestPolicy(&settings),
+		queue:        newEventQueue(),
+		stalls:       stallMonitor{threshold: limits.LoopInterval + limits.LoopSlack, recovery: limits.BacklogWait},
+		iteration:    iteration{now: clock()},
+		requests:     newRequestTable(),
+		queries:      map[balancer.RequestID]*query{},
+		endpoints:    endpointList{byID: map[balancer.EndpointID]*Endpoint{}},
+		lifecycle:    newLifecycle(),
+		stats:        newStatistics(settings.Classes),
+		traceEnabled: debugEnabled(),
 	}
 	c.stalls.tick(c.iteration.now)
 	c.publish()
@@ -89,7 +89,7 @@
 
 // SetBacklogCheck sets what reports whether sockets hold input that came in before now and has not been handed on
 // yet: watch events of discovery, requests of clients, or responses of page caches. It is called once, before Run.
-func (c *Core) SetBacklogCheck(backlog func() bool) { c.backlog = backlog }
+func (c *Core) SetBacklogCheck(hasBacklog func() bool) { c.hasBacklog = hasBacklog }
 
 // LoopTime returns the time of the current iteration on the core's clock.
 func (c *Core) LoopTime() time.Duration { return c.iteration.now }
--- a/internal/core/golden_test.go
+++ b/internal/core/golden_test.go
@@ -19,14 +19,14 @@
 // hash of EndpointIDOf. A key that is worded otherwise splits one budget or count in two.
 
 // recordingPeers are a cluster of two routers, and record what is sent.
-type recordingPeers struct{ said []state.OutgoingMessage }
+type recordingPeers struct{ sent []state.OutgoingMessage }
 
-func (p *recordingPeers) Send(l []state.OutgoingMessage)   { p.said = append(p.said, l...) }
+func (p *recordingPeers) Send(l []state.OutgoingMessage)   { p.sent = append(p.sent, l...) }
 func (p *recordingPeers) PublishFullState([]state.Message) {}
 func (p *recordingPeers) DroppedMessages() uint64          { return 0 }
 func (p *recordingPeers) Alive() ([]string, int)           { return []string{"r2"}, 2 }
 func (p *recordingPeers) keys(kind state.Kind) (text string) {
-	for _, l := range p.said {
+	for _, l := range p.sent {
 		if l.Message.Kind == kind {
 			text += fmt.Sprintf("%q %q\n", l.ReplaceKey, l.Message.Key)
 		}
@@ -34,19 +34,21 @@
 	return text
 }
 
-func TestGoldenKeys(t *testing.T) {
+func TestGoldenBudgetAndCounterKeys(t *testing.T) {
 	h := newHarness(t)
-	terms := state.BudgetLimits{Rate: 1, Burst: 256}
-	s, err := NewClusterState(ClusterSettings{State: state.Defaults("r1", 11, 2), WarmUp: terms, Retries: terms})
+	limits := state.BudgetLimits{Rate: 1, Burst: 256}
+	s, err := NewClusterState(ClusterSettings{State: state.Defaults("r1", 11, 2), WarmUp: limits, Retries: limits})
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := &recordingPeers{}
-	h.core.JoinCluster(s, p)
+	peers := &recordingPeers{}
+	h.core.JoinCluster(s, peers)
 	cache := h.core.endpoints.byID[EndpointIDOf("a")]
-	s.state.OpenBudget(h.now, warmUpBudgetPrefix+cache.ID, terms, 0)
-	for _, e := range []AttemptResult{{Status: balancer.OK, Detail: balancer.Hit}, {Status: balancer.Miss}, {Status: balancer.Error}} {
-		s.countResult(&Attempt{Endpoint: cache}, e)
+	s.state.OpenBudget(h.now, warmUpBudgetPrefix+cache.ID, limits, 0)
+	for _, result := range []AttemptResult{
+		{Status: balancer.OK, Detail: balancer.Hit}, {Status: balancer.Miss}, {Status: balancer.Error},
+	} {
+		s.countResult(&Attempt{Endpoint: cache}, result)
 	}
 	for range 20 { // budgets are lent once both routers may spend; this one has none left
 		h.now += 250 * time.Millisecond
@@ -61,21 +63,21 @@
 		s.state.Tick(h.now)
 		s.flush()
 	}
-	asks := map[string]bool{}
-	for _, l := range p.said {
+	leaseRequests := map[string]bool{}
+	for _, l := range peers.sent {
 		if l.Message.Kind == state.KindLeaseRequest {
-			asks[l.Message.Key] = true
+			leaseRequests[l.Message.Key] = true
 		}
 	}
-	if len(asks) != 2 || !asks["retries"] || !asks["cold a"] {
-		t.Errorf("asked for shares of %v, want retries and cold a", asks)
+	if len(leaseRequests) != 2 || !leaseRequests["retries"] || !leaseRequests["cold a"] {
+		t.Errorf("asked for shares of %v, want retries and cold a", leaseRequests)
 	}
-	golden.Same(t, "counts.txt", []byte(p.keys(state.KindCounterUpdate)))
+	golden.Same(t, "counts.txt", []byte(peers.keys(state.KindCounterUpdate)))
 }
 
 // All routers derive the same id of a member: the choices that have to agree, and the state that a successor is
 // handed, go by it.
-func TestGoldenNodes(t *testing.T) {
+func TestGoldenEndpointIDs(t *testing.T) {
 	var ids []byte
 	for _, name := range []string{"", "a", "edge-7", "ünion", "a name that is longer than any hash"} {
 		ids = binary.BigEndian.AppendUint64(ids, uint64(EndpointIDOf(name)))
--- a/internal/core/harness_test.go
+++ b/internal/core/harness_test.go
@@ -11,12 +11,12 @@
 
 // harness is a core on a clock that the test sets. It is the core's upstream, and only notes its calls.
 type harness struct {
-	t           *testing.T
-	core        *Core
-	now         time.Duration
-	outstanding []*Attempt // sent, and neither completed nor cancelled
-	maxAtOnce   int        // the most attempts of one request that were open at once
-	answers     []Answer
+	t             *testing.T
+	core          *Core
+	now           time.Duration
+	outstanding   []*Attempt // sent, and neither completed nor cancelled
+	maxConcurrent int        // the most attempts of one request that were open at once
+	answers       []Answer
 }
 
 func (h *harness) Send(a *Attempt) {
@@ -27,7 +27,7 @@
 			n++
 		}
 	}
-	h.maxAtOnce = max(h.maxAtOnce, n)
+	h.maxConcurrent = max(h.maxConcurrent, n)
 }
 
 func (h *harness) Cancel(a *Attempt) {
--- a/internal/core/lifecycle.go
+++ b/internal/core/lifecycle.go
@@ -63,17 +63,17 @@
 // block keeps the router from serving until unblock is called with the same reason.
 func (l *lifecycle) block(reason startBlocker) {
 	l.blockers |= reason
-	l.updateStart()
+	l.applyBlockers()
 }
 
 // unblock drops a reason not to serve yet.
 func (l *lifecycle) unblock(reason startBlocker) {
 	l.blockers &^= reason
-	l.updateStart()
+	l.applyBlockers()
 }
 
-// updateStart has the router start or serve by what blocks it. On standby and in shutdown this does not matter.
-func (l *lifecycle) updateStart() {
+// applyBlockers has the router start or serve by what blocks it. On standby and in shutdown this does not matter.
+func (l *lifecycle) applyBlockers() {
 	switch {
 	case l.state == stateStandby || l.shuttingDown():
 	case l.blockers != 0:
@@ -99,7 +99,7 @@
 		return false
 	}
 	l.state, l.drainingSince = stateServing, 0
-	l.updateStart()
+	l.applyBlockers()
 	return true
 }
 
@@ -122,9 +122,9 @@
 	return l.state == stateShuttingDown || l.state == stateClosed
 }
 
-// answerBy is when what is open must have ended, in a router that shuts down: the platform kills the process soon
+// shutdownDeadline is when what is open must have ended, in a router that shuts down: the platform kills the process soon
 // after.
-func (l *lifecycle) answerBy(limits *config.Limits) time.Duration {
+func (l *lifecycle) shutdownDeadline(limits *config.Limits) time.Duration {
 	return l.drainingSince + limits.ShutdownTimeout - limits.ShutdownAnswerMargin
 }
 
@@ -163,7 +163,7 @@
 // before the platform may kill the process: a request whose client waits longer than that would be lost.
 func (c *Core) BeginShutdown(since time.Duration) {
 	c.lifecycle.beginShutdown(since)
-	c.advanceDeadlines(c.lifecycle.answerBy(&c.limits))
+	c.advanceDeadlines(c.lifecycle.shutdownDeadline(&c.limits))
 }
 
 // CloseIfNothingOpen reports whether nothing is open, and if so has the core reject every request from then on: a router
--- a/internal/core/lifecycle_test.go
+++ b/internal/core/lifecycle_test.go
@@ -71,7 +71,7 @@
 		t.Errorf("shutting down: draining since %v", l.drainingSince)
 	}
 	limits := config.Limits{ShutdownTimeout: 2 * second, ShutdownAnswerMargin: second / 2}
-	if at := l.answerBy(&limits); at != 4500*second/1000 {
+	if at := l.shutdownDeadline(&limits); at != 4500*second/1000 {
 		t.Errorf("the last answer is due at %v", at)
 	}
 }
--- a/internal/core/loop.go
+++ b/internal/core/loop.go
@@ -8,21 +8,21 @@
 
 // Run runs the loop on the calling goroutine until stop is closed.
 func (c *Core) Run(stop <-chan struct{}) {
-	due := time.NewTimer(0)
-	defer due.Stop()
+	loopTimer := time.NewTimer(0)
+	defer loopTimer.Stop()
 	for {
 		select {
 		case <-c.queue.wake:
-		case <-due.C:
+		case <-loopTimer.C:
 		case <-stop:
 			return
 		}
-		checked, _ := c.awaitBacklog()
+		checkedAt, _ := c.awaitBacklog()
 		wait := c.limits.LoopInterval // an idle loop iterates too: this is how a stall shows
-		if next, pending := c.iterate(checked); pending {
+		if next, pending := c.iterate(checkedAt); pending {
 			wait = min(wait, max(next-c.clock(), 0))
 		}
-		due.Reset(wait)
+		loopTimer.Reset(wait)
 	}
 }
 
@@ -30,9 +30,9 @@
 func (c *Core) RunOnce() (next time.Duration, pending bool) { return c.iterate(c.clock()) }
 
 // iterate is RunOnce where the loop looked for a stall of the process at a time that may be some while ago.
-func (c *Core) iterate(checked time.Duration) (next time.Duration, pending bool) {
+func (c *Core) iterate(checkedAt time.Duration) (next time.Duration, pending bool) {
 	c.iteration.now = c.clock()
-	c.stalls.tick(checked)
+	c.stalls.tick(checkedAt)
 	for _, f := range c.queue.takeAll() {
 		f()
 	}
@@ -54,7 +54,7 @@
 func (c *Core) decide() {
 	for len(c.iteration.events) > 0 {
 		events := c.iteration.events
-		c.iteration.events, c.iteration.purges = nil, c.iteration.purges[:0] // the module knows these purges now
+		c.iteration.events, c.iteration.pendingPurges = nil, c.iteration.pendingPurges[:0] // the module knows these purges now
 		for _, action := range c.module.Handle(c.iteration.now, events...) {
 			c.execute(action)
 		}
@@ -87,14 +87,14 @@
 // waits in sockets, which are read in no set order: a request must not overtake the purge that discovery sent
 // before it, nor an attempt the end of the client that it is for. It reports whether there was a stall, and at
 // which time it had looked: a stall after that is yet to be seen.
-func (c *Core) awaitBacklog() (checked time.Duration, stalled bool) {
+func (c *Core) awaitBacklog() (checkedAt time.Duration, stalled bool) {
 	now := c.clock()
-	if !c.stalls.detect(now) || c.backlog == nil {
+	if !c.stalls.detect(now) || c.hasBacklog == nil {
 		return now, false
 	}
 	for end := now + c.limits.BacklogWait; now < end; now = c.clock() {
-		if !c.backlog() {
-			c.stalls.recovered(now)
+		if !c.hasBacklog() {
+			c.stalls.endRecovery(now)
 			break
 		}
 		time.Sleep(c.limits.BacklogPollInterval)
@@ -105,12 +105,12 @@
 // applyLateWatchEvents takes the watch events that came in during a stall in the middle of an iteration: what was
 // decided before it is about to be written.
 func (c *Core) applyLateWatchEvents() {
-	checked, stalled := c.awaitBacklog()
+	checkedAt, stalled := c.awaitBacklog()
 	if !stalled {
 		return
 	}
 	c.iteration.now = c.clock() // the events would else lie in the future of this iteration
-	c.stalls.tick(checked)
+	c.stalls.tick(checkedAt)
 	for _, f := range c.queue.takeWatchEvents() {
 		f()
 	}
--- a/internal/core/orders.go
+++ b/internal/core/orders.go
@@ -88,7 +88,7 @@
 		c.answer(r, failedAnswer)
 		return
 	}
-	c.requests.rename(r, r.ResumesTxn)
+	c.requests.changeTxn(r, r.ResumesTxn)
 	r.Retry = true
 	c.startRequest(r)
 }
@@ -101,16 +101,16 @@
 	if !r.replicated || c.extensions.orders.UseSendPermission(r.Txn) {
 		return true
 	}
-	r.awaitingPermission = a
+	r.attemptAwaitingLease = a
 	c.extensions.orders.RequestSendPermission(r.Txn)
 	return false
 }
 
 // SendPermissionGranted reports that an order may be written now.
 func (c *Core) SendPermissionGranted(txn string) {
-	if r := c.requests.byTxn[txn]; r != nil && r.awaitingPermission != nil {
-		a := r.awaitingPermission
-		r.awaitingPermission = nil
+	if r := c.requests.byTxn[txn]; r != nil && r.attemptAwaitingLease != nil {
+		a := r.attemptAwaitingLease
+		r.attemptAwaitingLease = nil
 		c.upstream.Send(a)
 	}
 }
--- a/internal/core/orders_test.go
+++ b/internal/core/orders_test.go
@@ -10,51 +10,51 @@
 
 // fakeOrderFailover answers as the test sets it, and notes its calls.
 type fakeOrderFailover struct {
-	rejects, leaseHeld, holdRejections bool
-	leaseRequests, cancelled           []string
-	finished                           []Answer
-	claims                             []balancer.RequestID
-	stoppedWaiting, cancelledClaims    int
+	rejectReplicas, leaseHeld, holdRejections bool
+	leaseRequests, cancelled                  []string
+	finished                                  []Answer
+	claims                                    []balancer.RequestID
+	stoppedWaiting, cancelledClaims           int
 }
 
-func (k *fakeOrderFailover) Replicate(*Request, time.Duration) error {
-	if k.rejects {
+func (f *fakeOrderFailover) Replicate(*Request, time.Duration) error {
+	if f.rejectReplicas {
 		return errors.New("no replica")
 	}
 	return nil
 }
 
-func (k *fakeOrderFailover) Claim(id balancer.RequestID, _ *Request, _ time.Duration) {
-	k.claims = append(k.claims, id)
+func (f *fakeOrderFailover) Claim(id balancer.RequestID, _ *Request, _ time.Duration) {
+	f.claims = append(f.claims, id)
 }
 
-func (k *fakeOrderFailover) CancelClaim(balancer.RequestID) { k.cancelledClaims++ }
+func (f *fakeOrderFailover) CancelClaim(balancer.RequestID) { f.cancelledClaims++ }
 
-func (k *fakeOrderFailover) RequestSendPermission(txn string) {
-	k.leaseRequests = append(k.leaseRequests, txn)
+func (f *fakeOrderFailover) RequestSendPermission(txn string) {
+	f.leaseRequests = append(f.leaseRequests, txn)
 }
 
-func (k *fakeOrderFailover) UseSendPermission(string) bool { return k.leaseHeld }
+func (f *fakeOrderFailover) UseSendPermission(string) bool { return f.leaseHeld }
 
-func (k *fakeOrderFailover) Finish(_ string, a Answer, _ bool) bool {
-	k.finished = append(k.finished, a)
-	return k.holdRejections && a.Verdict == Rejected
+func (f *fakeOrderFailover) Finish(_ string, a Answer, _ bool) bool {
+	f.finished = append(f.finished, a)
+	return f.holdRejections && a.Verdict == Rejected
 }
 
-func (k *fakeOrderFailover) StopWaiting(string) { k.stoppedWaiting++ }
+func (f *fakeOrderFailover) StopWaiting(string) { f.stoppedWaiting++ }
 
-func (k *fakeOrderFailover) Cancel(txn string, _ bool) { k.cancelled = append(k.cancelled, txn) }
+func (f *fakeOrderFailover) Cancel(txn string, _ bool) { f.cancelled = append(f.cancelled, txn) }
 
-func (k *fakeOrderFailover) Flush() {}
+func (f *fakeOrderFailover) Flush() {}
 
-func (k *fakeOrderFailover) Metrics() []Metric { return nil }
+func (f *fakeOrderFailover) Metrics() []Metric { return nil }
 
 // withOrderFailover sets the order failover of the core.
 func (h *harness) withOrderFailover() *fakeOrderFailover {
-	k := &fakeOrderFailover{}
-	h.core.SetOrderFailover(k)
+	failover := &fakeOrderFailover{}
+	h.core.SetOrderFailover(failover)
 	h.core.limits.OrderReleaseDelay = second / 4
-	return k
+	return failover
 }
 
 // claim submits a request that resumes one which another router took.
@@ -76,18 +76,18 @@
 // An order is written once its lease is granted, and not before; a page needs no lease.
 func TestOrderWaitsForLease(t *testing.T) {
 	h := newHarness(t)
-	k := h.withOrderFailover()
+	failover := h.withOrderFailover()
 	h.submit("order", 2*second)
 	a := h.outstanding[0]
-	if h.core.AcquireSendPermission(a) || len(k.leaseRequests) != 1 {
-		t.Fatalf("written without a lease; requests %v", k.leaseRequests)
+	if h.core.AcquireSendPermission(a) || len(failover.leaseRequests) != 1 {
+		t.Fatalf("written without a lease; requests %v", failover.leaseRequests)
 	}
-	k.leaseHeld = true
+	failover.leaseHeld = true
 	h.core.SendPermissionGranted(a.Request.Txn)
 	if len(h.outstanding) != 2 || !h.core.AcquireSendPermission(a) {
 		t.Error("it was not sent anew with the lease")
 	}
-	k.leaseHeld = false
+	failover.leaseHeld = false
 	h.submit("page", second)
 	if page := h.outstanding[len(h.outstanding)-1]; page.Request.Class != "page" || !h.core.AcquireSendPermission(page) {
 		t.Error("a page waits for a lease")
@@ -98,25 +98,25 @@
 // may retry.
 func TestOrderWithoutLeaseIsRejected(t *testing.T) {
 	h := newHarness(t)
-	k := h.withOrderFailover()
+	failover := h.withOrderFailover()
 	h.submit("order", second)
 	h.core.AcquireSendPermission(h.outstanding[0])
 	h.wait(2 * second)
 	h.wantOneAnswer("the lease never came", Rejected)
-	if len(k.finished) != 1 || k.finished[0].Verdict != Rejected {
-		t.Errorf("finished with %+v", k.finished)
+	if len(failover.finished) != 1 || failover.finished[0].Verdict != Rejected {
+		t.Errorf("finished with %+v", failover.finished)
 	}
 }
 
 // An order without a replica is rejected at once. One whose lease is denied fails, or is rejected where it surely
 // never ran.
-func TestSendPermissionDenied(t *testing.T) {
+func TestDeniedReplicaOrLeaseEndsOrder(t *testing.T) {
 	h := newHarness(t)
-	k := h.withOrderFailover()
-	k.rejects = true
+	failover := h.withOrderFailover()
+	failover.rejectReplicas = true
 	h.submit("order", second)
 	h.wantOneAnswer("no replica", Rejected)
-	k.rejects = false
+	failover.rejectReplicas = false
 	for _, neverRan := range []bool{true, false} {
 		h.answers, h.outstanding = nil, nil
 		h.submit("order", second)
@@ -127,11 +127,11 @@
 }
 
 // A rejection is held back until no other router can run the order, for a bounded time; after that the order fails.
-func TestRejectionIsHeldUntilReleased(t *testing.T) {
+func TestRejectionIsHeldUntilReplicaDropped(t *testing.T) {
 	for _, released := range []bool{true, false} {
 		h := newHarness(t)
-		k := h.withOrderFailover()
-		k.holdRejections = true
+		failover := h.withOrderFailover()
+		failover.holdRejections = true
 		h.submit("order", 2*second)
 		h.core.AcquireSendPermission(h.outstanding[0])
 		txn := h.outstanding[0].Request.Txn
@@ -149,8 +149,8 @@
 			h.wait(second)
 			h.wantOneAnswer("not released in time", Failed)
 		}
-		if h.core.OpenCount() != 0 || k.stoppedWaiting != map[bool]int{true: 0, false: 1}[released] {
-			t.Errorf("%d open, stopped waiting %d times", h.core.OpenCount(), k.stoppedWaiting)
+		if h.core.OpenCount() != 0 || failover.stoppedWaiting != map[bool]int{true: 0, false: 1}[released] {
+			t.Errorf("%d open, stopped waiting %d times", h.core.OpenCount(), failover.stoppedWaiting)
 		}
 	}
 }
@@ -158,7 +158,7 @@
 // An order that is rejected as its time ends is answered at once, and not only when its replica has released it: its client
 // waits no longer, or the process is about to be killed. The shutdown may begin at any moment of the order's life: while it
 // waits for an endpoint, for its lease, or for a place among the attempts that there may be.
-func TestOrderRejectedAtItsDeadlineIsAnsweredInTime(t *testing.T) {
+func TestOrderRejectedAtDeadlineIsAnsweredInTime(t *testing.T) {
 	const timeout, step = 2 * second, 50 * time.Millisecond
 	for name, c := range map[string]struct {
 		orders    int
@@ -168,7 +168,7 @@
 		"no lease":              {1, true},
 		"no place":              {80, true},
 	} {
-		for begin := time.Duration(0); begin <= timeout; begin += step {
+		for shutdownAfter := time.Duration(0); shutdownAfter <= timeout; shutdownAfter += step {
 			settings := testSettings()
 			settings.Classes[1].LatencyObjective = timeout // orders may wait for a place for long
 			h := newHarnessWithSettings(t, settings)
@@ -184,17 +184,17 @@
 			for _, a := range h.outstanding {
 				h.core.AcquireSendPermission(a) // which never comes
 			}
-			h.wait(begin)
+			h.wait(shutdownAfter)
 			h.core.BeginShutdown(h.now)
-			cut := h.now + h.core.limits.ShutdownTimeout - h.core.limits.ShutdownAnswerMargin
-			h.wait(max(min(submitted+timeout, cut)-h.now, 0) + 5*time.Millisecond)
+			answerDeadline := h.now + h.core.limits.ShutdownTimeout - h.core.limits.ShutdownAnswerMargin
+			h.wait(max(min(submitted+timeout, answerDeadline)-h.now, 0) + 5*time.Millisecond)
 			if len(h.answers) != c.orders || h.core.OpenCount() != 0 {
-				t.Errorf("%s, shutdown after %v: %d answers and %d open once the time of all %d is over", name, begin,
+				t.Errorf("%s, shutdown after %v: %d answers and %d open once the time of all %d is over", name, shutdownAfter,
 					len(h.answers), h.core.OpenCount(), c.orders)
 			}
 			h.wait(second)
 			if len(h.answers) != c.orders {
-				t.Errorf("%s, shutdown after %v: %d answers to %d orders", name, begin, len(h.answers), c.orders)
+				t.Errorf("%s, shutdown after %v: %d answers to %d orders", name, shutdownAfter, len(h.answers), c.orders)
 			}
 		}
 	}
@@ -202,22 +202,22 @@
 
 // A claimed order goes to the module only where it is granted, under the txn that it had; else it gets its known
 // answer. Without order failover it fails. A page is simply requested again.
-func TestClaimedOrder(t *testing.T) {
+func TestClaimedOrderRunsOnlyOnceGranted(t *testing.T) {
 	h := newHarness(t)
 	h.claim("order", "old")
 	h.wantOneAnswer("no order failover", Failed)
-	k := h.withOrderFailover()
+	failover := h.withOrderFailover()
 	h.answers = nil
 	id := h.claim("order", "old")
-	if len(k.claims) != 1 || len(h.outstanding) > 0 {
-		t.Fatalf("claims %v, sent %d", k.claims, len(h.outstanding))
+	if len(failover.claims) != 1 || len(h.outstanding) > 0 {
+		t.Fatalf("claims %v, sent %d", failover.claims, len(h.outstanding))
 	}
 	h.core.ClaimGranted(id)
 	h.core.RunOnce()
 	if len(h.outstanding) != 1 || h.outstanding[0].Request.Txn != "old" {
 		t.Fatalf("sent %d", len(h.outstanding))
 	}
-	k.leaseHeld = true
+	failover.leaseHeld = true
 	h.finish(h.outstanding[0], AttemptResult{Status: balancer.OK, Body: []byte("x")})
 	h.wantOneAnswer("run", Served)
 	h.answers = nil
@@ -234,7 +234,7 @@
 	}
 	id = h.claim("order", "gone")
 	h.core.CancelRequest(id)
-	if k.cancelledClaims != 1 {
-		t.Errorf("%d claims cancelled", k.cancelledClaims)
+	if failover.cancelledClaims != 1 {
+		t.Errorf("%d claims cancelled", failover.cancelledClaims)
 	}
 }
--- a/internal/core/purges.go
+++ b/internal/core/purges.go
@@ -53,7 +53,7 @@
 			c.excludeOlderCopies(r.attempt, p)
 		}
 	}
-	c.iteration.purges = append(c.iteration.purges, p)
+	c.iteration.pendingPurges = append(c.iteration.pendingPurges, p)
 }
 
 // excludeOlderCopies has an attempt ask for no copy from before a purge that covers it.
@@ -62,7 +62,7 @@
 		return
 	}
 	age := max(c.iteration.now-p.at-time.Microsecond, time.Microsecond)
-	if maxAge := cmp.Or(a.Decision.MaxAge, a.owner.policy.freshFor); maxAge == 0 || age < maxAge {
+	if maxAge := cmp.Or(a.Decision.MaxAge, a.owner.policy.freshnessLifetime); maxAge == 0 || age < maxAge {
 		a.Decision.MaxAge = age
 	}
 }
--- a/internal/core/purges_test.go
+++ b/internal/core/purges_test.go
@@ -38,7 +38,7 @@
 
 // Of the attempts of one decision, some may be sent only after a stall: a purge that came in meanwhile counts for
 // them, too.
-func TestPurgeBetweenTwoAttemptsOfOneDecision(t *testing.T) {
+func TestPurgeCoversLaterAttemptsOfSameDecision(t *testing.T) {
 	h := newHarness(t)
 	h.submit("page", 3*second)
 	first := h.outstanding[0]
--- a/internal/core/queries.go
+++ b/internal/core/queries.go
@@ -36,10 +36,10 @@
 		q.Reply(QueryResult{Rejected: true})
 		return
 	}
-	open := &query{EndpointQuery: q, id: c.NewID(), deadline: c.iteration.now + q.Timeout}
-	c.queries[open.id] = open
-	c.timers.add(timer{at: open.deadline, query: open})
-	c.startQuery(open)
+	pending := &query{EndpointQuery: q, id: c.NewID(), deadline: c.iteration.now + q.Timeout}
+	c.queries[pending.id] = pending
+	c.timers.add(timer{at: pending.deadline, query: pending})
+	c.startQuery(pending)
 }
 
 // startQuery hands a query to the module.
--- a/internal/core/requests.go
+++ b/internal/core/requests.go
@@ -28,16 +28,16 @@
 	deadline       time.Duration // the router answers by then
 	clientDeadline time.Duration // the client stops waiting; not before deadline
 
-	attempt     *Attempt      // the one that is open; nil: none is
-	mayHaveRun  bool          // an attempt may have run
-	firstSentAt time.Duration // and the first of these was sent then
+	attempt         *Attempt      // the one that is open; nil: none is
+	mayHaveRun      bool          // an attempt may have run
+	mayHaveRunSince time.Duration // and the first of these was sent then
 
 	reservation Reservation // of credit; nil: none
 
 	// Of an order that is replicated to other routers.
-	replicated         bool     // another router has a replica
-	awaitingPermission *Attempt // is written once the lease is granted
-	pendingRejection   Answer   // in state requestRejectionPending
+	replicated           bool     // another router has a replica
+	attemptAwaitingLease *Attempt // is written once the lease is granted
+	pendingRejection     Answer   // in state requestRejectionPending
 }
 
 // retryIsHarmless reports whether the client may be told that a retry of what has been sent so far does no harm.
@@ -61,8 +61,8 @@
 	delete(t.byTxn, r.Txn)
 }
 
-// rename puts a request under another txn.
-func (t *requestTable) rename(r *request, txn string) {
+// changeTxn puts a request under another txn.
+func (t *requestTable) changeTxn(r *request, txn string) {
 	delete(t.byTxn, r.Txn)
 	r.Txn = txn
 	t.byTxn[txn] = r
@@ -98,7 +98,7 @@
 	clientDeadline := arrived + min(q.Timeout, c.limits.LongestDeadline)
 	deadline := clientDeadline - c.limits.AnswerMargin
 	if c.lifecycle.shuttingDown() { // what is open as the process ends would be lost
-		deadline = min(deadline, c.lifecycle.answerBy(&c.limits))
+		deadline = min(deadline, c.lifecycle.shutdownDeadline(&c.limits))
 	}
 	switch {
 	case len(c.requests.open) >= c.limits.OpenRequests || c.lifecycle.state == stateClosed || c.DrainStage() >= RejectNew:
--- a/internal/core/requests_test.go
+++ b/internal/core/requests_test.go
@@ -33,8 +33,8 @@
 					h.finish(h.outstanding[0], AttemptResult{Status: s})
 				}
 			}
-			if len(h.answers) != 1 || h.maxAtOnce != 1 {
-				t.Errorf("%s, status %d: answers %+v, %d attempts at once", class, s, h.answers, h.maxAtOnce)
+			if len(h.answers) != 1 || h.maxConcurrent != 1 {
+				t.Errorf("%s, status %d: answers %+v, %d attempts at once", class, s, h.answers, h.maxConcurrent)
 			}
 			if class == "order" && !s.NeverRan() && (sent != 1 || h.answers[0].Verdict != Failed) {
 				t.Errorf("order, status %d: %d attempts, answers %+v; what may have run is not retried",
@@ -49,7 +49,7 @@
 	h := newHarness(t)
 	h.submitLate("page", second, second)
 	h.wantOneAnswer("too late", Rejected)
-	if h.maxAtOnce != 0 {
+	if h.maxConcurrent != 0 {
 		t.Error("it was forwarded")
 	}
 }
@@ -119,9 +119,9 @@
 				h.now += second // the time is up, too
 				h.core.RunOnce()
 				h.wait(2 * second)
-				if len(h.outstanding) > 0 || h.maxAtOnce > 1 {
+				if len(h.outstanding) > 0 || h.maxConcurrent > 1 {
 					t.Errorf("%s, status %d, cancelled first %v: %d attempts open, %d at once",
-						class, status, cancelFirst, len(h.outstanding), h.maxAtOnce)
+						class, status, cancelFirst, len(h.outstanding), h.maxConcurrent)
 				}
 				want := 0
 				if status == balancer.OK && !cancelFirst {
--- a/internal/core/rules.go
+++ b/internal/core/rules.go
@@ -11,11 +11,11 @@
 type rule string
 
 const (
-	ruleOneAnswer  rule = "one answer per request"
-	ruleOneAttempt rule = "one attempt at a time"
-	ruleDeadline   rule = "an attempt's deadline is its client's"
-	ruleOpen       rule = "no attempt for a request that is over"
-	ruleRetry      rule = "no retry of what may have run"
+	ruleOneAnswer   rule = "one answer per request"
+	ruleOneAttempt  rule = "one attempt at a time"
+	ruleDeadline    rule = "an attempt's deadline is its client's"
+	ruleOpenRequest rule = "no attempt for a request that is over"
+	ruleRetry       rule = "no retry of what may have run"
 )
 
 // deadlineSlack is how much longer than its client waits a page cache may be told that the router will wait, by the
@@ -35,12 +35,12 @@
 		c.reportViolation(ruleOneAttempt, r)
 	}
 	if !c.requests.isOpen(r) {
-		c.reportViolation(ruleOpen, r)
+		c.reportViolation(ruleOpenRequest, r)
 	}
 	if a.Timeout > r.clientDeadline-c.clock()+deadlineSlack {
 		c.reportViolation(ruleDeadline, r)
 	}
-	if r.mayHaveRun && !r.policy.mayRetry(a.sentAt-r.firstSentAt) {
+	if r.mayHaveRun && !r.policy.mayRetry(a.sentAt-r.mayHaveRunSince) {
 		c.reportViolation(ruleRetry, r)
 	}
 }
--- a/internal/core/rules_test.go
+++ b/internal/core/rules_test.go
@@ -20,7 +20,7 @@
 			h.core.AttemptWritten(a)
 		},
 		"a retry": func(h *harness, a *Attempt) {
-			a.owner.mayHaveRun, a.owner.firstSentAt = true, a.sentAt
+			a.owner.mayHaveRun, a.owner.mayHaveRunSince = true, a.sentAt
 			h.core.AttemptWritten(a)
 		},
 		"a request that is over": func(h *harness, a *Attempt) {
--- a/internal/core/stall.go
+++ b/internal/core/stall.go
@@ -35,8 +35,8 @@
 	return true
 }
 
-// recovered notes that all that came in during the latest stall has been read.
-func (m *stallMonitor) recovered(now time.Duration) {
+// endRecovery notes that all that came in during the latest stall has been read.
+func (m *stallMonitor) endRecovery(now time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.unreadUntil = min(m.unreadUntil, now)
--- a/internal/core/stall_test.go
+++ b/internal/core/stall_test.go
@@ -63,7 +63,7 @@
 // After a stall between a decision and the write, the watch events that came in meanwhile count for what is about
 // to be written. A purge excludes copies up to its own time, not up to the start of the iteration; a drain stops
 // the attempt.
-func TestWatchEventsOfStallCountBeforeWrite(t *testing.T) {
+func TestWatchEventsOfStallApplyBeforeWrite(t *testing.T) {
 	for _, event := range []string{"purge", "drain"} {
 		h := newHarness(t)
 		h.core.SetBacklogCheck(func() bool { return false })
--- a/internal/core/trace.go
+++ b/internal/core/trace.go
@@ -16,7 +16,7 @@
 func debugEnabled() bool { return slog.Default().Enabled(context.Background(), slog.LevelDebug) }
 
 func (c *Core) traceRequest(r *request) {
-	if c.trace {
+	if c.traceEnabled {
 		log.Debug("request received", logging.KeySequence, r.id, logging.KeyRequestID, r.Txn,
 			logging.KeyClass, r.Class, logging.KeyObject, r.ObjectText, logging.KeyPart, r.Part,
 			logging.KeyTimeout, r.deadline-c.iteration.now, logging.KeyRetry, r.Retry)
@@ -24,13 +24,13 @@
 }
 
 func (c *Core) traceRejected(q *Request, reason string) {
-	if c.trace {
+	if c.traceEnabled {
 		log.Debug("request rejected", logging.KeyRequestID, q.Txn, logging.KeyClass, q.Class, logging.KeyReason, reason)
 	}
 }
 
 func (c *Core) traceAttempt(a *Attempt) {
-	if c.trace {
+	if c.traceEnabled {
 		source := "none"
 		if a.Source != nil {
 			source = a.Source.ID
@@ -42,7 +42,7 @@
 }
 
 func (c *Core) traceAttemptEnd(a *Attempt, result AttemptResult) {
-	if c.trace {
+	if c.traceEnabled {
 		log.Debug("attempt ended", logging.KeySequence, a.owner.id, logging.KeyAttempt, a.Index,
 			logging.KeyStatus, result.Status, logging.KeyDetail, result.Detail,
 			logging.KeyDuration, c.iteration.now-a.sentAt, logging.KeySourceWait, result.SourceWait)
@@ -50,7 +50,7 @@
 }
 
 func (c *Core) traceAnswer(r *request, v Verdict) {
-	if c.trace {
+	if c.traceEnabled {
 		log.Debug("request answered", logging.KeySequence, r.id, logging.KeyVerdict, v,
 			logging.KeyDuration, c.iteration.now-r.acceptedAt)
 	}
