--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -12,8 +12,8 @@
 	"time"
 )
 
-// A stamp is never dated into the future, nor before the moment from which it is known not to be, however far the
-// clocks of the two machines are apart.
+// A stamp is never dated into the future, nor before the given earliest time, however far the clocks of the two
+// machines are apart.
 func TestStampDate(t *testing.T) {
 	const now, wall = 1000 * time.Hour, 500_000 * time.Hour
 	for _, c := range []struct {
@@ -35,24 +35,24 @@
 	}
 }
 
-// The monotonic clock goes on, and lies above 0 for a long time before the start.
+// The monotonic clock never goes back and is far above 0 at the start, and Wall agrees with the system's clock.
 func TestNowAndWall(t *testing.T) {
 	before := Now()
 	if after := Now(); after < before || before < 100*24*time.Hour {
-		t.Errorf("%v, then %v", before, after)
+		t.Errorf("monotonic clock read %v, then %v", before, after)
 	}
 	if d := Wall() - time.Duration(time.Now().UnixNano()); d.Abs() > time.Minute {
 		t.Errorf("the wall clock is off by %v", d)
 	}
 }
 
-// clockFuncs are functions and methods that read a wall clock or turn one into a number.
+// clockFuncs are the functions and methods that read a clock or convert a time to a Unix time.
 var clockFuncs = map[string]bool{
 	"UnixNano": true, "UnixMilli": true, "UnixMicro": true, "Unix": true,
 	"Now": true, "Since": true, "Until": true,
 }
 
-// No other package of the router, of the module or of the client library reads a clock of the machine by itself.
+// No other package of the router, the decision module or the client library reads a clock of the machine directly.
 func TestNoOtherPackageReadsAClock(t *testing.T) {
 	// The load tests are not part of the router.
 	roots := []string{"../../internal", "../../balancer", "../../cmd/hillknot", "../../cmd/hillknot-simulator", "../../client"}
@@ -73,7 +73,8 @@
 	}
 }
 
-// mayReadClock tells whether a file belongs to the clock package itself, or plays another party in tests.
+// mayReadClock reports whether a file belongs to the clock package itself, or to a package that plays another party
+// in tests.
 func mayReadClock(path string) bool {
 	dirs := []string{"internal/clock", "internal/testutil/faultnet", "internal/testutil/fakes", "internal/testutil/timeline"}
 	for _, dir := range dirs {
@@ -84,8 +85,8 @@
 	return false
 }
 
-// clockReads returns the places of a file that use package time to read a clock, or call a method that turns a
-// moment into Unix time.
+// clockReads returns the positions in a file that use package time to read a clock, or call a method that converts a
+// time to a Unix time.
 func clockReads(t *testing.T, path string) []string {
 	t.Helper()
 	var places []string
--- a/internal/core/attempts.go
+++ b/internal/core/attempts.go
@@ -8,7 +8,7 @@
 func (c *Core) sendAttempt(decision balancer.SendAttempt) {
 	r := c.requests.open[decision.ID]
 	if r == nil {
-		// The client left as this was decided. The module counts the attempt until it learns that it was not sent.
+		// The client left while the module decided. The module counts the attempt until it is told that it was not sent.
 		c.emit(balancer.Outcome{ID: decision.ID, Attempt: decision.Attempt, Endpoint: decision.Endpoint,
 			Status: balancer.NotSent, Answered: true})
 		return
@@ -54,10 +54,10 @@
 	return a
 }
 
-// Permit reports whether an attempt may be written now: balancer.OK, or how it ends instead. What was decided
-// before a connection came up may no longer hold: an endpoint may be draining, as target or as the source of a
-// fill; the client's time may be over, or the time within which page caches drop a duplicate. It also sets the
-// attempt's Timeout.
+// Permit returns balancer.OK if an attempt may be written now, and else the status and detail with which the attempt
+// ends. A decision from before a connection came up may no longer hold: an endpoint may be draining, as the target or
+// as the source of a fill; the client's time may be over, or the time within which page caches drop a duplicate.
+// Permit also sets the attempt's Timeout.
 func (c *Core) Permit(a *Attempt) (balancer.Status, balancer.Detail) {
 	c.applyLateWatchEvents()
 	now := c.clock()
@@ -76,10 +76,10 @@
 	return balancer.OK, balancer.NoDetail
 }
 
-// needsSource reports whether the decision has the endpoint fill its cache from another one.
+// needsSource reports whether the endpoint is to fill its cache from another endpoint.
 func (a *Attempt) needsSource() bool { return a.Decision.Source != a.Decision.Endpoint }
 
-// AttemptWritten counts an attempt that was written as a whole, and checks the rules on it.
+// AttemptWritten counts an attempt that was written in full, and checks it against the rules.
 func (c *Core) AttemptWritten(a *Attempt) {
 	c.stats.attemptsWritten++
 	c.checkWritten(a)
@@ -117,7 +117,7 @@
 	c.deliver(r, answer)
 }
 
-// reportOutcome tells the module how an attempt ended.
+// reportOutcome reports to the module how an attempt ended.
 func (c *Core) reportOutcome(a *Attempt, result AttemptResult) {
 	c.emit(balancer.Outcome{
 		ID:         a.owner.id,
@@ -131,7 +131,8 @@
 	})
 }
 
-// abandonAttempt ends an attempt that is open. One that awaits its lease has surely not run.
+// abandonAttempt cancels an open attempt and ends it with the given status, or with balancer.NotSent if it awaits its
+// lease, as it has surely not run then.
 func (c *Core) abandonAttempt(a *Attempt, status balancer.Status) {
 	c.upstream.Cancel(a)
 	if a.owner.attemptAwaitingLease == a {
--- a/internal/core/lifecycle.go
+++ b/internal/core/lifecycle.go
@@ -6,32 +6,32 @@
 	"hillknot/internal/config"
 )
 
-// Phase is what the router as a whole is doing. All front ends report the same one.
+// Phase is the state of the router as a whole. All front ends report the same phase.
 type Phase uint8
 
 // The phases.
 const (
 	Starting     Phase = iota // the endpoint list is not known yet, or the predecessor has not handed over
-	Serving                   // clients are welcome
-	Standby                   // drained at an operator's request; it can serve again
-	ShuttingDown              // the process ends
+	Serving                   // the router is ready for clients
+	Standby                   // drained at an operator's request; the router can serve again
+	ShuttingDown              // the process is about to end
 )
 
 // String returns the word that the health checks and the admin interface use for the phase.
 func (p Phase) String() string { return [...]string{"starting", "serving", "standby", "ending"}[p] }
 
-// lifecycleState is a state of the life cycle. It is finer than the Phase that others see.
+// lifecycleState is a state of the life cycle. It has more values than the Phase that others see.
 type lifecycleState uint8
 
 const (
-	stateStarting     lifecycleState = iota // not ready until no startBlocker is left; requests are taken all the same
+	stateStarting     lifecycleState = iota // not ready while a startBlocker is set; requests are taken all the same
 	stateServing                            // ready
-	stateStandby                            // not ready; clients are drained, and requests taken until stage RejectNew
-	stateShuttingDown                       // the same where a successor is ready; else requests are taken to the end
+	stateStandby                            // not ready; clients are drained, and requests are taken until stage RejectNew
+	stateShuttingDown                       // like standby if a successor is ready; otherwise requests are taken to the end
 	stateClosed                             // nothing is open, and every request is rejected
 )
 
-// phase is what others are told of a state.
+// phase returns the phase that others see in a state.
 func (s lifecycleState) phase() Phase {
 	return [...]Phase{Starting, Serving, Standby, ShuttingDown, ShuttingDown}[s]
 }
@@ -40,8 +40,8 @@
 type startBlocker uint8
 
 const (
-	endpointsUnknown  startBlocker = 1 << iota // no endpoint list has come in yet
-	predecessorActive                          // the process before this one has not handed over yet
+	endpointsUnknown  startBlocker = 1 << iota // no endpoint has been listed yet
+	predecessorActive                          // the predecessor of this process has not handed over yet
 )
 
 // lifecycle is the life cycle of the router:
@@ -54,8 +54,8 @@
 type lifecycle struct {
 	state          lifecycleState
 	blockers       startBlocker
-	drainingSince  time.Duration // when draining began, on the core's clock; 0: it has not
-	successorReady bool          // another process takes new connections
+	drainingSince  time.Duration // when draining began, on the core's clock; 0: not draining
+	successorReady bool          // a successor takes new connections
 }
 
 func newLifecycle() lifecycle { return lifecycle{blockers: endpointsUnknown} }
@@ -66,13 +66,14 @@
 	l.applyBlockers()
 }
 
-// unblock drops a reason not to serve yet.
+// unblock removes a reason not to serve yet.
 func (l *lifecycle) unblock(reason startBlocker) {
 	l.blockers &^= reason
 	l.applyBlockers()
 }
 
-// applyBlockers has the router start or serve by what blocks it. On standby and in shutdown this does not matter.
+// applyBlockers sets the state to starting if any blocker is set, and to serving otherwise. It changes nothing on
+// standby and in a shutdown.
 func (l *lifecycle) applyBlockers() {
 	switch {
 	case l.state == stateStandby || l.shuttingDown():
@@ -83,8 +84,8 @@
 	}
 }
 
-// enterStandby begins to drain at an operator's request. It reports whether anything changed: a router that is on
-// standby or shutting down stays so.
+// enterStandby begins to drain at an operator's request. It reports whether the state changed: a router that is on
+// standby or shutting down keeps its state.
 func (l *lifecycle) enterStandby(now time.Duration) bool {
 	if l.state == stateStandby || l.shuttingDown() {
 		return false
@@ -93,7 +94,7 @@
 	return true
 }
 
-// leaveStandby has the router take clients again. It reports whether it does: one that shuts down does not.
+// leaveStandby has the router take clients again. It reports whether the router does: one that shuts down does not.
 func (l *lifecycle) leaveStandby() bool {
 	if l.shuttingDown() {
 		return false
@@ -103,7 +104,7 @@
 	return true
 }
 
-// beginShutdown begins to drain for good, since a time that may be over.
+// beginShutdown begins to drain for good. Draining counts from since, which may lie in the past.
 func (l *lifecycle) beginShutdown(since time.Duration) {
 	if l.state != stateClosed {
 		l.state = stateShuttingDown
@@ -111,7 +112,7 @@
 	l.drainingSince = since
 }
 
-// close ends a shutdown, once nothing is open any more.
+// close ends a shutdown. It is called once nothing is open any more.
 func (l *lifecycle) close() {
 	if l.state == stateShuttingDown {
 		l.state = stateClosed
@@ -122,8 +123,8 @@
 	return l.state == stateShuttingDown || l.state == stateClosed
 }
 
-// shutdownDeadline is when what is open must have ended, in a router that shuts down: the platform kills the process soon
-// after.
+// shutdownDeadline returns the time by which the open requests of a router that shuts down must be answered: the
+// platform kills the process soon after it.
 func (l *lifecycle) shutdownDeadline(limits *config.Limits) time.Duration {
 	return l.drainingSince + limits.ShutdownTimeout - limits.ShutdownAnswerMargin
 }
@@ -134,14 +135,14 @@
 // ReleaseStart ends HoldStart.
 func (c *Core) ReleaseStart() { c.lifecycle.unblock(predecessorActive) }
 
-// EnterStandby drains the router: it goes on answering while its clients leave.
+// EnterStandby drains the router, which goes on answering while its clients leave.
 func (c *Core) EnterStandby() {
 	if c.lifecycle.enterStandby(c.iteration.now) {
-		c.publish() // whoever asked for it is answered before the loop's iteration is over
+		c.publish() // the operator's request is answered before this iteration of the loop ends
 	}
 }
 
-// LeaveStandby has the router take clients again. It reports whether it does: one that shuts down does not.
+// LeaveStandby has the router take clients again. It reports whether the router does: one that shuts down does not.
 func (c *Core) LeaveStandby() bool {
 	if !c.lifecycle.leaveStandby() {
 		return false
@@ -150,8 +151,8 @@
 	return true
 }
 
-// SetSuccessorReady tells the core whether a successor takes new connections. A router that has one drains its
-// clients as it shuts down, and spends none of the budgets that routers share.
+// SetSuccessorReady sets whether a successor takes new connections. A router that has one drains its clients as it
+// shuts down, and spends nothing of the budgets that routers share.
 func (c *Core) SetSuccessorReady(ready bool) {
 	c.lifecycle.successorReady = ready
 	if c.extensions.cluster != nil {
@@ -159,15 +160,16 @@
 	}
 }
 
-// BeginShutdown marks the router as shutting down since a time; it goes on answering. What is open ends, answered,
-// before the platform may kill the process: a request whose client waits longer than that would be lost.
+// BeginShutdown marks the router as shutting down since a time. The router goes on answering. Each open request is
+// answered before the platform may kill the process, as a request whose client waits longer than that would be lost.
 func (c *Core) BeginShutdown(since time.Duration) {
 	c.lifecycle.beginShutdown(since)
 	c.advanceDeadlines(c.lifecycle.shutdownDeadline(&c.limits))
 }
 
-// CloseIfNothingOpen reports whether nothing is open, and if so has the core reject every request from then on: a router
-// that ends writes its last answers, and what came in meanwhile could get none. It is called after BeginShutdown.
+// CloseIfNothingOpen has the core reject every request from then on if nothing is open, and reports whether it does. The
+// router then writes its last answers and ends, and a request that came in meanwhile could get no answer. It is called
+// after BeginShutdown.
 func (c *Core) CloseIfNothingOpen() bool {
 	if c.OpenCount() == 0 {
 		c.lifecycle.close()
@@ -181,28 +183,28 @@
 // The stages, in their order.
 const (
 	NotDraining        DrainStage = iota
-	CloseAfterResponse            // a connection closes right after the answer after which none is owed on it
-	CloseIdle                     // so do those that idle
-	RejectNew                     // no request is taken
-	CloseAll                      // no connection stays on which no answer is owed
+	CloseAfterResponse            // a connection closes right after an answer if it owes no other
+	CloseIdle                     // idle connections close as well
+	RejectNew                     // new requests are rejected
+	CloseAll                      // every connection that owes no answer closes
 )
 
 // DrainStage returns how far the router has got in draining its clients. It may be called on any goroutine. A
-// router that shuts down without a successor keeps its connections up to its end: its clients have nobody else to
-// call.
+// router that shuts down without a successor keeps its connections until it ends, as its clients have no other router
+// to call.
 func (c *Core) DrainStage() DrainStage {
 	s := c.stats.snapshot.Load()
 	drainingFor := c.clock() - s.DrainingSince
 	switch {
 	case s.Phase == ShuttingDown && s.HasSuccessor:
-		return drainStage(drainingFor+c.limits.DrainCloseAfterResponse, &c.limits) // the successor has the new connections already
+		return drainStage(drainingFor+c.limits.DrainCloseAfterResponse, &c.limits) // the successor already takes the new connections
 	case s.Phase == Standby:
 		return drainStage(drainingFor, &c.limits)
 	}
 	return NotDraining
 }
 
-// drainStage is the stage of a router that has drained for some time.
+// drainStage returns the stage of a router that has been draining for the given time.
 func drainStage(drainingFor time.Duration, limits *config.Limits) DrainStage {
 	switch {
 	case drainingFor >= limits.DrainCloseAll:
--- a/internal/core/loop.go
+++ b/internal/core/loop.go
@@ -18,7 +18,7 @@
 			return
 		}
 		checkedAt, _ := c.awaitBacklog()
-		wait := c.limits.LoopInterval // an idle loop iterates too: this is how a stall shows
+		wait := c.limits.LoopInterval // an idle loop iterates too, so that a stall is detected
 		if next, pending := c.iterate(checkedAt); pending {
 			wait = min(wait, max(next-c.clock(), 0))
 		}
@@ -26,10 +26,12 @@
 	}
 }
 
-// RunOnce runs one iteration of the loop. It returns when the next timer is due, if any is pending.
+// RunOnce runs one iteration of the loop. It returns the time at which the next timer is due, and
+// whether any timer is pending.
 func (c *Core) RunOnce() (next time.Duration, pending bool) { return c.iterate(c.clock()) }
 
-// iterate is RunOnce where the loop looked for a stall of the process at a time that may be some while ago.
+// iterate is RunOnce for a caller that last checked for a stall of the process at checkedAt, which may lie some time
+// in the past.
 func (c *Core) iterate(checkedAt time.Duration) (next time.Duration, pending bool) {
 	c.iteration.now = c.clock()
 	c.stalls.tick(checkedAt)
@@ -50,11 +52,11 @@
 	return c.timers.next()
 }
 
-// decide hands the events to the module and carries out its actions, until no more events come of them.
+// decide passes the events to the module and carries out its actions, until the actions cause no more events.
 func (c *Core) decide() {
 	for len(c.iteration.events) > 0 {
 		events := c.iteration.events
-		c.iteration.events, c.iteration.pendingPurges = nil, c.iteration.pendingPurges[:0] // the module knows these purges now
+		c.iteration.events, c.iteration.pendingPurges = nil, c.iteration.pendingPurges[:0] // the module gets these purges with the events
 		for _, action := range c.module.Handle(c.iteration.now, events...) {
 			c.execute(action)
 		}
@@ -83,10 +85,10 @@
 	}
 }
 
-// awaitBacklog waits, for a bounded time, until what came in during a stall of the process is handed on. Such input
-// waits in sockets, which are read in no set order: a request must not overtake the purge that discovery sent
-// before it, nor an attempt the end of the client that it is for. It reports whether there was a stall, and at
-// which time it had looked: a stall after that is yet to be seen.
+// awaitBacklog waits, for a bounded time, until the input that came in during a stall of the process has been passed
+// on. Such input waits in sockets, which are read in no set order: a request must not overtake a purge that discovery
+// sent before it, and an attempt must not be sent before the departure of its client is read. awaitBacklog returns the
+// time of its last check, and whether there was a stall. A stall after that time is not detected yet.
 func (c *Core) awaitBacklog() (checkedAt time.Duration, stalled bool) {
 	now := c.clock()
 	if !c.stalls.detect(now) || c.hasBacklog == nil {
@@ -102,14 +104,14 @@
 	return now, true
 }
 
-// applyLateWatchEvents takes the watch events that came in during a stall in the middle of an iteration: what was
-// decided before it is about to be written.
+// applyLateWatchEvents applies the watch events that came in during a stall in the middle of an iteration. It is called
+// right before an attempt that was decided earlier is written.
 func (c *Core) applyLateWatchEvents() {
 	checkedAt, stalled := c.awaitBacklog()
 	if !stalled {
 		return
 	}
-	c.iteration.now = c.clock() // the events would else lie in the future of this iteration
+	c.iteration.now = c.clock() // otherwise the events would lie after the time of this iteration
 	c.stalls.tick(checkedAt)
 	for _, f := range c.queue.takeWatchEvents() {
 		f()
--- a/internal/core/orders.go
+++ b/internal/core/orders.go
@@ -15,36 +15,36 @@
 // Its methods are called on the core's goroutine, and none may block. It reports back there by
 // SendPermissionGranted, SendPermissionDenied, ClaimGranted, ClaimAnswered, ReplicaDropped and ReplicaNotDropped.
 type OrderFailover interface {
-	// Replicate takes an order that has some time left. After an error no other router has a replica, and it is
-	// rejected.
+	// Replicate replicates an order whose deadline is the given time away. After an error no other router has a
+	// replica, and the order is rejected.
 	Replicate(q *Request, left time.Duration) error
-	// Claim asks what became of the order that a request resumes. ClaimGranted or ClaimAnswered follows.
+	// Claim asks for the outcome of the order that a request resumes. ClaimGranted or ClaimAnswered follows.
 	Claim(id balancer.RequestID, q *Request, left time.Duration)
-	// CancelClaim ends a claim that nobody waits for any more.
+	// CancelClaim ends a claim whose client no longer waits.
 	CancelClaim(id balancer.RequestID)
-	// RequestSendPermission asks whether an order may be written, under the lease of this router.
+	// RequestSendPermission requests the permission to write an order, under the lease of this router.
 	// SendPermissionGranted or SendPermissionDenied follows.
 	RequestSendPermission(txn string)
-	// UseSendPermission reports whether the order may be written now. Where it is, the caller writes the order at once.
+	// UseSendPermission reports whether the order may be written now. If so, the caller writes it at once.
 	UseSendPermission(txn string) bool
-	// Finish takes the answer that an order's client is about to get. Where it returns true the answer, a
-	// rejection, is held back until ReplicaDropped or ReplicaNotDropped.
+	// Finish takes the answer that the client of an order is about to get. If it returns true, the answer is a
+	// rejection, and is held back until ReplicaDropped or ReplicaNotDropped.
 	Finish(txn string, a Answer, mayHaveRun bool) (hold bool)
-	// StopWaiting ends the wait for what Finish holds back.
+	// StopWaiting ends the wait for ReplicaDropped or ReplicaNotDropped, for a rejection that Finish held back.
 	StopWaiting(txn string)
 	// Cancel ends an order whose client no longer waits.
 	Cancel(txn string, mayHaveRun bool)
-	// Flush sends what is ready. It is called at the end of each iteration of the loop.
+	// Flush sends the messages that are ready. It is called at the end of each iteration of the loop.
 	Flush()
-	// Metrics returns figures for operators.
+	// Metrics returns the figures of order failover for operators.
 	Metrics() []Metric
 }
 
-// SetOrderFailover has orders outlive this router. It is called once.
+// SetOrderFailover sets the extension by which orders outlive this router. It is called once.
 func (c *Core) SetOrderFailover(orders OrderFailover) { c.extensions.orders = orders }
 
-// replicateOrder replicates an order, and reports whether it goes on. One that no router takes a replica of is
-// rejected.
+// replicateOrder replicates a request if it is an order, and reports whether the request goes on. An order is rejected
+// if no router takes a replica of it.
 func (c *Core) replicateOrder(r *request) bool {
 	if c.extensions.orders == nil || !r.policy.nonIdempotent {
 		return true
@@ -58,8 +58,8 @@
 	return true
 }
 
-// claimOrder asks what became of an order whose router the client has lost. To run it anew without an answer could
-// run it twice.
+// claimOrder asks for the outcome of an order whose router the client has lost. Starting the order again without that
+// answer could run it twice, so it fails if there is no order failover.
 func (c *Core) claimOrder(r *request) {
 	if c.extensions.orders == nil {
 		c.answer(r, failedAnswer)
@@ -77,14 +77,14 @@
 	}
 }
 
-// ClaimGranted reports that a claimed order is this router's to run, under the txn that it had.
+// ClaimGranted reports that this router may run a claimed order, under the txn that the order had.
 func (c *Core) ClaimGranted(id balancer.RequestID) {
 	r := c.requests.claiming(id)
 	if r == nil {
 		return
 	}
 	r.state = requestPending
-	if c.requests.byTxn[r.ResumesTxn] != nil { // it is open here already, which the claim would have found
+	if c.requests.byTxn[r.ResumesTxn] != nil { // the order is open here already, which the claim would have found
 		c.answer(r, failedAnswer)
 		return
 	}
@@ -93,9 +93,9 @@
 	c.startRequest(r)
 }
 
-// AcquireSendPermission reports whether an attempt may be written as far as other routers must know of it first. Where it
-// returns false, the attempt is sent anew once the lease is granted. An attempt of a request that is not replicated
-// needs no lease.
+// AcquireSendPermission reports whether this router has the lease that it needs to write an attempt. If it returns
+// false, the attempt is sent again once the lease is granted. An attempt of a request that is not replicated needs no
+// lease, as other routers need not know of it first.
 func (c *Core) AcquireSendPermission(a *Attempt) bool {
 	r := a.owner
 	if !r.replicated || c.extensions.orders.UseSendPermission(r.Txn) {
@@ -115,8 +115,8 @@
 	}
 }
 
-// SendPermissionDenied reports that an order may not be written any more, and whether it surely has run on no other router
-// either.
+// SendPermissionDenied reports that an order may no longer be written. neverRan states that the order has surely not run
+// on another router either.
 func (c *Core) SendPermissionDenied(txn string, neverRan bool, err error) {
 	r := c.requests.byTxn[txn]
 	if r == nil {
@@ -124,7 +124,7 @@
 	}
 	log.Warn("order lease denied", logging.KeyRequestID, txn, operatorhint.Attr(err))
 	c.emit(balancer.ClientAborted{ID: r.id})
-	r.replicated = false // the other routers have finished it already
+	r.replicated = false // the other routers have finished the order already
 	a := failedAnswer
 	if neverRan && !r.mayHaveRun {
 		a = c.rejection()
@@ -132,9 +132,10 @@
 	c.answer(r, a)
 }
 
-// finishOrder takes the answer that a request's client is about to get, and returns the one that it may get now, if there is
-// one. A rejection of a replicated order is held back for a bounded time, until no other router can run the order. Where the
-// request's time is over, nobody is waited for: the order fails, as its replica may have it.
+// finishOrder takes the answer that the client of a request is about to get. It returns the answer to deliver now, and
+// whether there is one. A rejection of a replicated order is held back for a bounded time, until no other router can run
+// the order. Once the request's deadline is over there is no wait: the order fails, as a router with its replica may run
+// it.
 func (c *Core) finishOrder(r *request, a Answer) (now Answer, ok bool) {
 	if !r.replicated || !c.extensions.orders.Finish(r.Txn, a, r.mayHaveRun) {
 		return a, true
@@ -144,7 +145,7 @@
 		return failedAnswer, true
 	}
 	r.state, r.pendingRejection = requestRejectionPending, a
-	c.requests.add(r) // its deadline ends the wait, too
+	c.requests.add(r) // its deadline ends the wait as well
 	c.Schedule(c.iteration.now+c.limits.OrderReleaseDelay, func() {
 		if c.requests.isOpen(r) {
 			c.failPendingRejection(r)
@@ -153,7 +154,8 @@
 	return Answer{}, false
 }
 
-// ReplicaDropped reports that no other router runs an order whose rejection is held back: the client gets it.
+// ReplicaDropped reports that no other router runs an order whose rejection is held back. The client gets the
+// rejection.
 func (c *Core) ReplicaDropped(txn string) {
 	if r := c.requests.withPendingRejection(txn); r != nil {
 		c.requests.remove(r)
@@ -161,7 +163,7 @@
 	}
 }
 
-// ReplicaNotDropped reports that another router may run an order whose rejection is held back: the order fails
+// ReplicaNotDropped reports that another router may run an order whose rejection is held back. The order fails
 // instead.
 func (c *Core) ReplicaNotDropped(txn string) {
 	if r := c.requests.withPendingRejection(txn); r != nil {
@@ -169,15 +171,15 @@
 	}
 }
 
-// failPendingRejection fails an order whose rejection is held back, as nobody confirmed that no other router runs
-// it.
+// failPendingRejection fails an order whose rejection is held back, because it is not confirmed that no other router
+// runs it.
 func (c *Core) failPendingRejection(r *request) {
 	c.extensions.orders.StopWaiting(r.Txn)
 	c.requests.remove(r)
 	c.deliver(r, failedAnswer)
 }
 
-// cancelOrder tells the other routers that the client of a request no longer waits.
+// cancelOrder informs order failover that the client of a request no longer waits.
 func (c *Core) cancelOrder(r *request) {
 	switch {
 	case r.state == requestClaiming:
--- a/internal/core/queue.go
+++ b/internal/core/queue.go
@@ -2,23 +2,22 @@
 
 import "sync"
 
-// eventQueue takes calls for the loop's goroutine from all others. Any goroutine may call its methods.
+// eventQueue queues the calls that other goroutines post to the loop's goroutine. Any goroutine may call its methods.
 type eventQueue struct {
-	wake chan struct{} // holds one token where something has come in since the loop last looked
+	wake chan struct{} // holds one token if calls have come in since the loop last woke up
 
 	mu          sync.Mutex
-	watchEvents []func() // of discovery; they come before the calls of the same iteration
+	watchEvents []func() // of discovery; they run before the calls of the same iteration
 	calls       []func()
 }
 
 func newEventQueue() eventQueue { return eventQueue{wake: make(chan struct{}, 1)} }
 
-// Post has f called on the core's goroutine, in the order of the posts. Any goroutine may call it.
+// Post has f called on the core's goroutine, in the order of the calls of Post. Any goroutine may call it.
 func (c *Core) Post(f func()) { c.queue.post(&c.queue.calls, f) }
 
-// PostWatchEvent is Post for a watch event of discovery: it comes before all other calls of the iteration that
-// takes it, so that no request is decided by an endpoint list or a cached copy that is known to be outdated. Any
-// goroutine may call it.
+// PostWatchEvent is Post for a watch event of discovery. f runs before all other calls of the same iteration, so that
+// no request is decided by an endpoint list or a cached copy that is known to be outdated. Any goroutine may call it.
 func (c *Core) PostWatchEvent(f func()) { c.queue.post(&c.queue.watchEvents, f) }
 
 func (q *eventQueue) post(to *[]func(), f func()) {
@@ -27,11 +26,11 @@
 	q.mu.Unlock()
 	select {
 	case q.wake <- struct{}{}:
-	default: // the loop is about to look already
+	default: // the loop is about to wake up already
 	}
 }
 
-// takeAll returns what has come in, watch events first.
+// takeAll removes and returns all queued calls, watch events first.
 func (q *eventQueue) takeAll() []func() {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -40,7 +39,7 @@
 	return all
 }
 
-// takeWatchEvents returns the watch events that have come in.
+// takeWatchEvents removes and returns the queued watch events.
 func (q *eventQueue) takeWatchEvents() []func() {
 	q.mu.Lock()
 	defer q.mu.Unlock()
--- a/internal/core/requests.go
+++ b/internal/core/requests.go
@@ -8,12 +8,12 @@
 	"hillknot/balancer"
 )
 
-// requestState is where an open request stands.
+// requestState is the state of a request.
 type requestState uint8
 
 const (
-	requestPending          requestState = iota // the module has it, or is about to
-	requestClaiming                             // other routers are asked what became of the order that it resumes
+	requestPending          requestState = iota // the module has it, or is about to get it
+	requestClaiming                             // other routers are asked for the outcome of the order that it resumes
 	requestRejectionPending                     // its rejection is held back until no other router can run it
 	requestAnswered                             // its client has been answered
 )
@@ -26,27 +26,27 @@
 	state          requestState
 	acceptedAt     time.Duration
 	deadline       time.Duration // the router answers by then
-	clientDeadline time.Duration // the client stops waiting; not before deadline
+	clientDeadline time.Duration // the client stops waiting then; not before deadline
 
-	attempt         *Attempt      // the one that is open; nil: none is
+	attempt         *Attempt      // the attempt that is open; nil: none
 	mayHaveRun      bool          // an attempt may have run
-	mayHaveRunSince time.Duration // and the first of these was sent then
+	mayHaveRunSince time.Duration // when the first attempt that may have run was sent
 
-	reservation Reservation // of credit; nil: none
+	reservation Reservation // credit set aside; nil: none
 
-	// Of an order that is replicated to other routers.
+	// The fields below are set for an order that is replicated to other routers.
 	replicated           bool     // another router has a replica
-	attemptAwaitingLease *Attempt // is written once the lease is granted
-	pendingRejection     Answer   // in state requestRejectionPending
+	attemptAwaitingLease *Attempt // is sent again once the lease is granted; nil: none
+	pendingRejection     Answer   // the rejection held back in state requestRejectionPending
 }
 
-// retryIsHarmless reports whether the client may be told that a retry of what has been sent so far does no harm.
+// retryIsHarmless reports whether the client may be told that a retry does no harm, given the attempts sent so far.
 func (r *request) retryIsHarmless() bool { return !r.policy.nonIdempotent || !r.mayHaveRun }
 
 // requestTable holds the open requests.
 type requestTable struct {
 	open   map[balancer.RequestID]*request
-	byTxn  map[string]*request // the same: page caches and other routers know a request by its txn
+	byTxn  map[string]*request // the same requests: page caches and other routers know a request by its txn
 	lastID atomic.Uint64       // any goroutine
 }
 
@@ -61,7 +61,7 @@
 	delete(t.byTxn, r.Txn)
 }
 
-// changeTxn puts a request under another txn.
+// changeTxn gives an open request another txn.
 func (t *requestTable) changeTxn(r *request, txn string) {
 	delete(t.byTxn, r.Txn)
 	r.Txn = txn
@@ -70,7 +70,7 @@
 
 func (t *requestTable) isOpen(r *request) bool { return t.open[r.id] == r }
 
-// withPendingRejection returns the request with a txn whose rejection is held back, or nil.
+// withPendingRejection returns the request with the given txn if its rejection is held back, and nil otherwise.
 func (t *requestTable) withPendingRejection(txn string) *request {
 	if r := t.byTxn[txn]; r != nil && r.state == requestRejectionPending {
 		return r
@@ -78,7 +78,7 @@
 	return nil
 }
 
-// claiming returns the request with an id that awaits what becomes of its claim, or nil.
+// claiming returns the request with the given id if it awaits the result of its claim, and nil otherwise.
 func (t *requestTable) claiming(id balancer.RequestID) *request {
 	if r := t.open[id]; r != nil && r.state == requestClaiming {
 		return r
@@ -86,18 +86,18 @@
 	return nil
 }
 
-// NewID returns an id that no other request of this process has. Any goroutine may call it.
+// NewID returns an id that no other request or endpoint query of this process has. Any goroutine may call it.
 func (c *Core) NewID() balancer.RequestID { return balancer.RequestID(c.requests.lastID.Add(1)) }
 
 // OpenCount returns how many requests and endpoint queries await their answer.
 func (c *Core) OpenCount() int { return len(c.requests.open) + len(c.queries) }
 
-// Submit takes a request, which is answered by its Reply exactly once, unless it is cancelled first.
+// Submit takes a request. Its Reply is called with the answer exactly once, unless the request is cancelled first.
 func (c *Core) Submit(id balancer.RequestID, q Request) {
 	arrived := cmp.Or(min(q.ArrivedAt, c.iteration.now), c.iteration.now)
 	clientDeadline := arrived + min(q.Timeout, c.limits.LongestDeadline)
 	deadline := clientDeadline - c.limits.AnswerMargin
-	if c.lifecycle.shuttingDown() { // what is open as the process ends would be lost
+	if c.lifecycle.shuttingDown() { // a request that is open when the process ends would be lost
 		deadline = min(deadline, c.lifecycle.shutdownDeadline(&c.limits))
 	}
 	switch {
@@ -107,7 +107,7 @@
 	case deadline <= c.iteration.now:
 		c.rejectNew(&q, "no time left", Answer{Verdict: Rejected})
 		return
-	case c.requests.byTxn[q.Txn] != nil: // page caches could not tell the two apart
+	case c.requests.byTxn[q.Txn] != nil: // page caches could not tell the two requests apart
 		c.rejectNew(&q, "duplicate txn", Answer{Verdict: Failed, Reason: ReasonBadRequest})
 		return
 	}
@@ -129,7 +129,7 @@
 	c.startRequest(r)
 }
 
-// rejection is the answer that asks the client to stay away for as long as the settings allow.
+// rejection returns a rejection that asks the client to stay away for as long as the settings allow.
 func (c *Core) rejection() Answer {
 	return Answer{Verdict: Rejected, RetryAfter: c.policy.maxRetryAfter}
 }
@@ -140,7 +140,8 @@
 	c.reply(q, a)
 }
 
-// startRequest hands a request to the module.
+// startRequest passes a request to the module, after setting aside its credit and replicating it if it is an order. If
+// either of these fails, the request has been answered instead.
 func (c *Core) startRequest(r *request) {
 	if !c.reserveCredit(r) || !c.replicateOrder(r) {
 		return
@@ -173,8 +174,9 @@
 	c.cancelOrder(r)
 }
 
-// AbortRequest answers a request at once that is not worth any more work: its client breaks the protocol. It is
-// rejected where it surely has not run, or may run again, and failed else. An unknown id is ignored.
+// AbortRequest answers a request at once, because its client breaks the protocol and the request is not worth any more
+// work. The request is rejected if it surely has not run or may run again, and fails otherwise. An unknown id is
+// ignored, and so is a request whose rejection is held back.
 func (c *Core) AbortRequest(id balancer.RequestID) {
 	r := c.requests.open[id]
 	if r == nil || r.state == requestRejectionPending {
@@ -188,7 +190,7 @@
 	c.answer(r, a)
 }
 
-// advanceDeadlines has every open request answered no later than at a time.
+// advanceDeadlines moves the deadline of every open request to latest, unless it is earlier already.
 func (c *Core) advanceDeadlines(latest time.Duration) {
 	for _, r := range c.requests.open {
 		if r.deadline > latest {
@@ -198,8 +200,8 @@
 	}
 }
 
-// expireRequest answers a request whose deadline has come. The module has the first word, once it knows that the
-// attempt timed out.
+// expireRequest answers a request whose deadline has come. An open attempt times out first, and the module then decides
+// on the answer; if it does not answer the request, answerOverdue does.
 func (c *Core) expireRequest(r *request) {
 	if c.requests.isOpen(r) && r.attempt != nil {
 		c.timeOutAttempt(r.attempt)
@@ -210,7 +212,7 @@
 	}
 }
 
-// answerOverdue answers a request in place of the module, which did not: no request may go without an answer.
+// answerOverdue answers a request that the module left without an answer at its deadline: every request must get one.
 func (c *Core) answerOverdue(r *request) {
 	if r.state == requestRejectionPending {
 		c.failPendingRejection(r)
@@ -224,8 +226,8 @@
 	c.answer(r, a)
 }
 
-// answer gives the final answer; nil and what is held back are left alone. An attempt that is still open is
-// cancelled first.
+// answer gives the final answer to a request. It ignores nil and a request whose rejection is held back. An attempt
+// that is still open is cancelled first.
 func (c *Core) answer(r *request, a Answer) {
 	if r == nil || r.state == requestRejectionPending {
 		return
@@ -239,7 +241,7 @@
 	}
 }
 
-// deliver hands the final answer to the client.
+// deliver settles the credit of a request and passes its final answer to the client.
 func (c *Core) deliver(r *request, a Answer) {
 	served := a.Verdict == Served || a.Verdict == NotModified
 	c.settleCredit(r, served || r.mayHaveRun, len(a.Body))
@@ -249,7 +251,7 @@
 	c.reply(&r.Request, a)
 }
 
-// reply hands an answer to whoever submitted a request, and counts it.
+// reply passes an answer to the submitter of a request, and counts it.
 func (c *Core) reply(q *Request, a Answer) {
 	c.CountAnswer(q.Class, q.Reply(a))
 }
--- a/internal/core/timers.go
+++ b/internal/core/timers.go
@@ -7,8 +7,8 @@
 	"hillknot/balancer"
 )
 
-// timer is due at a time for one of: a call, a query's time-out, an attempt's time-out, a request's deadline, or,
-// where all these are nil, a token of the module.
+// timer is due at a time, for one of: a call, a query's timeout, an attempt's timeout, a request's deadline or, if all
+// of these are nil, a token of the module.
 type timer struct {
 	at      time.Duration
 	call    func()
@@ -23,7 +23,7 @@
 
 func (t *timers) add(pending timer) { heap.Push(t, pending) }
 
-// next returns when the earliest timer is due, if any is pending.
+// next returns the time at which the earliest timer is due, and whether any timer is pending.
 func (t timers) next() (at time.Duration, pending bool) {
 	if len(t) == 0 {
 		return 0, false
@@ -31,7 +31,7 @@
 	return t[0].at, true
 }
 
-// popDue removes and returns the earliest timer, if it is due.
+// popDue removes and returns the earliest timer if it is due, and reports whether it is.
 func (t *timers) popDue(now time.Duration) (earliest timer, due bool) {
 	if len(*t) == 0 || (*t)[0].at > now {
 		return timer{}, false
@@ -55,12 +55,12 @@
 func (t *timers) Pop() any {
 	old := *t
 	last := old[len(old)-1]
-	old[len(old)-1] = timer{} // else the array would keep what it refers to alive
+	old[len(old)-1] = timer{} // otherwise the array would keep the timer's references alive
 	*t = old[:len(old)-1]
 	return last
 }
 
-// fire does what a timer is due for.
+// fire carries out the action of a timer that is due.
 func (c *Core) fire(t timer) {
 	switch {
 	case t.call != nil:
