--- a/internal/core/cluster.go
+++ b/internal/core/cluster.go
@@ -7,28 +7,28 @@
 	"hillknot/internal/cluster/state"
 )
 
-// ClusterSettings sets up the state that the routers of a cluster share.
+// ClusterSettings are the settings of the state that the routers of a cluster share.
 type ClusterSettings struct {
 	State   state.Settings
 	WarmUp  state.BudgetLimits // the budget of each endpoint that is warming up; a rate of 0: not shared
 	Retries state.BudgetLimits // the budget of attempts that follow one that may have run; a rate of 0: not shared
 }
 
-// Peers sends to the other routers of the cluster. No method may block.
+// Peers is the connection to the other routers of the cluster. No method may block.
 type Peers interface {
-	// Send sends messages, or drops them where too many wait.
+	// Send sends messages, or drops them if too many are waiting.
 	Send(messages []state.OutgoingMessage)
-	// PublishFullState sets what a router is sent that knows nothing of this one yet.
+	// PublishFullState sets the messages that are sent to a router that knows nothing of this one yet.
 	PublishFullState(fullState []state.Message)
 	// DroppedMessages returns how many messages were dropped.
 	DroppedMessages() uint64
-	// Alive returns the names of the other routers that are alive, in order, and how many routers own a part of the
-	// budgets.
+	// Alive returns the sorted names of the other routers that are alive, and the number of routers that own a part of
+	// the budgets.
 	Alive() (others []string, owners int)
 }
 
-// ClusterState is the part of this router in the state that the routers of a cluster share. It implements
-// balancer.ClusterState. It belongs to the core's goroutine.
+// ClusterState is this router's part of the state that the routers of a cluster share. It implements
+// balancer.ClusterState, and belongs to the core's goroutine.
 type ClusterState struct {
 	settings ClusterSettings
 	state    *state.State
@@ -47,7 +47,7 @@
 )
 
 // NewClusterState returns the state of a router that has just started. It goes into the settings of the decision
-// module, as its Coordinator, before the core is made.
+// module, as their ClusterState, before the core is made.
 func NewClusterState(settings ClusterSettings) (*ClusterState, error) {
 	shared, err := state.New(settings.State)
 	if err != nil {
@@ -56,8 +56,8 @@
 	return &ClusterState{settings: settings, state: shared}, nil
 }
 
-// JoinCluster begins to share. It is called once, as soon as no predecessor of this process spends from the budgets
-// any more.
+// JoinCluster begins to share state with the peers. It is called once, as soon as no predecessor of this process spends
+// from the budgets any more.
 func (c *Core) JoinCluster(s *ClusterState, peers Peers) {
 	c.extensions.cluster, s.core, s.peers = s, c, peers
 	if s.settings.Retries.Rate > 0 {
@@ -69,7 +69,7 @@
 	s.heartbeat()
 }
 
-// ReceiveGossip takes messages of other routers.
+// ReceiveGossip takes messages from other routers. They are ignored before JoinCluster.
 func (c *Core) ReceiveGossip(msgs []state.Message) {
 	s := c.extensions.cluster
 	if s == nil {
@@ -81,7 +81,8 @@
 	s.flush()
 }
 
-// heartbeat tells the other routers what this one has seen. It calls itself at the interval of the settings.
+// heartbeat sends the other routers what this one has observed, and updates the metrics. It schedules itself at
+// State.TickInterval of the settings.
 func (s *ClusterState) heartbeat() {
 	now := s.core.iteration.now
 	s.core.Schedule(now+s.settings.State.TickInterval, s.heartbeat)
@@ -103,7 +104,7 @@
 	}
 }
 
-// updateWarmUp opens the budget of an endpoint that is warming up, or closes that of one that is removed.
+// updateWarmUp opens the budget of an endpoint that is warming up, and closes the budget of an endpoint that is removed.
 func (s *ClusterState) updateWarmUp(e *Endpoint) {
 	now := s.core.iteration.now
 	warmUpEnd := e.startedAt + s.core.policy.warmUpTimes[e.kind]
@@ -116,7 +117,7 @@
 	}
 }
 
-// countResult counts how an attempt ended, over all routers.
+// countResult counts the result of an attempt as a hit, miss or error of its endpoint, in the counters over all routers.
 func (s *ClusterState) countResult(a *Attempt, result AttemptResult) {
 	if a.Endpoint == nil {
 		return
@@ -159,8 +160,8 @@
 	}
 }
 
-// endpoint returns an endpoint, or nil where it is not listed or nothing is shared yet: then the module's own
-// bounds hold alone.
+// endpoint returns the endpoint with an id, or nil if it is not listed or nothing is shared yet. In that case only the
+// module's own bounds hold.
 func (s *ClusterState) endpoint(id balancer.EndpointID) *Endpoint {
 	if s.core == nil {
 		return nil
--- a/internal/core/clustermetrics.go
+++ b/internal/core/clustermetrics.go
@@ -2,17 +2,17 @@
 
 import "hillknot/internal/cluster/state"
 
-// ClusterMetrics are figures on what the routers of a cluster share, for operators.
+// ClusterMetrics are figures for operators on the state that the routers of a cluster share.
 type ClusterMetrics struct {
 	Peers           int      // other routers that are alive
-	DroppedMessages uint64   // messages to them that were dropped, as too many waited
-	Ejected         []string // endpoints that every router avoids but the one that probes them
-	Ejections       uint64   // ejections so far
+	DroppedMessages uint64   // messages to them that were dropped because too many were waiting
+	Ejected         []string // endpoints that all routers avoid, except for the one that probes them
+	Ejections       uint64   // number of ejections so far
 	Counters        []ClusterCounter
 	Budgets         []state.BudgetStatus
 }
 
-// ClusterCounter is a counter over all routers.
+// ClusterCounter is a counter and its total over all routers.
 type ClusterCounter struct {
 	Key   string
 	Total uint64
--- a/internal/core/credit.go
+++ b/internal/core/credit.go
@@ -7,32 +7,32 @@
 	"hillknot/internal/operatorhint"
 )
 
-// Reservation is what Credit has set aside for a request; nil: nothing.
+// Reservation is the amount that Credit has set aside for a request; nil: nothing.
 type Reservation any
 
-// Credit has requests paid for by prepaid accounts. Its methods are called on the core's goroutine, and none but
+// Credit charges requests to prepaid accounts. Its methods are called on the core's goroutine, and none but
 // Close may block.
 type Credit interface {
-	// Reserve sets aside what a request may cost. After an error the request is rejected, and does not run.
+	// Reserve sets aside the most that a request may cost. After an error the request is rejected, and does not run.
 	Reserve(q *Request) (Reservation, error)
-	// Charge settles a reservation of a request that was served with a number of bytes, or may have run.
+	// Charge settles the reservation of a request that was served with a body of so many bytes, or may have run.
 	Charge(r Reservation, bytes int)
-	// Release returns a reservation of a request that surely never ran.
+	// Release returns the reservation of a request that surely never ran.
 	Release(r Reservation)
-	// RetryAfter returns what the client is told of an error of Reserve.
+	// RetryAfter returns the wait and the reason that the client gets after an error of Reserve.
 	RetryAfter(err error) (wait time.Duration, reason string)
-	// Flush starts to write and send what is ready. It is called at the end of each iteration of the loop.
+	// Flush starts to write and send the data that is ready. It is called at the end of each iteration of the loop.
 	Flush()
-	// Metrics returns figures for operators.
+	// Metrics returns the figures of prepaid credit for operators.
 	Metrics() []Metric
-	// Close returns what is not spent, as the router ends.
+	// Close returns the unspent credit as the router ends.
 	Close()
 }
 
-// SetCredit has requests paid for. It is called once.
+// SetCredit sets the extension that charges requests to accounts. It is called once.
 func (c *Core) SetCredit(credit Credit) { c.extensions.credit = credit }
 
-// CloseCredit returns what is not spent. It is called once nothing is open any more.
+// CloseCredit returns the unspent credit. It is called once nothing is open any more.
 func (c *Core) CloseCredit() {
 	if c.extensions.credit != nil {
 		c.extensions.credit.Close()
@@ -40,8 +40,8 @@
 	}
 }
 
-// reserveCredit sets aside what a request may cost, and reports whether it goes on. A request that can't be paid
-// for is rejected at once.
+// reserveCredit sets aside the most that a request may cost, and reports whether the request goes on. A request that
+// can't be paid for is rejected at once.
 func (c *Core) reserveCredit(r *request) bool {
 	if c.extensions.credit == nil {
 		return true
@@ -58,7 +58,7 @@
 	return true
 }
 
-// settleCredit settles what was set aside for a request. What may have run is charged.
+// settleCredit settles the reservation of a request. The request is charged if it may have run.
 func (c *Core) settleCredit(r *request, mayHaveRun bool, bytes int) {
 	if r.reservation == nil || c.extensions.credit == nil {
 		return
--- a/internal/core/endpointlog.go
+++ b/internal/core/endpointlog.go
@@ -7,18 +7,19 @@
 	"hillknot/internal/logging"
 )
 
-// endpointLogInterval is how often the log has a line on changes of the endpoint list, at most: a release brings
-// thousands.
+// endpointLogInterval is the shortest time between two log lines on changes of the endpoint list. A release causes
+// thousands of changes.
 const endpointLogInterval = time.Second
 
-// endpointLog sums up the changes of the endpoint list that the log has yet to report.
+// endpointLog sums up the changes of the endpoint list that are not logged yet.
 type endpointLog struct {
 	events, entries int
 	complete        bool // one of the events was a complete list
 	scheduled       bool // a line is due within endpointLogInterval
 }
 
-// logEndpoints logs a change of the endpoint list at once, and what follows within endpointLogInterval in one line.
+// logEndpoints logs a change of the endpoint list at once, and the changes within endpointLogInterval after it in one
+// line.
 func (c *Core) logEndpoints(event balancer.EndpointUpdate) {
 	l := &c.endpoints.log
 	l.events++
--- a/internal/core/endpoints.go
+++ b/internal/core/endpoints.go
@@ -7,8 +7,8 @@
 	"hillknot/internal/clock"
 )
 
-// Endpoint is a page cache, parent or origin on the endpoint list. It changes when the list does. It belongs to the
-// core's goroutine.
+// Endpoint is a page cache, parent or origin on the endpoint list, and is updated with the list. It belongs to the core's
+// goroutine.
 type Endpoint struct {
 	ID    string
 	Addr  string // host:port
@@ -17,7 +17,7 @@
 	kind       string
 	moduleID   balancer.EndpointID
 	startStamp clock.Stamp   // of the latest start
-	startedAt  time.Duration // when that was, on the core's clock; 0: long ago
+	startedAt  time.Duration // time of the latest start, on the core's clock; 0: long ago
 }
 
 // EndpointUpdate is an entry of the endpoint list, as discovery reports it.
@@ -27,11 +27,11 @@
 	Weight               float64
 	State                balancer.EndpointState
 	StartStamp           clock.Stamp   // identifies a recent start; 0: it was long ago
-	StartedAt            time.Duration // when that was, on the core's clock
+	StartedAt            time.Duration // time of that start, on the core's clock
 }
 
-// EndpointIDOf returns the module's id of an endpoint. All routers derive the same: it is the FNV-1a hash of the
-// name.
+// EndpointIDOf returns the module's id of an endpoint: the FNV-1a hash of its name, so that all routers derive the same
+// id.
 func EndpointIDOf(id string) balancer.EndpointID {
 	const offset, prime = 14695981039346656037, 1099511628211
 	hash := uint64(offset)
@@ -47,7 +47,7 @@
 	log  endpointLog
 }
 
-// ReplaceEndpoints takes a complete endpoint list. An endpoint that it lacks is removed.
+// ReplaceEndpoints takes a complete endpoint list. An endpoint that is not on it is removed.
 func (c *Core) ReplaceEndpoints(all []EndpointUpdate) {
 	event := c.applyEndpoints(all)
 	event.Complete = true
@@ -68,7 +68,7 @@
 	c.endpointsChanged(c.applyEndpoints(changed))
 }
 
-// applyEndpoints applies updates to the list, and returns the module's event of them.
+// applyEndpoints applies updates to the list, and returns the event that reports them to the module.
 func (c *Core) applyEndpoints(updates []EndpointUpdate) balancer.EndpointUpdate {
 	event := balancer.EndpointUpdate{Endpoints: make([]balancer.Endpoint, 0, len(updates))}
 	for i := range updates {
@@ -87,7 +87,7 @@
 	return event
 }
 
-// applyEndpoint applies an update to the list, and returns its endpoint.
+// applyEndpoint applies an update to the list, and returns the updated endpoint.
 func (c *Core) applyEndpoint(update *EndpointUpdate) *Endpoint {
 	id := EndpointIDOf(update.ID)
 	e := c.endpoints.byID[id]
@@ -109,7 +109,7 @@
 	return e
 }
 
-// endpointsChanged passes changes of the list on, once they are applied.
+// endpointsChanged passes changes of the list to the module and logs them, once they are applied.
 func (c *Core) endpointsChanged(event balancer.EndpointUpdate) {
 	if len(c.endpoints.byID) > 0 {
 		c.lifecycle.unblock(endpointsUnknown)
@@ -127,13 +127,14 @@
 	delete(c.endpoints.byID, e.moduleID)
 }
 
-// updateStart takes the start that the list reports, and reports whether it is another than before. A stamp is
-// compared with other stamps alone: it comes from a clock that may have been stepped between two starts.
+// updateStart takes the latest start of an endpoint from an update, and reports whether the endpoint has restarted. A
+// stamp is only compared for equality with another stamp: it comes from a clock that may have been stepped between two
+// starts.
 func (e *Endpoint) updateStart(update *EndpointUpdate) bool {
 	if update.StartStamp == 0 || update.StartStamp == e.startStamp {
 		return false
 	}
 	e.startStamp = update.StartStamp
-	e.startedAt = max(update.StartedAt, e.startedAt+1) // a later start is later, however the two were dated
+	e.startedAt = max(update.StartedAt, e.startedAt+1) // a later start gets a later time, however the two stamps were dated
 	return true
 }
--- a/internal/core/modulesnapshot.go
+++ b/internal/core/modulesnapshot.go
@@ -7,9 +7,9 @@
 	"hillknot/balancer"
 )
 
-// ExportModuleSnapshot returns what the decision module has learned, for ImportModuleSnapshot of the
-// successor. Its times are relative to now; the start of an endpoint is the stamp of the endpoint list, by which both
-// processes know it.
+// ExportModuleSnapshot returns the learned state of the decision module, for ImportModuleSnapshot of the successor. Its
+// times are relative to now. The start of an endpoint is given by its stamp on the endpoint list, which both processes
+// know.
 func (c *Core) ExportModuleSnapshot() balancer.Snapshot {
 	snapshot := c.module.ExportSnapshot()
 	snapshot.Relative(c.iteration.now)
@@ -23,8 +23,9 @@
 	return snapshot
 }
 
-// ImportModuleSnapshot goes on from what the predecessor has learned. Pending events come first, as the endpoint list
-// must be known. What was learned of an endpoint that has restarted since is dropped.
+// ImportModuleSnapshot has the decision module take over the learned state of the predecessor. Pending events are handled
+// first, as the endpoint list must be known. The state of an endpoint that is not listed, or has restarted since, is
+// dropped.
 func (c *Core) ImportModuleSnapshot(snapshot balancer.Snapshot) {
 	c.decide()
 	snapshot.Absolute(c.iteration.now)
--- a/internal/core/policy.go
+++ b/internal/core/policy.go
@@ -6,17 +6,17 @@
 	"hillknot/balancer"
 )
 
-// requestPolicy is what the core needs of the module's settings.
+// requestPolicy holds the settings of the module that the core needs, too.
 type requestPolicy struct {
 	classes       map[string]classPolicy
-	maxRetryAfter time.Duration            // the longest that a client may be asked to stay away
-	warmUpTimes   map[string]time.Duration // by kind of endpoint: how long after its start one is warming up
+	maxRetryAfter time.Duration            // the longest time that a client may be asked to stay away
+	warmUpTimes   map[string]time.Duration // by kind of endpoint: how long an endpoint warms up after its start
 }
 
-// classPolicy is what the core needs to know of a class of requests. That of an unknown class is the zero value.
+// classPolicy holds the settings of a class of requests. It is the zero value for an unknown class.
 type classPolicy struct {
-	nonIdempotent     bool          // a client may not be told that a retry does no harm once a request may have run
-	retryWindow       time.Duration // of these: how long after an attempt that may have run another does no harm; 0: never
+	nonIdempotent     bool          // a retry may do harm once a request may have run, so a client may not be told otherwise
+	retryWindow       time.Duration // if nonIdempotent: how long after an attempt that may have run another one does no harm; 0: never
 	freshnessLifetime time.Duration // how long a cached copy is fresh; 0: until it is purged
 }
 
@@ -45,7 +45,7 @@
 	return p
 }
 
-// mayRetry reports whether an attempt does no harm that is sent some time after one that may have run.
+// mayRetry reports whether another attempt does no harm when the first attempt that may have run was sent sinceFirst ago.
 func (p classPolicy) mayRetry(sinceFirst time.Duration) bool {
 	return !p.nonIdempotent || sinceFirst < p.retryWindow
 }
--- a/internal/core/purges.go
+++ b/internal/core/purges.go
@@ -7,7 +7,7 @@
 	"hillknot/balancer"
 )
 
-// purgeScope is what a purge invalidates.
+// purgeScope is the scope of a purge.
 type purgeScope uint8
 
 const (
@@ -22,7 +22,7 @@
 	at    time.Duration // on the core's clock
 }
 
-// covers reports whether a purge invalidates what a request may be answered with.
+// covers reports whether a purge invalidates cached copies of the object that a request reads.
 func (p purge) covers(q *Request) bool {
 	switch {
 	case q.Write:
@@ -33,8 +33,8 @@
 	return q.Object == p.key
 }
 
-// PurgeObject takes the purge of an object, made at a time on the core's clock. It counts for what was decided
-// before, too: an attempt may still wait for a connection, or for its turn to be sent.
+// PurgeObject takes the purge of an object, made at a time on the core's clock. The purge also applies to attempts that
+// were decided before: such an attempt may still wait for a connection, or for its turn to be sent.
 func (c *Core) PurgeObject(object uint64, at time.Duration) {
 	c.applyPurge(purge{scope: purgeObject, key: object, at: at})
 	c.emit(balancer.Purge{Object: object, Age: max(c.iteration.now-at, 0)})
@@ -46,7 +46,7 @@
 	c.emit(balancer.Purge{ByGroup: true, Group: group, Age: max(c.iteration.now-at, 0)})
 }
 
-// applyPurge applies a purge to the attempts that are open, and keeps it for those that are decided already.
+// applyPurge applies a purge to the open attempts, and keeps it for the attempts that are decided and not started yet.
 func (c *Core) applyPurge(p purge) {
 	for _, r := range c.requests.open {
 		if r.attempt != nil {
@@ -56,7 +56,7 @@
 	c.iteration.pendingPurges = append(c.iteration.pendingPurges, p)
 }
 
-// excludeOlderCopies has an attempt ask for no copy from before a purge that covers it.
+// excludeOlderCopies has an attempt ask only for copies made after a purge, if the purge covers its request.
 func (c *Core) excludeOlderCopies(a *Attempt, p purge) {
 	if !p.covers(a.Request) {
 		return
--- a/internal/core/queries.go
+++ b/internal/core/queries.go
@@ -6,18 +6,18 @@
 	"hillknot/balancer"
 )
 
-// EndpointQuery asks for endpoints that a DNS resolver may name to its clients.
+// EndpointQuery asks for endpoints that a DNS resolver may return to its clients.
 type EndpointQuery struct {
-	Key          uint64 // of the resolver's clients: the same key gets similar endpoints
+	Key          uint64 // identifies the resolver's clients: the same key gets similar endpoints
 	MaxEndpoints int
-	OnlyEndpoint balancer.EndpointID // the only one that will do; 0: any
-	Load         float64             // seconds of service time that the resolver's clients ask for each second
+	OnlyEndpoint balancer.EndpointID // the only endpoint that is acceptable; 0: any
+	Load         float64             // seconds of service time that the resolver's clients request per second
 	TTL          time.Duration       // how long the resolver may cache the result
 	Timeout      time.Duration
 	Reply        func(QueryResult) // called once on the core's goroutine
 }
 
-// QueryResult is the result of an EndpointQuery. Where it has no endpoint and is not rejected, there is none.
+// QueryResult is the result of an EndpointQuery. If it has no endpoint and is not rejected, no endpoint is available.
 type QueryResult struct {
 	Endpoints []*Endpoint
 	Rejected  bool
@@ -30,7 +30,7 @@
 	deadline time.Duration
 }
 
-// Resolve takes a query.
+// Resolve takes a query. It rejects the query at once if too many are open.
 func (c *Core) Resolve(q EndpointQuery) {
 	if len(c.queries) >= c.limits.OpenQueries {
 		q.Reply(QueryResult{Rejected: true})
@@ -42,7 +42,7 @@
 	c.startQuery(pending)
 }
 
-// startQuery hands a query to the module.
+// startQuery passes a query to the module.
 func (c *Core) startQuery(q *query) {
 	c.emit(balancer.Resolve{
 		ID:           q.id,
@@ -54,8 +54,8 @@
 	})
 }
 
-// answerQuery completes a query with endpoints that are all in service at that moment. The module decided by all
-// that came in together: where an endpoint was lost since, it decides anew, until the query's deadline.
+// answerQuery completes a query with the endpoints that the module chose, if all of them are in service now. If one was
+// lost since the module decided, the module decides again, until the query's deadline.
 func (c *Core) answerQuery(answer balancer.ResolveAnswer) {
 	q := c.queries[answer.ID]
 	if q == nil {
@@ -73,7 +73,7 @@
 	c.completeQuery(q.id, QueryResult{Endpoints: endpoints})
 }
 
-// retryQuery has the module decide on a query once more, if there is time left.
+// retryQuery has the module decide on a query again, or completes it without an endpoint if no time is left.
 func (c *Core) retryQuery(q *query) {
 	if c.clock() < q.deadline {
 		c.startQuery(q)
@@ -82,7 +82,7 @@
 	c.completeQuery(q.id, QueryResult{})
 }
 
-// completeQuery gives the result of a query. An unknown id is ignored.
+// completeQuery ends a query with a result. An unknown id is ignored.
 func (c *Core) completeQuery(id balancer.RequestID, result QueryResult) {
 	if q := c.queries[id]; q != nil {
 		delete(c.queries, id)
--- a/internal/core/rules.go
+++ b/internal/core/rules.go
@@ -6,8 +6,9 @@
 	"hillknot/internal/logging"
 )
 
-// rule is a rule that every request is held to while it is served, as the log names it. Permit keeps the rules; the
-// checks here should never fail. A violation is counted for operators and logged, and changes nothing else.
+// rule is the name, as logged, of a rule that is checked for every request while it is served. Permit enforces the
+// rules, so the checks here should never fail. A violation is counted for operators and logged, and has no other
+// effect.
 type rule string
 
 const (
@@ -18,8 +19,8 @@
 	ruleRetry       rule = "no retry of what may have run"
 )
 
-// deadlineSlack is how much longer than its client waits a page cache may be told that the router will wait, by the
-// operators' terms.
+// deadlineSlack is the most by which the wait that the router reports to a page cache may exceed the time that the client
+// waits. The operators' terms set it.
 const deadlineSlack = 150 * time.Millisecond
 
 // reportViolation counts and logs that a request breaks a rule.
@@ -28,7 +29,7 @@
 	log.Error("rule violated", logging.KeyRule, broken, logging.KeyRequestID, r.Txn, logging.KeyClass, r.Class)
 }
 
-// checkWritten checks the rules on an attempt that was just written.
+// checkWritten checks an attempt that was just written against the rules.
 func (c *Core) checkWritten(a *Attempt) {
 	r := a.owner
 	if r.attempt != a || a.done {
@@ -45,7 +46,7 @@
 	}
 }
 
-// checkAnswer checks that a request that is about to be answered has not been before.
+// checkAnswer checks that a request that is about to be answered has not been answered before.
 func (c *Core) checkAnswer(r *request) {
 	if r.state == requestAnswered {
 		c.reportViolation(ruleOneAnswer, r)
--- a/internal/core/snapshot.go
+++ b/internal/core/snapshot.go
@@ -5,17 +5,17 @@
 	"time"
 )
 
-// Snapshot is the router as an iteration of the loop left it. It does not change once it is published.
+// Snapshot is the state of the router at the end of an iteration of the loop. It does not change once it is published.
 type Snapshot struct {
 	Phase             Phase
-	DrainingSince     time.Duration   // when draining began, on the core's clock; 0: it has not
-	HasSuccessor      bool            // another process takes new connections
-	ByClass           []ClassCounts   // as the settings list the classes; last, UnknownClass
-	AttemptsWritten   uint64          // attempts that were written as a whole
-	RuleViolations    uint64          // which should be none
+	DrainingSince     time.Duration   // when draining began, on the core's clock; 0: not draining
+	HasSuccessor      bool            // a successor takes new connections
+	ByClass           []ClassCounts   // in the order of the settings; UnknownClass is last
+	AttemptsWritten   uint64          // attempts that were written in full
+	RuleViolations    uint64          // should be 0
 	OpenRequests      int             // requests that await their answer
-	PageCaches        int             // page caches listed
-	AvoidedPageCaches int             // of these, those that the module avoids
+	PageCaches        int             // page caches on the endpoint list
+	AvoidedPageCaches int             // listed page caches that the module avoids
 	ExtensionMetrics  []Metric        // of order failover and prepaid credit
 	Cluster           *ClusterMetrics // as of the latest heartbeat; nil: nothing is shared
 }
@@ -23,7 +23,7 @@
 // Snapshot returns the latest snapshot. Any goroutine may call it; it does not block.
 func (c *Core) Snapshot() *Snapshot { return c.stats.snapshot.Load() }
 
-// publish makes a new snapshot.
+// publish publishes a new snapshot.
 func (c *Core) publish() {
 	s := &Snapshot{
 		Phase:           c.lifecycle.state.phase(),
@@ -41,7 +41,7 @@
 	if c.extensions.orders != nil {
 		s.ExtensionMetrics = c.extensions.orders.Metrics()
 	}
-	if c.extensions.credit != nil { // clipped, as the extensions keep their slices
+	if c.extensions.credit != nil { // clipped, so that append does not write to the slice that the extension keeps
 		s.ExtensionMetrics = append(slices.Clip(s.ExtensionMetrics), c.extensions.credit.Metrics()...)
 	}
 	c.stats.snapshot.Store(s)
--- a/internal/core/statistics.go
+++ b/internal/core/statistics.go
@@ -6,7 +6,7 @@
 	"hillknot/balancer"
 )
 
-// UnknownClass is the class under which requests count whose class is not in the settings.
+// UnknownClass is the class that counts the requests whose class is not in the settings.
 const UnknownClass = "unknown"
 
 // ClassCounts counts the requests of one class by how they were answered.
@@ -19,16 +19,16 @@
 type Metric struct {
 	Name, Help string
 	Value      uint64
-	Counter    bool // it only grows; else it is a gauge
+	Counter    bool // true: the value only grows; false: it is a gauge
 }
 
-// statistics counts what operators want to know.
+// statistics holds the counters for operators and the latest snapshot.
 type statistics struct {
-	classIndex      map[string]int // places in byClass
-	byClass         []ClassCounts  // as the settings list the classes; last, UnknownClass
+	classIndex      map[string]int // by class name: index into byClass
+	byClass         []ClassCounts  // in the order of the settings; UnknownClass is last
 	attemptsWritten uint64
 	ruleViolations  uint64
-	snapshot        atomic.Pointer[Snapshot] // the latest; any goroutine
+	snapshot        atomic.Pointer[Snapshot] // the latest; any goroutine may load it
 }
 
 func newStatistics(classes []balancer.Class) statistics {
@@ -42,8 +42,8 @@
 	return statistics{classIndex: index, byClass: counts}
 }
 
-// CountAnswer counts an answer. The core counts those that it gives; a front end counts those that it gives by
-// itself.
+// CountAnswer counts an answer to a request of a class. The core counts the answers that it gives; a front end counts
+// the answers that it gives on its own.
 func (c *Core) CountAnswer(class string, v Verdict) {
 	i, known := c.stats.classIndex[class]
 	if !known {
--- a/internal/core/trace.go
+++ b/internal/core/trace.go
@@ -7,12 +7,12 @@
 	"hillknot/internal/logging"
 )
 
-// At level debug the log has a line for each request, each attempt and the end of each, so that an incident can be
-// counted over the logs of all routers. The line on a request that came in has both its txn, by which page caches
-// and clients know it, and its sequence number, which the other lines have. At any other level the lines cost one
-// look at a flag.
+// At level debug the log has a line for the start and the end of each request and of each attempt, so that the events of
+// an incident can be counted over the logs of all routers. The line on a received request has both its txn, by which
+// page caches and clients know it, and its sequence number, which the other lines have. At any other level the lines
+// cost one check of a flag.
 
-// debugEnabled reports whether the log takes debug lines.
+// debugEnabled reports whether debug lines are logged.
 func debugEnabled() bool { return slog.Default().Enabled(context.Background(), slog.LevelDebug) }
 
 func (c *Core) traceRequest(r *request) {
