--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -23,11 +23,11 @@
 		{"clocks agree", wall - 3*time.Second, 0, now - 3*time.Second},
 		{"the other clock is an hour ahead", wall + time.Hour, 0, now},
 		{"the other clock is an hour behind", wall - time.Hour, now - time.Second, now - time.Second},
-		{"3 s behind, within the bound", wall - 3*time.Second, now - 5*time.Second, now - 3*time.Second},
-		{"long ago, no bound", wall - 2000*time.Hour, 0, 1},
-		{"a bound in the future", wall - time.Hour, now + time.Second, now},
-		{"an absurd stamp", math.MinInt64, 0, 1},
-		{"another absurd stamp", math.MaxInt64, 0, now},
+		{"3 s ago, after the earliest time", wall - 3*time.Second, now - 5*time.Second, now - 3*time.Second},
+		{"long ago, no earliest time", wall - 2000*time.Hour, 0, 1},
+		{"an earliest time in the future", wall - time.Hour, now + time.Second, now},
+		{"the least possible stamp", math.MinInt64, 0, 1},
+		{"the greatest possible stamp", math.MaxInt64, 0, now},
 	} {
 		if got := Stamp(c.stamp).Date(now, wall, c.earliest); got != c.want {
 			t.Errorf("%s: %v, want %v", c.name, got, c.want)
--- a/internal/core/attempts_test.go
+++ b/internal/core/attempts_test.go
@@ -8,7 +8,7 @@
 	"hillknot/balancer"
 )
 
-// Where an endpoint is silent, the attempt times out and the client is answered before its time is over.
+// If an endpoint does not respond, the attempt times out and the client is answered before its deadline.
 func TestSilentEndpointTimesOut(t *testing.T) {
 	h := newHarness(t)
 	h.submit("order", second)
@@ -19,8 +19,8 @@
 	}
 }
 
-// An endpoint is told the time that the client has left, to the millisecond, and no more. The router still ends the
-// attempt first: its own deadline is a margin earlier.
+// The timeout that an endpoint is sent is the time that the client has left, to the millisecond, and no more. The router
+// still ends the attempt first, as its own deadline is a margin earlier.
 func TestAttemptTimeoutIsClientTimeLeft(t *testing.T) {
 	const ms = time.Millisecond
 	for _, waited := range []time.Duration{0, 200 * ms, 700 * ms} {
@@ -41,8 +41,8 @@
 	}
 }
 
-// What was decided before an endpoint began to drain must not be written after it: neither to it, nor with it as
-// source.
+// An attempt that was decided before an endpoint began to drain must not be written afterwards, neither to that endpoint
+// nor with it as source.
 func TestNoPermitForDrainingEndpoint(t *testing.T) {
 	for _, drained := range []string{"target", "source"} {
 		h := newHarness(t)
@@ -53,7 +53,7 @@
 			e = a.Source
 		}
 		if s, _ := h.core.Permit(a); s != balancer.OK {
-			t.Fatalf("before: %d", s)
+			t.Fatalf("before the drain: status %d", s)
 		}
 		h.core.UpdateEndpoints(draining(e.ID, e.Addr))
 		if s, _ := h.core.Permit(a); !s.NeverRan() {
@@ -75,8 +75,8 @@
 	}
 }
 
-// Where a client cancels its request as the module decides on it, the module must learn that the attempt was not
-// sent. It once counted such attempts for good, and after some hundreds rejected all other requests.
+// If a client cancels its request while the module decides on it, the module must be told that the attempt was not
+// sent. The module once counted such attempts forever, and after some hundreds of them rejected all other requests.
 func TestCancelDuringDecisionReportsNotSent(t *testing.T) {
 	h := newHarness(t)
 	for range 500 {
--- a/internal/core/credit_test.go
+++ b/internal/core/credit_test.go
@@ -8,7 +8,7 @@
 	"hillknot/balancer"
 )
 
-// fakeCredit answers as the test sets it, and counts its calls.
+// fakeCredit is a Credit that returns the error that the test sets, and counts its calls.
 type fakeCredit struct {
 	err               error
 	charged, released int
@@ -28,8 +28,8 @@
 
 func (f *fakeCredit) Close() {}
 
-// What was served or may have run is charged, once; what never ran is not; what can't be paid for is rejected at
-// once.
+// A request that was served or may have run is charged once. A request that never ran is not charged, and a request
+// that can't be paid for is rejected at once.
 func TestCreditIsSettledOnce(t *testing.T) {
 	h := newHarness(t)
 	credit := &fakeCredit{}
@@ -60,6 +60,6 @@
 	h.submit("page", second)
 	h.wantOneAnswer("out of funds", Rejected)
 	if a := h.answers[0]; a.RetryAfter != second || a.Reason != "funds-out" || len(h.outstanding) > 0 {
-		t.Errorf("answered %+v", a)
+		t.Errorf("out of funds: answer %+v", a)
 	}
 }
--- a/internal/core/golden_test.go
+++ b/internal/core/golden_test.go
@@ -11,14 +11,14 @@
 	"hillknot/internal/testutil/golden"
 )
 
-// What routers of different releases share goes by keys, and by ids of members that each derives by itself. The
-// files of testdata/golden were written at commit 86ccf0f.
+// Routers of different releases share state under keys, and under ids of endpoints that each router derives by itself.
+// The files of testdata/golden were written at commit 86ccf0f.
 //
-// What reaches the bytes: no name of a type or field, but the texts of the constants retryBudget ("retries"),
+// The bytes depend on no name of a type or field, but on the texts of the constants retryBudget ("retries"),
 // warmUpBudgetPrefix ("cold "), hitsPrefix, missesPrefix and errorsPrefix ("hits ", "misses ", "errors "), and the
-// hash of EndpointIDOf. A key that is worded otherwise splits one budget or count in two.
+// hash of EndpointIDOf. A key with another text would split one budget or counter in two.
 
-// recordingPeers are a cluster of two routers, and record what is sent.
+// recordingPeers is the Peers of a router in a cluster of two. It records the messages that are sent.
 type recordingPeers struct{ sent []state.OutgoingMessage }
 
 func (p *recordingPeers) Send(l []state.OutgoingMessage)   { p.sent = append(p.sent, l...) }
@@ -50,7 +50,7 @@
 	} {
 		s.countResult(&Attempt{Endpoint: cache}, result)
 	}
-	for range 20 { // budgets are lent once both routers may spend; this one has none left
+	for range 20 { // budgets are lent once both routers may spend; this router has nothing left
 		h.now += 250 * time.Millisecond
 		s.core.iteration.now = h.now
 		for s.AdmitRetry(h.now) {
@@ -70,13 +70,13 @@
 		}
 	}
 	if len(leaseRequests) != 2 || !leaseRequests["retries"] || !leaseRequests["cold a"] {
-		t.Errorf("asked for shares of %v, want retries and cold a", leaseRequests)
+		t.Errorf("lease requests for budgets %v, want retries and cold a", leaseRequests)
 	}
 	golden.Same(t, "counts.txt", []byte(peers.keys(state.KindCounterUpdate)))
 }
 
-// All routers derive the same id of a member: the choices that have to agree, and the state that a successor is
-// handed, go by it.
+// All routers derive the same id of an endpoint. The choices that have to agree, and the state that is handed over to a
+// successor, depend on it.
 func TestGoldenEndpointIDs(t *testing.T) {
 	var ids []byte
 	for _, name := range []string{"", "a", "edge-7", "ünion", "a name that is longer than any hash"} {
--- a/internal/core/harness_test.go
+++ b/internal/core/harness_test.go
@@ -9,13 +9,13 @@
 	"hillknot/internal/config"
 )
 
-// harness is a core on a clock that the test sets. It is the core's upstream, and only notes its calls.
+// harness holds a core on a clock that the test sets. It is the core's Upstream, and only records the calls.
 type harness struct {
 	t             *testing.T
 	core          *Core
 	now           time.Duration
 	outstanding   []*Attempt // sent, and neither completed nor cancelled
-	maxConcurrent int        // the most attempts of one request that were open at once
+	maxConcurrent int        // the most attempts that one request had open at once
 	answers       []Answer
 }
 
@@ -51,7 +51,7 @@
 	h.core.RunOnce()
 }
 
-// wait runs the loop while some time goes by.
+// wait advances the clock in steps of at most 5 ms, and runs the loop at each step.
 func (h *harness) wait(d time.Duration) {
 	for until := h.now + d; h.now < until; {
 		h.now += min(5*time.Millisecond, until-h.now)
@@ -96,7 +96,7 @@
 	}
 }
 
-// testSettings have a class that is idempotent, page, and one that is not, order.
+// testSettings returns settings with an idempotent class, page, and a class that is not idempotent, order.
 func testSettings() balancer.Settings {
 	page := balancer.Class{
 		Name:             "page",
@@ -128,12 +128,12 @@
 	}
 }
 
-// draining is the change of the list that has an endpoint drain.
+// draining returns the change of the endpoint list that marks an endpoint as draining.
 func draining(id, addr string) []EndpointUpdate {
 	return []EndpointUpdate{{ID: id, Addr: addr, Kind: "box", Zone: "edge", State: balancer.Draining}}
 }
 
-// setDrainTimes has each stage of draining begin half a second to a second after the one before.
+// setDrainTimes makes each stage of draining begin half a second to a second after the stage before.
 func (h *harness) setDrainTimes() {
 	h.core.limits.DrainCloseAfterResponse = second / 2
 	h.core.limits.DrainCloseIdle = second
@@ -141,12 +141,12 @@
 	h.core.limits.DrainCloseAll = 3 * second
 }
 
-// submit submits a request of a class that comes in now, and runs the loop once.
+// submit submits a request of a class that arrives now, and runs the loop once.
 func (h *harness) submit(class string, timeout time.Duration) balancer.RequestID {
 	return h.submitLate(class, timeout, 0)
 }
 
-// submitLate submits a request that came in some time ago.
+// submitLate is submit for a request that arrived some time ago.
 func (h *harness) submitLate(class string, timeout, ago time.Duration) balancer.RequestID {
 	id := h.core.NewID()
 	h.core.Submit(id, Request{
@@ -162,7 +162,7 @@
 	return id
 }
 
-// wantOneAnswer fails the test unless there has been one answer, with a verdict.
+// wantOneAnswer fails the test unless there has been exactly one answer, with the given verdict.
 func (h *harness) wantOneAnswer(what string, v Verdict) {
 	h.t.Helper()
 	if len(h.answers) != 1 || h.answers[0].Verdict != v {
--- a/internal/core/lifecycle_test.go
+++ b/internal/core/lifecycle_test.go
@@ -8,7 +8,7 @@
 	"hillknot/internal/config"
 )
 
-// Each call leads to its one next state, from every state.
+// Each call leads from each state to exactly one next state.
 func TestLifecycleTransitions(t *testing.T) {
 	calls := []struct {
 		name string
@@ -41,8 +41,8 @@
 	}
 }
 
-// A router serves once all that it waits for has come, in any order; what comes while it is on standby counts as it
-// leaves.
+// A router serves once no blocker is left, in whatever order they are removed. A blocker that is removed on standby counts
+// once the router leaves standby.
 func TestStartWaitsForAllBlockers(t *testing.T) {
 	l := newLifecycle()
 	l.block(predecessorActive)
@@ -60,7 +60,7 @@
 	}
 }
 
-// Draining dates from the first call on standby, and from the latest of a shutdown.
+// Draining counts from the first call of enterStandby, and in a shutdown from the latest call of beginShutdown.
 func TestDrainingSince(t *testing.T) {
 	l := lifecycle{state: stateServing}
 	if !l.enterStandby(second) || l.enterStandby(2*second) || l.drainingSince != second {
@@ -72,12 +72,12 @@
 	}
 	limits := config.Limits{ShutdownTimeout: 2 * second, ShutdownAnswerMargin: second / 2}
 	if at := l.shutdownDeadline(&limits); at != 4500*second/1000 {
-		t.Errorf("the last answer is due at %v", at)
+		t.Errorf("the shutdown deadline is %v", at)
 	}
 }
 
-// On standby requests are served at first, then connections close, and in the end no request is taken. LeaveStandby
-// undoes it at any point; a router that shuts down does not come back.
+// On standby requests are served at first, then connections close, and in the end requests are rejected. LeaveStandby
+// ends the standby at any stage, except that a router that shuts down does not serve again.
 func TestStandbyDrainsInStages(t *testing.T) {
 	h := newHarness(t)
 	h.setDrainTimes()
@@ -100,23 +100,23 @@
 		t.Errorf("at the end: %+v, %d attempts; want a rejection with the time to retry after", a, len(h.outstanding))
 	}
 	if !h.core.LeaveStandby() {
-		t.Error("not active again")
+		t.Error("LeaveStandby reports that the router does not serve again")
 	}
 	h.core.RunOnce()
 	h.submit("page", second)
 	phase, stage := h.core.Snapshot().Phase, h.core.DrainStage()
 	if phase != Serving || stage != NotDraining || len(h.outstanding) != 1 {
-		t.Errorf("active again: phase %v, stage %d, %d attempts", phase, stage, len(h.outstanding))
+		t.Errorf("after LeaveStandby: phase %v, stage %d, %d attempts", phase, stage, len(h.outstanding))
 	}
 	h.core.BeginShutdown(h.now)
 	h.core.EnterStandby()
 	if h.core.LeaveStandby() || h.core.lifecycle.state.phase() != ShuttingDown {
-		t.Errorf("phase %v; a router that shuts down goes on with that", h.core.lifecycle.state.phase())
+		t.Errorf("phase %v; a router that shuts down must keep that phase", h.core.lifecycle.state.phase())
 	}
 }
 
-// Without a successor a router that shuts down keeps its connections; with one it drains its clients at once.
-// Either way what it still takes is answered before the process ends.
+// Without a successor a router that shuts down keeps its connections; with one it drains its clients at once. Either way
+// the requests that it still takes are answered before the process ends.
 func TestShutdownDrainsOnlyWithSuccessor(t *testing.T) {
 	h := newHarness(t)
 	h.setDrainTimes()
@@ -125,29 +125,30 @@
 	h.wait(second)
 	h.submit("page", 5*second)
 	if h.core.DrainStage() != NotDraining || h.core.Snapshot().Phase != ShuttingDown || len(h.outstanding) != 1 {
-		t.Errorf("no successor: stage %d, %d attempts", h.core.DrainStage(), len(h.outstanding))
+		t.Errorf("without a successor: stage %d, %d attempts", h.core.DrainStage(), len(h.outstanding))
 	}
 	h.core.SetSuccessorReady(true)
 	h.core.RunOnce()
 	if h.core.DrainStage() != CloseIdle {
-		t.Errorf("a successor: stage %d", h.core.DrainStage())
+		t.Errorf("with a successor: stage %d", h.core.DrainStage())
 	}
 	h.wait(2 * second)
 	h.wantOneAnswer("still open", Rejected)
 }
 
-// Once nothing is open any more, a router that shuts down rejects what comes at once: it could not answer it later.
+// Once nothing is open any more, a router that shuts down rejects new requests at once, as it could not answer them
+// later.
 func TestClosedRouterRejectsRequests(t *testing.T) {
 	h := newHarness(t)
 	h.core.limits.ShutdownTimeout = 3 * second
 	h.core.BeginShutdown(h.now)
 	h.submit("page", second)
 	if h.core.CloseIfNothingOpen() {
-		t.Fatal("it is closed with a request open")
+		t.Fatal("the router is closed with a request open")
 	}
 	h.finish(h.outstanding[0], AttemptResult{Status: balancer.OK})
 	if len(h.answers) != 1 || !h.core.CloseIfNothingOpen() {
-		t.Fatalf("%d answers, then not closed", len(h.answers))
+		t.Fatalf("%d answers, want 1 and the router closed", len(h.answers))
 	}
 	h.submit("page", second)
 	if len(h.outstanding) > 0 || len(h.answers) != 2 || h.answers[1].Verdict != Rejected {
@@ -155,8 +156,8 @@
 	}
 }
 
-// A request that is open at SIGTERM is answered before the platform may kill the process, though its client would
-// wait longer: on the second deployment an episode's part waits 6 s, and the kill comes 3.7 s after SIGTERM.
+// A request that is open at SIGTERM is answered before the platform may kill the process, although its client would wait
+// longer: on the second deployment the client of an episode's part waits 6 s, and the kill comes 3.7 s after SIGTERM.
 func TestShutdownAnswersOpenRequestsInTime(t *testing.T) {
 	h := newHarness(t)
 	h.core.limits.ShutdownTimeout = 3 * second
@@ -167,8 +168,7 @@
 	h.wantOneAnswer("open at SIGTERM", Rejected)
 }
 
-// A process that follows another is not ready before the predecessor has handed over, though it knows the
-// endpoints.
+// A process with a predecessor is not ready before the predecessor has handed over, even if it knows the endpoints.
 func TestHoldStartKeepsStarting(t *testing.T) {
 	h := newHarness(t)
 	h.core.HoldStart()
--- a/internal/core/loop.go
+++ b/internal/core/loop.go
@@ -56,7 +56,8 @@
 func (c *Core) decide() {
 	for len(c.iteration.events) > 0 {
 		events := c.iteration.events
-		c.iteration.events, c.iteration.pendingPurges = nil, c.iteration.pendingPurges[:0] // the module gets these purges with the events
+		// The module gets these purges with the events.
+		c.iteration.events, c.iteration.pendingPurges = nil, c.iteration.pendingPurges[:0]
 		for _, action := range c.module.Handle(c.iteration.now, events...) {
 			c.execute(action)
 		}
--- a/internal/core/orders_test.go
+++ b/internal/core/orders_test.go
@@ -8,7 +8,7 @@
 	"hillknot/balancer"
 )
 
-// fakeOrderFailover answers as the test sets it, and notes its calls.
+// fakeOrderFailover is an OrderFailover that answers as the test sets, and records its calls.
 type fakeOrderFailover struct {
 	rejectReplicas, leaseHeld, holdRejections bool
 	leaseRequests, cancelled                  []string
@@ -49,7 +49,7 @@
 
 func (f *fakeOrderFailover) Metrics() []Metric { return nil }
 
-// withOrderFailover sets the order failover of the core.
+// withOrderFailover sets a fake order failover in the core, and returns it.
 func (h *harness) withOrderFailover() *fakeOrderFailover {
 	failover := &fakeOrderFailover{}
 	h.core.SetOrderFailover(failover)
@@ -57,7 +57,7 @@
 	return failover
 }
 
-// claim submits a request that resumes one which another router took.
+// claim submits a request that resumes a request which another router took under txn.
 func (h *harness) claim(class, txn string) balancer.RequestID {
 	id := h.core.NewID()
 	h.core.Submit(id, Request{
@@ -80,12 +80,12 @@
 	h.submit("order", 2*second)
 	a := h.outstanding[0]
 	if h.core.AcquireSendPermission(a) || len(failover.leaseRequests) != 1 {
-		t.Fatalf("written without a lease; requests %v", failover.leaseRequests)
+		t.Fatalf("written without a lease; lease requests %v", failover.leaseRequests)
 	}
 	failover.leaseHeld = true
 	h.core.SendPermissionGranted(a.Request.Txn)
 	if len(h.outstanding) != 2 || !h.core.AcquireSendPermission(a) {
-		t.Error("it was not sent anew with the lease")
+		t.Error("the order was not sent again with its lease")
 	}
 	failover.leaseHeld = false
 	h.submit("page", second)
@@ -94,8 +94,8 @@
 	}
 }
 
-// An order that awaited its lease has surely not run: its end does not count against the endpoint, and its client
-// may retry.
+// An order that awaited its lease has surely not run. Its end does not count against the endpoint, and the order is
+// rejected, so that its client may retry.
 func TestOrderWithoutLeaseIsRejected(t *testing.T) {
 	h := newHarness(t)
 	failover := h.withOrderFailover()
@@ -108,8 +108,8 @@
 	}
 }
 
-// An order without a replica is rejected at once. One whose lease is denied fails, or is rejected where it surely
-// never ran.
+// An order without a replica is rejected at once. An order whose lease is denied is rejected if it surely never ran, and
+// fails otherwise.
 func TestDeniedReplicaOrLeaseEndsOrder(t *testing.T) {
 	h := newHarness(t)
 	failover := h.withOrderFailover()
@@ -126,7 +126,8 @@
 	}
 }
 
-// A rejection is held back until no other router can run the order, for a bounded time; after that the order fails.
+// The rejection of an order is held back until no other router can run the order, for a bounded time. After that the
+// order fails.
 func TestRejectionIsHeldUntilReplicaDropped(t *testing.T) {
 	for _, released := range []bool{true, false} {
 		h := newHarness(t)
@@ -155,9 +156,9 @@
 	}
 }
 
-// An order that is rejected as its time ends is answered at once, and not only when its replica has released it: its client
-// waits no longer, or the process is about to be killed. The shutdown may begin at any moment of the order's life: while it
-// waits for an endpoint, for its lease, or for a place among the attempts that there may be.
+// An order that is rejected at its deadline is answered at once, without a wait for the release by its replica: its client
+// waits no longer, or the process is about to be killed. The shutdown may begin at any time: while the order waits for an
+// endpoint, for its lease, or for a place among the limited number of attempts.
 func TestOrderRejectedAtDeadlineIsAnsweredInTime(t *testing.T) {
 	const timeout, step = 2 * second, 50 * time.Millisecond
 	for name, c := range map[string]struct {
@@ -170,7 +171,7 @@
 	} {
 		for shutdownAfter := time.Duration(0); shutdownAfter <= timeout; shutdownAfter += step {
 			settings := testSettings()
-			settings.Classes[1].LatencyObjective = timeout // orders may wait for a place for long
+			settings.Classes[1].LatencyObjective = timeout // lets orders wait long for a place
 			h := newHarnessWithSettings(t, settings)
 			h.core.limits.ShutdownTimeout = second
 			h.withOrderFailover().holdRejections = true
@@ -182,7 +183,7 @@
 				h.submit("order", timeout)
 			}
 			for _, a := range h.outstanding {
-				h.core.AcquireSendPermission(a) // which never comes
+				h.core.AcquireSendPermission(a) // the lease is never granted
 			}
 			h.wait(shutdownAfter)
 			h.core.BeginShutdown(h.now)
@@ -200,8 +201,8 @@
 	}
 }
 
-// A claimed order goes to the module only where it is granted, under the txn that it had; else it gets its known
-// answer. Without order failover it fails. A page is simply requested again.
+// A claimed order goes to the module only once its claim is granted, under the txn that the order had; otherwise it gets
+// its known answer. Without order failover it fails. A page is requested again without a claim.
 func TestClaimedOrderRunsOnlyOnceGranted(t *testing.T) {
 	h := newHarness(t)
 	h.claim("order", "old")
@@ -230,7 +231,7 @@
 	h.answers = nil
 	h.claim("page", "any")
 	if len(h.outstanding) != 1 {
-		t.Error("a page is not requested again")
+		t.Error("a page that resumes another request was not sent")
 	}
 	id = h.claim("order", "gone")
 	h.core.CancelRequest(id)
--- a/internal/core/purges_test.go
+++ b/internal/core/purges_test.go
@@ -7,15 +7,15 @@
 	"hillknot/balancer"
 )
 
-// A purge counts for all requests of the iteration that takes it, whatever came first, and for an attempt that is
-// decided and not written yet. An attempt that asks for an even younger copy keeps doing so.
+// A purge applies to all requests of the iteration that takes it, in whatever order they came in, and to attempts that
+// are decided and not written yet. An attempt that asks for an even newer copy still asks for it after an older purge.
 func TestPurgeCoversUnwrittenAttempts(t *testing.T) {
 	h := newHarness(t)
 	h.submit("page", 3*second)
 	h.submit("page", 3*second)
 	h.core.PurgeObject(8, h.now)
 	if h.outstanding[0].Decision.MaxAge != 0 {
-		t.Errorf("the purge of another object: newer than %v", h.outstanding[0].Decision.MaxAge)
+		t.Errorf("the purge of another object sets a maximum age of %v", h.outstanding[0].Decision.MaxAge)
 	}
 	h.core.Post(func() {
 		late := Request{Txn: "late", Class: "page", Object: 7, Timeout: 3 * second, Reply: h.reply}
@@ -36,8 +36,8 @@
 	}
 }
 
-// Of the attempts of one decision, some may be sent only after a stall: a purge that came in meanwhile counts for
-// them, too.
+// After a stall between two attempts of the same decision, a purge that came in meanwhile also applies to the attempt that
+// is sent after it.
 func TestPurgeCoversLaterAttemptsOfSameDecision(t *testing.T) {
 	h := newHarness(t)
 	h.submit("page", 3*second)
@@ -54,6 +54,6 @@
 	decidedBefore := balancer.SendAttempt{ID: id, Endpoint: first.Decision.Endpoint, Source: first.Decision.Source}
 	h.core.execute(decidedBefore)
 	if late := h.outstanding[1]; late.Decision.MaxAge == 0 || late.Decision.MaxAge > 100*time.Millisecond {
-		t.Errorf("a copy of %v will do, 100 ms after a purge", late.Decision.MaxAge)
+		t.Errorf("a copy %v old is accepted, 100 ms after a purge", late.Decision.MaxAge)
 	}
 }
--- a/internal/core/requests_test.go
+++ b/internal/core/requests_test.go
@@ -8,7 +8,7 @@
 	"hillknot/balancer"
 )
 
-// A request is sent to an endpoint, with a source to fill its cache from, and answered with the result.
+// A request is sent to an endpoint, with a source from which it fills its cache, and is answered with the result.
 func TestRequestIsServed(t *testing.T) {
 	h := newHarness(t)
 	h.submit("page", 3*second)
@@ -20,7 +20,7 @@
 	h.wantOneAnswer("served", Served)
 }
 
-// However the attempts end, there is one answer, in time, and never two attempts at once.
+// However its attempts end, a request gets one answer in time, and never has two attempts at once.
 func TestEachRequestGetsOneAnswer(t *testing.T) {
 	for s := balancer.Error; s <= balancer.Miss; s++ {
 		for _, class := range []string{"page", "order"} {
@@ -44,17 +44,17 @@
 	}
 }
 
-// A request whose time was over before it was read is rejected at once: nothing is sent.
+// A request whose deadline has passed before it is read is rejected at once, and no attempt is sent.
 func TestExpiredRequestIsRejected(t *testing.T) {
 	h := newHarness(t)
 	h.submitLate("page", second, second)
 	h.wantOneAnswer("too late", Rejected)
 	if h.maxConcurrent != 0 {
-		t.Error("it was forwarded")
+		t.Error("the expired request was sent")
 	}
 }
 
-// After a cancel or a closed connection no answer is given, and the attempt is cancelled.
+// After a cancellation or a closed connection a request is not answered, and its attempt is cancelled.
 func TestCancelledRequestGetsNoAnswer(t *testing.T) {
 	h := newHarness(t)
 	id := h.submit("page", second)
@@ -66,7 +66,7 @@
 	}
 }
 
-// Over the limit a request is rejected at once, not queued.
+// A request over the limit of open requests is rejected at once, and not queued.
 func TestRequestOverLimitIsRejected(t *testing.T) {
 	h := newHarness(t)
 	for range h.core.limits.OpenRequests {
@@ -79,8 +79,8 @@
 	}
 }
 
-// Page caches know a request by its txn: a second one under the txn of one that is open fails, and the first is
-// served as if nothing had happened.
+// Page caches know a request by its txn. A second request under the txn of an open one fails, and the first is served as
+// usual.
 func TestDuplicateTxnFails(t *testing.T) {
 	h := newHarness(t)
 	for range 2 {
@@ -97,8 +97,8 @@
 	}
 }
 
-// The answer, the client's cancel and the end of its time come in one iteration of the loop, in any order: the
-// client has one answer or, if it cancelled first, none; and no attempt follows.
+// If the result, the client's cancellation and the deadline come in one iteration of the loop, in any order, the client
+// gets one answer or, if it cancelled first, none; and no attempt follows.
 func TestResultCancelAndDeadlineInOneIteration(t *testing.T) {
 	for _, class := range []string{"page", "order"} {
 		for _, status := range []balancer.Status{balancer.OK, balancer.Error, balancer.Rejected} {
@@ -116,7 +116,7 @@
 				for _, f := range steps {
 					h.core.Post(f)
 				}
-				h.now += second // the time is up, too
+				h.now += second // the deadline passes, too
 				h.core.RunOnce()
 				h.wait(2 * second)
 				if len(h.outstanding) > 0 || h.maxConcurrent > 1 {
--- a/internal/core/rules_test.go
+++ b/internal/core/rules_test.go
@@ -7,7 +7,7 @@
 	"hillknot/balancer"
 )
 
-// A violation of each rule that is checked at run time is found and counted.
+// A violation of each rule that is checked at run time is detected and counted.
 func TestRuleViolationsAreCounted(t *testing.T) {
 	for name, breakRule := range map[string]func(h *harness, a *Attempt){
 		"nothing": func(h *harness, a *Attempt) { h.core.AttemptWritten(a) },
@@ -46,7 +46,7 @@
 	}
 }
 
-// Attempts that end in all ways violate no rule.
+// Attempts violate no rule, however they end.
 func TestNormalUseBreaksNoRule(t *testing.T) {
 	h := newHarness(t)
 	statuses := []balancer.Status{balancer.OK, balancer.Rejected, balancer.Error, balancer.Reset, balancer.TimedOut}
--- a/internal/core/snapshot_test.go
+++ b/internal/core/snapshot_test.go
@@ -8,39 +8,39 @@
 	"hillknot/balancer"
 )
 
-// Each answer counts once, whoever gives it; a cancelled request counts nowhere.
+// Each answer is counted once, whether the core or a front end gives it. A cancelled request is not counted.
 func TestSnapshotCountsAnswers(t *testing.T) {
 	h := newHarness(t)
 	for range 3 {
 		h.submit("page", 3*second)
 	}
 	if s := h.core.Snapshot(); s.OpenRequests != 3 || s.PageCaches != 2 || s.AvoidedPageCaches != 0 {
-		t.Errorf("three are open, two page caches are healthy: %+v", s)
+		t.Errorf("snapshot with three open requests and two healthy page caches: %+v", s)
 	}
 	h.finish(h.outstanding[0], AttemptResult{Status: balancer.OK})
 	id := h.submit("page", 3*second)
 	h.core.CancelRequest(id)
 	h.submit("order", second)
-	h.submit("page", time.Millisecond) // less time than the margin: rejected at once
+	h.submit("page", time.Millisecond) // its timeout is shorter than the margin, so it is rejected at once
 	h.core.CountAnswer("what", Failed)
-	h.wait(4 * second) // the rest gets no answer from its page cache
+	h.wait(4 * second) // the other requests get no answer from their page caches
 	s := h.core.Snapshot()
 	want := []ClassCounts{{"page", 1, 3, 0}, {"order", 0, 0, 1}, {UnknownClass, 0, 0, 1}}
 	if !slices.Equal(s.ByClass, want) {
 		t.Errorf("counts %+v, want %+v", s.ByClass, want)
 	}
 	if s.OpenRequests != 0 {
-		t.Errorf("%d are open", s.OpenRequests)
+		t.Errorf("%d requests are open", s.OpenRequests)
 	}
 }
 
-// An endpoint that drains, or fails all its attempts, counts as avoided until it is healthy again.
+// A page cache that drains, or fails all its attempts, counts as avoided until it is healthy again.
 func TestSnapshotCountsAvoidedEndpoints(t *testing.T) {
 	h := newHarness(t)
 	h.core.UpdateEndpoints(draining("a", "127.1.0.1:1"))
 	h.core.RunOnce()
 	if s := h.core.Snapshot(); s.PageCaches != 2 || s.AvoidedPageCaches != 1 {
-		t.Errorf("one drains: %d of %d are avoided", s.AvoidedPageCaches, s.PageCaches)
+		t.Errorf("one page cache drains: %d of %d are avoided", s.AvoidedPageCaches, s.PageCaches)
 	}
 	for range 3 {
 		h.submit("page", second)
@@ -49,12 +49,12 @@
 		}
 	}
 	if s := h.core.Snapshot(); s.AvoidedPageCaches != 2 {
-		t.Errorf("the other fails: %d are avoided", s.AvoidedPageCaches)
+		t.Errorf("the other page cache fails: %d are avoided", s.AvoidedPageCaches)
 	}
 	h.wait(2 * second)
 	h.submit("page", second)
 	h.finish(h.outstanding[0], AttemptResult{Status: balancer.OK, Detail: balancer.Hit})
 	if s := h.core.Snapshot(); s.AvoidedPageCaches != 1 {
-		t.Errorf("the other is healthy again: %d are avoided", s.AvoidedPageCaches)
+		t.Errorf("the other page cache is healthy again: %d are avoided", s.AvoidedPageCaches)
 	}
 }
