--- a/internal/core/api.go
+++ b/internal/core/api.go
@@ -11,7 +11,7 @@
 
 // The verdicts.
 const (
-	Failed      Verdict = iota // the request may have run
+	Failed      Verdict = iota // the client must assume that the request may have run
 	Rejected                   // a retry does no harm
 	Served                     // the answer has the body
 	NotModified                // the client's copy is current
@@ -20,7 +20,7 @@
 // Answer is the final answer to a request.
 type Answer struct {
 	Verdict    Verdict
-	Body       []byte        // belongs to the receiver
+	Body       []byte        // owned by the receiver
 	RetryAfter time.Duration // for a rejection: how long the client should wait before it retries
 	Reason     string        // for a failure, one of the Reason constants; for a rejection, set unless the reason is load
 }
@@ -63,7 +63,7 @@
 	Source        *Endpoint // endpoint from which Endpoint fills its cache; nil: none
 	Decision      balancer.SendAttempt
 	Index         int           // of the attempt within its request, from 0
-	Timeout       time.Duration // how long the router waits, as reported to the endpoint; set by the latest Permit
+	Timeout       time.Duration // sent to the endpoint as the time that the router waits; set by the latest Permit
 	BrokenConns   int           // connections that broke before the attempt was written in full; the upstream counts them
 	NonIdempotent bool          // a repeat of the request may do harm
 
@@ -78,7 +78,7 @@
 	Status      balancer.Status
 	Detail      balancer.Detail
 	SourceWait  time.Duration // how long the endpoint waited for the first byte of its source
-	Body        []byte        // belongs to the receiver
+	Body        []byte        // owned by the receiver
 	NotModified bool          // the client's copy is current
 	ETag        string        // of that copy, as the endpoint sent it
 }
--- a/internal/core/attempts_test.go
+++ b/internal/core/attempts_test.go
@@ -27,15 +27,15 @@
 		h := newHarness(t)
 		h.submitLate("page", second, waited)
 		if a := h.outstanding[0]; a.Timeout != second-waited {
-			t.Errorf("%v after it came in: timeout %v", waited, a.Timeout)
+			t.Errorf("%v after the arrival: timeout %v, want what the client has left", waited, a.Timeout)
 		}
 		h.wait(second - waited - 15*ms - ms)
 		if len(h.outstanding) != 1 {
-			t.Errorf("%v after it came in: timed out too early", waited)
+			t.Errorf("%v after the arrival: the attempt timed out too early", waited)
 		}
 		h.wait(ms)
 		if len(h.outstanding) != 0 {
-			t.Errorf("%v after it came in: still open at the endpoint's deadline", waited)
+			t.Errorf("%v after the arrival: the attempt is open at its deadline", waited)
 		}
 		h.wantOneAnswer("silent", Rejected)
 	}
@@ -57,7 +57,7 @@
 		}
 		h.core.UpdateEndpoints(draining(e.ID, e.Addr))
 		if s, _ := h.core.Permit(a); !s.NeverRan() {
-			t.Errorf("%s draining: status %d, want one that proves that it never ran", drained, s)
+			t.Errorf("%s draining: status %d, want one that proves that the attempt never ran", drained, s)
 		}
 	}
 }
@@ -71,7 +71,7 @@
 	h.core.CompleteAttempt(a, AttemptResult{Status: balancer.OK})
 	h.core.RunOnce()
 	if len(h.answers) != 0 {
-		t.Errorf("answers %+v", h.answers)
+		t.Errorf("answers %+v after the cancellation, want none", h.answers)
 	}
 }
 
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -101,7 +101,7 @@
 func (c *Core) Schedule(at time.Duration, f func()) { c.timers.add(timer{at: at, call: f}) }
 
 // EarliestArrival returns the earliest time at which input that is read from a socket now may have arrived: now, or
-// after a stall of the process, the time at which the stall began at the earliest. Any goroutine may call it.
+// after a stall of the process, the earliest time at which the stall may have begun. Any goroutine may call it.
 func (c *Core) EarliestArrival() time.Duration { return c.stalls.earliestArrival(c.clock()) }
 
 // EarliestSignal is EarliestArrival for a signal. Any goroutine may call it.
--- a/internal/core/endpoints.go
+++ b/internal/core/endpoints.go
@@ -127,9 +127,9 @@
 	delete(c.endpoints.byID, e.moduleID)
 }
 
-// updateStart takes the latest start of an endpoint from an update, and reports whether the endpoint has restarted. A
-// stamp is only compared for equality with another stamp: it comes from a clock that may have been stepped between two
-// starts.
+// updateStart takes the latest start of an endpoint from an update, and reports whether it is another start than before.
+// A stamp is only compared for equality with another stamp: it comes from a clock that may have been stepped between
+// two starts.
 func (e *Endpoint) updateStart(update *EndpointUpdate) bool {
 	if update.StartStamp == 0 || update.StartStamp == e.startStamp {
 		return false
--- a/internal/core/lifecycle_test.go
+++ b/internal/core/lifecycle_test.go
@@ -48,7 +48,7 @@
 	l.block(predecessorActive)
 	l.unblock(endpointsUnknown)
 	if l.state != stateStarting {
-		t.Errorf("state %d before the predecessor has handed over", l.state)
+		t.Errorf("state %d, want starting before the predecessor has handed over", l.state)
 	}
 	l.enterStandby(second)
 	l.unblock(predecessorActive)
@@ -84,7 +84,7 @@
 	h.core.EnterStandby()
 	h.core.RunOnce()
 	if h.core.Snapshot().Phase != Standby || h.core.DrainStage() != NotDraining {
-		t.Errorf("phase %v, stage %d", h.core.Snapshot().Phase, h.core.DrainStage())
+		t.Errorf("after EnterStandby: phase %v, stage %d, want standby and 0", h.core.Snapshot().Phase, h.core.DrainStage())
 	}
 	h.submit("page", second)
 	h.finish(h.outstanding[0], AttemptResult{Status: balancer.OK})
@@ -97,7 +97,7 @@
 	h.core.policy.maxRetryAfter = second
 	h.submit("page", second)
 	if a := h.answers[1]; a.Verdict != Rejected || a.RetryAfter != second || len(h.outstanding) != 0 {
-		t.Errorf("at the end: %+v, %d attempts; want a rejection with the time to retry after", a, len(h.outstanding))
+		t.Errorf("in the last drain stage: %+v, %d attempts; want a rejection with the time to retry after", a, len(h.outstanding))
 	}
 	if !h.core.LeaveStandby() {
 		t.Error("LeaveStandby reports that the router does not serve again")
@@ -152,7 +152,7 @@
 	}
 	h.submit("page", second)
 	if len(h.outstanding) > 0 || len(h.answers) != 2 || h.answers[1].Verdict != Rejected {
-		t.Errorf("%d sent, answers %+v", len(h.outstanding), h.answers)
+		t.Errorf("after the close: %d sent, answers %+v; want a rejection", len(h.outstanding), h.answers)
 	}
 }
 
@@ -174,11 +174,11 @@
 	h.core.HoldStart()
 	h.core.RunOnce()
 	if p := h.core.Snapshot().Phase; p != Starting {
-		t.Errorf("phase %v", p)
+		t.Errorf("after HoldStart: phase %v, want starting", p)
 	}
 	h.core.ReleaseStart()
 	h.core.RunOnce()
 	if p := h.core.Snapshot().Phase; p != Serving {
-		t.Errorf("phase %v", p)
+		t.Errorf("after ReleaseStart: phase %v, want serving", p)
 	}
 }
--- a/internal/core/orders_test.go
+++ b/internal/core/orders_test.go
@@ -57,7 +57,7 @@
 	return failover
 }
 
-// claim submits a request that resumes a request which another router took under txn.
+// claim submits a request that resumes the request which another router took under the given txn.
 func (h *harness) claim(class, txn string) balancer.RequestID {
 	id := h.core.NewID()
 	h.core.Submit(id, Request{
@@ -104,7 +104,7 @@
 	h.wait(2 * second)
 	h.wantOneAnswer("the lease never came", Rejected)
 	if len(failover.finished) != 1 || failover.finished[0].Verdict != Rejected {
-		t.Errorf("finished with %+v", failover.finished)
+		t.Errorf("finished with %+v, want one rejection", failover.finished)
 	}
 }
 
@@ -137,11 +137,11 @@
 		h.core.AcquireSendPermission(h.outstanding[0])
 		txn := h.outstanding[0].Request.Txn
 		h.finish(h.outstanding[0], AttemptResult{Status: balancer.Rejected})
-		for len(h.outstanding) > 0 { // no endpoint takes it
+		for len(h.outstanding) > 0 { // each endpoint rejects the order
 			h.finish(h.outstanding[len(h.outstanding)-1], AttemptResult{Status: balancer.Rejected})
 		}
 		if len(h.answers) > 0 || h.core.OpenCount() != 1 {
-			t.Fatalf("answered %+v before it was released", h.answers)
+			t.Fatalf("answers %+v before the replica was released", h.answers)
 		}
 		if released {
 			h.core.ReplicaDropped(txn)
@@ -211,12 +211,12 @@
 	h.answers = nil
 	id := h.claim("order", "old")
 	if len(failover.claims) != 1 || len(h.outstanding) > 0 {
-		t.Fatalf("claims %v, sent %d", failover.claims, len(h.outstanding))
+		t.Fatalf("claims %v, %d attempts; want one claim and no attempt", failover.claims, len(h.outstanding))
 	}
 	h.core.ClaimGranted(id)
 	h.core.RunOnce()
 	if len(h.outstanding) != 1 || h.outstanding[0].Request.Txn != "old" {
-		t.Fatalf("sent %d", len(h.outstanding))
+		t.Fatalf("%d attempts, want one under the txn that the order had", len(h.outstanding))
 	}
 	failover.leaseHeld = true
 	h.finish(h.outstanding[0], AttemptResult{Status: balancer.OK, Body: []byte("x")})
@@ -236,6 +236,6 @@
 	id = h.claim("order", "gone")
 	h.core.CancelRequest(id)
 	if failover.cancelledClaims != 1 {
-		t.Errorf("%d claims cancelled", failover.cancelledClaims)
+		t.Errorf("%d claims cancelled, want 1", failover.cancelledClaims)
 	}
 }
--- a/internal/core/purges_test.go
+++ b/internal/core/purges_test.go
@@ -27,7 +27,7 @@
 	h.core.RunOnce()
 	h.core.PurgeObject(7, at-second)
 	if len(h.outstanding) != 3 {
-		t.Fatalf("%d attempts", len(h.outstanding))
+		t.Fatalf("%d attempts, want 3", len(h.outstanding))
 	}
 	for i, a := range h.outstanding {
 		if a.Decision.MaxAge <= 0 || a.Decision.MaxAge > 100*time.Millisecond {
--- a/internal/core/requests_test.go
+++ b/internal/core/requests_test.go
@@ -13,7 +13,7 @@
 	h := newHarness(t)
 	h.submit("page", 3*second)
 	if len(h.outstanding) != 1 || h.outstanding[0].Source == nil {
-		t.Fatalf("attempts %+v", h.outstanding)
+		t.Fatalf("attempts %+v, want one with a source", h.outstanding)
 	}
 	h.finish(h.outstanding[0], AttemptResult{Status: balancer.OK, Detail: balancer.Hit, Body: []byte("x")})
 	h.wait(4 * second)
@@ -62,7 +62,7 @@
 	h.core.RunOnce()
 	h.wait(2 * second)
 	if len(h.outstanding) != 0 || len(h.answers) != 0 {
-		t.Errorf("%d attempts open, answers %+v", len(h.outstanding), h.answers)
+		t.Errorf("%d attempts open, answers %+v; want none", len(h.outstanding), h.answers)
 	}
 }
 
@@ -89,11 +89,11 @@
 	}
 	h.wantOneAnswer("second", Failed)
 	if len(h.outstanding) != 1 {
-		t.Fatalf("%d attempts are open", len(h.outstanding))
+		t.Fatalf("%d attempts are open, want that of the first request", len(h.outstanding))
 	}
 	h.finish(h.outstanding[0], AttemptResult{Status: balancer.OK})
 	if len(h.answers) != 2 || h.answers[1].Verdict != Served {
-		t.Errorf("answers %+v", h.answers)
+		t.Errorf("answers %+v, want the first request served", h.answers)
 	}
 }
 
--- a/internal/core/rules_test.go
+++ b/internal/core/rules_test.go
@@ -41,7 +41,7 @@
 			want = 0
 		}
 		if got := h.core.Snapshot().RuleViolations; got != want {
-			t.Errorf("%s: %d violations, want %d", name, got, want)
+			t.Errorf("%s: %d rule violations, want %d", name, got, want)
 		}
 	}
 }
@@ -62,6 +62,6 @@
 		}
 	}
 	if n := h.core.Snapshot().RuleViolations; n != 0 {
-		t.Errorf("%d violations", n)
+		t.Errorf("%d rule violations, want none", n)
 	}
 }
