--- a/internal/core/attempts.go
+++ b/internal/core/attempts.go
@@ -8,7 +8,7 @@
 func (c *Core) sendAttempt(decision balancer.SendAttempt) {
 	r := c.requests.open[decision.ID]
 	if r == nil {
-		// The client left as this was decided. The module counts the attempt until it learns that it was not sent.
+		// The client left while the module decided. The module counts the attempt until it is told that it was not sent.
 		c.emit(balancer.Outcome{ID: decision.ID, Attempt: decision.Attempt, Endpoint: decision.Endpoint,
 			Status: balancer.NotSent, Answered: true})
 		return
@@ -20,7 +20,7 @@
 		return
 	}
 	r.attempt = a
-	for _, p := range c.iteration.purges {
+	for _, p := range c.iteration.pendingPurges {
 		c.excludeOlderCopies(a, p)
 	}
 	c.traceAttempt(a)
@@ -54,10 +54,10 @@
 	return a
 }
 
-// Permit reports whether an attempt may be written now: balancer.OK, or how it ends instead. What was decided
-// before a connection came up may no longer hold: an endpoint may be draining, as target or as the source of a
-// fill; the client's time may be over, or the time within which page caches drop a duplicate. It also sets the
-// attempt's Timeout.
+// Permit returns balancer.OK if an attempt may be written now, and else the status and detail with which the attempt
+// ends. A decision from before a connection came up may no longer hold: an endpoint may be draining, as the target or
+// as the source of a fill; the client's time may be over, or the time within which page caches drop a duplicate.
+// Permit also sets the attempt's Timeout.
 func (c *Core) Permit(a *Attempt) (balancer.Status, balancer.Detail) {
 	c.applyLateWatchEvents()
 	now := c.clock()
@@ -65,7 +65,7 @@
 	switch {
 	case a.done || now >= a.deadline:
 		return balancer.NotSent, balancer.NoDetail
-	case r.mayHaveRun && !r.policy.mayRetry(now-r.firstSentAt):
+	case r.mayHaveRun && !r.policy.mayRetry(now-r.mayHaveRunSince):
 		return balancer.NotSent, balancer.NoDetail
 	case a.Endpoint.State != balancer.InService:
 		return balancer.ConnectFailed, balancer.NoDetail
@@ -76,10 +76,10 @@
 	return balancer.OK, balancer.NoDetail
 }
 
-// needsSource reports whether the decision has the endpoint fill its cache from another one.
+// needsSource reports whether the endpoint is to fill its cache from another endpoint.
 func (a *Attempt) needsSource() bool { return a.Decision.Source != a.Decision.Endpoint }
 
-// AttemptWritten counts an attempt that was written as a whole, and checks the rules on it.
+// AttemptWritten counts an attempt that was written in full, and checks it against the rules.
 func (c *Core) AttemptWritten(a *Attempt) {
 	c.stats.attemptsWritten++
 	c.checkWritten(a)
@@ -92,9 +92,9 @@
 	}
 	a.done = true
 	r := a.owner
-	r.attempt, r.awaitingPermission = nil, nil
+	r.attempt, r.attemptAwaitingLease = nil, nil
 	if !r.mayHaveRun && !result.Status.NeverRan() {
-		r.mayHaveRun, r.firstSentAt = true, a.sentAt
+		r.mayHaveRun, r.mayHaveRunSince = true, a.sentAt
 	}
 	c.traceAttemptEnd(a, result)
 	if c.extensions.cluster != nil {
@@ -117,7 +117,7 @@
 	c.deliver(r, answer)
 }
 
-// reportOutcome tells the module how an attempt ended.
+// reportOutcome reports to the module how an attempt ended.
 func (c *Core) reportOutcome(a *Attempt, result AttemptResult) {
 	c.emit(balancer.Outcome{
 		ID:         a.owner.id,
@@ -131,10 +131,11 @@
 	})
 }
 
-// abandonAttempt ends an attempt that is open. One that awaits its lease has surely not run.
+// abandonAttempt cancels an open attempt and ends it with the given status, or with balancer.NotSent if it awaits its
+// lease, as it has surely not run then.
 func (c *Core) abandonAttempt(a *Attempt, status balancer.Status) {
 	c.upstream.Cancel(a)
-	if a.owner.awaitingPermission == a {
+	if a.owner.attemptAwaitingLease == a {
 		status = balancer.NotSent
 	}
 	c.CompleteAttempt(a, AttemptResult{Status: status})
