--- a/internal/cluster/membership/golden_test.go
+++ b/internal/cluster/membership/golden_test.go
@@ -24,20 +24,20 @@
 // own.
 
 // newTestAgent returns an agent that has not joined yet; what it receives is recorded.
-func newTestAgent(t *testing.T, cfg config.Cluster) (a *Agent, heard *[]state.Message, packets map[string][]byte) {
+func newTestAgent(t *testing.T, cfg config.Cluster) (a *Agent, received *[]state.Message, packets map[string][]byte) {
 	t.Helper()
 	cfg.KeyFile = filepath.Join(t.TempDir(), "keys")
 	if err := os.WriteFile(cfg.KeyFile, []byte("000102030405060708090a0b0c0d0e0f\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	heard, packets = new([]state.Message), map[string][]byte{}
-	a, err := New("r1", cfg, func(msgs []state.Message) { *heard = append(*heard, msgs...) }, PacketHandlers{
+	received, packets = new([]state.Message), map[string][]byte{}
+	a, err := New("r1", cfg, func(msgs []state.Message) { *received = append(*received, msgs...) }, PacketHandlers{
 		Orders: func(b []byte) { packets["orders"] = b },
 		Credit: func(b []byte) { packets["credit"] = b }})
 	if err != nil {
 		t.Fatal(err)
 	}
-	return a, heard, packets
+	return a, received, packets
 }
 
 // What a router tells of itself with its name.
@@ -76,8 +76,8 @@
 }
 
 // What is sent to one or to all, and how another takes it.
-func TestGoldenSent(t *testing.T) {
-	a, heard, packets := newTestAgent(t, config.Cluster{})
+func TestGoldenSentMessages(t *testing.T) {
+	a, received, packets := newTestAgent(t, config.Cluster{})
 	a.Send([]state.OutgoingMessage{{Recipient: "r2", ReplaceKey: "count hits edge-7", Message: goldenMessages[0]}})
 	a.SendOrderPackets([]messaging.Packet{{To: "r2", Data: []byte("a packet of orders")}})
 	a.SendCreditPackets([]messaging.Packet{{To: "r2", Data: []byte("a packet of credit")}})
@@ -85,21 +85,21 @@
 		golden.Same(t, name, (<-a.outgoing.waiting).content)
 		delegate{a}.NotifyMsg(golden.Read(t, name))
 	}
-	if !reflect.DeepEqual(*heard, goldenMessages[:1]) ||
+	if !reflect.DeepEqual(*received, goldenMessages[:1]) ||
 		string(packets["orders"]) != "a packet of orders" ||
 		string(packets["credit"]) != "a packet of credit" {
-		t.Errorf("heard %+v, %q", *heard, packets)
+		t.Errorf("heard %+v, %q", *received, packets)
 	}
 }
 
 // What two routers exchange when they meet.
-func TestGoldenWhole(t *testing.T) {
-	a, heard, _ := newTestAgent(t, config.Cluster{})
+func TestGoldenFullState(t *testing.T) {
+	a, received, _ := newTestAgent(t, config.Cluster{})
 	a.PublishFullState(goldenMessages)
 	golden.Same(t, "whole.hex", delegate{a}.LocalState(true))
 	delegate{a}.MergeRemoteState(golden.Read(t, "whole.hex"), true)
-	if !reflect.DeepEqual(*heard, goldenMessages) {
-		t.Errorf("heard %+v, want %+v", *heard, goldenMessages)
+	if !reflect.DeepEqual(*received, goldenMessages) {
+		t.Errorf("heard %+v, want %+v", *received, goldenMessages)
 	}
 	b := broadcast{"count hits edge-7", []byte("text")}
 	if b.Name() != "count hits edge-7" || !bytes.Equal(b.Message(), []byte("text")) {
--- a/internal/cluster/membership/join.go
+++ b/internal/cluster/membership/join.go
@@ -49,7 +49,7 @@
 		if alive[peer] || peer == a.settings.Advertise.String() {
 			continue
 		}
-		if closed(stop) {
+		if isClosed(stop) {
 			return
 		}
 		if _, err := list.Join([]string{peer}); err != nil {
@@ -58,7 +58,7 @@
 	}
 }
 
-func closed(stop <-chan struct{}) bool {
+func isClosed(stop <-chan struct{}) bool {
 	select {
 	case <-stop:
 		return true
--- a/internal/cluster/membership/membership_test.go
+++ b/internal/cluster/membership/membership_test.go
@@ -69,7 +69,7 @@
 // end stops an agent, if it runs, and waits for the end of its goroutines.
 func (r *runningAgent) end(t *testing.T) {
 	t.Helper()
-	if !closed(r.stop) {
+	if !isClosed(r.stop) {
 		close(r.stop)
 	}
 	select {
@@ -127,7 +127,7 @@
 
 // Two routers find each other, exchange messages of any length and packets, go on after the keys are replaced, and
 // the one that stays sees the other leave.
-func TestTwoRouters(t *testing.T) {
+func TestTwoRoutersExchangeMessagesAndReloadKeys(t *testing.T) {
 	oldKey, newKey := strings.Repeat("0a", 32)+"\n", strings.Repeat("0b", 32)+"\n"
 	first := startAgent(t, "r1", freeAddress(t), oldKey)
 	second := startAgent(t, "r2", freeAddress(t), oldKey, first.settings.Listen.String())
@@ -166,7 +166,7 @@
 }
 
 // A router whose address is taken waits for it, and ends when it is stopped meanwhile.
-func TestAddressTaken(t *testing.T) {
+func TestRunWaitsForTakenAddress(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -187,7 +187,7 @@
 }
 
 // Messages that no longer fit into the queue are dropped and counted.
-func TestFullQueueDrops(t *testing.T) {
+func TestFullQueueDropsMessages(t *testing.T) {
 	a, _, _ := newTestAgent(t, config.Cluster{})
 	message := state.OutgoingMessage{Recipient: "r2", Message: goldenMessages[0]}
 	for range sendQueueLength + 3 {
@@ -199,7 +199,7 @@
 }
 
 // A key file that is faulty at a reload changes nothing.
-func TestReloadOfFaultyKeys(t *testing.T) {
+func TestFaultyKeyFileKeepsKeysInUse(t *testing.T) {
 	a, _, _ := newTestAgent(t, config.Cluster{})
 	before := a.keys.ring.GetPrimaryKey()
 	writeKeys(t, a.settings.KeyFile, "no key\n")
--- a/internal/cluster/membership/peers.go
+++ b/internal/cluster/membership/peers.go
@@ -34,13 +34,13 @@
 		}
 		largest = max(largest, meta.configuredSize())
 	}
-	a.warnOfSize(largest)
+	a.warnOfLargerSize(largest)
 	slices.Sort(others)
 	return others, max(owners, largest)
 }
 
-// warnOfSize logs, once, that another router is configured for more routers than this one.
-func (a *Agent) warnOfSize(largest int) {
+// warnOfLargerSize logs, once, that another router is configured for more routers than this one.
+func (a *Agent) warnOfLargerSize(largest int) {
 	own := a.settings.State.ClusterSize
 	if largest > own && !a.sizeWarned.Swap(true) {
 		log.Error("cluster size differs", logging.KeyOwnSize, own, logging.KeyPeerSize, largest)
--- a/internal/cluster/messaging/errors.go
+++ b/internal/cluster/messaging/errors.go
@@ -17,10 +17,10 @@
 }
 
 // MessageTooLongError says that a message is over Settings.MaxMessageBytes.
-type MessageTooLongError struct{ Bytes, Most int }
+type MessageTooLongError struct{ Bytes, Limit int }
 
 func (e MessageTooLongError) Error() string {
-	return fmt.Sprintf("a parcel of %d bytes, over %d", e.Bytes, e.Most)
+	return fmt.Sprintf("a parcel of %d bytes, over %d", e.Bytes, e.Limit)
 }
 
 // Hint implements operatorhint.Error.
--- a/internal/cluster/messaging/golden_test.go
+++ b/internal/cluster/messaging/golden_test.go
@@ -56,7 +56,7 @@
 // A messenger sends, byte for byte, what it sent when the files were written, and understands what the other sent then: the
 // query for its process, the reply to it, a message, its acknowledgement, and that acknowledgement once more.
 func TestGoldenExchange(t *testing.T) {
-	one, two := New(Defaults("r1", 11)), New(Defaults("r2", 22))
+	r1, r2 := New(Defaults("r1", 11)), New(Defaults("r2", 22))
 	now := time.Second
 	step := func(from, to *Messenger, names ...string) (in []Delivery) {
 		t.Helper()
@@ -70,20 +70,20 @@
 		}
 		return in
 	}
-	if _, err := one.Send(now, "r2", []byte("order"), now+time.Minute); err != nil {
+	if _, err := r1.Send(now, "r2", []byte("order"), now+time.Minute); err != nil {
 		t.Fatal(err)
 	}
-	step(one, two, "talk-1-ask.hex")
-	step(two, one, "talk-2-ask.hex", "talk-3-echo.hex")
-	step(one, two, "talk-4-parcel.hex", "talk-5-echo.hex")
+	step(r1, r2, "talk-1-ask.hex")
+	step(r2, r1, "talk-2-ask.hex", "talk-3-echo.hex")
+	step(r1, r2, "talk-4-parcel.hex", "talk-5-echo.hex")
 	now += 30 * time.Millisecond
-	in := step(one, two, "talk-6-parcel.hex")
+	in := step(r1, r2, "talk-6-parcel.hex")
 	if want := []Delivery{{From: "r1", Process: 11, ID: 1, Body: []byte("order")}}; !reflect.DeepEqual(in, want) {
 		t.Fatalf("arrived %+v, want %+v", in, want)
 	}
-	two.Acknowledge(in[0], []byte("yes"))
-	step(two, one, "talk-7-answer.hex")
-	if done := one.Completions(); len(done) != 1 || done[0].Err != nil || !bytes.Equal(done[0].Reply, []byte("yes")) {
+	r2.Acknowledge(in[0], []byte("yes"))
+	step(r2, r1, "talk-7-answer.hex")
+	if done := r1.Completions(); len(done) != 1 || done[0].Err != nil || !bytes.Equal(done[0].Reply, []byte("yes")) {
 		t.Errorf("done %+v", done)
 	}
 }
--- a/internal/cluster/messaging/messaging.go
+++ b/internal/cluster/messaging/messaging.go
@@ -43,7 +43,7 @@
 	lastID    uint64           // of a message
 	lastQuery uint64
 	completed []Completion // not read yet
-	names     []string     // of peers, in order; nil: to be made anew
+	peerNames []string     // of peers, in order; nil: to be made anew
 }
 
 // New returns the messenger of a process that has just started.
@@ -62,7 +62,7 @@
 		return 0, QueueFullError{to}
 	}
 	m.lastID++
-	p.outbox.add(&outgoing{
+	p.outbox.add(&outgoingMessage{
 		id:       m.lastID,
 		process:  p.process,
 		body:     body,
@@ -111,7 +111,7 @@
 		m.startQuery(now, p)
 		return nil
 	}
-	p.heardAt = now
+	p.lastSeenAt = now
 	if in.ToProcess != m.settings.Process {
 		p.announce = true
 		return nil
@@ -142,9 +142,9 @@
 // receiveMessages returns the messages that came for the first time, and acknowledges the others again.
 func (m *Messenger) receiveMessages(p *peer, messages []item) (deliveries []Delivery) {
 	for _, message := range messages {
-		first, reply := p.inbox.accept(message.ID, m.settings.ReplyMemory)
+		isNew, reply := p.inbox.accept(message.ID, m.settings.ReplyMemory)
 		switch {
-		case first:
+		case isNew:
 			delivery := Delivery{From: p.name, Process: p.process, ID: message.ID, Body: message.Body}
 			deliveries = append(deliveries, delivery)
 		case reply != nil:
@@ -168,7 +168,7 @@
 
 // Tick gives up messages that were not acknowledged in time. It is due every few milliseconds; a late call is safe.
 func (m *Messenger) Tick(now time.Duration) {
-	for _, name := range m.names {
+	for _, name := range m.peerNames {
 		p := m.peers[name]
 		for i := 0; i < len(p.outbox.messages); {
 			out := p.outbox.messages[i]
@@ -190,11 +190,11 @@
 
 // DuePackets returns the packets that are to be sent now. What goes to one router shares packets, as far as it fits.
 func (m *Messenger) DuePackets(now time.Duration) (packets []Packet) {
-	if m.names == nil {
-		m.names = slices.Sorted(maps.Keys(m.peers))
+	if m.peerNames == nil {
+		m.peerNames = slices.Sorted(maps.Keys(m.peers))
 	}
-	for _, name := range m.names {
-		if p := m.peers[name]; !p.silent() {
+	for _, name := range m.peerNames {
+		if p := m.peers[name]; !p.hasNothingToSend() {
 			packets = m.appendDuePackets(packets, now, p)
 		}
 	}
--- a/internal/cluster/messaging/messaging_test.go
+++ b/internal/cluster/messaging/messaging_test.go
@@ -9,29 +9,29 @@
 
 // A message is delivered once at most, and its end is told once: with the reply of its receiver, or in time without. Late and
 // repeated packets, of processes that have ended too, change nothing.
-func TestOnce(t *testing.T) {
-	answered := 0
+func TestMessagesAreDeliveredAtMostOnce(t *testing.T) {
+	acknowledged := 0
 	for seed := range uint64(60) {
-		s := &onceCheck{pair: newPair(seed, 5, 0.2), seed: seed, replies: map[uint64]string{}}
+		s := &deliveryCheck{simulatedPair: newSimulatedPair(seed, 5, 0.2), seed: seed, replies: map[uint64]string{}}
 		s.run(t)
-		answered += s.answered
-		s.checkUnderstanding(t)
+		acknowledged += s.acknowledged
+		s.checkNewMessageArrives(t)
 	}
-	if answered < 1000 {
-		t.Errorf("%d parcels were answered", answered)
+	if acknowledged < 1000 {
+		t.Errorf("%d parcels were answered", acknowledged)
 	}
 }
 
-// onceCheck sends messages from "a" to "b" and checks how they end.
-type onceCheck struct {
-	*pair
-	seed     uint64
-	replies  map[uint64]string // that are expected, by message in flight
-	answered int
+// deliveryCheck sends messages from "a" to "b" and checks how they end.
+type deliveryCheck struct {
+	*simulatedPair
+	seed         uint64
+	replies      map[uint64]string // that are expected, by message in flight
+	acknowledged int
 }
 
 // run sends messages, and replaces processes, until none is in flight.
-func (s *onceCheck) run(t *testing.T) {
+func (s *deliveryCheck) run(t *testing.T) {
 	t.Helper()
 	const (
 		sendUntil = 4 * time.Second
@@ -54,17 +54,17 @@
 
 // replaceProcess replaces the process of either router; what "a" sent before has no end then. If it is not allowed, it only
 // draws which one it would be.
-func (s *onceCheck) replaceProcess(allowed bool) {
+func (s *deliveryCheck) replaceProcess(allowed bool) {
 	if !allowed {
 		s.random.IntN(2)
 		return
 	}
-	if s.replaceOne() == "a" {
+	if s.replaceRandomProcess() == "a" {
 		clear(s.replies)
 	}
 }
 
-func (s *onceCheck) sendMessage(t *testing.T) {
+func (s *deliveryCheck) sendMessage(t *testing.T) {
 	t.Helper()
 	body := []byte(fmt.Sprint(s.now))
 	id, err := s.messengers["a"].Send(s.now, "b", body, s.now+time.Second)
@@ -77,7 +77,7 @@
 	}
 }
 
-func (s *onceCheck) checkCompletions(t *testing.T) {
+func (s *deliveryCheck) checkCompletions(t *testing.T) {
 	t.Helper()
 	for _, c := range s.messengers["a"].Completions() {
 		want := s.replies[c.ID]
@@ -85,7 +85,7 @@
 			t.Fatalf("seed %d: an end of %d, which is not under way", s.seed, c.ID)
 		}
 		if c.Err == nil {
-			s.answered++
+			s.acknowledged++
 			if string(c.Reply) != want {
 				t.Fatalf("seed %d: %q for %q", s.seed, c.Reply, want)
 			}
@@ -94,9 +94,9 @@
 	}
 }
 
-// checkUnderstanding fails unless the processes that are there now understand each other, whatever came late of those that
+// checkNewMessageArrives fails unless the processes that are there now understand each other, whatever came late of those that
 // have ended.
-func (s *onceCheck) checkUnderstanding(t *testing.T) {
+func (s *deliveryCheck) checkNewMessageArrives(t *testing.T) {
 	t.Helper()
 	s.loss = 0
 	id, err := s.messengers["a"].Send(s.now, "b", []byte("last"), s.now+5*time.Second)
@@ -113,8 +113,8 @@
 }
 
 // A router that does not answer holds up no other, and takes a bounded room.
-func TestSlowPeer(t *testing.T) {
-	p := newPair(1, 1, 0)
+func TestUnresponsivePeerDoesNotBlockOthers(t *testing.T) {
+	p := newSimulatedPair(1, 1, 0)
 	var full QueueFullError
 	for i := range 9 {
 		_, err := p.messengers["a"].Send(0, "gone", []byte("x"), time.Second)
@@ -140,7 +140,7 @@
 
 // A burst goes out at once, in as many packets as it takes, and so do its acknowledgements: no message waits for its retry. The
 // one that opened a packet was once left out of it.
-func TestBurstGoesOutAtOnce(t *testing.T) {
+func TestBurstIsSentWithoutRetries(t *testing.T) {
 	const burst = 200
 	a, b := New(Defaults("a", 1)), New(Defaults("b", 2))
 	exchange := func(now time.Duration) { // all that is due, both ways
@@ -174,7 +174,7 @@
 }
 
 // Packets of a burst stay within their size, whatever the sizes of the messages.
-func TestBurstKeepsToPacketSize(t *testing.T) {
+func TestBurstStaysWithinPacketSize(t *testing.T) {
 	a := New(Defaults("a", 1))
 	w := &packetWriter{messenger: a, peer: &peer{name: "b", process: 2}}
 	w.begin()
--- a/internal/cluster/messaging/peer.go
+++ b/internal/cluster/messaging/peer.go
@@ -16,11 +16,11 @@
 	query            query  // for the process that is there now
 	queryReplies     []queryReply
 	announce         bool // it takes this router for another process, and is to hear of this one
-	heardAt          time.Duration
+	lastSeenAt       time.Duration
 }
 
-// outgoing is a message in flight.
-type outgoing struct {
+// outgoingMessage is a message in flight.
+type outgoingMessage struct {
 	id       uint64
 	process  uint64 // that it is for; 0: not known yet
 	body     []byte
@@ -31,17 +31,17 @@
 
 // outbox holds the messages in flight to a peer, in the order in which they were sent first.
 type outbox struct {
-	messages []*outgoing
+	messages []*outgoingMessage
 	bytes    int // of their bodies
 }
 
-func (o *outbox) add(out *outgoing) {
+func (o *outbox) add(out *outgoingMessage) {
 	o.messages = append(o.messages, out)
 	o.bytes += len(out.body)
 }
 
 func (o *outbox) remove(id uint64) {
-	i := slices.IndexFunc(o.messages, func(out *outgoing) bool { return out.id == id })
+	i := slices.IndexFunc(o.messages, func(out *outgoingMessage) bool { return out.id == id })
 	if i < 0 {
 		return
 	}
@@ -51,24 +51,24 @@
 
 // inbox knows which messages of a peer's process have come, so that each is delivered at most once.
 type inbox struct {
-	replies map[uint64][]byte // of messages that came; nil: not acknowledged yet
-	order   []uint64          // the keys of replies, oldest first
-	floor   uint64            // messages with numbers up to this are too old to be told apart
+	replies       map[uint64][]byte // of messages that came; nil: not acknowledged yet
+	receivedIDs   []uint64          // the keys of replies, oldest first
+	forgottenUpTo uint64            // messages with numbers up to this are too old to be told apart
 }
 
 // accept notes a message and returns true if it came for the first time. Else it returns the reply to be sent again, if
 // there is one.
-func (b *inbox) accept(id uint64, memory int) (first bool, reply []byte) {
+func (b *inbox) accept(id uint64, maxReplies int) (isNew bool, reply []byte) {
 	reply, known := b.replies[id]
-	if known || id <= b.floor || id == 0 {
+	if known || id <= b.forgottenUpTo || id == 0 {
 		return false, reply
 	}
 	b.replies[id] = nil
-	b.order = append(b.order, id)
-	if len(b.order) > memory {
-		b.floor = max(b.floor, b.order[0])
-		delete(b.replies, b.order[0])
-		b.order = b.order[1:]
+	b.receivedIDs = append(b.receivedIDs, id)
+	if len(b.receivedIDs) > maxReplies {
+		b.forgottenUpTo = max(b.forgottenUpTo, b.receivedIDs[0])
+		delete(b.replies, b.receivedIDs[0])
+		b.receivedIDs = b.receivedIDs[1:]
 	}
 	return true, nil
 }
@@ -84,7 +84,7 @@
 
 // reset forgets the messages of a process that has ended.
 func (b *inbox) reset() {
-	b.order, b.floor = nil, 0
+	b.receivedIDs, b.forgottenUpTo = nil, 0
 	clear(b.replies)
 }
 
@@ -105,8 +105,8 @@
 // queryLifetime is how long a query is repeated if no message waits for the reply.
 const queryLifetime = 2 * time.Second
 
-// silent tells whether there is nothing to send to the peer.
-func (p *peer) silent() bool {
+// hasNothingToSend tells whether there is nothing to send to the peer.
+func (p *peer) hasNothingToSend() bool {
 	return len(p.outbox.messages) == 0 && len(p.acknowledgements) == 0 && p.query.number == 0 &&
 		len(p.queryReplies) == 0 && !p.announce
 }
@@ -124,8 +124,8 @@
 		}
 		delete(m.peers, oldest.name)
 	}
-	p := &peer{name: name, heardAt: now, inbox: inbox{replies: map[uint64][]byte{}}}
-	m.peers[name], m.names = p, nil
+	p := &peer{name: name, lastSeenAt: now, inbox: inbox{replies: map[uint64][]byte{}}}
+	m.peers[name], m.peerNames = p, nil
 	return p
 }
 
@@ -133,7 +133,7 @@
 	var oldest *peer
 	for _, name := range slices.Sorted(maps.Keys(m.peers)) {
 		p := m.peers[name]
-		if len(p.outbox.messages) == 0 && (oldest == nil || p.heardAt < oldest.heardAt) {
+		if len(p.outbox.messages) == 0 && (oldest == nil || p.lastSeenAt < oldest.lastSeenAt) {
 			oldest = p
 		}
 	}
--- a/internal/cluster/messaging/simulation_test.go
+++ b/internal/cluster/messaging/simulation_test.go
@@ -10,26 +10,26 @@
 
 const ms = time.Millisecond
 
-// pair is two messengers and a network between them that loses, delays and repeats, while processes are replaced.
-type pair struct {
-	random     *rand.Rand
-	now        time.Duration
-	messengers map[string]*Messenger
-	processes  uint64 // started so far
-	network    []flyingPacket
-	loss       float64        // share of packets that are lost
-	delivered  map[string]int // how often each message was, by sender, process and number
+// simulatedPair is two messengers and a network between them that loses, delays and repeats, while processes are replaced.
+type simulatedPair struct {
+	random       *rand.Rand
+	now          time.Duration
+	messengers   map[string]*Messenger
+	processCount uint64 // started so far
+	network      []packetInFlight
+	loss         float64        // share of packets that are lost
+	delivered    map[string]int // how often each message was, by sender, process and number
 }
 
-type flyingPacket struct {
+type packetInFlight struct {
 	at   time.Duration
 	to   string
 	data []byte
 }
 
-// newPair returns the messengers "a" and "b".
-func newPair(seed1, seed2 uint64, loss float64) *pair {
-	p := &pair{
+// newSimulatedPair returns the messengers "a" and "b".
+func newSimulatedPair(seed1, seed2 uint64, loss float64) *simulatedPair {
+	p := &simulatedPair{
 		random:     rand.New(rand.NewPCG(seed1, seed2)),
 		messengers: map[string]*Messenger{},
 		loss:       loss,
@@ -41,22 +41,22 @@
 }
 
 // start starts a new process of a router.
-func (p *pair) start(name string) {
-	p.processes++
-	settings := Defaults(name, p.processes)
+func (p *simulatedPair) start(name string) {
+	p.processCount++
+	settings := Defaults(name, p.processCount)
 	settings.ReplyMemory, settings.MaxMessages = 16, 8
 	p.messengers[name] = New(settings)
 }
 
-// replaceOne starts a new process of one of the routers, and returns its name.
-func (p *pair) replaceOne() string {
+// replaceRandomProcess starts a new process of one of the routers, and returns its name.
+func (p *simulatedPair) replaceRandomProcess() string {
 	name := []string{"a", "b"}[p.random.IntN(2)]
 	p.start(name)
 	return name
 }
 
 // step moves time on by a millisecond.
-func (p *pair) step(t *testing.T) {
+func (p *simulatedPair) step(t *testing.T) {
 	t.Helper()
 	p.now += ms
 	p.deliverPackets(t)
@@ -68,7 +68,7 @@
 	}
 }
 
-func (p *pair) deliverPackets(t *testing.T) {
+func (p *simulatedPair) deliverPackets(t *testing.T) {
 	t.Helper()
 	for i := 0; i < len(p.network); {
 		packet := p.network[i]
@@ -86,7 +86,7 @@
 	}
 }
 
-func (p *pair) countDelivery(t *testing.T, d Delivery) {
+func (p *simulatedPair) countDelivery(t *testing.T, d Delivery) {
 	t.Helper()
 	key := fmt.Sprint(d.From, d.Process, d.ID)
 	p.delivered[key]++
@@ -98,14 +98,14 @@
 func replyTo(body []byte) []byte { return append([]byte("held "), body...) }
 
 // send puts a packet on the network, some twice, and some very late.
-func (p *pair) send(packet Packet) {
+func (p *simulatedPair) send(packet Packet) {
 	for range 1 + p.random.IntN(3)/2 {
 		at := p.now + time.Duration(p.random.ExpFloat64()*float64(5*ms))
 		if p.random.IntN(30) == 0 {
 			at += time.Duration(p.random.Int64N(int64(3 * time.Second)))
 		}
 		if p.random.Float64() >= p.loss {
-			p.network = append(p.network, flyingPacket{at, packet.To, packet.Data})
+			p.network = append(p.network, packetInFlight{at, packet.To, packet.Data})
 		}
 	}
 }
--- a/internal/cluster/placement/placement.go
+++ b/internal/cluster/placement/placement.go
@@ -36,7 +36,7 @@
 
 // before returns whether router a precedes router b in the order for a duty. Scores that are equal leave it to the
 // names.
-func before(a, b string, scoreA, scoreB float64) bool {
+func precedes(a, b string, scoreA, scoreB float64) bool {
 	return scoreA < scoreB || scoreA == scoreB && a < b
 }
 
@@ -51,7 +51,7 @@
 	own := score(self, duty, saltDuty)
 	preceding := 0
 	for _, router := range routers {
-		if before(router, self, score(router, duty, saltDuty), own) {
+		if precedes(router, self, score(router, duty, saltDuty), own) {
 			preceding++
 		}
 	}
@@ -63,7 +63,7 @@
 func Assign(duty string, routers []string) string {
 	assigned, lowest := "", 2.0 // above every score
 	for _, router := range routers {
-		if s := score(router, duty, saltDuty); before(router, assigned, s, lowest) {
+		if s := score(router, duty, saltDuty); precedes(router, assigned, s, lowest) {
 			assigned, lowest = router, s
 		}
 	}
--- a/internal/cluster/placement/schedule_test.go
+++ b/internal/cluster/placement/schedule_test.go
@@ -8,7 +8,7 @@
 )
 
 // Known routers share a period evenly; unknown ones are spread by chance; each duty has an order of its own.
-func TestPhaseOffsets(t *testing.T) {
+func TestPhaseOffsetsAreSpreadEvenly(t *testing.T) {
 	routers, first := names("r", 0, 9), map[string]bool{}
 	for d := range 20 {
 		duty, taken := fmt.Sprint("duty", d), map[time.Duration]bool{}
@@ -38,7 +38,7 @@
 }
 
 // Waits stay within their bounds, grow, and are not in step.
-func TestBackoff(t *testing.T) {
+func TestBackoffStaysBoundedAndSpread(t *testing.T) {
 	const shortest, longest, slot = 25 * time.Millisecond, 2 * time.Second, 20 * time.Millisecond
 	perSlot := map[time.Duration]int{} // after 8 failures
 	for _, r := range names("r", 0, 300) {
--- a/internal/cluster/placement/subsets_test.go
+++ b/internal/cluster/placement/subsets_test.go
@@ -73,7 +73,7 @@
 // Each endpoint is used by at most a quarter more routers than the mean, each router has as many as it should, and a
 // name that comes or goes moves no more than twice its share (thrice, for endpoints). The sizes are those of the
 // smallest and largest clusters.
-func TestSubsets(t *testing.T) {
+func TestSubsetsAreBalancedAndStable(t *testing.T) {
 	for _, c := range []struct{ routers, endpoints, want int }{
 		{9, 12, 4}, {9, 20, 6}, {5, 8, 3}, {20, 14, 5}, {60, 40, 8}, {300, 200, 20}, {300, 200, 8},
 	} {
@@ -116,7 +116,7 @@
 }
 
 // Odd sizes neither fail nor leave a router short.
-func TestSubsetsOfAnySize(t *testing.T) {
+func TestSubsetsHaveTheirSizeForAnyInput(t *testing.T) {
 	for n := range 7 {
 		for m := range 7 {
 			for size := range 9 {
--- a/internal/cluster/placement/warmup_test.go
+++ b/internal/cluster/placement/warmup_test.go
@@ -26,7 +26,7 @@
 
 // What routers may send an endpoint that is warming up adds up to no more than its capacity, whether they know each
 // other or go by an estimate; where they know each other, it is never nothing once the warm-up has begun.
-func TestWarmUpQuotasAddUp(t *testing.T) {
+func TestWarmUpQuotasStayWithinCapacity(t *testing.T) {
 	for _, known := range []bool{true, false} {
 		for i := range 200 {
 			endpoint, routers := fmt.Sprint("s", i), names("r", 0, 9+i%292)
--- a/internal/cluster/state/budget.go
+++ b/internal/cluster/state/budget.go
@@ -37,10 +37,10 @@
 
 // demand is what this router spends, to judge how many shares it needs.
 type demand struct {
-	rate      float64 // mean of what was spent a second, over about a lease
-	sinceTick float64 // spent since the last tick
-	denied    bool    // something was denied since the last tick
-	total     uint64  // spent since the process started
+	rate           float64 // mean of what was spent a second, over about a lease
+	spentSinceTick float64 // spent since the last tick
+	denied         bool    // something was denied since the last tick
+	totalSpent     uint64  // spent since the process started
 }
 
 // OpenBudget opens a budget, or keeps it open, until a time (0: for good). Beyond maxSharedBudgets this router spends just
@@ -87,8 +87,8 @@
 	}
 	s.refill(b, now)
 	b.bucket.tokens--
-	b.demand.sinceTick++
-	b.demand.total++
+	b.demand.spentSinceTick++
+	b.demand.totalSpent++
 }
 
 // totalShares is how many shares a budget is divided into.
@@ -161,14 +161,14 @@
 		b.lent, b.borrowed = dropExpired(b.lent, now), dropExpired(b.borrowed, now)
 		b.demand.updateRate(s.settings)
 		s.requestLeases(now, key, b)
-		b.demand.sinceTick, b.demand.denied = 0, false
+		b.demand.spentSinceTick, b.demand.denied = 0, false
 	}
 }
 
 // updateRate takes what was spent since the last tick into the mean.
 func (d *demand) updateRate(settings Settings) {
 	window := settings.LeaseDuration.Seconds()
-	d.rate = d.rate*math.Exp(-settings.TickInterval.Seconds()/window) + d.sinceTick/window
+	d.rate = d.rate*math.Exp(-settings.TickInterval.Seconds()/window) + d.spentSinceTick/window
 }
 
 // BudgetStatus is how a budget stands with this router, in shares.
@@ -190,7 +190,7 @@
 			LentShares:     activeShares(b.lent, now),
 			BorrowedShares: activeShares(b.borrowed, now),
 			TotalShares:    s.totalShares(),
-			Spent:          b.demand.total,
+			Spent:          b.demand.totalSpent,
 		})
 	}
 	return all
--- a/internal/cluster/state/budget_test.go
+++ b/internal/cluster/state/budget_test.go
@@ -8,7 +8,7 @@
 
 // Whatever is lost, late, repeated, cut, killed, paused and restarted, no share has two holders and in no window is
 // more spent than the budget.
-func TestBudgetsUnderFaults(t *testing.T) {
+func TestBudgetsStayBoundedUnderFaults(t *testing.T) {
 	for seed := range uint64(*seeds) {
 		c := newSimulatedCluster(t, seed, 3+int(seed%5))
 		for c.now < 20*time.Second {
@@ -59,7 +59,7 @@
 }
 
 // What the others don't need is lent to the router that does; alone, a router has the shares that it owns and no more.
-func TestUnevenDemand(t *testing.T) {
+func TestUnneededSharesAreLentToBusyRouter(t *testing.T) {
 	c := newSimulatedCluster(t, 1, 5)
 	owned := c.limits.Rate / 5
 	c.routers[0].demand = 1000
@@ -83,7 +83,7 @@
 
 // A router over the configured number owns no shares, and spends what it borrows. A process that is replaced spends
 // nothing.
-func TestGuestAndReplacedProcess(t *testing.T) {
+func TestGuestSpendsOnlyLeasesAndReplacedProcessNothing(t *testing.T) {
 	settings := Defaults("guest", 1, 3)
 	settings.Guest = true
 	guest := newState(t, settings)
@@ -112,7 +112,7 @@
 }
 
 // Where more routers are seen, or any was configured for more, than this one was, its shares shrink, and stay so.
-func TestMoreRoutersThanConfigured(t *testing.T) {
+func TestSharesShrinkIfMoreRoutersThanConfigured(t *testing.T) {
 	s := newState(t, Defaults("a", 1, 2))
 	s.Tick(time.Second)
 	s.OpenBudget(time.Second, testBudget, BudgetLimits{Rate: 100, Burst: 4}, 0)
@@ -140,7 +140,7 @@
 
 // A budget starts with no tokens; shares that were lent earn for the borrower alone up to the lease's end, whoever is
 // paused then.
-func TestTokensEarnedOnShares(t *testing.T) {
+func TestLentSharesEarnOnlyForBorrower(t *testing.T) {
 	s := newState(t, Defaults("a", 1, 2))
 	s.Tick(time.Second)
 	s.OpenBudget(time.Second, testBudget, BudgetLimits{Rate: 2, Burst: 1000}, 0)
@@ -160,7 +160,7 @@
 }
 
 // Budgets over the bound are not opened, so not shared: then CanSpend allows everything. A budget ends at its time.
-func TestOpenAndCloseBudgets(t *testing.T) {
+func TestBudgetsAreLimitedAndExpire(t *testing.T) {
 	s := newState(t, Defaults("a", 1, 2))
 	limits := BudgetLimits{Rate: 1, Burst: 4}
 	for i := range maxBudgets {
@@ -183,7 +183,7 @@
 
 // Each router of a cluster keeps within its part of a budget that it opens beyond those that can be shared, as when very many
 // endpoints warm up at once. Such a budget had no bound.
-func TestBudgetsBeyondTheSharedOnesAreBounded(t *testing.T) {
+func TestUnsharedBudgetsStayBounded(t *testing.T) {
 	const routers, extra, window = 4, 3, 10 * time.Second
 	s, err := New(Defaults("r1", 1, routers))
 	if err != nil {
--- a/internal/cluster/state/counter.go
+++ b/internal/cluster/state/counter.go
@@ -14,8 +14,8 @@
 // the larger value, so that messages that come late, twice or through other routers change nothing. Of each router
 // the latest processes count, the same for all who have heard of them.
 type counter struct {
-	parts map[process]uint64
-	sent  uint64 // this process's part as it was sent last
+	parts    map[process]uint64
+	lastSent uint64 // this process's part as it was sent last
 }
 
 // IncrementCounter adds n to this router's part of a counter.
@@ -57,11 +57,11 @@
 	for _, key := range s.CounterKeys() {
 		c := s.counters[key]
 		value := c.parts[s.self()]
-		if value == c.sent || remaining == 0 {
+		if value == c.lastSent || remaining == 0 {
 			continue
 		}
 		remaining--
-		c.sent = value
+		c.lastSent = value
 		update := counterUpdate{writer: s.self(), counter: key, value: value}
 		s.broadcast(counterReplacePrefix+key, update.message())
 	}
--- a/internal/cluster/state/counter_test.go
+++ b/internal/cluster/state/counter_test.go
@@ -57,7 +57,7 @@
 }
 
 // Nobody else writes a router's own part of a counter, and an older process of its name adds to it.
-func TestOwnPartOfCounter(t *testing.T) {
+func TestOnlyOwnProcessWritesItsPartOfCounter(t *testing.T) {
 	s := newState(t, Defaults("a", 5, 3))
 	s.IncrementCounter("hits", 2)
 	s.ReceiveMessage(0, Message{Kind: KindCounterUpdate, From: "a", Process: 5, Key: "hits", Value: 100})
--- a/internal/cluster/state/golden_test.go
+++ b/internal/cluster/state/golden_test.go
@@ -42,7 +42,7 @@
 
 // What a router says by itself to all, a count and evidence, under the keys of its queue; and all that it tells one
 // who has heard nothing.
-func TestGoldenSaid(t *testing.T) {
+func TestGoldenBroadcastsAndFullState(t *testing.T) {
 	s, err := New(Defaults("r1", 11, 2))
 	if err != nil {
 		t.Fatal(err)
@@ -51,15 +51,15 @@
 	s.IncrementCounter("hits edge-7", 129)
 	s.ObserveHealth(time.Second, "edge-7", 3, 0)
 	s.Tick(time.Second)
-	var said []byte
+	var broadcasts []byte
 	for _, l := range s.OutgoingMessages() {
-		said = append(said, l.Recipient+"\n"+l.ReplaceKey+"\n"...)
-		said = append(l.Message.Append(said), '\n')
+		broadcasts = append(broadcasts, l.Recipient+"\n"+l.ReplaceKey+"\n"...)
+		broadcasts = append(l.Message.Append(broadcasts), '\n')
 	}
-	golden.Same(t, "said.hex", said)
-	var whole []byte
+	golden.Same(t, "said.hex", broadcasts)
+	var fullState []byte
 	for _, m := range s.FullState(time.Second) {
-		whole = m.Append(whole)
+		fullState = m.Append(fullState)
 	}
-	golden.Same(t, "whole.hex", whole)
+	golden.Same(t, "whole.hex", fullState)
 }
--- a/internal/cluster/state/health.go
+++ b/internal/cluster/state/health.go
@@ -56,10 +56,10 @@
 	case failing:
 		own := s.broadcastEvidence(endpoint, true)
 		own.validUntil = now + s.settings.EjectionDuration
-		s.takeUnhealthy(now, h, s.settings.Self, own)
+		s.recordUnhealthy(now, h, s.settings.Self, own)
 	case recovered && suspected:
 		own := s.broadcastEvidence(endpoint, false)
-		h.takeHealthy(now, s.settings.Self, own)
+		h.recordHealthy(now, s.settings.Self, own)
 	}
 }
 
@@ -99,15 +99,15 @@
 		return
 	}
 	if !received.unhealthy {
-		h.takeHealthy(now, reporter, latest)
+		h.recordHealthy(now, reporter, latest)
 		return
 	}
 	latest.validUntil = now + min(received.validFor, s.settings.EjectionDuration)
-	s.takeUnhealthy(now, h, reporter, latest)
+	s.recordUnhealthy(now, h, reporter, latest)
 }
 
-// takeHealthy takes a good response that a router got: it ends the ejection, and all evidence before it.
-func (h *endpointHealth) takeHealthy(now time.Duration, reporter string, latest evidence) {
+// recordHealthy takes a good response that a router got: it ends the ejection, and all evidence before it.
+func (h *endpointHealth) recordHealthy(now time.Duration, reporter string, latest evidence) {
 	h.lastEvidence = now
 	h.ejectedUntil = 0
 	for router, e := range h.evidence {
@@ -117,22 +117,22 @@
 	h.evidence[reporter] = latest
 }
 
-// takeUnhealthy takes evidence of failures. A quorum of routers ejects the endpoint. While it is ejected, any new
+// recordUnhealthy takes evidence of failures. A quorum of routers ejects the endpoint. While it is ejected, any new
 // evidence prolongs that: routers that avoid the endpoint can bring none, only the one that probes it.
-func (s *State) takeUnhealthy(now time.Duration, h *endpointHealth, reporter string, latest evidence) {
+func (s *State) recordUnhealthy(now time.Duration, h *endpointHealth, reporter string, latest evidence) {
 	h.lastEvidence = now
 	h.evidence[reporter] = latest
 	switch {
 	case now < h.ejectedUntil:
 		h.ejectedUntil = max(h.ejectedUntil, latest.validUntil)
-	case h.validEvidence(now) >= s.quorum():
+	case h.countValidEvidence(now) >= s.quorum():
 		h.ejectedUntil = latest.validUntil
 		h.ejections++
 	}
 }
 
-// validEvidence counts the routers whose evidence is valid.
-func (h *endpointHealth) validEvidence(now time.Duration) int {
+// countValidEvidence counts the routers whose evidence is valid.
+func (h *endpointHealth) countValidEvidence(now time.Duration) int {
 	n := 0
 	for _, e := range h.evidence {
 		if now < e.validUntil {
--- a/internal/cluster/state/health_test.go
+++ b/internal/cluster/state/health_test.go
@@ -6,7 +6,7 @@
 )
 
 // Evidence that was received before counts no more, whatever way it comes again.
-func TestRepeatedEvidence(t *testing.T) {
+func TestRepeatedEvidenceIsIgnored(t *testing.T) {
 	settings := Defaults("a", 1, 3)
 	settings.Quorum = 2
 	s := newState(t, settings)
@@ -49,7 +49,7 @@
 
 // An ejection needs a quorum; all but one router then avoid the endpoint; the one that probes it prolongs the
 // ejection, or ends it for all; without any evidence it ends by itself.
-func TestEjection(t *testing.T) {
+func TestEjectionNeedsQuorumAndExpires(t *testing.T) {
 	c := newSimulatedCluster(t, 3, 7)
 	c.run(time.Second)
 	c.observe(0, 2, 0)
--- a/internal/cluster/state/lease.go
+++ b/internal/cluster/state/lease.go
@@ -34,15 +34,15 @@
 func activeShares(leases []lease, at time.Duration) int {
 	shares := 0
 	for i, l := range leases {
-		if l.active(at) && largestOfPeer(leases, i, at) {
+		if l.active(at) && isLargestOfPeer(leases, i, at) {
 			shares += l.shares
 		}
 	}
 	return shares
 }
 
-// largestOfPeer returns whether the lease at an index is the largest active one of its peer; of equal ones, the first.
-func largestOfPeer(leases []lease, index int, at time.Duration) bool {
+// isLargestOfPeer returns whether the lease at an index is the largest active one of its peer; of equal ones, the first.
+func isLargestOfPeer(leases []lease, index int, at time.Duration) bool {
 	l := leases[index]
 	for i, other := range leases {
 		if other.peer != l.peer || !other.active(at) {
@@ -96,11 +96,11 @@
 
 // chooseLender returns the peer whose turn it is to be asked. Routers begin at different peers.
 func (s *State) chooseLender() string {
-	if s.nextLender < 0 {
-		s.nextLender = placement.StartIndex(s.settings.Self, lenderDuty, len(s.peers))
+	if s.lastLender < 0 {
+		s.lastLender = placement.StartIndex(s.settings.Self, lenderDuty, len(s.peers))
 	}
-	s.nextLender = (s.nextLender + 1) % len(s.peers)
-	return s.peers[s.nextLender]
+	s.lastLender = (s.lastLender + 1) % len(s.peers)
+	return s.peers[s.lastLender]
 }
 
 // receiveLeaseRequest lends what is not needed here, up to half of the owned shares: the other half is what a later
--- a/internal/cluster/state/settings.go
+++ b/internal/cluster/state/settings.go
@@ -50,7 +50,7 @@
 		return fmt.Errorf("setting Self is %q, not a name of up to %d bytes", s.Self, maxNameBytes)
 	case s.ClusterSize < 1 || s.ClusterSize > MaxClusterSize:
 		return fmt.Errorf("setting Size is %d, not 1 to %d", s.ClusterSize, MaxClusterSize)
-	case !s.leaseFits():
+	case !s.validLease():
 		return fmt.Errorf("setting Beat %v, Lease %v: four beats at least must fit in a lease, and that in a minute",
 			s.TickInterval, s.LeaseDuration)
 	case s.EjectionDuration < 2*s.TickInterval || s.EjectionDuration > maxDuration:
@@ -63,7 +63,7 @@
 	return nil
 }
 
-func (s Settings) leaseFits() bool {
+func (s Settings) validLease() bool {
 	return s.TickInterval >= minTickInterval && s.LeaseDuration >= minTicksPerLease*s.TickInterval &&
 		s.LeaseDuration <= maxDuration
 }
--- a/internal/cluster/state/simulation_test.go
+++ b/internal/cluster/state/simulation_test.go
@@ -38,15 +38,15 @@
 }
 
 type simulatedRouter struct {
-	index       int
-	state       *State
-	clockRate   float64
-	clockOffset time.Duration
-	process     uint64
-	nextTick    time.Duration
-	pausedUntil time.Duration
-	demand      float64 // spends wanted a second
-	owed        float64 // spends wanted and not tried yet
+	index         int
+	state         *State
+	clockRate     float64
+	clockOffset   time.Duration
+	process       uint64
+	nextTick      time.Duration
+	pausedUntil   time.Duration
+	demand        float64 // spends wanted a second
+	untriedSpends float64 // spends wanted and not tried yet
 }
 
 // delivery is a message on its way.
@@ -160,7 +160,7 @@
 
 func (c *simulatedCluster) spendDemand(r *simulatedRouter) {
 	now := r.clock(c.now)
-	for r.owed = min(r.owed+r.demand/100, 20); r.owed >= 1; r.owed-- {
+	for r.untriedSpends = min(r.untriedSpends+r.demand/100, 20); r.untriedSpends >= 1; r.untriedSpends-- {
 		if r.state.CanSpend(now, testBudget) {
 			r.state.Spend(now, testBudget)
 			c.spends = append(c.spends, c.now)
--- a/internal/cluster/state/state.go
+++ b/internal/cluster/state/state.go
@@ -57,7 +57,7 @@
 	replaced      bool          // a successor spends in place of this process
 	peers         []string      // other routers that are alive, in order of their names
 	budgetOwners  int           // the most routers with shares of their own that were seen at once
-	nextLender    int           // index in peers of the router asked last; -1: none was asked yet
+	lastLender    int           // index in peers of the router asked last; -1: none was asked yet
 	sequence      uint64        // of the latest message that carries one
 	budgets       map[string]*budget
 	counters      map[string]*counter
@@ -73,7 +73,7 @@
 	return &State{
 		settings:      settings,
 		budgetOwners:  settings.ClusterSize,
-		nextLender:    -1,
+		lastLender:    -1,
 		budgets:       map[string]*budget{},
 		counters:      map[string]*counter{},
 		endpointsByID: map[string]*endpointHealth{},
