--- a/internal/cluster/state/budget.go
+++ b/internal/cluster/state/budget.go
@@ -10,13 +10,13 @@
 // sharesPerRouter is how many shares of a budget a router owns, as long as no more routers than configured are seen.
 const sharesPerRouter = 64
 
-// BudgetLimits are what all routers together may spend of a budget.
+// BudgetLimits bounds what all routers together may spend of a budget, in tokens.
 type BudgetLimits struct {
-	Rate  float64 // a second
-	Burst float64 // at once, after a pause; at least 2 for each router, so that half of its shares still buy one
+	Rate  float64 // per second
+	Burst float64 // at once after a pause; at least 2 per router, so that half of its shares still allow one
 }
 
-// budget is this router's holding of one budget.
+// budget is this router's state of one budget.
 type budget struct {
 	limits   BudgetLimits
 	bucket   tokenBucket
@@ -24,28 +24,28 @@
 	lent     []lease
 	borrowed []lease
 	pending  []pendingRequest
-	closesAt time.Duration // 0: it stays open
-	unshared bool          // its shares are neither lent nor borrowed: there are too many budgets
+	closesAt time.Duration // 0: never
+	unshared bool          // its shares are neither lent nor borrowed, as too many budgets were open before it
 }
 
-// tokenBucket is what has been saved up on the shares held.
+// tokenBucket holds the tokens saved up on the shares that this router may spend on.
 type tokenBucket struct {
 	tokens     float64
 	refilledAt time.Duration
-	shares     int // held at refilledAt
+	shares     int // that this router could spend on at refilledAt
 }
 
-// demand is what this router spends, to judge how many shares it needs.
+// demand tracks what this router spends, to determine how many shares it needs.
 type demand struct {
-	rate           float64 // mean of what was spent a second, over about a lease
-	spentSinceTick float64 // spent since the last tick
-	denied         bool    // something was denied since the last tick
-	totalSpent     uint64  // spent since the process started
+	rate           float64 // mean tokens spent per second, over about one lease duration
+	spentSinceTick float64 // tokens spent since the last tick
+	denied         bool    // CanSpend returned false since the last tick
+	totalSpent     uint64  // tokens spent since the budget was opened
 }
 
-// OpenBudget opens a budget, or keeps it open, until a time (0: for good). Beyond maxSharedBudgets this router spends just
-// on the shares that it owns of it. It returns false where there is no room for another one: then CanSpend allows
-// everything.
+// OpenBudget opens a budget until a time (0: without end). If it is open already, only its end changes. A budget that is
+// opened beyond maxSharedBudgets is not shared: this router spends only on the shares that it owns of it. OpenBudget
+// returns false if there is no room for another budget or the key is not a valid name; CanSpend then allows everything.
 func (s *State) OpenBudget(now time.Duration, key string, limits BudgetLimits, until time.Duration) bool {
 	if b := s.budgets[key]; b != nil {
 		b.closesAt = until
@@ -54,7 +54,7 @@
 	if len(s.budgets) >= maxBudgets || !validName(key) {
 		return false
 	}
-	// It starts with no tokens: an earlier process may have spent all a moment ago.
+	// The bucket starts empty: an earlier process may have spent all tokens a moment ago.
 	s.budgets[key] = &budget{
 		limits:   limits,
 		bucket:   tokenBucket{refilledAt: now},
@@ -67,7 +67,7 @@
 // CloseBudget closes a budget.
 func (s *State) CloseBudget(key string) { delete(s.budgets, key) }
 
-// CanSpend returns whether one more may be spent of a budget now. A budget that is not open allows everything.
+// CanSpend reports whether one token of a budget may be spent now. A budget that is not open allows everything.
 func (s *State) CanSpend(now time.Duration, key string) bool {
 	b := s.budgets[key]
 	if b == nil {
@@ -79,7 +79,7 @@
 	return affordable
 }
 
-// Spend takes one from a budget. The caller must have been allowed to by CanSpend at the same time.
+// Spend takes one token from a budget. CanSpend must have allowed it at the same time.
 func (s *State) Spend(now time.Duration, key string) {
 	b := s.budgets[key]
 	if b == nil {
@@ -91,12 +91,12 @@
 	b.demand.totalSpent++
 }
 
-// totalShares is how many shares a budget is divided into.
+// totalShares returns how many shares a budget is divided into.
 func (s *State) totalShares() int { return sharesPerRouter * s.budgetOwners }
 
-// ownedShares is how many shares are this router's to use or to lend. It guards against two processes of one router
-// that spend the same shares: a process that is replaced owns none, and one that has just started leaves alone the
-// half that an earlier one may have lent.
+// ownedShares returns how many shares this router owns, to use or to lend. It prevents two processes of one router from
+// spending on the same shares: a process that is replaced owns none, and one that has just started does not use the
+// half that an earlier process may have lent.
 func (s *State) ownedShares(now time.Duration) int {
 	if s.settings.Guest {
 		return 0
@@ -110,7 +110,8 @@
 	return 0
 }
 
-// spendableShares is how many shares this router may spend on now.
+// spendableShares returns how many shares this router may spend on now: its own that are not lent, and those that it
+// has borrowed.
 func (s *State) spendableShares(b *budget, now time.Duration) int {
 	if s.replaced {
 		return 0
@@ -118,14 +119,14 @@
 	return s.unlentShares(b, now) + activeShares(b.borrowed, now)
 }
 
-// unlentShares is how many of its own shares this router has not lent.
+// unlentShares returns how many of its own shares this router has not lent.
 func (s *State) unlentShares(b *budget, now time.Duration) int {
 	return max(s.ownedShares(now)-activeShares(b.lent, now), 0)
 }
 
-// refill adds the tokens earned since the last refill. Shares that were given away take along what may have been
-// saved on them, so what all routers have saved never exceeds the burst. Shares that came back since the last refill
-// earned for their borrower meanwhile.
+// refill adds the tokens earned since the last refill. The tokens that may have been saved on shares that were given
+// away are dropped, so the tokens of all routers together never exceed the burst. Shares that came back since the last
+// refill add nothing for that time, in which they earned for their borrower.
 func (s *State) refill(b *budget, now time.Duration) {
 	held, total := s.spendableShares(b, now), float64(s.totalShares())
 	elapsed := max(now-b.bucket.refilledAt, 0).Seconds()
@@ -135,13 +136,13 @@
 	b.bucket.shares = held
 }
 
-// How a router judges the shares that it needs. What it does not need can be lent.
+// Factors for the number of shares that a router needs. It can lend those that it does not need.
 const (
-	demandHeadroom = 1.25 // of what it has spent lately
-	deniedGrowth   = 1.5  // of what it holds, where something was denied
+	demandHeadroom = 1.25 // of its recent rate
+	deniedGrowth   = 1.5  // of the shares that it may spend on, if CanSpend returned false
 )
 
-// neededShares is how many shares this router wants for itself.
+// neededShares returns how many shares this router needs for itself.
 func (s *State) neededShares(b *budget, now time.Duration) int {
 	needed := int(math.Ceil(b.demand.rate * demandHeadroom / b.limits.Rate * float64(s.totalShares())))
 	if b.demand.denied {
@@ -165,21 +166,21 @@
 	}
 }
 
-// updateRate takes what was spent since the last tick into the mean.
+// updateRate adds what was spent since the last tick to the mean, which decays exponentially.
 func (d *demand) updateRate(settings Settings) {
 	window := settings.LeaseDuration.Seconds()
 	d.rate = d.rate*math.Exp(-settings.TickInterval.Seconds()/window) + d.spentSinceTick/window
 }
 
-// BudgetStatus is how a budget stands with this router, in shares.
+// BudgetStatus describes this router's part of a budget.
 type BudgetStatus struct {
 	Key                                     string
 	OwnedShares, LentShares, BorrowedShares int
-	TotalShares                             int // that the budget is divided into
-	Spent                                   uint64
+	TotalShares                             int    // that the budget is divided into
+	Spent                                   uint64 // tokens, since the budget was opened
 }
 
-// BudgetStatuses returns the status of each open budget, in order of their keys.
+// BudgetStatuses returns the status of each open budget, in the order of their keys.
 func (s *State) BudgetStatuses(now time.Duration) []BudgetStatus {
 	var all []BudgetStatus
 	for _, key := range slices.Sorted(maps.Keys(s.budgets)) {
--- a/internal/cluster/state/counter.go
+++ b/internal/cluster/state/counter.go
@@ -6,26 +6,27 @@
 )
 
 const (
-	maxProcessesPerRouter = 4  // of each router in a counter: the latest
+	maxProcessesPerRouter = 4  // whose parts a counter holds, for each router: the latest ones
 	maxCountersPerTick    = 16 // that are sent in one tick
 )
 
-// counter is a grow-only counter (G-counter). Each process writes its own part, which only grows; parts are merged by
-// the larger value, so that messages that come late, twice or through other routers change nothing. Of each router
-// the latest processes count, the same for all who have heard of them.
+// counter is a grow-only counter (G-counter). Each process writes only its own part, which never decreases. Parts are
+// merged by taking the larger value, so messages that arrive late, twice or through other routers change nothing. Of
+// each router only the latest processes count, which are the same for all routers that have received their parts.
 type counter struct {
 	parts    map[process]uint64
-	lastSent uint64 // this process's part as it was sent last
+	lastSent uint64 // value of this process's part when it was last sent
 }
 
-// IncrementCounter adds n to this router's part of a counter.
+// IncrementCounter adds n to this process's part of a counter. It does nothing if there is no room for another counter.
 func (s *State) IncrementCounter(key string, n uint64) {
 	if c := s.openCounter(key); c != nil {
 		c.parts[s.self()] += n
 	}
 }
 
-// openCounter returns a counter, a new one if need be, or nil where there is no room for another one.
+// openCounter returns a counter and creates it if needed. It returns nil if there is no room for another one or the key
+// is not a valid name.
 func (s *State) openCounter(key string) *counter {
 	c := s.counters[key]
 	if c == nil && len(s.counters) < maxCounters && validName(key) {
@@ -35,7 +36,7 @@
 	return c
 }
 
-// CounterTotal returns a counter's value over all routers, as far as this one has heard.
+// CounterTotal returns the sum of all parts of a counter that this router has received.
 func (s *State) CounterTotal(key string) uint64 {
 	c := s.counters[key]
 	if c == nil {
@@ -51,7 +52,7 @@
 // CounterKeys returns the keys of all counters, in order.
 func (s *State) CounterKeys() []string { return slices.Sorted(maps.Keys(s.counters)) }
 
-// broadcastCounters sends this router's part of some counters that have changed.
+// broadcastCounters sends this process's part of up to maxCountersPerTick counters that have changed.
 func (s *State) broadcastCounters() {
 	remaining := maxCountersPerTick
 	for _, key := range s.CounterKeys() {
@@ -68,7 +69,7 @@
 }
 
 func (s *State) receiveCounterUpdate(update counterUpdate) {
-	if s.fromThisProcess(update.writer) { // nobody else writes our part
+	if s.fromThisProcess(update.writer) { // no other process writes this one's part
 		return
 	}
 	c := s.openCounter(update.counter)
@@ -78,14 +79,15 @@
 	c.parts[update.writer] = max(c.parts[update.writer], update.value)
 }
 
-// fromThisProcess returns whether a message that came from outside claims to be of this process, or of a later one of
-// this router.
+// fromThisProcess reports whether the sender of a received message claims to be this process, or a later one of this
+// router.
 func (s *State) fromThisProcess(sender process) bool {
 	return sender.router == s.settings.Self && sender.number >= s.settings.Process
 }
 
-// admitWriter makes room for a process's part, in place of the oldest one of its router. It returns false where the
-// process is older than those, or where there are too many routers.
+// admitWriter makes room for a process's part, which may replace the part of the oldest process of its router. It
+// returns false if the process is older than all of its router's processes that the counter holds, or if the counter
+// has parts of too many routers.
 func (c *counter) admitWriter(writer process, maxRouters int) bool {
 	if _, known := c.parts[writer]; known {
 		return true
@@ -112,7 +114,7 @@
 	return true
 }
 
-// counterMessages returns all parts of all counters.
+// counterMessages returns messages with all parts of all counters.
 func (s *State) counterMessages() []Message {
 	var all []Message
 	for _, key := range s.CounterKeys() {
--- a/internal/cluster/state/counter_test.go
+++ b/internal/cluster/state/counter_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// Counters agree in the end, whatever came late, twice or through other routers, and survive a restart of their writer.
+// Counters converge although messages arrive late, twice or through other routers, and keep the parts of processes that
+// have ended.
 func TestCountersConverge(t *testing.T) {
 	for seed := range uint64(*seeds) / 10 {
 		c := newSimulatedCluster(t, seed, 4)
@@ -18,13 +19,13 @@
 			got := r.state.CounterTotal("hits")
 			allRemembered := c.processCount < 4+maxProcessesPerRouter
 			if got != first || allRemembered && got != want {
-				t.Fatalf("seed %d: %s has %d, r0 %d, counted were %d", seed, routerName(r.index), got, first, want)
+				t.Fatalf("seed %d: %s has %d, r0 has %d, %d were counted", seed, routerName(r.index), got, first, want)
 			}
 		}
 	}
 }
 
-// countWithRestarts counts on routers for 5 s, with losses and restarts, and returns how often.
+// countWithRestarts increments a counter on random routers for 5 s, with losses and restarts, and returns how often.
 func (c *simulatedCluster) countWithRestarts(key string) uint64 {
 	c.loss = 0.3
 	counted := uint64(0)
@@ -34,7 +35,7 @@
 		counted++
 		if c.rnd.IntN(200) == 0 {
 			peer := c.routers[(r.index+1)%4]
-			sendFullState(r.state, peer.state) // what a peer learns as the process ends
+			sendFullState(r.state, peer.state) // a peer has received its full state when the process ends
 			c.start(r)
 		}
 		c.step()
@@ -56,13 +57,14 @@
 	}
 }
 
-// Nobody else writes a router's own part of a counter, and an older process of its name adds to it.
+// A received message does not change the part of a counter that this process writes. The part of an earlier process of the
+// same router is added to the total.
 func TestOnlyOwnProcessWritesItsPartOfCounter(t *testing.T) {
 	s := newState(t, Defaults("a", 5, 3))
 	s.IncrementCounter("hits", 2)
 	s.ReceiveMessage(0, Message{Kind: KindCounterUpdate, From: "a", Process: 5, Key: "hits", Value: 100})
 	s.ReceiveMessage(0, Message{Kind: KindCounterUpdate, From: "a", Process: 4, Key: "hits", Value: 30})
 	if n := s.CounterTotal("hits"); n != 32 {
-		t.Errorf("counted 32, got %d", n)
+		t.Errorf("got a total of %d, want 32", n)
 	}
 }
--- a/internal/cluster/state/golden_test.go
+++ b/internal/cluster/state/golden_test.go
@@ -9,10 +9,10 @@
 
 // Routers of different releases exchange these messages. The files of testdata/golden were written at commit 86ccf0f.
 //
-// What reaches the bytes: no name of Go. The form is written out by hand in Message.Append; the constants of Kind are
-// sent as numbers, so their order counts. Keys of messages are texts that the callers choose: core has "retries",
-// "cold NODE" for budgets and "hits NODE", "misses NODE", "errors NODE" for counts (tested there), and evidence has
-// the name of the page cache.
+// The bytes depend on no Go names: Message.Append writes the encoded form field by field. The constants of Kind are sent
+// as numbers, so their order must not change. Callers choose the keys of messages: core uses "retries" and "cold NODE" for
+// budgets, and "hits NODE", "misses NODE" and "errors NODE" for counters (tested there); the key of evidence is the name
+// of the page cache.
 
 var goldenMessages = map[string]Message{
 	"message.hex": {Kind: KindHealthEvidence, From: "r1", Process: 1 << 60, Key: "edge-7", Sequence: 300, Shares: 64,
@@ -34,14 +34,14 @@
 			golden.Same(t, name, want.Append(nil))
 			got, rest, err := ParseMessage(append(golden.Read(t, name), "rest"...))
 			if err != nil || got != want || string(rest) != "rest" {
-				t.Errorf("read as %+v, %q, %v; want %+v", got, rest, err, want)
+				t.Errorf("parsed as %+v, %q, %v; want %+v", got, rest, err, want)
 			}
 		})
 	}
 }
 
-// What a router says by itself to all, a count and evidence, under the keys of its queue; and all that it tells one
-// who has heard nothing.
+// The broadcasts of a router, a counter update and evidence, with their replace keys, and the full state that it sends to
+// a router without any shared state.
 func TestGoldenBroadcastsAndFullState(t *testing.T) {
 	s, err := New(Defaults("r1", 11, 2))
 	if err != nil {
--- a/internal/cluster/state/health.go
+++ b/internal/cluster/state/health.go
@@ -7,25 +7,26 @@
 )
 
 const (
-	// unhealthyThreshold is how many failures in a row a router must have seen itself before it sends evidence.
+	// unhealthyThreshold is the number of consecutive failures that a router must have observed itself before it sends
+	// evidence.
 	unhealthyThreshold = 3
 
-	// forgetFactor is after how many ejection durations without evidence an endpoint is forgotten.
+	// forgetFactor is the number of ejection durations without evidence after which an endpoint is forgotten.
 	forgetFactor = 4
 )
 
-// endpointHealth is what is known of one endpoint: what this router has seen, the evidence of all, and the ejection
-// that follows from it.
+// endpointHealth holds what is known of one endpoint: what this router has observed, the evidence of all routers, and
+// the resulting ejection.
 type endpointHealth struct {
-	failures     int                 // in a row, as this router saw last
-	lastResponse time.Duration       // as this router saw last
-	evidence     map[string]evidence // the latest of each router, by name
-	lastEvidence time.Duration       // when any evidence, good or bad, was last taken
-	ejectedUntil time.Duration       // 0: it is not ejected
-	ejections    uint64              // so far
+	failures     int                 // consecutive, as this router observed last
+	lastResponse time.Duration       // latest response that this router observed
+	evidence     map[string]evidence // the latest of each router, by router name
+	lastEvidence time.Duration       // when evidence, healthy or unhealthy, was last recorded
+	ejectedUntil time.Duration       // 0: not ejected
+	ejections    uint64              // how often it was ejected so far
 }
 
-// evidence is the latest evidence of one router. Its process and sequence tell it from an older one.
+// evidence is the latest evidence of one router. The process and the sequence number show which of two is newer.
 type evidence struct {
 	process, sequence uint64
 	validUntil        time.Duration // 0: it is not, or no longer, evidence that the endpoint is unhealthy
@@ -37,8 +38,8 @@
 
 func newEndpointHealth() *endpointHealth { return &endpointHealth{evidence: map[string]evidence{}} }
 
-// ObserveHealth takes what this router itself has seen of an endpoint: its consecutive failures, and the time of its
-// latest response. Only what is new becomes evidence.
+// ObserveHealth records what this router itself has observed of an endpoint: the number of consecutive failures, and
+// the time of the latest response. It sends evidence only of what is new since the last call.
 func (s *State) ObserveHealth(now time.Duration, endpoint string, failures int, lastResponse time.Duration) {
 	h := s.endpointsByID[endpoint]
 	if h == nil {
@@ -63,7 +64,7 @@
 	}
 }
 
-// broadcastEvidence sends evidence of this router to all, and returns it, not valid yet.
+// broadcastEvidence sends evidence of this router to all routers, and returns it without validUntil.
 func (s *State) broadcastEvidence(endpoint string, unhealthy bool) evidence {
 	s.sequence++
 	sent := healthEvidence{
@@ -86,7 +87,7 @@
 		h = newEndpointHealth()
 		s.endpointsByID[received.endpoint] = h
 	}
-	if s.fromThisProcess(received.reporter) { // our own, through other routers
+	if s.fromThisProcess(received.reporter) { // this process's own evidence, through another router
 		return
 	}
 	reporter := received.reporter.router
@@ -106,7 +107,7 @@
 	s.recordUnhealthy(now, h, reporter, latest)
 }
 
-// recordHealthy takes a good response that a router got: it ends the ejection, and all evidence before it.
+// recordHealthy records a good response that a router got. It ends the ejection and invalidates all earlier evidence.
 func (h *endpointHealth) recordHealthy(now time.Duration, reporter string, latest evidence) {
 	h.lastEvidence = now
 	h.ejectedUntil = 0
@@ -117,8 +118,9 @@
 	h.evidence[reporter] = latest
 }
 
-// recordUnhealthy takes evidence of failures. A quorum of routers ejects the endpoint. While it is ejected, any new
-// evidence prolongs that: routers that avoid the endpoint can bring none, only the one that probes it.
+// recordUnhealthy records evidence of failures. A quorum of routers with valid evidence ejects the endpoint. While it is
+// ejected, any new evidence prolongs the ejection: only the router that probes the endpoint can have some, as the
+// others avoid it.
 func (s *State) recordUnhealthy(now time.Duration, h *endpointHealth, reporter string, latest evidence) {
 	h.lastEvidence = now
 	h.evidence[reporter] = latest
@@ -131,7 +133,7 @@
 	}
 }
 
-// countValidEvidence counts the routers whose evidence is valid.
+// countValidEvidence returns how many routers have valid evidence.
 func (h *endpointHealth) countValidEvidence(now time.Duration) int {
 	n := 0
 	for _, e := range h.evidence {
@@ -142,7 +144,8 @@
 	return n
 }
 
-// quorum is how many routers must have evidence. It is two at least: a single one may itself be cut off.
+// quorum returns how many routers must have valid evidence to eject an endpoint. It is at least two, as a single router
+// may itself be cut off.
 func (s *State) quorum() int {
 	if s.settings.Quorum > 0 {
 		return s.settings.Quorum
@@ -151,14 +154,14 @@
 	return max(2, alive/2+1)
 }
 
-// Ejected returns whether the routers agree that an endpoint is unhealthy.
+// Ejected reports whether the routers agree that an endpoint is unhealthy.
 func (s *State) Ejected(now time.Duration, endpoint string) bool {
 	h := s.endpointsByID[endpoint]
 	return h != nil && now < h.ejectedUntil
 }
 
-// ProbedByPeer returns whether this router should avoid an endpoint: it is ejected, and another router probes it for
-// all.
+// ProbedByPeer reports whether this router should avoid an endpoint because it is ejected and another router probes it
+// for all.
 func (s *State) ProbedByPeer(now time.Duration, endpoint string) bool {
 	if !s.Ejected(now, endpoint) {
 		return false
@@ -166,7 +169,8 @@
 	return len(s.peers) > 0 && s.prober(endpoint) != s.settings.Self
 }
 
-// Ejections returns the endpoints that are ejected now, in order, and how many ejections there were in all.
+// Ejections returns the endpoints that are ejected now, in the order of their ids, and how often the endpoints that are
+// still remembered were ejected.
 func (s *State) Ejections(now time.Duration) (ejected []string, total uint64) {
 	for _, endpoint := range slices.Sorted(maps.Keys(s.endpointsByID)) {
 		total += s.endpointsByID[endpoint].ejections
@@ -177,8 +181,9 @@
 	return ejected, total
 }
 
-// expireHealth forgets endpoints of which nothing valid is known. Evidence from before can't come back by then: it is
-// valid for EjectionDuration at most, whatever way it takes.
+// expireHealth forgets endpoints that are not ejected, do not fail for this router and had no evidence for forgetFactor
+// ejection durations. Earlier evidence cannot return by then: it is valid for at most EjectionDuration, whichever
+// routers it passes through.
 func (s *State) expireHealth(now time.Duration) {
 	maps.DeleteFunc(s.endpointsByID, func(_ string, h *endpointHealth) bool {
 		forgetAt := h.lastEvidence + forgetFactor*s.settings.EjectionDuration
@@ -186,7 +191,7 @@
 	})
 }
 
-// evidenceMessages returns all valid evidence.
+// evidenceMessages returns messages with all valid evidence.
 func (s *State) evidenceMessages(now time.Duration) []Message {
 	var all []Message
 	for endpoint, h := range s.endpointsByID {
--- a/internal/cluster/state/health_test.go
+++ b/internal/cluster/state/health_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Evidence that was received before counts no more, whatever way it comes again.
+// Evidence that arrives again after newer evidence of the same router is ignored.
 func TestRepeatedEvidenceIsIgnored(t *testing.T) {
 	settings := Defaults("a", 1, 3)
 	settings.Quorum = 2
@@ -20,14 +20,14 @@
 	s.ReceiveMessage(0, first)
 	s.ReceiveMessage(0, unhealthy("z", 1))
 	if s.Ejected(0, testEndpoint) {
-		t.Error("ejected on the evidence of one router and what another has taken back")
+		t.Error("ejected on the evidence of one router and withdrawn evidence of another")
 	}
 	if s.ReceiveMessage(0, unhealthy("b", 3)); !s.Ejected(0, testEndpoint) {
-		t.Error("not ejected on the evidence of two")
+		t.Error("not ejected on the evidence of two routers")
 	}
 }
 
-// observe lets a router see failures of the endpoint.
+// observe makes a router observe consecutive failures and the latest response of the endpoint.
 func (c *simulatedCluster) observe(router, failures int, lastResponse time.Duration) {
 	r := c.routers[router]
 	r.state.ObserveHealth(r.clock(c.now), testEndpoint, failures, lastResponse)
@@ -47,8 +47,8 @@
 	return ejected, avoided
 }
 
-// An ejection needs a quorum; all but one router then avoid the endpoint; the one that probes it prolongs the
-// ejection, or ends it for all; without any evidence it ends by itself.
+// An ejection needs evidence of a quorum. All routers but one then avoid the endpoint. The router that probes it prolongs
+// the ejection, or ends it for all. Without new evidence the ejection expires.
 func TestEjectionNeedsQuorumAndExpires(t *testing.T) {
 	c := newSimulatedCluster(t, 3, 7)
 	c.run(time.Second)
@@ -58,41 +58,41 @@
 	c.observe(3, 3, 0)
 	c.run(time.Second)
 	if ejected, _ := c.countEjected(); ejected > 0 {
-		t.Fatalf("ejected by %d of 7 on the evidence of three", ejected)
+		t.Fatalf("ejected by %d of 7 routers on the evidence of three", ejected)
 	}
 	c.observe(4, 3, 0)
 	c.run(500 * ms)
 	if ejected, avoided := c.countEjected(); ejected != 7 || avoided != 6 {
-		t.Fatalf("ejected by %d of 7, %d avoid it, on the evidence of four", ejected, avoided)
+		t.Fatalf("ejected by %d of 7 routers and avoided by %d on the evidence of four", ejected, avoided)
 	}
-	for failures := 4; failures < 12; failures++ { // the one that probes it goes on failing
+	for failures := 4; failures < 12; failures++ { // the router that probes the endpoint still sees failures
 		c.observe(1, failures, 0)
 		c.run(time.Second)
 	}
 	if ejected, _ := c.countEjected(); ejected != 7 {
-		t.Errorf("ejected by %d of 7 while one goes on failing there", ejected)
+		t.Errorf("ejected by %d of 7 routers while one still sees failures", ejected)
 	}
 	c.observe(1, 0, c.now)
 	c.run(500 * ms)
 	if ejected, _ := c.countEjected(); ejected > 0 {
-		t.Errorf("ejected by %d of 7 after a good response", ejected)
+		t.Errorf("ejected by %d of 7 routers after a good response", ejected)
 	}
 	for i := range 4 {
 		c.observe(i, 20, 0)
 	}
 	c.run(500 * ms)
 	if ejected, _ := c.countEjected(); ejected != 7 {
-		t.Errorf("ejected by %d of 7 when it fails again", ejected)
+		t.Errorf("ejected by %d of 7 routers when it fails again", ejected)
 	}
 	c.run(4 * time.Second)
 	if ejected, _ := c.countEjected(); ejected > 0 {
-		t.Errorf("ejected by %d of 7 with no evidence for four seconds", ejected)
+		t.Errorf("ejected by %d of 7 routers with no evidence for four seconds", ejected)
 	}
 }
 
-// An ejection lasts no longer than its time after the latest evidence that any router sent, under all faults.
+// An ejection ends within a bounded time after the latest evidence that any router sent, under all faults.
 func TestEjectionsExpireUnderFaults(t *testing.T) {
-	// The latest message comes 6 s late at most, and then waits for the end of a pause of 5 s.
+	// The latest message arrives at most about 6 s late, and may then wait for the end of a pause of up to 5 s.
 	const longest = 3*time.Second*102/98 + 11*time.Second + 300*ms
 	for seed := range uint64(*seeds) / 3 {
 		c := newSimulatedCluster(t, seed, 5)
--- a/internal/cluster/state/lease.go
+++ b/internal/cluster/state/lease.go
@@ -8,19 +8,19 @@
 )
 
 const (
-	maxPendingRequests = 8   // of one budget whose grant may still come
-	maxLeasesLent      = 256 // of one budget that run at once
-	lendersPerTick     = 2   // peers that are asked for shares of a budget at a time
+	maxPendingRequests = 8   // of one budget whose grant may still arrive
+	maxLeasesLent      = 256 // of one budget at a time
+	lendersPerTick     = 2   // peers that are asked for shares of a budget in one tick
 )
 
-// lease is a number of shares that have another holder for a time.
+// lease is a number of shares that a router other than their owner holds for a time.
 type lease struct {
 	peer      process // the lender of shares that are borrowed, or the borrower of those that are lent
 	shares    int
 	expiresAt time.Duration // on this router's clock
 }
 
-// pendingRequest is a request for shares whose grant may still come.
+// pendingRequest is a request for shares whose grant may still arrive.
 type pendingRequest struct {
 	sequence uint64
 	lender   string
@@ -29,8 +29,8 @@
 
 func (l lease) active(at time.Duration) bool { return at < l.expiresAt }
 
-// activeShares sums up the leases that run at a time. Of each peer only the largest counts, as a new lease to it
-// includes the shares of the one before.
+// activeShares returns the sum of the leases that are active at a time. Of each peer only the largest lease counts, as a
+// new lease includes the shares of the previous one.
 func activeShares(leases []lease, at time.Duration) int {
 	shares := 0
 	for i, l := range leases {
@@ -41,7 +41,8 @@
 	return shares
 }
 
-// isLargestOfPeer returns whether the lease at an index is the largest active one of its peer; of equal ones, the first.
+// isLargestOfPeer reports whether the lease at an index is the largest active one of its peer, or the first of several
+// that are equally large.
 func isLargestOfPeer(leases []lease, index int, at time.Duration) bool {
 	l := leases[index]
 	for i, other := range leases {
@@ -55,7 +56,7 @@
 	return true
 }
 
-// activeSharesOf is how many shares one peer holds.
+// activeSharesOf returns how many shares the active leases of one peer cover.
 func activeSharesOf(leases []lease, peer process, at time.Duration) int {
 	shares := 0
 	for _, l := range leases {
@@ -70,8 +71,8 @@
 	return slices.DeleteFunc(leases, func(l lease) bool { return !l.active(now) })
 }
 
-// requestLeases asks some peers, in turn, for the shares that this router needs beside those it owns. It asks for a
-// lease again once half of it is over, of the peers whose turn it then is.
+// requestLeases asks some peers, in round-robin order, for the shares that this router needs beside those it owns. It
+// requests borrowed shares again once half of their lease has passed, from the peers whose turn it is then.
 func (s *State) requestLeases(now time.Duration, key string, b *budget) {
 	if len(s.peers) == 0 || s.startedAt == 0 || s.replaced || b.unshared {
 		return
@@ -94,7 +95,7 @@
 	}
 }
 
-// chooseLender returns the peer whose turn it is to be asked. Routers begin at different peers.
+// chooseLender returns the next peer to ask, in round-robin order. Routers start with different peers.
 func (s *State) chooseLender() string {
 	if s.lastLender < 0 {
 		s.lastLender = placement.StartIndex(s.settings.Self, lenderDuty, len(s.peers))
@@ -103,8 +104,8 @@
 	return s.peers[s.lastLender]
 }
 
-// receiveLeaseRequest lends what is not needed here, up to half of the owned shares: the other half is what a later
-// process of this router, which knows of no leases, may use at once.
+// receiveLeaseRequest lends shares that this router does not need, up to half of those that it owns. A later process of
+// this router, which knows of no leases, may use the other half at once.
 func (s *State) receiveLeaseRequest(now time.Duration, request leaseRequest) {
 	b := s.budgets[request.budget]
 	if b == nil || b.unshared || !s.canLend(now) || len(b.lent) >= maxLeasesLent {
@@ -120,7 +121,7 @@
 	s.refill(b, now)
 	expiresAt := now + s.settings.outlasting(s.settings.LeaseDuration)
 	b.lent = append(b.lent, lease{peer: request.borrower, shares: shares, expiresAt: expiresAt})
-	s.refill(b, now) // again: what was saved on the lent shares goes with them
+	s.refill(b, now) // again, to drop the tokens saved on the lent shares
 	grant := leaseGrant{
 		lender:          s.self(),
 		budget:          request.budget,
@@ -135,7 +136,7 @@
 	return !s.settings.Guest && s.phase(now) == phaseActive
 }
 
-// lendableShares is how many shares the borrower may hold under a new lease, which replaces the one it has.
+// lendableShares returns how many shares the borrower may hold under a new lease, which replaces its present one.
 func (s *State) lendableShares(b *budget, now time.Duration, request leaseRequest) int {
 	lentToBorrower := activeSharesOf(b.lent, request.borrower, now)
 	lentToOthers := activeShares(b.lent, now) - lentToBorrower
@@ -146,8 +147,8 @@
 	)
 }
 
-// receiveLeaseGrant takes shares that were asked for. The lease runs from the time of the request, which came before
-// the lender's grant: so it ends here before it ends there, however long the messages took.
+// receiveLeaseGrant accepts shares that were requested. The lease runs from the time of the request, which precedes the
+// grant, so it ends for the borrower before it ends for the lender, however long the messages took.
 func (s *State) receiveLeaseGrant(now time.Duration, grant leaseGrant) {
 	b := s.budgets[grant.budget]
 	if b == nil || grant.shares <= 0 || grant.shares > sharesPerRouter/2 {
@@ -166,5 +167,5 @@
 	expiresAt := b.pending[i].sentAt + s.settings.LeaseDuration
 	b.borrowed = append(b.borrowed, lease{peer: grant.lender, shares: grant.shares, expiresAt: expiresAt})
 	b.pending = slices.Delete(b.pending, i, i+1)
-	s.refill(b, now) // again: the new shares earn from now on
+	s.refill(b, now) // again, so that the new shares earn from now on
 }
--- a/internal/cluster/state/message.go
+++ b/internal/cluster/state/message.go
@@ -13,23 +13,23 @@
 const (
 	kindNone           Kind = iota
 	KindLeaseRequest        // asks for shares of the budget Key
-	KindLeaseGrant          // lends them; Sequence repeats that of the request, and Value is the process that asked
-	KindCounterUpdate       // the sender's own part of the counter Key is Value
-	KindHealthEvidence      // the sender has found the endpoint Key unhealthy, or healthy again
+	KindLeaseGrant          // lends them; Sequence is that of the request, and Value the process that sent it
+	KindCounterUpdate       // carries Value, the sender's own part of the counter Key
+	KindHealthEvidence      // reports that the sender found the endpoint Key unhealthy, or healthy again
 )
 
-// Message is what routers send each other, in the one form that all kinds have on the wire. A kind uses only some of
-// the fields; within the package each kind has a type of its own.
+// Message is a message between routers, in the form that all kinds share on the wire. Each kind uses only some of the
+// fields, and has a type of its own within the package.
 type Message struct {
 	Kind      Kind
 	From      string // the router that sent it first
 	Process   uint64 // of that router
 	Key       string
-	Sequence  uint64 // of a request or grant, or the number of health evidence among the sender's
+	Sequence  uint64 // of a lease request and its grant, or of the sender's health evidence
 	Shares    int
 	Value     uint64
 	Unhealthy bool
-	ValidFor  time.Duration // of health evidence: how long it still counts
+	ValidFor  time.Duration // of health evidence: how much longer it is valid
 }
 
 // leaseRequest asks a peer for shares of a budget.
@@ -83,7 +83,7 @@
 	return counterUpdate{writer: m.sender(), counter: m.Key, value: m.Value}
 }
 
-// healthEvidence carries what one router has found out about an endpoint.
+// healthEvidence reports that one router found an endpoint unhealthy, or healthy again.
 type healthEvidence struct {
 	reporter  process
 	endpoint  string
@@ -104,19 +104,19 @@
 
 func (m Message) sender() process { return process{m.From, m.Process} }
 
-// ErrMalformedMessage says that bytes hold no message of a known kind.
-var ErrMalformedMessage = errors.New("message not understood")
+// ErrMalformedMessage reports that bytes are not a valid message of a known kind.
+var ErrMalformedMessage = errors.New("malformed message or unknown kind")
 
-// The encoded form, and the bounds of what is accepted in it.
+// Sizes of the encoded form, and bounds of the values that are accepted in it.
 const (
 	headerBytes    = 4 // the kind, whether Unhealthy is set, the lengths of From and of Key
-	encodedNumbers = 5 // varints after the two texts
+	encodedNumbers = 5 // varints after From and Key
 	maxShares      = 1 << 20
 	maxValidFor    = time.Hour
 )
 
-// Append appends the encoded message to b: one byte for the kind, one that is 1 where Unhealthy is set, the length of
-// From and of Key in a byte each, the two texts, then five varints. A message is under 350 bytes long.
+// Append appends the encoded message to b: one byte for the kind, one that is 1 if Unhealthy is set, one each for the
+// lengths of From and Key, the two strings, then five varints. A message is shorter than 350 bytes.
 func (m Message) Append(b []byte) []byte {
 	unhealthy := byte(0)
 	if m.Unhealthy {
@@ -131,7 +131,7 @@
 	return b
 }
 
-// ParseMessage decodes one message and returns the bytes that follow it. Texts are copied. The error is
+// ParseMessage decodes one message and returns the bytes that follow it. Strings are copied. The error is
 // ErrMalformedMessage.
 func ParseMessage(b []byte) (m Message, rest []byte, err error) {
 	if len(b) < headerBytes || Kind(b[0]) <= kindNone || Kind(b[0]) > KindHealthEvidence || b[1] > 1 {
--- a/internal/cluster/state/message_test.go
+++ b/internal/cluster/state/message_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Messages come back as they were, and no other bytes are accepted.
+// A parsed message that is encoded and parsed again is the same, and ReceiveMessage accepts any message without a panic.
 func FuzzMessage(f *testing.F) {
 	f.Add(Message{Kind: KindHealthEvidence, From: "a", Process: 1 << 60, Key: "s-1", Sequence: 7, Unhealthy: true,
 		ValidFor: time.Second}.Append(nil))
@@ -17,7 +17,7 @@
 			return
 		}
 		if again, _, err := ParseMessage(m.Append(nil)); err != nil || again != m || len(rest) > len(b)-4 {
-			t.Errorf("%+v came back as %+v, %v", m, again, err)
+			t.Errorf("%+v was parsed again as %+v, %v", m, again, err)
 		}
 		s := newState(t, Defaults("self", 5, 3))
 		s.OpenBudget(0, m.Key, BudgetLimits{Rate: 10, Burst: 10}, 0)
@@ -37,7 +37,7 @@
 		"valid too long":  Message{Kind: KindHealthEvidence, ValidFor: maxValidFor + 1}.Append(nil),
 	} {
 		if _, _, err := ParseMessage(data); !errors.Is(err, ErrMalformedMessage) {
-			t.Errorf("%s: got %v", name, err)
+			t.Errorf("%s: got error %v", name, err)
 		}
 	}
 }
--- a/internal/cluster/state/outbox.go
+++ b/internal/cluster/state/outbox.go
@@ -1,19 +1,19 @@
 package state
 
-// OutgoingMessage is a message to be sent: to one router, or to all where Recipient is empty. A later message for all with the
-// same ReplaceKey replaces an earlier one that still waits.
+// OutgoingMessage is a message to send to one router, or to all routers if Recipient is empty. A message to all routers
+// replaces an earlier one with the same ReplaceKey that still waits.
 type OutgoingMessage struct {
 	Recipient, ReplaceKey string
 	Message               Message
 }
 
-// Replace keys of messages for all: the name of a counter or the id of an endpoint follows.
+// Prefixes of ReplaceKey, which the key of a counter or the id of an endpoint follows.
 const (
 	counterReplacePrefix  = "count "
 	evidenceReplacePrefix = "evidence "
 )
 
-// OutgoingMessages returns the messages to be sent since the last call, and forgets them.
+// OutgoingMessages returns the messages to send that were queued since the last call, and empties the queue.
 func (s *State) OutgoingMessages() []OutgoingMessage {
 	out := s.outbox
 	s.outbox = nil
--- a/internal/cluster/state/settings.go
+++ b/internal/cluster/state/settings.go
@@ -6,23 +6,23 @@
 	"time"
 )
 
-// Settings set up one router's replica of the shared state.
+// Settings configures one router's replica of the shared state.
 type Settings struct {
 	Self             string        // the router's name
-	Process          uint64        // of the router; a later process of the same router has a higher number
-	ClusterSize      int           // routers that own shares of each budget, as the operator configured
-	Guest            bool          // this router owns no shares, and spends only what it borrows
+	Process          uint64        // number of the router's process; later processes of the same router have higher ones
+	ClusterSize      int           // configured number of routers that own shares of each budget
+	Guest            bool          // this router owns no shares and spends only on those that it borrows
 	LeaseDuration    time.Duration // how long shares are lent
 	TickInterval     time.Duration // between two calls of Tick
-	ClockDrift       float64       // by how much a clock may run too fast or too slow, as a fraction
-	EjectionDuration time.Duration // how long an ejection outlives the last evidence
-	Quorum           int           // routers whose evidence ejects an endpoint; 0: over half of those alive, two at least
+	ClockDrift       float64       // how much too fast or too slow a clock may run, as a fraction
+	EjectionDuration time.Duration // how long an ejection lasts after the last evidence
+	Quorum           int           // routers whose evidence ejects an endpoint; 0: more than half of those alive, at least two
 }
 
 // MaxClusterSize is the largest cluster size that can be configured.
 const MaxClusterSize = 1000
 
-// The bounds of the times and of the drift in Settings.
+// Bounds of the durations and of the clock drift in Settings.
 const (
 	minTickInterval  = 10 * time.Millisecond
 	minTicksPerLease = 4
@@ -30,7 +30,7 @@
 	maxClockDrift    = 0.2
 )
 
-// Defaults returns settings for a process of a router in a cluster of that size.
+// Defaults returns the default settings for a process of a router in a cluster of the given size.
 func Defaults(self string, process uint64, clusterSize int) Settings {
 	return Settings{
 		Self:             self,
@@ -43,26 +43,27 @@
 	}
 }
 
-// Check returns an error that names the first setting that can't be used.
+// Check returns an error that names the first invalid setting.
 func (s Settings) Check() error {
 	switch {
 	case !validName(s.Self):
-		return fmt.Errorf("setting Self is %q, not a name of up to %d bytes", s.Self, maxNameBytes)
+		return fmt.Errorf("setting Self is %q, not a name of 1 to %d bytes", s.Self, maxNameBytes)
 	case s.ClusterSize < 1 || s.ClusterSize > MaxClusterSize:
-		return fmt.Errorf("setting Size is %d, not 1 to %d", s.ClusterSize, MaxClusterSize)
+		return fmt.Errorf("setting ClusterSize is %d, not 1 to %d", s.ClusterSize, MaxClusterSize)
 	case !s.validLease():
-		return fmt.Errorf("setting Beat %v, Lease %v: four beats at least must fit in a lease, and that in a minute",
+		return fmt.Errorf("setting TickInterval is %v, LeaseDuration %v: a tick must be at least 10ms, a lease four ticks to a minute",
 			s.TickInterval, s.LeaseDuration)
 	case s.EjectionDuration < 2*s.TickInterval || s.EjectionDuration > maxDuration:
-		return fmt.Errorf("setting Verdict is %v, not two beats to a minute", s.EjectionDuration)
+		return fmt.Errorf("setting EjectionDuration is %v, not two ticks to a minute", s.EjectionDuration)
 	case !(s.ClockDrift >= 0 && s.ClockDrift <= maxClockDrift): // false for NaN too
-		return fmt.Errorf("setting Drift is %v, not 0 to 0.2", s.ClockDrift)
+		return fmt.Errorf("setting ClockDrift is %v, not 0 to 0.2", s.ClockDrift)
 	case s.Quorum != 0 && (s.Quorum < 2 || s.Quorum > s.ClusterSize):
-		return fmt.Errorf("setting Quorum is %d, neither 0 nor 2 to the size", s.Quorum)
+		return fmt.Errorf("setting Quorum is %d, neither 0 nor 2 to the cluster size", s.Quorum)
 	}
 	return nil
 }
 
+// validLease reports whether a tick and a lease are within their bounds.
 func (s Settings) validLease() bool {
 	return s.TickInterval >= minTickInterval && s.LeaseDuration >= minTicksPerLease*s.TickInterval &&
 		s.LeaseDuration <= maxDuration
--- a/internal/cluster/state/simulation_test.go
+++ b/internal/cluster/state/simulation_test.go
@@ -12,7 +12,7 @@
 	"hillknot/internal/testutil/simulation"
 )
 
-var seeds = flag.Int("seeds", 300, "seeds of the simulated clusters")
+var seeds = flag.Int("seeds", 300, "number of seeds of the simulated clusters")
 
 const (
 	ms         = time.Millisecond
@@ -23,18 +23,19 @@
 	testEndpoint = "c"
 )
 
-// simulatedCluster is routers in virtual time, on a network that loses, delays and repeats messages and cuts links.
+// simulatedCluster holds routers in virtual time, on a network that loses, delays and repeats messages and whose links
+// may be cut.
 type simulatedCluster struct {
 	t            *testing.T
 	rnd          *rand.Rand
 	now          time.Duration // true time; each router's clock differs
 	routers      []*simulatedRouter
 	inFlight     []delivery
-	cut          map[[2]int]bool // links from one router to another
-	loss         float64         // the fraction of messages that are lost
-	spends       []time.Duration // of the one budget, in true time
+	cut          map[[2]int]bool // links, each from one router to another
+	loss         float64         // fraction of messages that are lost
+	spends       []time.Duration // when each token of testBudget was spent, in true time
 	limits       BudgetLimits
-	processCount uint64 // that were started
+	processCount uint64 // processes that were started
 }
 
 type simulatedRouter struct {
@@ -45,11 +46,11 @@
 	process       uint64
 	nextTick      time.Duration
 	pausedUntil   time.Duration
-	demand        float64 // spends wanted a second
-	untriedSpends float64 // spends wanted and not tried yet
+	demand        float64 // tokens wanted per second
+	untriedSpends float64 // tokens wanted and not tried yet
 }
 
-// delivery is a message on its way.
+// delivery is a message in flight.
 type delivery struct {
 	at       time.Duration
 	from, to int
@@ -77,7 +78,7 @@
 	return c
 }
 
-// start starts a process of a router, which knows nothing of the one before.
+// start starts a process of a router, which has no state of the previous one.
 func (c *simulatedCluster) start(r *simulatedRouter) {
 	c.t.Helper()
 	c.processCount++
@@ -106,7 +107,7 @@
 	}
 }
 
-// step moves time on by stepTime.
+// step advances time by stepTime.
 func (c *simulatedCluster) step() {
 	c.now += stepTime
 	c.deliver()
@@ -122,7 +123,7 @@
 	}
 }
 
-// deliver hands over the messages that are due. Those to a paused router wait in its socket.
+// deliver delivers the messages that are due. Those to a paused router wait until it runs again, as in its socket.
 func (c *simulatedCluster) deliver() {
 	c.sortInFlight()
 	for len(c.inFlight) > 0 && c.inFlight[0].at <= c.now {
@@ -168,7 +169,7 @@
 	}
 }
 
-// transmit sends a message to those that it is for, now and then twice, unless it is lost. Some come very late.
+// transmit sends a message to its recipients, sometimes twice, unless it is lost. Some messages arrive up to 6 s late.
 func (c *simulatedCluster) transmit(from int, out OutgoingMessage) {
 	for to := range c.routers {
 		if to == from || out.Recipient != "" && out.Recipient != routerName(to) || c.cut[[2]int{from, to}] {
@@ -186,7 +187,7 @@
 	}
 }
 
-// injectFault draws a fault, or ends those of the network, and draws new demands.
+// injectFault draws a fault, or ends the faults of the network, and draws new demands of all routers.
 func (c *simulatedCluster) injectFault() {
 	size := len(c.routers)
 	r := c.routers[c.rnd.IntN(size)]
@@ -197,7 +198,7 @@
 		c.cutFrom(r.index)
 	case 2:
 		c.isolate(r.index)
-	case 3: // killed, and started again at once or later
+	case 3: // killed, and restarted at once or later
 		c.start(r)
 		if c.rnd.IntN(2) == 0 {
 			r.pausedUntil = c.now + time.Duration(c.rnd.Int64N(int64(3*time.Second)))
@@ -215,7 +216,7 @@
 	}
 }
 
-// cutFrom cuts all links from a router: it hears the others, and they don't hear it.
+// cutFrom cuts all links from a router: it receives messages of the others, but they receive none of it.
 func (c *simulatedCluster) cutFrom(router int) {
 	for other := range c.routers {
 		c.cut[[2]int{router, other}] = true
--- a/internal/cluster/state/state.go
+++ b/internal/cluster/state/state.go
@@ -1,18 +1,19 @@
-// Package state is one router's replica of the state that the routers of a cluster share: budgets that all of them
-// together may spend once, counters, and the ejection of endpoints that several routers find unhealthy.
+// Package state holds one router's replica of the state that the routers of a cluster share: budgets that limit what all
+// of them spend together, counters, and the ejection of endpoints that several routers find unhealthy.
 //
 // It is a pure state machine: no I/O, no clock, no randomness. The caller passes the time and the messages of other
 // routers, calls Tick at an interval, and sends what OutgoingMessages returns. Package core does this on its goroutine;
 // package membership carries the messages.
 //
-// Whatever the network does, each shared figure stays within a bound that needs no message to hold:
+// Each shared value stays within a bound whatever the network does, as no bound depends on the arrival of a message:
 //
 //   - A budget is divided into shares. Each router owns a fixed number of them, and may lend up to half of these under
-//     a lease that its own clock outlasts. No share has two holders at a time, so all routers together never spend
-//     more than the budget, and a router that hears nothing falls back to the shares that it owns.
-//   - A counter only grows, and each router writes its own part of it: a message that comes late or twice changes
+//     a lease that ends for the borrower before it ends for the lender. No share has two holders at a time, so all
+//     routers together never spend more than the budget, and a router that receives no messages falls back to the
+//     shares that it owns.
+//   - A counter only grows, and each router writes its own part of it: a message that arrives late or twice changes
 //     nothing.
-//   - An ejection needs evidence of several routers and expires by itself, soon after the last evidence was received.
+//   - An ejection needs evidence of several routers, and expires soon after the last evidence was received.
 package state
 
 import (
@@ -22,14 +23,14 @@
 	"hillknot/internal/cluster/placement"
 )
 
-// The bounds of what is remembered, whatever other routers send.
+// Bounds of what is remembered, whatever other routers send.
 const (
-	maxNameBytes        = 128 // of a router, budget, counter or endpoint
-	maxSharedBudgets    = 512 // open at once whose shares are lent
+	maxNameBytes        = 128 // of the name of a router, budget, counter or endpoint
+	maxSharedBudgets    = 512 // open at once whose shares may be lent
 	maxBudgets          = 16 * maxSharedBudgets
 	maxCounters         = 1024
 	maxTrackedEndpoints = 512 // with health evidence
-	maxExtraRouters     = 64  // names beyond the cluster size that one counter or endpoint remembers
+	maxExtraRouters     = 64  // routers beyond the cluster size that one counter or endpoint remembers
 )
 
 func validName(s string) bool { return s != "" && len(s) <= maxNameBytes }
@@ -40,11 +41,11 @@
 	number uint64
 }
 
-// phase is where a process stands in its life.
+// phase is a stage in the life of a process. It determines which of the router's shares the process may use.
 type phase uint8
 
 const (
-	phaseNew        phase = iota // before the first tick: it spends only what it has borrowed
+	phaseNew        phase = iota // before the first tick: the process spends only on borrowed shares
 	phaseRecovering              // an earlier process may have lent half of the router's shares
 	phaseActive                  // every lease that an earlier process granted has expired
 	phaseReplaced                // a successor spends in its place
@@ -53,11 +54,11 @@
 // State is one router's replica. It is not safe for concurrent use, and nothing of it survives a restart.
 type State struct {
 	settings      Settings
-	startedAt     time.Duration // the first tick; 0: none yet
+	startedAt     time.Duration // time of the first tick; 0: none yet
 	replaced      bool          // a successor spends in place of this process
 	peers         []string      // other routers that are alive, in order of their names
-	budgetOwners  int           // the most routers with shares of their own that were seen at once
-	lastLender    int           // index in peers of the router asked last; -1: none was asked yet
+	budgetOwners  int           // largest number of routers with shares of their own that was seen or configured
+	lastLender    int           // index in peers of the router that was asked last; -1: none yet
 	sequence      uint64        // of the latest message that carries one
 	budgets       map[string]*budget
 	counters      map[string]*counter
@@ -65,7 +66,8 @@
 	outbox        []OutgoingMessage
 }
 
-// New returns the replica of a process that has just started. It spends nothing before the first Tick.
+// New returns the replica of a process that has just started. It spends nothing before the first Tick. The error names
+// the first invalid setting.
 func New(settings Settings) (*State, error) {
 	if err := settings.Check(); err != nil {
 		return nil, fmt.Errorf("fleet: %w", err)
@@ -95,7 +97,7 @@
 }
 
 // Tick renews leases, sends what has changed and drops what has expired. It is due every Settings.TickInterval; a late
-// call, as after a stop of the process, does no harm.
+// call, for example after the process was paused, does no harm.
 func (s *State) Tick(now time.Duration) {
 	if s.startedAt == 0 {
 		s.startedAt = max(now, 1)
@@ -106,19 +108,19 @@
 }
 
 // SetPeers sets the names of the other routers that are alive, in order, and the number of routers that own shares,
-// this one included: as many as are seen, or as any of them is configured for. Where that is more than the cluster
-// size configured here, the shares of each router shrink, for good: owned shares that add up to more than the budget
-// would break every bound.
+// this one included: as many as are alive, or as any of them is configured for. If that is more than the cluster size
+// configured here, the part of each budget that a router owns shrinks permanently, so that owned shares never add up to
+// more than the budget.
 func (s *State) SetPeers(others []string, owners int) {
 	s.peers = others
 	s.budgetOwners = max(s.budgetOwners, owners)
 }
 
-// SetReplaced sets whether a successor of this process spends in its place. Leases that it has granted go on.
+// SetReplaced sets whether a successor of this process spends in its place. Leases that this process granted stay valid.
 func (s *State) SetReplaced(replaced bool) { s.replaced = replaced }
 
-// ReceiveMessage takes a message of another router, or of an earlier process of this one. Messages that make no sense
-// are ignored.
+// ReceiveMessage processes a message of another router, or of an earlier process of this one. Invalid messages are
+// ignored.
 func (s *State) ReceiveMessage(now time.Duration, m Message) {
 	if !validName(m.From) || !validName(m.Key) {
 		return
@@ -135,19 +137,20 @@
 	}
 }
 
-// FullState returns what a router that has received nothing so far should know: counters and health evidence, but never
-// leases, which go to their holder alone.
+// FullState returns the messages that a router without any shared state needs: counters and health evidence, but never
+// leases, which are sent to their holder only.
 func (s *State) FullState(now time.Duration) []Message {
 	return append(s.counterMessages(), s.evidenceMessages(now)...)
 }
 
-// Duties for which package placement chooses among the routers. All routers must use the same texts.
+// Duties that package placement assigns to routers. All routers must use the same strings.
 const (
-	lenderDuty      = "borrow" // at which peer a router begins to ask for shares
-	probeDutyPrefix = "try "   // who probes an ejected endpoint; its id follows
+	lenderDuty      = "borrow" // the peer that a router asks first for shares
+	probeDutyPrefix = "try "   // the router that probes an ejected endpoint; the id of the endpoint follows
 )
 
-// prober returns the router that probes an ejected endpoint for all. All routers that see the same peers find the same.
+// prober returns the router that probes an ejected endpoint for all. It is the same for all routers that see the same
+// peers.
 func (s *State) prober(endpoint string) string {
 	return placement.Assign(probeDutyPrefix+endpoint, append([]string{s.settings.Self}, s.peers...))
 }
