--- a/internal/cluster/placement/golden_test.go
+++ b/internal/cluster/placement/golden_test.go
@@ -9,12 +9,12 @@
 	"hillknot/internal/testutil/golden"
 )
 
-// The choices of routers of different releases have to add up, so each has to choose as before. The file of
+// The choices of routers of different releases must add up, so each release must make the same choices. The file of
 // testdata/golden was written at commit 86ccf0f.
 //
-// What reaches the choices: no name of Go, but the salts of score ("subset", "bound", "turn", "start",
-// "backoff"), the duty "ramp NAME" of JoinedWarmUp, and the duties that the callers name ("meet" of membership, "keeper
-// of NAME" of failover, "borrow" and "try NAME" of state).
+// The choices depend on no Go names, but on the salts of score ("subset", "bound", "turn", "start", "backoff"), the duty
+// "ramp NAME" of JoinedWarmUp, and the duties that callers pass ("meet" in membership, "keeper of NAME" in failover,
+// "borrow" and "try NAME" in state).
 func TestGoldenChoices(t *testing.T) {
 	routers := []string{"r1", "r2", "r3", "ünion"}
 	endpoints := []string{"edge-1", "edge-2", "edge-3", "edge-4", "edge-5", "edge-6"}
--- a/internal/cluster/placement/schedule.go
+++ b/internal/cluster/placement/schedule.go
@@ -2,9 +2,10 @@
 
 import "time"
 
-// PhaseOffset returns when in each period a router does a duty: the known routers share the period evenly, in an order
-// that depends on the duty, so that not the same router is always first. A router that knows no others, or is not among
-// those it knows, takes an offset from its own name: over many routers, these are spread evenly too.
+// PhaseOffset returns when a router performs a duty, as the time since the start of each period. The offsets of the known
+// routers divide the period evenly, in an order that depends on the duty, so that the first router differs between
+// duties. If a router knows no others, or is not among the known ones, its offset depends only on its own name and the
+// duty: the offsets of many such routers are distributed evenly too.
 func PhaseOffset(self, duty string, routers []string, period time.Duration) time.Duration {
 	if r := rank(self, duty, routers); r != unknownRank {
 		return period * time.Duration(r) / time.Duration(len(routers))
@@ -12,8 +13,8 @@
 	return time.Duration(float64(period) * score(self, duty, saltDuty))
 }
 
-// NextRun returns the first time after now that is offset after the begin of a period. The routers may share a clock or
-// have one each.
+// NextRun returns the first time after now that lies offset after the start of a period. If the period is 0 or less, it
+// returns now. The routers may share a clock or have one each.
 func NextRun(now, offset, period time.Duration) time.Duration {
 	if period <= 0 {
 		return now
@@ -25,12 +26,12 @@
 	return next
 }
 
-// maxBackoffSteps bounds the failures that Backoff takes into account: the wait has long reached its maximum by then.
+// maxBackoffSteps bounds the failures that Backoff takes into account. The wait reaches its maximum long before that.
 const maxBackoffSteps = 64
 
-// Backoff returns how long a router waits before it retries something that has failed so often: between the shortest
-// wait and three times the previous one, up to the longest (decorrelated jitter). The jitter follows from names, so
-// that routers that restart in the middle of an overload do not get in step.
+// Backoff returns how long a router waits before it retries a duty after the given number of failures: between the
+// shortest wait and three times the previous wait, but at most the longest (decorrelated jitter). The jitter depends on
+// the names, so that routers that restart during an overload do not retry in step.
 func Backoff(self, duty string, failures int, shortest, longest time.Duration) time.Duration {
 	wait := shortest
 	for i := range min(failures, maxBackoffSteps) {
--- a/internal/cluster/placement/subsets.go
+++ b/internal/cluster/placement/subsets.go
@@ -6,16 +6,16 @@
 	"slices"
 )
 
-// How many routers may use one endpoint, as a multiple of the mean.
+// Limits of the number of routers that use one endpoint, as multiples of the mean.
 const (
-	maxLoadFactor     = 1.25 // never more
-	typicalLoadFactor = 1.15 // for most endpoints
+	maxLoadFactor     = 1.25 // limit for every endpoint
+	typicalLoadFactor = 1.15 // usual limit of an endpoint
 )
 
-// SubsetSize returns how many endpoints each router should use: at least the minimum, and so many that the bound of routers
-// for each endpoint is above the mean by half a router. Without such room, an endpoint that is full would push other
-// pairs away in a long chain. The caller must keep the size as routers come and go: another one moves nearly all
-// pairs.
+// SubsetSize returns how many endpoints each router should use: at least the minimum, enough that the bound of routers per
+// endpoint exceeds the mean by half a router or more, and at most all endpoints. With a tighter bound, an endpoint that is
+// full would displace other pairs in a long chain. The caller must keep the size while routers join and leave, as a
+// different size moves nearly all pairs.
 func SubsetSize(routers, endpoints, minimum int) int {
 	for size := max(minimum, 1); size < endpoints; size++ {
 		mean := float64(size*routers) / float64(endpoints)
@@ -26,13 +26,13 @@
 	return endpoints
 }
 
-// Subsets returns the endpoints that each router uses, size for each, or all where there are no more, as indices of
-// endpoints, in order. Names must be unique; their order does not change who gets whom.
+// Subsets returns the endpoints that each router uses, as sorted indices of endpoints: size for each router, or all if
+// there are fewer. Names must be unique; their order does not change which router uses which endpoints.
 //
-// This is rendezvous hashing with bounded loads: pairs are taken from the highest score down, as long as the router
-// has fewer endpoints than size and the endpoint fewer routers than its bound. Both sides see the same score of a
-// pair, so there is one stable result, whoever computes it, and a name that comes or goes moves few other pairs. A
-// router that the bounds leave short takes the endpoints with the fewest routers.
+// This is rendezvous hashing with bounded loads. Pairs are chosen from the highest score down, if the router has fewer
+// endpoints than size and the endpoint fewer routers than its bound. The score of a pair is the same for its router and
+// its endpoint, so there is one stable result for all routers that compute it, and a name that is added or removed moves
+// few other pairs. A router that the bounds leave with too few endpoints gets those with the fewest routers.
 func Subsets(routers, endpoints []string, size int) [][]int {
 	a := newAssignment(routers, endpoints, size)
 	for _, p := range rankedPairs(routers, endpoints) {
@@ -49,7 +49,7 @@
 	return a.subsets
 }
 
-// SubsetOf returns the names of the endpoints that one of the routers uses, or nil where it is not among them.
+// SubsetOf returns the names of the endpoints that the router self uses, or nil if self is not among the routers.
 func SubsetOf(self string, routers, endpoints []string, size int) []string {
 	i := slices.Index(routers, self)
 	if i < 0 {
@@ -68,7 +68,7 @@
 	score            float64
 }
 
-// rankedPairs returns all pairs, the highest score first.
+// rankedPairs returns all pairs, sorted by descending score and then by names.
 func rankedPairs(routers, endpoints []string) []pair {
 	pairs := make([]pair, 0, len(routers)*len(endpoints))
 	for r, router := range routers {
@@ -86,7 +86,7 @@
 	return pairs
 }
 
-// assignment is the subsets as far as they are computed.
+// assignment holds the subsets while they are computed.
 type assignment struct {
 	routers, endpoints []string
 	size               int     // of each subset
@@ -110,9 +110,10 @@
 	return a
 }
 
-// loadBound is how many routers may use an endpoint: the typical multiple of the mean, and never over the largest
-// one. It is rounded up for some endpoints and down for others, by their names: so as routers come and go, the bounds
-// of few endpoints change at a time.
+// loadBound returns how many routers may use an endpoint: typicalLoadFactor times the mean, but at most the larger of
+// maxLoadFactor times the mean, rounded down, and the mean, rounded up. The first product is rounded up for some endpoints
+// and down for others, depending on their names, so that the bounds of few endpoints change at a time while routers join
+// and leave.
 func loadBound(routers, endpoints, size int, endpoint string) int {
 	mean := float64(size*routers) / float64(max(endpoints, 1))
 	typical := math.Floor(typicalLoadFactor*mean + score(endpoint, "", saltBound))
@@ -125,8 +126,8 @@
 	a.load[endpoint]++
 }
 
-// leastLoaded returns the endpoint with the fewest routers that a router does not use yet; of several, the one with the
-// highest score.
+// leastLoaded returns the endpoint with the fewest routers among those that a router does not use yet. If there are
+// several, it returns the one with the highest score.
 func (a *assignment) leastLoaded(router int) int {
 	best := -1
 	for endpoint := range a.endpoints {
--- a/internal/cluster/placement/subsets_test.go
+++ b/internal/cluster/placement/subsets_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// names returns n names with a prefix, numbered from a number on.
+// names returns n names, each a prefix and a number, the first number being from.
 func names(prefix string, from, n int) []string {
 	var out []string
 	for i := range n {
@@ -19,7 +19,7 @@
 // namePair is a router and an endpoint that it uses.
 type namePair [2]string
 
-// usedPairs returns the pairs of all subsets, and the largest load of an endpoint as a multiple of the mean.
+// usedPairs returns the pairs of all subsets, and the largest number of routers of an endpoint as a multiple of the mean.
 func usedPairs(routers, endpoints []string, size int) (pairs map[namePair]bool, largestLoad float64) {
 	load, pairs := map[int]int{}, map[namePair]bool{}
 	largest := 0
@@ -33,8 +33,8 @@
 	return pairs, float64(largest) * float64(len(endpoints)) / float64(len(pairs))
 }
 
-// movedFraction is the fraction of the pairs before a change that could have stayed, as neither of their names has
-// gone, and did not.
+// movedFraction returns which fraction of the pairs that could have stayed after a change, as neither of their names was
+// removed, did not stay.
 func movedFraction(before, after map[namePair]bool, gone string) float64 {
 	moved, all := 0, 0
 	for p := range before {
@@ -48,12 +48,12 @@
 	return float64(moved) / float64(all)
 }
 
-// movedByChange is the largest fraction of pairs that moved, over changes of one kind.
+// movedByChange holds, for each kind of change, the largest fraction of pairs that moved.
 type movedByChange struct {
 	routerJoins, routerLeaves, endpointAdded, endpointRemoved float64
 }
 
-// worstMoves makes five changes of each kind, one at a time.
+// worstMoves makes five changes of each kind, one at a time, and returns the largest fractions of pairs that moved.
 func worstMoves(routers, endpoints []string, size int) movedByChange {
 	used, _ := usedPairs(routers, endpoints, size)
 	worst := movedByChange{}
@@ -70,9 +70,9 @@
 	return worst
 }
 
-// Each endpoint is used by at most a quarter more routers than the mean, each router has as many as it should, and a
-// name that comes or goes moves no more than twice its share (thrice, for endpoints). The sizes are those of the
-// smallest and largest clusters.
+// Each endpoint is used by at most a quarter more routers than the mean, each router uses as many endpoints as it should,
+// and a router that is added or removed moves at most twice its share of the pairs (an endpoint three times its share). The
+// sizes are those of the smallest and largest clusters.
 func TestSubsetsAreBalancedAndStable(t *testing.T) {
 	for _, c := range []struct{ routers, endpoints, want int }{
 		{9, 12, 4}, {9, 20, 6}, {5, 8, 3}, {20, 14, 5}, {60, 40, 8}, {300, 200, 20}, {300, 200, 8},
@@ -81,11 +81,11 @@
 		routers, endpoints := names("r", 0, c.routers), names("s", 0, c.endpoints)
 		used, largestLoad := usedPairs(routers, endpoints, size)
 		if largestLoad > maxLoadFactor || len(used) != c.routers*min(size, c.endpoints) {
-			t.Errorf("%+v: %.2f of the mean, %d pairs with %d each", c, largestLoad, len(used), size)
+			t.Errorf("%+v: largest load %.2f of the mean, %d pairs with %d endpoints per router", c, largestLoad, len(used), size)
 		}
 		worst := worstMoves(routers, endpoints, size)
 		perRouter, perEndpoint := 1/float64(c.routers), 1/float64(c.endpoints)
-		t.Logf("%+v: %d each, largest load %.2f, moved %+v (2/N %.4f, 2/M %.4f)",
+		t.Logf("%+v: %d endpoints per router, largest load %.2f, moved %+v (2/routers %.4f, 2/endpoints %.4f)",
 			c, size, largestLoad, worst, 2*perRouter, 2*perEndpoint)
 		if worst.routerJoins > 2*perRouter || worst.routerLeaves > 2*perRouter ||
 			worst.endpointAdded > 3*perEndpoint || worst.endpointRemoved > 3*perEndpoint {
@@ -94,7 +94,7 @@
 	}
 }
 
-// Who computes it, in whatever order the names came, finds the same.
+// The subsets do not depend on the order of the names.
 func TestSubsetsIgnoreOrderOfNames(t *testing.T) {
 	rnd := rand.New(rand.NewPCG(1, 2))
 	routers, endpoints := names("r", 0, 9), names("s", 0, 14)
@@ -109,26 +109,26 @@
 		for _, r := range routers {
 			got := SubsetOf(r, routers, endpoints, 5)
 			if slices.Sort(got); !slices.Equal(got, want[r]) {
-				t.Fatalf("%s finds %v, and %v in another order", r, want[r], got)
+				t.Fatalf("%s uses %v, and %v with another order of names", r, want[r], got)
 			}
 		}
 	}
 }
 
-// Odd sizes neither fail nor leave a router short.
+// With any number of routers and endpoints, and any size, each router has as many endpoints as it should.
 func TestSubsetsHaveTheirSizeForAnyInput(t *testing.T) {
 	for n := range 7 {
 		for m := range 7 {
 			for size := range 9 {
 				for _, subset := range Subsets(names("r", 0, n), names("s", 0, m), size) {
 					if len(subset) != min(size, m) {
-						t.Errorf("%d routers, %d endpoints, %d each: one has %v", n, m, size, subset)
+						t.Errorf("%d routers, %d endpoints, %d per router: one has %v", n, m, size, subset)
 					}
 				}
 			}
 		}
 	}
 	if SubsetOf("stranger", names("r", 0, 3), names("s", 0, 3), 2) != nil {
-		t.Error("a router that is not among them has a subset")
+		t.Error("a router that is not among the routers has a subset")
 	}
 }
--- a/internal/cluster/placement/warmup.go
+++ b/internal/cluster/placement/warmup.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-const warmUpDutyPrefix = "ramp " // the id of the endpoint follows
+const warmUpDutyPrefix = "ramp " // followed by the id of the endpoint
 
-// JoinedWarmUp returns whether a router may use an endpoint that started age ago and warms up warmUp a time. The
-// routers join one after the other, in an order that depends on the endpoint: the first ones send it enough each to
-// warm it, where a tiny part from each router would come all at once. Of known routers exactly the fraction of the
-// time that has passed has joined. A router that knows no others goes by its own score, so that the fraction is right
-// on average.
+// JoinedWarmUp reports whether a router may use an endpoint that started age ago and warms up for the time warmUp. The
+// routers join one after the other, in an order that depends on the endpoint. Each of the first ones then sends enough
+// requests to warm it, whereas a tiny part from every router would arrive all at once. Of the known routers, the
+// fraction of the time that has passed has joined, plus at most one router. A router that knows no others compares that
+// fraction with its own score, so that the fraction of routers that have joined is right on average.
 func JoinedWarmUp(self, endpoint string, routers []string, age, warmUp time.Duration) bool {
 	duty := warmUpDutyPrefix + endpoint
 	if r := rank(self, duty, routers); r != unknownRank {
@@ -20,7 +20,7 @@
 	return age >= warmUp || score(self, duty, saltDuty) <= elapsedFraction(age, warmUp)
 }
 
-// joinedRouters is how many of so many known routers have joined.
+// joinedRouters returns how many of n known routers have joined.
 func joinedRouters(n int, age, warmUp time.Duration) int {
 	if age >= warmUp {
 		return n
@@ -28,18 +28,19 @@
 	return min(n, int(float64(n)*float64(max(age, 0))/float64(warmUp))+1)
 }
 
-// elapsedFraction is the part of a warm-up that has passed. Its caller has seen that it has not ended.
+// elapsedFraction returns the fraction of a warm-up that has passed. The caller must check that the warm-up has not ended.
 func elapsedFraction(age, warmUp time.Duration) float64 {
 	return float64(max(age, 0)) / float64(warmUp)
 }
 
-// joinedMarginDeviations is how many standard deviations more routers than on average may have joined, where they don't know
-// each other.
+// joinedMarginDeviations is how many standard deviations above the mean the number of joined routers may be, if the routers
+// don't know each other.
 const joinedMarginDeviations = 4
 
-// WarmUpQuota returns the fraction of an endpoint's capacity that a router which has joined may use. The routers that
-// have joined share it. Where they are not known but for an estimate of their number, so many share it as have joined
-// with near certainty at most.
+// WarmUpQuota returns the fraction of an endpoint's capacity that a router that has joined may use. The routers that have
+// joined share the capacity. If only an estimate of the number of routers is known, the capacity is divided by
+// the number that have joined on average plus joinedMarginDeviations standard deviations: with near certainty, no more
+// routers have joined.
 func WarmUpQuota(routers []string, estimate int, age, warmUp time.Duration) float64 {
 	if n := len(routers); n > 1 {
 		return 1 / float64(joinedRouters(n, age, warmUp))
--- a/internal/cluster/placement/warmup_test.go
+++ b/internal/cluster/placement/warmup_test.go
@@ -8,8 +8,8 @@
 
 const warmUpTime = 10 * time.Second
 
-// sumOfQuotas is what all routers that have joined may send an endpoint, as a fraction of its capacity. Routers that
-// don't know each other go by an estimate of their number.
+// sumOfQuotas returns how much all routers that have joined may send to an endpoint, as a fraction of its capacity. Routers
+// that don't know each other use an estimate of their number.
 func sumOfQuotas(routers []string, endpoint string, known bool, age time.Duration) float64 {
 	var peers []string
 	if known {
@@ -24,8 +24,8 @@
 	return sum
 }
 
-// What routers may send an endpoint that is warming up adds up to no more than its capacity, whether they know each
-// other or go by an estimate; where they know each other, it is never nothing once the warm-up has begun.
+// The quotas of all routers for an endpoint that warms up add up to at most its capacity, whether the routers know each
+// other or use an estimate. If they know each other, the quotas add up to nearly the whole capacity from the start.
 func TestWarmUpQuotasStayWithinCapacity(t *testing.T) {
 	for _, known := range []bool{true, false} {
 		for i := range 200 {
@@ -33,7 +33,7 @@
 			for age := time.Duration(0); age <= warmUpTime; age += 500 * time.Millisecond {
 				sum := sumOfQuotas(routers, endpoint, known, age)
 				if sum > 1.0001 || known && sum < 0.9 {
-					t.Errorf("%d routers, known %v, %v after the start of %s: %.3f of its capacity",
+					t.Errorf("%d routers, known %v, %v after the start of %s: quotas add up to %.3f of its capacity",
 						len(routers), known, age, endpoint, sum)
 				}
 			}
