--- a/internal/cluster/messaging/errors.go
+++ b/internal/cluster/messaging/errors.go
@@ -6,21 +6,23 @@
 	"hillknot/internal/operatorhint"
 )
 
-// QueueFullError says that too many messages are in flight to a peer: it is slow, or can't be reached.
+// QueueFullError reports that too many messages are in flight to a peer, which is slow or cannot be reached.
 type QueueFullError struct{ To string }
 
-func (e QueueFullError) Error() string { return fmt.Sprintf("too many parcels on the way to %q", e.To) }
+func (e QueueFullError) Error() string {
+	return fmt.Sprintf("too many messages in flight to router %q", e.To)
+}
 
 // Hint implements operatorhint.Error.
 func (QueueFullError) Hint() string {
-	return "Look whether that router is up and how busy its machine is; what is on the way to it is given up by itself."
+	return "Check whether that router is running and how busy its machine is. Messages in flight to it time out by themselves."
 }
 
-// MessageTooLongError says that a message is over Settings.MaxMessageBytes.
+// MessageTooLongError reports that a message is longer than Settings.MaxMessageBytes.
 type MessageTooLongError struct{ Bytes, Limit int }
 
 func (e MessageTooLongError) Error() string {
-	return fmt.Sprintf("a parcel of %d bytes, over %d", e.Bytes, e.Limit)
+	return fmt.Sprintf("message of %d bytes is longer than %d bytes", e.Bytes, e.Limit)
 }
 
 // Hint implements operatorhint.Error.
@@ -28,31 +30,32 @@
 	return "Lower body_bytes, so that longer bodies are left out of records."
 }
 
-// NotAcknowledgedError says that a peer did not acknowledge a message in time. It may have got it all the same.
+// NotAcknowledgedError reports that a peer did not acknowledge a message before its deadline. The peer may have received
+// the message nevertheless.
 type NotAcknowledgedError struct{ To string }
 
 func (e NotAcknowledgedError) Error() string {
-	return fmt.Sprintf("%q did not say in time that it holds a parcel", e.To)
+	return fmt.Sprintf("router %q did not acknowledge a message in time", e.To)
 }
 
 // Hint implements operatorhint.Error.
 func (NotAcknowledgedError) Hint() string {
-	return "Look at app_fleet_others: the router is down or cut off, or has other keys."
+	return "Check app_fleet_others: the router is down or cut off, or has different keys."
 }
 
-// ProcessReplacedError says that the process that a message was for has ended: another process of the peer is there.
+// ProcessReplacedError reports that the process that a message was for has ended, and another process of the peer runs.
 type ProcessReplacedError struct{ To string }
 
 func (e ProcessReplacedError) Error() string {
-	return fmt.Sprintf("another process of %q is there now", e.To)
+	return fmt.Sprintf("another process of router %q runs now", e.To)
 }
 
 // Hint implements operatorhint.Error.
 func (ProcessReplacedError) Hint() string {
-	return "None is needed after a restart; if it goes on, two routers have one name: give each its own."
+	return "No action is needed after a restart. If the error persists, two routers have the same name: give each its own."
 }
 
-// Errors holds an example of each type of this package, as docs/errors.md shows it.
+// Errors holds an example of each error type of this package, as docs/errors.md shows it.
 var Errors = []operatorhint.Error{
 	QueueFullError{"r2"},
 	MessageTooLongError{30000, 20480},
--- a/internal/cluster/messaging/golden_test.go
+++ b/internal/cluster/messaging/golden_test.go
@@ -11,13 +11,13 @@
 	"hillknot/internal/testutil/golden"
 )
 
-// Routers of different releases exchange these packets: a router that is replaced talks to others that are not yet. The files
-// of testdata/golden were written at commit 86ccf0f.
+// Routers of different releases exchange these packets: while a cluster is upgraded, routers of the new release communicate
+// with others of the old one. The files of testdata/golden were written at commit 86ccf0f.
 //
-// packet and item are CBOR arrays (`cbor:",toarray"`), so that the order, the types and the number of their fields reach the
-// bytes, and no name does: packet.{From, Process, ToProcess, Messages, Acknowledgements, Query, QueryReply}, item.{ID, Body}.
-// A struct that loses its field _ with the tag is written as a map of its fields' names. An empty list is written as nil, not
-// as a list of none.
+// packet and item are encoded as CBOR arrays (`cbor:",toarray"`), so the bytes depend on the order, types and number of their
+// fields, but on no names: packet.{From, Process, ToProcess, Messages, Acknowledgements, Query, QueryReply}, item.{ID, Body}.
+// A struct without the tagged field _ would be encoded as a map with the names of its fields. An empty list is encoded as
+// nil, not as a list without elements.
 
 var goldenPackets = map[string]packet{
 	"packet.hex": {
@@ -47,14 +47,14 @@
 			golden.Same(t, name, data)
 			var got packet
 			if err := cbor.Unmarshal(golden.Read(t, name), &got); err != nil || !reflect.DeepEqual(got, want) {
-				t.Errorf("read as %+v, %v; want %+v", got, err, want)
+				t.Errorf("decoded as %+v, %v; want %+v", got, err, want)
 			}
 		})
 	}
 }
 
-// A messenger sends, byte for byte, what it sent when the files were written, and understands what the other sent then: the
-// query for its process, the reply to it, a message, its acknowledgement, and that acknowledgement once more.
+// A messenger sends, byte for byte, the packets that it sent when the files were written, and processes the packets that its
+// peer sent then: both queries for a process, the replies to them, a message, its retry, and its acknowledgement.
 func TestGoldenExchange(t *testing.T) {
 	r1, r2 := New(Defaults("r1", 11)), New(Defaults("r2", 22))
 	now := time.Second
@@ -62,7 +62,7 @@
 		t.Helper()
 		out := from.DuePackets(now)
 		if len(out) != len(names) {
-			t.Fatalf("%d packets, want %v", len(out), names)
+			t.Fatalf("%d packets are due, want %v", len(out), names)
 		}
 		for i, name := range names {
 			golden.Same(t, name, out[i].Data)
@@ -79,11 +79,11 @@
 	now += 30 * time.Millisecond
 	in := step(r1, r2, "talk-6-parcel.hex")
 	if want := []Delivery{{From: "r1", Process: 11, ID: 1, Body: []byte("order")}}; !reflect.DeepEqual(in, want) {
-		t.Fatalf("arrived %+v, want %+v", in, want)
+		t.Fatalf("received %+v, want %+v", in, want)
 	}
 	r2.Acknowledge(in[0], []byte("yes"))
 	step(r2, r1, "talk-7-answer.hex")
 	if done := r1.Completions(); len(done) != 1 || done[0].Err != nil || !bytes.Equal(done[0].Reply, []byte("yes")) {
-		t.Errorf("done %+v", done)
+		t.Errorf("completed %+v, want one message with the reply yes", done)
 	}
 }
--- a/internal/cluster/messaging/messaging.go
+++ b/internal/cluster/messaging/messaging.go
@@ -1,9 +1,9 @@
 // Package messaging sends messages to single routers, and repeats each until it is acknowledged. It is a state
 // machine: it decides what is sent and acknowledged when, does no I/O, reads no clock and draws no random numbers.
 //
-// A message is for one process of a router, which delivers it at most once, however often and late it comes: a
-// message that was delivered before is acknowledged again from memory, and one that is too old to be remembered is
-// ignored. So no late packet can bring anything back.
+// A message is for one process of a router, which delivers it at most once, however often and late it arrives. A message
+// that was delivered before is acknowledged again with the remembered reply, and one that is too old to be remembered is
+// ignored. A late packet therefore never causes a second delivery.
 package messaging
 
 import (
@@ -12,13 +12,13 @@
 	"time"
 )
 
-// Packet is to be sent to a router.
+// Packet is encoded data to send to a router.
 type Packet struct {
 	To   string
 	Data []byte
 }
 
-// Delivery is a message that has come, for the first time.
+// Delivery is a message that was received for the first time.
 type Delivery struct {
 	From    string
 	Process uint64
@@ -26,8 +26,8 @@
 	Body    []byte
 }
 
-// Completion is the end of a message that was sent: the peer has acknowledged it with Reply, or Err says why it was
-// given up.
+// Completion is the result of a message that was sent: either the peer acknowledged it with Reply, or Err is the reason
+// why it was given up.
 type Completion struct {
 	ID    uint64
 	To    string
@@ -39,11 +39,11 @@
 type Messenger struct {
 	settings  Settings
 	peers     map[string]*peer
-	inFlight  map[uint64]*peer // by message
-	lastID    uint64           // of a message
+	inFlight  map[uint64]*peer // by message id
+	lastID    uint64           // of the latest message sent
 	lastQuery uint64
-	completed []Completion // not read yet
-	peerNames []string     // of peers, in order; nil: to be made anew
+	completed []Completion // not returned by Completions yet
+	peerNames []string     // of peers, sorted; nil: must be rebuilt
 }
 
 // New returns the messenger of a process that has just started.
@@ -51,8 +51,8 @@
 	return &Messenger{settings: settings, peers: map[string]*peer{}, inFlight: map[uint64]*peer{}}
 }
 
-// Send has a message sent to a router until that acknowledges it, or a deadline has come. Completions tells its end,
-// under the number that Send returns. The error is a MessageTooLongError or a QueueFullError.
+// Send queues a message to a router, which is sent until the router acknowledges it or the deadline passes. Completions
+// then returns its result under the id that Send returns. The error is a MessageTooLongError or a QueueFullError.
 func (m *Messenger) Send(now time.Duration, to string, body []byte, deadline time.Duration) (id uint64, err error) {
 	p := m.peer(now, to)
 	if len(body) > m.settings.MaxMessageBytes {
@@ -74,7 +74,7 @@
 	return m.lastID, nil
 }
 
-// Cancel gives up a message that nobody needs any more. Completions does not tell of it.
+// Cancel gives up a message that is no longer needed. Completions returns no result for it.
 func (m *Messenger) Cancel(id uint64) {
 	if p := m.inFlight[id]; p != nil {
 		m.remove(p, id)
@@ -86,13 +86,13 @@
 	p.outbox.remove(id)
 }
 
-// complete ends a message in flight to a peer.
+// complete ends a message in flight to a peer, and adds its result to those for Completions.
 func (m *Messenger) complete(p *peer, c Completion) {
 	m.remove(p, c.ID)
 	m.completed = append(m.completed, c)
 }
 
-// Receive takes a packet and returns the messages in it that came for the first time. A packet that can't be used is
+// Receive processes a packet and returns the messages in it that were received for the first time. An invalid packet is
 // ignored.
 func (m *Messenger) Receive(now time.Duration, data []byte) []Delivery {
 	in, ok := m.decode(data)
@@ -120,7 +120,7 @@
 	return m.receiveMessages(p, in.Messages)
 }
 
-// receiveQueryReply learns from the reply to an open query which process of the peer is there.
+// receiveQueryReply learns from the reply to an open query which process of the peer runs now.
 func (m *Messenger) receiveQueryReply(p *peer, in *packet) {
 	if in.QueryReply == 0 || in.QueryReply != p.query.number || in.ToProcess != m.settings.Process {
 		return
@@ -139,7 +139,8 @@
 	}
 }
 
-// receiveMessages returns the messages that came for the first time, and acknowledges the others again.
+// receiveMessages returns the messages that were received for the first time, and acknowledges again those that were
+// acknowledged before.
 func (m *Messenger) receiveMessages(p *peer, messages []item) (deliveries []Delivery) {
 	for _, message := range messages {
 		isNew, reply := p.inbox.accept(message.ID, m.settings.ReplyMemory)
@@ -154,8 +155,8 @@
 	return deliveries
 }
 
-// Acknowledge tells the sender of a message that it was taken, with a reply of at least one byte. The same reply is
-// sent again if the message comes again.
+// Acknowledge acknowledges a message to its sender with a reply, which must have at least one byte. The same reply is
+// sent again if the message arrives again.
 func (m *Messenger) Acknowledge(d Delivery, reply []byte) {
 	p := m.peers[d.From]
 	if p == nil || p.process != d.Process {
@@ -166,7 +167,7 @@
 	}
 }
 
-// Tick gives up messages that were not acknowledged in time. It is due every few milliseconds; a late call is safe.
+// Tick gives up messages whose deadline has passed. It is due every few milliseconds; a late call is safe.
 func (m *Messenger) Tick(now time.Duration) {
 	for _, name := range m.peerNames {
 		p := m.peers[name]
@@ -181,14 +182,15 @@
 	}
 }
 
-// Completions returns the messages that have ended since the last call.
+// Completions returns the results of the messages that have ended since the last call.
 func (m *Messenger) Completions() []Completion {
 	completed := m.completed
 	m.completed = nil
 	return completed
 }
 
-// DuePackets returns the packets that are to be sent now. What goes to one router shares packets, as far as it fits.
+// DuePackets returns the packets to send now. Messages and acknowledgements to the same router share packets up to
+// Settings.MaxPacketBytes.
 func (m *Messenger) DuePackets(now time.Duration) (packets []Packet) {
 	if m.peerNames == nil {
 		m.peerNames = slices.Sorted(maps.Keys(m.peers))
@@ -201,7 +203,7 @@
 	return packets
 }
 
-// MaxQueued returns how many messages are in flight to the peer that has most of them.
+// MaxQueued returns the largest number of messages in flight to one peer.
 func (m *Messenger) MaxQueued() (most int) {
 	for _, p := range m.peers {
 		most = max(most, len(p.outbox.messages))
--- a/internal/cluster/messaging/messaging_test.go
+++ b/internal/cluster/messaging/messaging_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// A message is delivered once at most, and its end is told once: with the reply of its receiver, or in time without. Late and
-// repeated packets, of processes that have ended too, change nothing.
+// A message is delivered at most once and has one completion, with the reply of its receiver or, after the deadline, without.
+// Late and repeated packets change nothing, also those of processes that have ended.
 func TestMessagesAreDeliveredAtMostOnce(t *testing.T) {
 	acknowledged := 0
 	for seed := range uint64(60) {
@@ -18,19 +18,19 @@
 		s.checkNewMessageArrives(t)
 	}
 	if acknowledged < 1000 {
-		t.Errorf("%d parcels were answered", acknowledged)
+		t.Errorf("%d messages were acknowledged, want at least 1000", acknowledged)
 	}
 }
 
-// deliveryCheck sends messages from "a" to "b" and checks how they end.
+// deliveryCheck sends messages from "a" to "b" and checks their completions.
 type deliveryCheck struct {
 	*simulatedPair
 	seed         uint64
-	replies      map[uint64]string // that are expected, by message in flight
+	replies      map[uint64]string // expected replies, by id of the message in flight
 	acknowledged int
 }
 
-// run sends messages, and replaces processes, until none is in flight.
+// run sends messages and replaces processes at random, and fails unless all messages have ended at the end.
 func (s *deliveryCheck) run(t *testing.T) {
 	t.Helper()
 	const (
@@ -48,12 +48,12 @@
 		s.checkCompletions(t)
 	}
 	if len(s.replies) > 0 || s.messengers["a"].MaxQueued() > 0 {
-		t.Fatalf("seed %d: no end of %v", s.seed, s.replies)
+		t.Fatalf("seed %d: messages without a completion: %v", s.seed, s.replies)
 	}
 }
 
-// replaceProcess replaces the process of either router; what "a" sent before has no end then. If it is not allowed, it only
-// draws which one it would be.
+// replaceProcess replaces the process of one of the routers. If that is "a", the messages that it sent have no completions. If
+// no replacement is allowed, replaceProcess only draws which router it would be.
 func (s *deliveryCheck) replaceProcess(allowed bool) {
 	if !allowed {
 		s.random.IntN(2)
@@ -82,20 +82,20 @@
 	for _, c := range s.messengers["a"].Completions() {
 		want := s.replies[c.ID]
 		if want == "" {
-			t.Fatalf("seed %d: an end of %d, which is not under way", s.seed, c.ID)
+			t.Fatalf("seed %d: a completion of message %d, which is not in flight", s.seed, c.ID)
 		}
 		if c.Err == nil {
 			s.acknowledged++
 			if string(c.Reply) != want {
-				t.Fatalf("seed %d: %q for %q", s.seed, c.Reply, want)
+				t.Fatalf("seed %d: got the reply %q, want %q", s.seed, c.Reply, want)
 			}
 		}
 		delete(s.replies, c.ID)
 	}
 }
 
-// checkNewMessageArrives fails unless the processes that are there now understand each other, whatever came late of those that
-// have ended.
+// checkNewMessageArrives fails unless a new message between the processes that run now is delivered, although packets of
+// processes that have ended arrived late.
 func (s *deliveryCheck) checkNewMessageArrives(t *testing.T) {
 	t.Helper()
 	s.loss = 0
@@ -108,18 +108,18 @@
 		s.step(t)
 	}
 	if len(s.delivered) == before {
-		t.Fatalf("seed %d: parcel %d never came", s.seed, id)
+		t.Fatalf("seed %d: message %d was not delivered", s.seed, id)
 	}
 }
 
-// A router that does not answer holds up no other, and takes a bounded room.
+// A peer that does not respond delays no messages to other peers, and the messages in flight to it are bounded.
 func TestUnresponsivePeerDoesNotBlockOthers(t *testing.T) {
 	p := newSimulatedPair(1, 1, 0)
 	var full QueueFullError
 	for i := range 9 {
 		_, err := p.messengers["a"].Send(0, "gone", []byte("x"), time.Second)
 		if errors.As(err, &full) != (i == 8) {
-			t.Fatalf("parcel %d: %v", i, err)
+			t.Fatalf("message %d: %v", i, err)
 		}
 	}
 	p.messengers["gone"] = New(Defaults("gone", 99))
@@ -130,20 +130,20 @@
 		p.step(t)
 	}
 	if len(p.delivered) == 0 {
-		t.Error("nothing came to the router that is well")
+		t.Error("no message was delivered to the router that responds")
 	}
 	_, err := p.messengers["a"].Send(0, "b", make([]byte, 1<<20), time.Second)
 	if !errors.As(err, new(MessageTooLongError)) {
-		t.Errorf("a parcel of a megabyte: %v", err)
+		t.Errorf("a message of 1 MiB: %v", err)
 	}
 }
 
-// A burst goes out at once, in as many packets as it takes, and so do its acknowledgements: no message waits for its retry. The
-// one that opened a packet was once left out of it.
+// A burst of messages is sent at once, in as many packets as needed, and so are its acknowledgements: no message waits for its
+// retry. Once the message that started a new packet was missing from it.
 func TestBurstIsSentWithoutRetries(t *testing.T) {
 	const burst = 200
 	a, b := New(Defaults("a", 1)), New(Defaults("b", 2))
-	exchange := func(now time.Duration) { // all that is due, both ways
+	exchange := func(now time.Duration) { // sends all packets that are due, in both directions
 		for _, packet := range a.DuePackets(now) {
 			for _, d := range b.Receive(now, packet.Data) {
 				b.Acknowledge(d, []byte("held "+string(d.Body[:8])))
@@ -161,7 +161,7 @@
 	}
 	send(0, 0)
 	now := time.Duration(0)
-	for ; len(a.Completions()) == 0 && now < time.Second; now += ms { // they learn of each other's process
+	for ; len(a.Completions()) == 0 && now < time.Second; now += ms { // until each knows the process of the other
 		exchange(now)
 	}
 	for i := range burst {
@@ -169,11 +169,11 @@
 	}
 	exchange(now)
 	if done := a.Completions(); len(done) != burst {
-		t.Errorf("%d of %d messages are acknowledged without a retry", len(done), burst)
+		t.Errorf("%d of %d messages were acknowledged without a retry", len(done), burst)
 	}
 }
 
-// Packets of a burst stay within their size, whatever the sizes of the messages.
+// Packets of a burst stay within Settings.MaxPacketBytes and an overhead, with messages of different lengths.
 func TestBurstStaysWithinPacketSize(t *testing.T) {
 	a := New(Defaults("a", 1))
 	w := &packetWriter{messenger: a, peer: &peer{name: "b", process: 2}}
@@ -187,21 +187,21 @@
 	for _, p := range w.packets {
 		in, ok := New(Defaults("b", 2)).decode(p.Data)
 		if !ok || len(p.Data) > a.settings.MaxPacketBytes+overhead {
-			t.Errorf("a packet of %d bytes, read: %t", len(p.Data), ok)
+			t.Errorf("a packet of %d bytes, decoded: %t", len(p.Data), ok)
 		}
 		messages += len(in.Messages)
 	}
 	if messages != 300 {
-		t.Errorf("%d of 300 messages are in the packets", messages)
+		t.Errorf("the packets hold %d of 300 messages", messages)
 	}
 }
 
-// Whatever comes in is ignored or understood.
+// Receive ignores or processes any data without a panic.
 func FuzzReceive(f *testing.F) {
 	a := New(Defaults("a", 1))
 	_, _ = a.Send(0, "b", []byte("x"), time.Second)
 	f.Add(a.DuePackets(0)[0].Data)
-	f.Add([]byte{0x86, 0x61, 'a', 1, 2, 0x9a, 0xff, 0xff, 0xff, 0xff}) // a list of four milliards
+	f.Add([]byte{0x86, 0x61, 'a', 1, 2, 0x9a, 0xff, 0xff, 0xff, 0xff}) // a list that claims 4294967295 elements
 	f.Fuzz(func(_ *testing.T, data []byte) {
 		b := New(Defaults("b", 2))
 		for _, d := range b.Receive(0, data) {
--- a/internal/cluster/messaging/packet.go
+++ b/internal/cluster/messaging/packet.go
@@ -6,20 +6,20 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// packet is a Packet's content. Routers of different releases exchange it as a CBOR array: the order, number and
-// types of its fields are fixed, while their names are free.
+// packet is the content of a Packet. Routers of different releases exchange it as a CBOR array: the order, number and
+// types of its fields must not change, but their names may.
 type packet struct {
 	_                struct{} `cbor:",toarray"`
 	From             string
 	Process          uint64
-	ToProcess        uint64 // that the messages are for; 0: not known yet, and there are none
+	ToProcess        uint64 // process that the messages are for; 0: not known yet, and Messages is empty
 	Messages         []item
-	Acknowledgements []item // of messages of ToProcess
-	Query            uint64 // which process is there now? QueryReply answers with the same number
+	Acknowledgements []item // of messages that ToProcess sent
+	Query            uint64 // number of a query for the process that runs now; QueryReply repeats it in the reply
 	QueryReply       uint64
 }
 
-// item is a message, or the acknowledgement of one, with its reply.
+// item is a message, or the acknowledgement of a message with the reply to it.
 type item struct {
 	_    struct{} `cbor:",toarray"`
 	ID   uint64
@@ -29,7 +29,7 @@
 // maxNameBytes bounds the name of a router.
 const maxNameBytes = 128
 
-// decode returns the packet that data holds, or false if it can't be used.
+// decode returns the packet that data holds, or false if it is invalid.
 func (m *Messenger) decode(data []byte) (packet, bool) {
 	var in packet
 	if err := cbor.Unmarshal(data, &in); err != nil {
@@ -39,19 +39,19 @@
 	return in, named && in.Process != 0
 }
 
-// packetWriter puts what is due for one peer into as few packets as it fits.
+// packetWriter packs the items that are due for one peer into packets. A packet takes items until the next one does not fit.
 type packetWriter struct {
 	messenger *Messenger
 	peer      *peer
 	packet    packet
-	size      int // of the items in packet
+	size      int // of the items in packet, in bytes
 	packets   []Packet
 }
 
-// itemOverhead is about the size of an item without its body.
+// itemOverhead is the approximate size of an item without its body, in bytes.
 const itemOverhead = 12
 
-// reserve counts an item, and begins another packet for it if it no longer fits into this one.
+// reserve adds the size of an item, and starts another packet for it if it does not fit into the current one.
 func (w *packetWriter) reserve(it item) {
 	if w.size > 0 && w.size+len(it.Body) > w.messenger.settings.MaxPacketBytes {
 		w.flush()
@@ -69,10 +69,10 @@
 	w.packet.Acknowledgements = append(w.packet.Acknowledgements, it)
 }
 
-// flush ends the packet and begins another.
+// flush completes the packet and starts another.
 func (w *packetWriter) flush() {
 	data, err := cbor.Marshal(&w.packet)
-	if err == nil { // these types can't fail
+	if err == nil { // encoding these types cannot fail
 		w.packets = append(w.packets, Packet{w.peer.name, data})
 	}
 	w.begin()
@@ -122,8 +122,8 @@
 	}
 }
 
-// writeQuery writes the open query for the peer's process, if it is due. It gives up a query that nothing waits for
-// any more.
+// writeQuery writes the open query for the peer's process, if it is due, and reports whether it did. It gives up an expired
+// query if no message waits for the reply.
 func (p *peer) writeQuery(w *packetWriter, now, interval time.Duration) bool {
 	if len(p.outbox.messages) == 0 && now >= p.query.expiresAt {
 		p.query.number = 0
@@ -136,7 +136,8 @@
 	return true
 }
 
-// writeQueryReplies answers queries, each in a packet of its own: each is for the process that asked.
+// writeQueryReplies writes the replies to queries, each in a packet of its own, as each is for the process that sent the
+// query.
 func (p *peer) writeQueryReplies(w *packetWriter) {
 	for _, reply := range p.queryReplies {
 		w.packet.ToProcess, w.packet.QueryReply = reply.process, reply.number
--- a/internal/cluster/messaging/peer.go
+++ b/internal/cluster/messaging/peer.go
@@ -6,30 +6,30 @@
 	"time"
 )
 
-// peer is another router, as its latest process that was heard of.
+// peer is another router, represented by its latest known process.
 type peer struct {
 	name             string
 	process          uint64 // 0: not known yet
 	outbox           outbox
 	inbox            inbox
-	acknowledgements []item // to be sent
-	query            query  // for the process that is there now
+	acknowledgements []item // to send
+	query            query  // for the process that runs now
 	queryReplies     []queryReply
-	announce         bool // it takes this router for another process, and is to hear of this one
+	announce         bool // the peer sent a packet to another process of this router, and is due one from the present process
 	lastSeenAt       time.Duration
 }
 
-// outgoingMessage is a message in flight.
+// outgoingMessage is a message in flight to a peer.
 type outgoingMessage struct {
 	id       uint64
-	process  uint64 // that it is for; 0: not known yet
+	process  uint64 // process that the message is for; 0: not known yet
 	body     []byte
-	sendAt   time.Duration // when it is sent again
-	backoff  time.Duration // until the attempt after that
+	sendAt   time.Duration // when it is sent next
+	backoff  time.Duration // between that attempt and the one after it
 	deadline time.Duration
 }
 
-// outbox holds the messages in flight to a peer, in the order in which they were sent first.
+// outbox holds the messages in flight to a peer, in the order of the calls of Send.
 type outbox struct {
 	messages []*outgoingMessage
 	bytes    int // of their bodies
@@ -49,15 +49,15 @@
 	o.messages = slices.Delete(o.messages, i, i+1)
 }
 
-// inbox knows which messages of a peer's process have come, so that each is delivered at most once.
+// inbox remembers which messages of a peer's process were received, so that each is delivered at most once.
 type inbox struct {
-	replies       map[uint64][]byte // of messages that came; nil: not acknowledged yet
+	replies       map[uint64][]byte // by id of a received message; nil: not acknowledged yet
 	receivedIDs   []uint64          // the keys of replies, oldest first
-	forgottenUpTo uint64            // messages with numbers up to this are too old to be told apart
+	forgottenUpTo uint64            // messages with ids up to this are too old to be remembered, and ignored
 }
 
-// accept notes a message and returns true if it came for the first time. Else it returns the reply to be sent again, if
-// there is one.
+// accept records a message and returns true if it was received for the first time. Otherwise it returns the reply to send
+// again, if there is one. It remembers at most maxReplies messages.
 func (b *inbox) accept(id uint64, maxReplies int) (isNew bool, reply []byte) {
 	reply, known := b.replies[id]
 	if known || id <= b.forgottenUpTo || id == 0 {
@@ -73,7 +73,7 @@
 	return true, nil
 }
 
-// setReply remembers the reply to a message. It returns false if the message is not remembered.
+// setReply records the reply to a message. It returns false if the message is no longer remembered.
 func (b *inbox) setReply(id uint64, reply []byte) bool {
 	if _, known := b.replies[id]; !known {
 		return false
@@ -88,31 +88,31 @@
 	clear(b.replies)
 }
 
-// query asks which process of a peer is there now. Only the reply to an open query tells: a process that has ended
-// can't give it, however late its packets come.
+// query asks which process of a peer runs now. Only the reply to an open query can determine it: a process that has ended
+// cannot send that reply, however late its packets arrive.
 type query struct {
 	number    uint64        // 0: no query is open
-	sendAt    time.Duration // when it is sent again
+	sendAt    time.Duration // when it is sent next
 	expiresAt time.Duration // when it is given up if no message waits for the reply
 }
 
-// queryReply tells a process that asked that this one is here.
+// queryReply is a reply to a query. It shows the process that sent the query that this one runs.
 type queryReply struct{ process, number uint64 }
 
-// maxQueryReplies bounds the queries of a peer that wait for a reply.
+// maxQueryReplies bounds the queries of one peer that wait for a reply.
 const maxQueryReplies = 4
 
 // queryLifetime is how long a query is repeated if no message waits for the reply.
 const queryLifetime = 2 * time.Second
 
-// hasNothingToSend tells whether there is nothing to send to the peer.
+// hasNothingToSend reports whether there is nothing to send to the peer.
 func (p *peer) hasNothingToSend() bool {
 	return len(p.outbox.messages) == 0 && len(p.acknowledgements) == 0 && p.query.number == 0 &&
 		len(p.queryReplies) == 0 && !p.announce
 }
 
-// peer finds a peer, or begins to remember it. If there are too many, the one that was heard of longest ago and has no
-// message in flight is forgotten; if there is none, peer returns nil.
+// peer returns the peer of a name, and adds it if needed. If there are too many, it first forgets the peer that was seen
+// longest ago among those without messages in flight; if there is none, it returns nil.
 func (m *Messenger) peer(now time.Duration, name string) *peer {
 	if p := m.peers[name]; p != nil {
 		return p
@@ -140,7 +140,7 @@
 	return oldest
 }
 
-// startQuery asks which process of a peer is there now, unless that query is open already.
+// startQuery opens a query for the process of a peer that runs now, unless a query is open already.
 func (m *Messenger) startQuery(now time.Duration, p *peer) {
 	if p.query.number != 0 {
 		return
@@ -149,8 +149,8 @@
 	p.query = query{number: m.lastQuery, sendAt: now, expiresAt: now + queryLifetime}
 }
 
-// replaceProcess goes on with another process of a peer. Messages for the one before end with ProcessReplacedError;
-// those that are for no process yet are sent to it at once.
+// replaceProcess replaces the known process of a peer. Messages for the previous one end with ProcessReplacedError;
+// those that are for no process yet are now for the new one and are sent at once.
 func (m *Messenger) replaceProcess(p *peer, process uint64) {
 	for _, out := range slices.Clone(p.outbox.messages) {
 		if out.process == 0 {
--- a/internal/cluster/messaging/settings.go
+++ b/internal/cluster/messaging/settings.go
@@ -2,21 +2,21 @@
 
 import "time"
 
-// Settings set up one router's messenger.
+// Settings configures one router's messenger.
 type Settings struct {
 	Self            string        // the router's name
-	Process         uint64        // of the router; each process has another, above 0
-	RetryInitial    time.Duration // until a message is sent again; doubled with each retry,
-	RetryMax        time.Duration // up to this
+	Process         uint64        // number of the router's process, above 0; it differs between processes
+	RetryInitial    time.Duration // time until a message is sent again; doubled with each retry
+	RetryMax        time.Duration // upper limit of that time
 	MaxMessages     int           // in flight to one peer
 	MaxBytes        int           // of the messages in flight to one peer
 	MaxMessageBytes int           // of one message
-	MaxPacketBytes  int           // of a packet that holds several messages
-	MaxPeers        int           // that are remembered
-	ReplyMemory     int           // replies that are remembered of each peer
+	MaxPacketBytes  int           // of a packet that holds several items
+	MaxPeers        int           // peers that are remembered
+	ReplyMemory     int           // received messages of each peer that are remembered, with their replies
 }
 
-// Defaults returns settings for a process of a router.
+// Defaults returns the default settings for a process of a router.
 func Defaults(self string, process uint64) Settings {
 	return Settings{
 		Self:            self,
--- a/internal/cluster/messaging/simulation_test.go
+++ b/internal/cluster/messaging/simulation_test.go
@@ -10,15 +10,16 @@
 
 const ms = time.Millisecond
 
-// simulatedPair is two messengers and a network between them that loses, delays and repeats, while processes are replaced.
+// simulatedPair holds two messengers and a network between them that loses, delays and repeats packets. The processes of the
+// messengers can be replaced.
 type simulatedPair struct {
 	random       *rand.Rand
 	now          time.Duration
 	messengers   map[string]*Messenger
-	processCount uint64 // started so far
+	processCount uint64 // processes started so far
 	network      []packetInFlight
-	loss         float64        // share of packets that are lost
-	delivered    map[string]int // how often each message was, by sender, process and number
+	loss         float64        // fraction of packets that are lost
+	delivered    map[string]int // how often each message was delivered, by sender, process and id
 }
 
 type packetInFlight struct {
@@ -55,7 +56,7 @@
 	return name
 }
 
-// step moves time on by a millisecond.
+// step advances time by a millisecond.
 func (p *simulatedPair) step(t *testing.T) {
 	t.Helper()
 	p.now += ms
@@ -79,7 +80,7 @@
 		p.network = slices.Delete(p.network, i, i+1)
 		for _, d := range p.messengers[packet.to].Receive(p.now, packet.data) {
 			p.countDelivery(t, d)
-			if p.random.IntN(10) > 0 { // else it is never acknowledged
+			if p.random.IntN(10) > 0 { // otherwise it is not acknowledged now or later
 				p.messengers[packet.to].Acknowledge(d, replyTo(d.Body))
 			}
 		}
@@ -91,13 +92,13 @@
 	key := fmt.Sprint(d.From, d.Process, d.ID)
 	p.delivered[key]++
 	if p.delivered[key] > 1 {
-		t.Fatalf("%s was handed over twice", key)
+		t.Fatalf("message %s was delivered twice", key)
 	}
 }
 
 func replyTo(body []byte) []byte { return append([]byte("held "), body...) }
 
-// send puts a packet on the network, some twice, and some very late.
+// send puts a packet on the network, sometimes twice, unless it is lost. Some packets arrive up to 3 s late.
 func (p *simulatedPair) send(packet Packet) {
 	for range 1 + p.random.IntN(3)/2 {
 		at := p.now + time.Duration(p.random.ExpFloat64()*float64(5*ms))
