--- a/internal/cluster/membership/golden_test.go
+++ b/internal/cluster/membership/golden_test.go
@@ -18,12 +18,12 @@
 
 // Routers of different releases gossip with each other. The files of testdata/golden were written at commit 86ccf0f.
 //
-// What reaches the bytes: no name of a type or field, but the texts of delegate.NodeMeta ("guest", "keeps", divided
-// by ";") and the first bytes orderPacket and creditPacket, whose order counts. What they carry is of state, failover
-// and credit, and has golden files there. All around it, with the router's name and the encryption, is memberlist's
-// own.
+// The bytes depend on no names of types or fields, but on the strings of delegate.NodeMeta ("guest", "keeps", separated by
+// ";") and on the first bytes orderPacket and creditPacket, whose order must not change. The packages state, failover and
+// credit encode what follows, and have golden files for it. memberlist encodes everything around it, such as the router's
+// name and the encryption.
 
-// newTestAgent returns an agent that has not joined yet; what it receives is recorded.
+// newTestAgent returns an agent that does not run, and records what it receives.
 func newTestAgent(t *testing.T, cfg config.Cluster) (a *Agent, received *[]state.Message, packets map[string][]byte) {
 	t.Helper()
 	cfg.KeyFile = filepath.Join(t.TempDir(), "keys")
@@ -40,7 +40,7 @@
 	return a, received, packets
 }
 
-// What a router tells of itself with its name.
+// Compares what a router announces about itself along with its name.
 func TestGoldenMeta(t *testing.T) {
 	for name, c := range map[string]struct {
 		cfg  config.Cluster
@@ -63,7 +63,7 @@
 			a, _, _ := newTestAgent(t, c.cfg)
 			golden.Same(t, name, delegate{a}.NodeMeta(512))
 			if got := parseMeta(golden.Read(t, name)); got != c.want {
-				t.Errorf("read as %+v, want %+v", got, c.want)
+				t.Errorf("parsed as %+v, want %+v", got, c.want)
 			}
 		})
 	}
@@ -75,7 +75,7 @@
 		ValidFor: 3 * time.Second},
 }
 
-// What is sent to one or to all, and how another takes it.
+// Compares the queued messages and packets, and checks that a router that receives them passes them to their handlers.
 func TestGoldenSentMessages(t *testing.T) {
 	a, received, packets := newTestAgent(t, config.Cluster{})
 	a.Send([]state.OutgoingMessage{{Recipient: "r2", ReplaceKey: "count hits edge-7", Message: goldenMessages[0]}})
@@ -88,18 +88,18 @@
 	if !reflect.DeepEqual(*received, goldenMessages[:1]) ||
 		string(packets["orders"]) != "a packet of orders" ||
 		string(packets["credit"]) != "a packet of credit" {
-		t.Errorf("heard %+v, %q", *received, packets)
+		t.Errorf("received %+v, %q", *received, packets)
 	}
 }
 
-// What two routers exchange when they meet.
+// Compares the full state that two routers exchange, and what a broadcast contains.
 func TestGoldenFullState(t *testing.T) {
 	a, received, _ := newTestAgent(t, config.Cluster{})
 	a.PublishFullState(goldenMessages)
 	golden.Same(t, "whole.hex", delegate{a}.LocalState(true))
 	delegate{a}.MergeRemoteState(golden.Read(t, "whole.hex"), true)
 	if !reflect.DeepEqual(*received, goldenMessages) {
-		t.Errorf("heard %+v, want %+v", *received, goldenMessages)
+		t.Errorf("received %+v, want %+v", *received, goldenMessages)
 	}
 	b := broadcast{"count hits edge-7", []byte("text")}
 	if b.Name() != "count hits edge-7" || !bytes.Equal(b.Message(), []byte("text")) {
--- a/internal/cluster/membership/join.go
+++ b/internal/cluster/membership/join.go
@@ -17,9 +17,9 @@
 	joinDuty      = "meet" // the name of the duty for placement
 )
 
-// joinPeers calls the configured peers that are not alive, until stop is closed.
+// joinPeers repeatedly connects to the configured peers that are not alive, until stop is closed.
 func (a *Agent) joinPeers(list *memberlist.Memberlist, stop <-chan struct{}) {
-	// Routers that are started all at once do not call all at once.
+	// The offset keeps routers that start at the same time from connecting at the same time.
 	offset := placement.PhaseOffset(a.name, joinDuty, nil, maxJoinOffset)
 	select {
 	case <-stop:
@@ -38,8 +38,8 @@
 	}
 }
 
-// joinMissing calls each configured peer that is not alive, one after the other; a call takes connectTimeout at most,
-// and some more for the exchange of states.
+// joinMissing connects to each configured peer that is not alive, one after the other. Connecting takes at most
+// connectTimeout, and the exchange of states some time more.
 func (a *Agent) joinMissing(list *memberlist.Memberlist, stop <-chan struct{}) {
 	alive := map[string]bool{}
 	for _, node := range list.Members() {
--- a/internal/cluster/membership/keys.go
+++ b/internal/cluster/membership/keys.go
@@ -13,14 +13,14 @@
 	"hillknot/internal/logging"
 )
 
-// gossipKeys are the keys in use: the primary one encrypts, all decrypt.
+// gossipKeys holds the keys in use. The primary key encrypts, all of them decrypt.
 type gossipKeys struct {
 	file  string
 	mutex sync.Mutex // held while the file is read and the keys are replaced
 	ring  *memberlist.Keyring
 }
 
-// ReloadKeys reads the key file again and uses its keys from now on. A faulty file changes nothing.
+// ReloadKeys reads the key file again and replaces the keys in use with its keys. A faulty file changes nothing.
 func (a *Agent) ReloadKeys() error {
 	count, err := a.keys.reload()
 	if err != nil {
@@ -30,7 +30,7 @@
 	return nil
 }
 
-// reload reads the file and replaces the keys in use. It returns how many the file holds.
+// reload reads the file and replaces the keys in use. It returns the number of keys in the file.
 func (k *gossipKeys) reload() (int, error) {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
@@ -41,8 +41,8 @@
 	return len(keys), k.replace(keys)
 }
 
-// replace makes the first key the primary one, and drops the keys that are not among the new ones. Keys are added
-// before the old ones go, so no packet arrives in between that none of them decrypts.
+// replace makes the first key the primary one, and removes the keys that are not among the new ones. It adds keys before it
+// removes any, so that in between no packet arrives that no key in use decrypts.
 func (k *gossipKeys) replace(keys [][]byte) error {
 	for _, key := range keys {
 		if err := k.ring.AddKey(key); err != nil {
--- a/internal/cluster/membership/memberlist.go
+++ b/internal/cluster/membership/memberlist.go
@@ -14,21 +14,21 @@
 	"hillknot/internal/logging"
 )
 
-// The settings of memberlist. With them, a router that dies is no longer alive for the others within about two seconds.
+// Settings of memberlist. With them, the others consider a router dead within about two seconds after it died.
 const (
 	gossipInterval          = 100 * time.Millisecond
 	probeInterval           = 300 * time.Millisecond
 	probeTimeout            = 150 * time.Millisecond
 	pushPullInterval        = 2 * time.Second // between two exchanges of the full state with another router
 	connectTimeout          = time.Second
-	maxPacketBytes          = 1200 // over UDP; longer messages go over a connection of their own
+	maxPacketBytes          = 1200 // over UDP; longer messages are sent over a TCP connection of their own
 	suspicionMultiplier     = 3
 	maxSuspicionMultiplier  = 2
 	gossipToTheDeadDuration = 10 * time.Second
-	reclaimNameAfter        = time.Second // of a dead router, by one at another address
+	reclaimNameAfter        = time.Second // after which a router at another address may take the name of a dead one
 )
 
-// createList binds the address and starts memberlist. The caller must shut the list down.
+// createList binds the listen address and starts memberlist. The caller must shut the list down.
 func (a *Agent) createList() (*memberlist.Memberlist, error) {
 	listen, advertise := a.settings.Listen, a.settings.Advertise
 	logger := stdlog.New(debugWriter{}, "", 0)
@@ -61,14 +61,14 @@
 	c.EnableCompression = false
 	list, err := memberlist.Create(c)
 	if err != nil {
-		_ = network.Shutdown() // the first error is the one to report
+		_ = network.Shutdown() // the error of Create is the one to report
 		return nil, err
 	}
 	return list, nil
 }
 
-// transport calls other routers from the address that it listens on: on a machine with several addresses, the one
-// that is called sees which router calls.
+// transport connects to other routers from the address that it listens on. The peer can then identify the connecting
+// router by its address, also if the machine has several addresses.
 type transport struct {
 	*memberlist.NetTransport
 	local netip.Addr
@@ -85,8 +85,8 @@
 	return t.DialTimeout(a.Addr, timeout)
 }
 
-// debugWriter logs memberlist's lines at level debug: what it warns of are peers that are not there, which Alive and
-// the metrics show.
+// debugWriter logs memberlist's lines at level debug. Its warnings are about unreachable peers, which Alive and the
+// metrics show.
 type debugWriter struct{}
 
 // Write implements io.Writer.
--- a/internal/cluster/membership/membership.go
+++ b/internal/cluster/membership/membership.go
@@ -1,10 +1,10 @@
 //go:build cluster
 
 // Package membership finds which routers of a cluster are alive, and carries their messages, over encrypted gossip
-// (memberlist). It decides nothing: what is sent, and what follows from it, is for packages state, failover and credit.
+// (memberlist). It makes no decisions: packages state, failover and credit decide what is sent and how it is handled.
 //
-// No method but Run waits for the network: what is to be sent goes into a bounded queue, and is dropped where that is
-// full; what is known of the peers is looked up.
+// No method except Run waits for the network. Messages to send are added to a bounded queue, and dropped if it is full;
+// what is known of the peers is read from memory.
 package membership
 
 import (
@@ -25,13 +25,13 @@
 
 const (
 	bindRetryInterval = 200 * time.Millisecond
-	leaveTimeout      = 50 * time.Millisecond // others find out by themselves
+	leaveTimeout      = 50 * time.Millisecond // afterwards the others detect by themselves that this router left
 	sendQueueLength   = 1024
-	maxReliableSends  = 32 // at a time, each over a connection of its own
-	retransmitFactor  = 3  // of gossip to all, by the logarithm of the cluster's size
+	maxReliableSends  = 32 // at a time, each over a TCP connection of its own
+	retransmitFactor  = 3  // how often a broadcast is sent, as a multiple of the logarithm of the cluster's size
 )
 
-// Agent is this router's part in the gossip. Its methods may be called on any goroutine.
+// Agent is this router's node in the gossip cluster. Its methods may be called on any goroutine.
 type Agent struct {
 	name     string
 	settings config.Cluster
@@ -39,25 +39,25 @@
 	keys     gossipKeys
 	outgoing sendQueue
 
-	list       atomic.Pointer[memberlist.Memberlist] // nil until Run has joined
-	fullState  atomic.Pointer[[]byte]                // encoded, for a router that meets this one
+	list       atomic.Pointer[memberlist.Memberlist] // nil until Run has bound the address
+	fullState  atomic.Pointer[[]byte]                // encoded, for exchanges of the full state
 	sizeWarned atomic.Bool
 }
 
-// handlers take what other routers send.
+// handlers receive what other routers send.
 type handlers struct {
 	messages func([]state.Message)
 	packets  PacketHandlers
 }
 
-// PacketHandlers take the packets of package messaging that other routers send; a nil one drops them. They are called
-// on goroutines of memberlist, and own the bytes.
+// PacketHandlers receive the packets of package messaging that other routers send. If a handler is nil, its packets are
+// dropped. The handlers are called on goroutines of memberlist, and own the bytes.
 type PacketHandlers struct {
 	Orders, Credit func([]byte)
 }
 
-// New reads the keys. Messages of other routers are passed to onMessages, and packets to their handlers, on
-// goroutines of memberlist. Nothing is sent or received before Run.
+// New returns the agent of the router name, with the keys of the configured file. Messages of other routers are passed to
+// onMessages, and packets to their handlers, on goroutines of memberlist. Nothing is sent or received before Run.
 func New(name string, settings config.Cluster, onMessages func([]state.Message), packets PacketHandlers) (*Agent, error) {
 	keys, err := keyring.Read(settings.KeyFile)
 	if err != nil {
@@ -85,11 +85,11 @@
 
 func keyFileError(file string, err error) error { return fmt.Errorf("fleet keys %s: %w", file, err) }
 
-// Run joins the cluster and takes part in it until stop is closed; then it leaves, and returns once all goroutines
-// that it has started have ended. It is called once.
+// Run joins the cluster and takes part in it until stop is closed. Then it leaves the cluster, and returns after all
+// goroutines that it started have ended. It must be called only once.
 //
-// An address that another process of this router still has is taken once that process ends. Configured peers that are
-// not alive are called again and again, so that a cluster that was cut joins again.
+// If another process of this router still has the address, Run binds it after that process ends. It repeatedly connects to
+// configured peers that are not alive, so that the parts of a partitioned cluster join again.
 func (a *Agent) Run(stop <-chan struct{}) {
 	list := a.bind(stop)
 	if list == nil {
@@ -100,13 +100,13 @@
 	var joining sync.WaitGroup
 	joining.Go(func() { a.joinPeers(list, stop) })
 	a.sendUntil(list, stop)
-	_ = list.Leave(leaveTimeout) // where it fails, the others take this router for lost
-	_ = list.Shutdown()          // it closes sockets, which the end of the process does too
+	_ = list.Leave(leaveTimeout) // if it fails, the others detect that this router is dead
+	_ = list.Shutdown()          // it closes sockets, as the end of the process does too
 	joining.Wait()
 	a.outgoing.reliableSends.Wait()
 }
 
-// bind takes the address for gossip, as soon as it is free. It returns nil where stop is closed before.
+// bind binds the address for gossip as soon as it is free. It returns nil if stop is closed before.
 func (a *Agent) bind(stop <-chan struct{}) *memberlist.Memberlist {
 	retry := time.NewTicker(bindRetryInterval)
 	defer retry.Stop()
--- a/internal/cluster/membership/membership_test.go
+++ b/internal/cluster/membership/membership_test.go
@@ -18,9 +18,9 @@
 	"hillknot/internal/config"
 )
 
-const joinDeadline = 20 * time.Second // far more than it takes, on a busy machine too
+const joinDeadline = 20 * time.Second // far more than is needed, also on a busy machine
 
-// runningAgent is an agent that takes part in the gossip, on loopback.
+// runningAgent is an agent that runs on loopback.
 type runningAgent struct {
 	*Agent
 	messages chan state.Message
@@ -29,7 +29,8 @@
 	ended    chan struct{} // closed once Run has returned
 }
 
-// startAgent starts an agent that listens on address and joins by peers. It is stopped at the end of the test.
+// startAgent starts an agent that listens on address and joins a cluster through peers. The agent is stopped at the end of
+// the test.
 func startAgent(t *testing.T, name string, address netip.AddrPort, keys string, peers ...string) *runningAgent {
 	t.Helper()
 	r := &runningAgent{
@@ -66,7 +67,7 @@
 	return r
 }
 
-// end stops an agent, if it runs, and waits for the end of its goroutines.
+// end stops an agent, if it runs, and waits until Run has returned.
 func (r *runningAgent) end(t *testing.T) {
 	t.Helper()
 	if !isClosed(r.stop) {
@@ -86,7 +87,7 @@
 	}
 }
 
-// freeAddress returns an address on loopback that nobody listens on over TCP.
+// freeAddress returns an address on loopback with a free TCP port.
 func freeAddress(t *testing.T) netip.AddrPort {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -101,7 +102,7 @@
 	t.Helper()
 	for deadline := time.Now().Add(joinDeadline); !condition(); {
 		if time.Now().After(deadline) {
-			t.Fatalf("waited in vain until %s", what)
+			t.Fatalf("timed out waiting until %s", what)
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
@@ -113,7 +114,7 @@
 	case v := <-from:
 		return v
 	case <-time.After(joinDeadline):
-		t.Fatalf("waited in vain for %s", what)
+		t.Fatalf("timed out waiting for %s", what)
 		panic("unreachable")
 	}
 }
@@ -125,18 +126,18 @@
 	}
 }
 
-// Two routers find each other, exchange messages of any length and packets, go on after the keys are replaced, and
-// the one that stays sees the other leave.
+// Two routers find each other, replace their keys, and then still exchange messages, and packets that are too long for UDP.
+// When one leaves, the other notices it.
 func TestTwoRoutersExchangeMessagesAndReloadKeys(t *testing.T) {
 	oldKey, newKey := strings.Repeat("0a", 32)+"\n", strings.Repeat("0b", 32)+"\n"
 	first := startAgent(t, "r1", freeAddress(t), oldKey)
 	second := startAgent(t, "r2", freeAddress(t), oldKey, first.settings.Listen.String())
 	waitUntil(t, "the routers see each other", func() bool { return first.sees("r2")() && second.sees("r1")() })
 	if peers := first.OrderPeers(); len(peers) != 1 || peers[0].Name != "r2" || peers[0].Place != "hall of r2" {
-		t.Errorf("peers that hold orders: %+v", peers)
+		t.Errorf("got the peers that hold orders %+v, want r2 in the hall of r2", peers)
 	}
 
-	// Each step adds or drops one key, so that the routers share one all the time.
+	// Each step adds or removes one key or changes their order, so that the routers always share a key.
 	for _, keys := range []string{oldKey + newKey, newKey + oldKey, newKey} {
 		for _, r := range []*runningAgent{first, second} {
 			writeKeys(t, r.settings.KeyFile, keys)
@@ -165,7 +166,7 @@
 	waitUntil(t, "the router that left is gone", first.sees())
 }
 
-// A router whose address is taken waits for it, and ends when it is stopped meanwhile.
+// A router whose address is taken waits until it is free, and Run returns if the router is stopped meanwhile.
 func TestRunWaitsForTakenAddress(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -186,7 +187,7 @@
 	waitUntil(t, "the router has joined", func() bool { return again.list.Load() != nil })
 }
 
-// Messages that no longer fit into the queue are dropped and counted.
+// Messages that do not fit into the queue are dropped and counted.
 func TestFullQueueDropsMessages(t *testing.T) {
 	a, _, _ := newTestAgent(t, config.Cluster{})
 	message := state.OutgoingMessage{Recipient: "r2", Message: goldenMessages[0]}
@@ -194,11 +195,11 @@
 		a.Send([]state.OutgoingMessage{message})
 	}
 	if n := a.DroppedMessages(); n != 3 {
-		t.Errorf("dropped %d, want 3", n)
+		t.Errorf("dropped %d messages, want 3", n)
 	}
 }
 
-// A key file that is faulty at a reload changes nothing.
+// A reload with a faulty key file changes no keys.
 func TestFaultyKeyFileKeepsKeysInUse(t *testing.T) {
 	a, _, _ := newTestAgent(t, config.Cluster{})
 	before := a.keys.ring.GetPrimaryKey()
--- a/internal/cluster/membership/peers.go
+++ b/internal/cluster/membership/peers.go
@@ -12,8 +12,8 @@
 	"hillknot/internal/logging"
 )
 
-// Alive returns the names of the other routers that are alive, in order, and how many routers own a part of the
-// budgets: as many as are alive, this one counted, or as any of them is configured for, where that is more.
+// Alive returns the sorted names of the other routers that are alive, and how many routers own shares of the budgets: as
+// many as are alive, including this one but no guests, or as any of the others is configured for, if that is more.
 func (a *Agent) Alive() (others []string, owners int) {
 	if !a.settings.State.Guest {
 		owners++
@@ -39,7 +39,7 @@
 	return others, max(owners, largest)
 }
 
-// warnOfLargerSize logs, once, that another router is configured for more routers than this one.
+// warnOfLargerSize logs an error once if another router is configured for more routers than this one.
 func (a *Agent) warnOfLargerSize(largest int) {
 	own := a.settings.State.ClusterSize
 	if largest > own && !a.sizeWarned.Swap(true) {
@@ -47,7 +47,7 @@
 	}
 }
 
-// OrderPeers returns the other routers that are alive and hold records of orders, in the order of their names.
+// OrderPeers returns the other routers that are alive and hold records of orders, sorted by name.
 func (a *Agent) OrderPeers() []failover.Peer {
 	list := a.list.Load()
 	if list == nil {
@@ -63,7 +63,7 @@
 	return peers
 }
 
-// aliveCount is how many routers are alive, this one counted.
+// aliveCount returns how many routers are alive, including this one.
 func (a *Agent) aliveCount() int {
 	if list := a.list.Load(); list != nil {
 		return list.NumMembers()
@@ -71,14 +71,14 @@
 	return 1
 }
 
-// nodeMeta is what a router tells of itself along with its name. Its encoded form is "SIZE;ORDERS;LOCATION".
+// nodeMeta is what a router announces about itself along with its name. Its encoded form is "SIZE;ORDERS;LOCATION".
 type nodeMeta struct {
 	size        string // the cluster size that it is configured for, or guestSize
-	holdsOrders bool   // for other routers
-	location    string // anything, ";" too
+	holdsOrders bool   // whether the router holds records of orders for others
+	location    string // any text, which may contain ";"
 }
 
-// Texts of the encoded form.
+// Strings of the encoded form.
 const (
 	guestSize       = "guest"
 	holdsOrdersText = "keeps"
@@ -99,7 +99,7 @@
 
 func (m nodeMeta) guest() bool { return m.size == guestSize }
 
-// configuredSize returns the cluster size that a router is configured for, or 0 where it tells none that is valid.
+// configuredSize returns the cluster size that a router is configured for, or 0 if it announces no valid size.
 func (m nodeMeta) configuredSize() int {
 	size, err := strconv.Atoi(m.size)
 	if err != nil || size > state.MaxClusterSize {
--- a/internal/cluster/membership/receive.go
+++ b/internal/cluster/membership/receive.go
@@ -9,10 +9,11 @@
 	"hillknot/internal/logging"
 )
 
-// maxFullStateBytes bounds the full state that is accepted of another router. One half of it is sent at most.
+// maxFullStateBytes bounds the full state that is accepted from another router. At most about half as much is sent.
 const maxFullStateBytes = 1 << 20
 
-// PublishFullState sets what a router that knows nothing of this one yet is sent when they meet.
+// PublishFullState sets the messages that other routers get when they exchange full states with this one, as when they
+// join. Messages after the first half of maxFullStateBytes are left out.
 func (a *Agent) PublishFullState(all []state.Message) {
 	var encoded []byte
 	for _, m := range all {
@@ -24,7 +25,7 @@
 	a.fullState.Store(&encoded)
 }
 
-// receive passes on a packet, or all messages that the content holds, up to the first malformed one.
+// receive passes a packet, or all messages in the content up to the first malformed one, to its handler.
 func (a *Agent) receive(content []byte) {
 	if len(content) > 0 && content[0] >= orderPacket {
 		a.receivePacket(content[0], content[1:])
@@ -44,7 +45,7 @@
 	}
 }
 
-// receivePacket passes on a packet. The kinds of later releases are ignored.
+// receivePacket passes a packet to its handler. Kinds of later releases are ignored.
 func (a *Agent) receivePacket(kind byte, data []byte) {
 	var handle func([]byte)
 	switch kind {
@@ -54,20 +55,20 @@
 		handle = a.handlers.packets.Credit
 	}
 	if handle != nil {
-		handle(bytes.Clone(data)) // the buffer is memberlist's
+		handle(bytes.Clone(data)) // memberlist owns the buffer
 	}
 }
 
 // delegate implements memberlist.Delegate. Its methods are called on goroutines of memberlist.
 type delegate struct{ agent *Agent }
 
-// NodeMeta implements memberlist.Delegate: what this router tells of itself along with its name.
+// NodeMeta implements memberlist.Delegate: it returns what this router announces about itself along with its name.
 func (d delegate) NodeMeta(int) []byte { return d.agent.meta().encode() }
 
-// NotifyMsg implements memberlist.Delegate: a message came.
+// NotifyMsg implements memberlist.Delegate: it receives a message.
 func (d delegate) NotifyMsg(content []byte) { d.agent.receive(content) }
 
-// GetBroadcasts implements memberlist.Delegate: it returns messages that go along with memberlist's own gossip.
+// GetBroadcasts implements memberlist.Delegate: it returns messages to send along with memberlist's own gossip.
 func (d delegate) GetBroadcasts(overhead, limit int) [][]byte {
 	return d.agent.outgoing.broadcasts.GetBroadcasts(overhead, limit)
 }
@@ -75,7 +76,8 @@
 // LocalState implements memberlist.Delegate: it returns the full state for another router.
 func (d delegate) LocalState(bool) []byte { return *d.agent.fullState.Load() }
 
-// MergeRemoteState implements memberlist.Delegate: it takes the full state of another router.
+// MergeRemoteState implements memberlist.Delegate: it receives the full state of another router, and ignores one that is
+// too long.
 func (d delegate) MergeRemoteState(content []byte, _ bool) {
 	if len(content) <= maxFullStateBytes {
 		d.agent.receive(content)
--- a/internal/cluster/membership/send.go
+++ b/internal/cluster/membership/send.go
@@ -13,23 +13,22 @@
 	"hillknot/internal/logging"
 )
 
-// sendQueue is what waits to be sent.
+// sendQueue holds what waits to be sent, and bounds the reliable sends.
 type sendQueue struct {
 	waiting       chan outgoingMessage
 	broadcasts    memberlist.TransmitLimitedQueue // to all routers, sent along with memberlist's own gossip
-	reliableSlots chan struct{}                   // one is taken by each reliable send
+	reliableSlots chan struct{}                   // each reliable send occupies one
 	reliableSends sync.WaitGroup
-	dropped       atomic.Uint64 // as too many waited
+	dropped       atomic.Uint64 // messages dropped because too many waited
 }
 
-// outgoingMessage is encoded content for one router, or for all where recipient is empty.
+// outgoingMessage is encoded content for one router, or for all routers if recipient is empty.
 type outgoingMessage struct {
 	recipient, replaceKey string
 	content               []byte
 }
 
-// The first byte of a packet of package messaging tells which handler it is for. No encoded state.Message begins with
-// these bytes.
+// The first byte of a packet of package messaging selects its handler. No encoded state.Message starts with these bytes.
 const (
 	orderPacket = 0xf0 + iota
 	creditPacket
@@ -42,12 +41,12 @@
 	}
 }
 
-// SendOrderPackets queues packets of the order failover. It never blocks.
+// SendOrderPackets queues packets of package failover. It never blocks.
 func (a *Agent) SendOrderPackets(packets []messaging.Packet) {
 	a.outgoing.pushPackets(orderPacket, packets)
 }
 
-// SendCreditPackets queues packets of the prepaid credit. It never blocks.
+// SendCreditPackets queues packets of package credit. It never blocks.
 func (a *Agent) SendCreditPackets(packets []messaging.Packet) {
 	a.outgoing.pushPackets(creditPacket, packets)
 }
@@ -61,7 +60,7 @@
 	}
 }
 
-// push queues a message, or drops it where the queue is full.
+// push queues a message, or drops it if the queue is full.
 func (q *sendQueue) push(m outgoingMessage) {
 	select {
 	case q.waiting <- m:
@@ -70,7 +69,7 @@
 	}
 }
 
-// sendUntil sends what is queued until stop is closed.
+// sendUntil sends queued messages until stop is closed.
 func (a *Agent) sendUntil(list *memberlist.Memberlist, stop <-chan struct{}) {
 	for {
 		select {
@@ -82,7 +81,7 @@
 	}
 }
 
-// transmit sends a message. One for a router that is not alive is dropped.
+// transmit sends a message. A message for a router that is not alive is dropped.
 func (q *sendQueue) transmit(list *memberlist.Memberlist, m outgoingMessage) {
 	if m.recipient == "" {
 		q.broadcasts.QueueBroadcast(broadcast{m.replaceKey, m.content})
@@ -107,7 +106,7 @@
 		q.dropped.Add(1)
 		return
 	}
-	q.reliableSends.Go(func() { // it may take a while to connect, and must hold up nothing else
+	q.reliableSends.Go(func() { // connecting may take a while, and must not delay other messages
 		logSendError(node.Name, list.SendReliable(node, content))
 		<-q.reliableSlots
 	})
@@ -119,7 +118,7 @@
 	}
 }
 
-// broadcast is a message for all routers. A later one of the same name replaces it. It implements
+// broadcast is a message for all routers. A later one with the same name replaces it. It implements
 // memberlist.NamedBroadcast.
 type broadcast struct {
 	name    string
