--- a/internal/cluster/keyring/golden_test.go
+++ b/internal/cluster/keyring/golden_test.go
@@ -9,10 +9,10 @@
 	"hillknot/internal/testutil/golden"
 )
 
-// Operators keep this file, and write it by hand: no name of Go reaches its bytes. The file of testdata/golden is as
-// commit 86ccf0f reads it; its keys protect nothing.
+// Operators write key files by hand and keep them across releases; their form depends on no Go names. Commit 86ccf0f reads
+// the file of testdata/golden with this result. Its keys protect nothing.
 func TestGoldenKeys(t *testing.T) {
-	path := filepath.Join(t.TempDir(), "keys") // a checkout is readable for others
+	path := filepath.Join(t.TempDir(), "keys") // a copy, as other users may read a file of a checkout
 	if err := os.WriteFile(path, golden.Read(t, "keys.txt"), 0o600); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/cluster/keyring/keyring.go
+++ b/internal/cluster/keyring/keyring.go
@@ -18,12 +18,12 @@
 	maxFileBytes = 4096
 )
 
-// ErrInsecurePermissions says that others than its owner may read or write the key file.
-var ErrInsecurePermissions = errors.New("others than its owner may read it: chmod 600")
+// ErrInsecurePermissions reports that users other than its owner have access to the key file.
+var ErrInsecurePermissions = errors.New("users other than its owner have access to it: run chmod 600")
 
 // Read reads a key file: one key a line, in hex, of 16, 24 or 32 bytes (AES-128, AES-192, AES-256). The first key
 // encrypts, all of them decrypt. Empty lines and those that begin with # are ignored, as are repeated keys. No error
-// repeats the content of the file; ErrInsecurePermissions is one that errors.Is finds.
+// quotes the content of the file. errors.Is finds ErrInsecurePermissions in the error for a file with such permissions.
 func Read(path string) ([][]byte, error) {
 	f, err := os.Open(path)
 	if err != nil {
@@ -38,19 +38,19 @@
 		return nil, err
 	}
 	if len(keys) == 0 || len(keys) > maxKeys {
-		return nil, fmt.Errorf("holds %d keys, not 1 to %d", len(keys), maxKeys)
+		return nil, fmt.Errorf("file holds %d keys, not 1 to %d", len(keys), maxKeys)
 	}
 	return keys, nil
 }
 
-// checkFile checks what was opened, rather than what the path names by now.
+// checkFile checks the file that was opened, as the path may name another one by now.
 func checkFile(f *os.File) error {
 	info, err := f.Stat()
 	if err != nil {
 		return err
 	}
 	if !info.Mode().IsRegular() || info.Size() > maxFileBytes {
-		return fmt.Errorf("no file of up to %d bytes", maxFileBytes)
+		return fmt.Errorf("not a regular file of up to %d bytes", maxFileBytes)
 	}
 	const groupAndOthers = 0o077
 	if info.Mode().Perm()&groupAndOthers != 0 {
@@ -69,8 +69,8 @@
 		}
 		key, err := hex.DecodeString(line)
 		if err != nil || !validLength(key) {
-			// The line may be a secret, and the error of the decoder quotes from it.
-			return nil, fmt.Errorf("line %d is no key of 16, 24 or 32 bytes in hex", number)
+			// The line may be a secret, and the decoder's error quotes from it.
+			return nil, fmt.Errorf("line %d is not a key of 16, 24 or 32 bytes in hex", number)
 		}
 		known := slices.ContainsFunc(keys, func(k []byte) bool { return bytes.Equal(k, key) })
 		if !known {
--- a/internal/cluster/keyring/keyring_test.go
+++ b/internal/cluster/keyring/keyring_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// A file that others may read, or that holds anything but keys, is rejected, and no error repeats its content.
+// A file to which other users have access, or that holds anything but keys, is rejected, and no error quotes its content.
 func TestRead(t *testing.T) {
 	key, shortKey := strings.Repeat("0a", 32), strings.Repeat("0b", 16)
 	for name, c := range map[string]struct {
@@ -31,21 +31,21 @@
 			path := writeFile(t, c.content, c.mode)
 			keys, err := Read(path)
 			if len(keys) != c.keys || (err == nil) != (c.keys > 0) {
-				t.Errorf("%d keys, %v", len(keys), err)
+				t.Errorf("read %d keys, error %v", len(keys), err)
 			}
 			if c.mode&0o077 != 0 && !errors.Is(err, ErrInsecurePermissions) {
-				t.Errorf("mode %o: %v", c.mode, err)
+				t.Errorf("mode %o: got error %v", c.mode, err)
 			}
 			if err != nil && len(c.content) > 16 && strings.Contains(err.Error(), c.content[:16]) {
-				t.Errorf("the error tells a secret: %v", err)
+				t.Errorf("the error quotes the content of the file: %v", err)
 			}
 		})
 	}
 	if _, err := Read(t.TempDir()); err == nil {
-		t.Error("a folder was read")
+		t.Error("a directory was accepted")
 	}
 	if _, err := Read(filepath.Join(t.TempDir(), "missing")); !errors.Is(err, os.ErrNotExist) {
-		t.Errorf("a file that does not exist: %v", err)
+		t.Errorf("a file that does not exist: got error %v", err)
 	}
 }
 
