--- a/internal/cluster/membership/peers.go
+++ b/internal/cluster/membership/peers.go
@@ -22,7 +22,7 @@
 	if list == nil {
 		return nil, owners
 	}
-	largest := 0 // configured cluster size of the others
+	largestSize := 0 // configured cluster size of the others
 	for _, node := range list.Members() {
 		if node.Name == a.name {
 			continue
@@ -32,18 +32,18 @@
 		if !meta.guest() {
 			owners++
 		}
-		largest = max(largest, meta.configuredSize())
+		largestSize = max(largestSize, meta.configuredSize())
 	}
-	a.warnOfLargerSize(largest)
+	a.warnOfLargerSize(largestSize)
 	slices.Sort(others)
-	return others, max(owners, largest)
+	return others, max(owners, largestSize)
 }
 
 // warnOfLargerSize logs an error once if another router is configured for more routers than this one.
-func (a *Agent) warnOfLargerSize(largest int) {
+func (a *Agent) warnOfLargerSize(largestSize int) {
 	own := a.settings.State.ClusterSize
-	if largest > own && !a.sizeWarned.Swap(true) {
-		log.Error("cluster size differs", logging.KeyOwnSize, own, logging.KeyPeerSize, largest)
+	if largestSize > own && !a.sizeWarned.Swap(true) {
+		log.Error("cluster size differs", logging.KeyOwnSize, own, logging.KeyPeerSize, largestSize)
 	}
 }
 
--- a/internal/cluster/membership/send.go
+++ b/internal/cluster/membership/send.go
@@ -19,7 +19,7 @@
 	broadcasts    memberlist.TransmitLimitedQueue // to all routers, sent along with memberlist's own gossip
 	reliableSlots chan struct{}                   // each reliable send occupies one
 	reliableSends sync.WaitGroup
-	dropped       atomic.Uint64 // messages dropped because too many waited
+	dropped       atomic.Uint64 // messages dropped because the queue was full or too many reliable sends ran
 }
 
 // outgoingMessage is encoded content for one router, or for all routers if recipient is empty.
@@ -51,7 +51,7 @@
 	a.outgoing.pushPackets(creditPacket, packets)
 }
 
-// DroppedMessages returns how many messages were dropped because too many waited.
+// DroppedMessages returns how many messages were dropped because the queue was full or too many reliable sends ran.
 func (a *Agent) DroppedMessages() uint64 { return a.outgoing.dropped.Load() }
 
 func (q *sendQueue) pushPackets(kind byte, packets []messaging.Packet) {
--- a/internal/cluster/messaging/messaging_test.go
+++ b/internal/cluster/messaging/messaging_test.go
@@ -98,7 +98,7 @@
 // processes that have ended arrived late.
 func (s *deliveryCheck) checkNewMessageArrives(t *testing.T) {
 	t.Helper()
-	s.loss = 0
+	s.lossRate = 0
 	id, err := s.messengers["a"].Send(s.now, "b", []byte("last"), s.now+5*time.Second)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/cluster/messaging/peer.go
+++ b/internal/cluster/messaging/peer.go
@@ -15,7 +15,7 @@
 	acknowledgements []item // to send
 	query            query  // for the process that runs now
 	queryReplies     []queryReply
-	announce         bool // the peer sent a packet to another process of this router, and is due one from the present process
+	announce         bool // a packet is due, as the peer sent one to another process of this router
 	lastSeenAt       time.Duration
 }
 
@@ -96,7 +96,7 @@
 	expiresAt time.Duration // when it is given up if no message waits for the reply
 }
 
-// queryReply is a reply to a query. It shows the process that sent the query that this one runs.
+// queryReply is a reply that is due to a query: the peer's process that sent the query, and the number of the query.
 type queryReply struct{ process, number uint64 }
 
 // maxQueryReplies bounds the queries of one peer that wait for a reply.
--- a/internal/cluster/messaging/simulation_test.go
+++ b/internal/cluster/messaging/simulation_test.go
@@ -18,7 +18,7 @@
 	messengers   map[string]*Messenger
 	processCount uint64 // processes started so far
 	network      []packetInFlight
-	loss         float64        // fraction of packets that are lost
+	lossRate     float64        // fraction of packets that are lost
 	delivered    map[string]int // how often each message was delivered, by sender, process and id
 }
 
@@ -29,11 +29,11 @@
 }
 
 // newSimulatedPair returns the messengers "a" and "b".
-func newSimulatedPair(seed1, seed2 uint64, loss float64) *simulatedPair {
+func newSimulatedPair(seed1, seed2 uint64, lossRate float64) *simulatedPair {
 	p := &simulatedPair{
 		random:     rand.New(rand.NewPCG(seed1, seed2)),
 		messengers: map[string]*Messenger{},
-		loss:       loss,
+		lossRate:   lossRate,
 		delivered:  map[string]int{},
 	}
 	p.start("a")
@@ -105,7 +105,7 @@
 		if p.random.IntN(30) == 0 {
 			at += time.Duration(p.random.Int64N(int64(3 * time.Second)))
 		}
-		if p.random.Float64() >= p.loss {
+		if p.random.Float64() >= p.lossRate {
 			p.network = append(p.network, packetInFlight{at, packet.To, packet.Data})
 		}
 	}
--- a/internal/cluster/state/budget_test.go
+++ b/internal/cluster/state/budget_test.go
@@ -47,7 +47,7 @@
 // spentWithin returns how many tokens were spent in the latest window of time.
 func (c *simulatedCluster) spentWithin(window time.Duration) int {
 	n := 0
-	for i := len(c.spends) - 1; i >= 0 && c.spends[i] > c.now-window; i-- {
+	for i := len(c.spendTimes) - 1; i >= 0 && c.spendTimes[i] > c.now-window; i-- {
 		n++
 	}
 	return n
--- a/internal/cluster/state/counter_test.go
+++ b/internal/cluster/state/counter_test.go
@@ -27,7 +27,7 @@
 
 // countWithRestarts increments a counter on random routers for 5 s, with losses and restarts, and returns how often.
 func (c *simulatedCluster) countWithRestarts(key string) uint64 {
-	c.loss = 0.3
+	c.lossRate = 0.3
 	counted := uint64(0)
 	for c.now < 5*time.Second {
 		r := c.routers[c.rnd.IntN(4)]
--- a/internal/cluster/state/health.go
+++ b/internal/cluster/state/health.go
@@ -92,8 +92,8 @@
 	}
 	reporter := received.reporter.router
 	latest := evidence{process: received.reporter.number, sequence: received.sequence}
-	known, exists := h.evidence[reporter]
-	if exists && !latest.newerThan(known) {
+	previous, exists := h.evidence[reporter]
+	if exists && !latest.newerThan(previous) {
 		return
 	}
 	if !exists && len(h.evidence) >= s.settings.ClusterSize+maxExtraRouters {
--- a/internal/cluster/state/simulation_test.go
+++ b/internal/cluster/state/simulation_test.go
@@ -31,9 +31,9 @@
 	now          time.Duration // true time; each router's clock differs
 	routers      []*simulatedRouter
 	inFlight     []delivery
-	cut          map[[2]int]bool // links, each from one router to another
-	loss         float64         // fraction of messages that are lost
-	spends       []time.Duration // when each token of testBudget was spent, in true time
+	cutLinks     map[[2]int]bool // links, each from one router to another
+	lossRate     float64         // fraction of messages that are lost
+	spendTimes   []time.Duration // when each token of testBudget was spent, in true time
 	limits       BudgetLimits
 	processCount uint64 // processes that were started
 }
@@ -66,10 +66,10 @@
 func newSimulatedCluster(t *testing.T, seed uint64, size int) *simulatedCluster {
 	t.Helper()
 	c := &simulatedCluster{
-		t:      t,
-		rnd:    rand.New(rand.NewPCG(seed, 7)),
-		cut:    map[[2]int]bool{},
-		limits: BudgetLimits{Rate: 20 * float64(size), Burst: 3 * float64(size)},
+		t:        t,
+		rnd:      rand.New(rand.NewPCG(seed, 7)),
+		cutLinks: map[[2]int]bool{},
+		limits:   BudgetLimits{Rate: 20 * float64(size), Burst: 3 * float64(size)},
 	}
 	for i := range size {
 		c.routers = append(c.routers, &simulatedRouter{index: i})
@@ -151,7 +151,7 @@
 	r.nextTick = c.now + 200*ms
 	var peers []string
 	for _, other := range c.routers {
-		if other != r && !c.cut[[2]int{other.index, r.index}] && c.now >= other.pausedUntil {
+		if other != r && !c.cutLinks[[2]int{other.index, r.index}] && c.now >= other.pausedUntil {
 			peers = append(peers, routerName(other.index))
 		}
 	}
@@ -164,7 +164,7 @@
 	for r.untriedSpends = min(r.untriedSpends+r.demand/100, 20); r.untriedSpends >= 1; r.untriedSpends-- {
 		if r.state.CanSpend(now, testBudget) {
 			r.state.Spend(now, testBudget)
-			c.spends = append(c.spends, c.now)
+			c.spendTimes = append(c.spendTimes, c.now)
 		}
 	}
 }
@@ -172,11 +172,11 @@
 // transmit sends a message to its recipients, sometimes twice, unless it is lost. Some messages arrive up to 6 s late.
 func (c *simulatedCluster) transmit(from int, out OutgoingMessage) {
 	for to := range c.routers {
-		if to == from || out.Recipient != "" && out.Recipient != routerName(to) || c.cut[[2]int{from, to}] {
+		if to == from || out.Recipient != "" && out.Recipient != routerName(to) || c.cutLinks[[2]int{from, to}] {
 			continue
 		}
 		for range 1 + c.rnd.IntN(10)/9 {
-			if c.rnd.Float64() >= c.loss {
+			if c.rnd.Float64() >= c.lossRate {
 				delay := time.Duration(c.rnd.ExpFloat64() * float64(20*ms))
 				c.inFlight = append(c.inFlight, delivery{at: c.now + delay, from: from, to: to, message: out.Message})
 			}
@@ -193,7 +193,7 @@
 	r := c.routers[c.rnd.IntN(size)]
 	switch c.rnd.IntN(7) {
 	case 0:
-		simulation.Partition(c.rnd, size, c.cut)
+		simulation.Partition(c.rnd, size, c.cutLinks)
 	case 1:
 		c.cutFrom(r.index)
 	case 2:
@@ -206,10 +206,10 @@
 	case 4:
 		r.pausedUntil = c.now + time.Duration(c.rnd.Int64N(int64(5*time.Second)))
 	case 5:
-		c.loss = c.rnd.Float64() / 2
+		c.lossRate = c.rnd.Float64() / 2
 	default:
-		clear(c.cut)
-		c.loss = 0
+		clear(c.cutLinks)
+		c.lossRate = 0
 	}
 	for _, r := range c.routers {
 		r.demand = c.rnd.ExpFloat64() * 30
@@ -219,13 +219,13 @@
 // cutFrom cuts all links from a router: it receives messages of the others, but they receive none of it.
 func (c *simulatedCluster) cutFrom(router int) {
 	for other := range c.routers {
-		c.cut[[2]int{router, other}] = true
+		c.cutLinks[[2]int{router, other}] = true
 	}
 }
 
 // isolate cuts all links from and to a router.
 func (c *simulatedCluster) isolate(router int) {
 	for other := range c.routers {
-		c.cut[[2]int{router, other}], c.cut[[2]int{other, router}] = true, true
+		c.cutLinks[[2]int{router, other}], c.cutLinks[[2]int{other, router}] = true, true
 	}
 }
