--- a/internal/cluster/state/simulation_test.go
+++ b/internal/cluster/state/simulation_test.go
@@ -12,7 +12,7 @@
 	"hillknot/internal/testutil/simulation"
 )
 
-var seeds = flag.Int("seeds", 300, "seeds of the simulated clusters")
+var seeds = flag.Int("seeds", 300, "number of seeds of the simulated clusters")
 
 const (
 	ms         = time.Millisecond
@@ -23,33 +23,34 @@
 	testEndpoint = "c"
 )
 
-// simulatedCluster is routers in virtual time, on a network that loses, delays and repeats messages and cuts links.
+// simulatedCluster holds routers in virtual time, on a network that loses, delays and repeats messages and whose links
+// may be cut.
 type simulatedCluster struct {
 	t            *testing.T
 	rnd          *rand.Rand
 	now          time.Duration // true time; each router's clock differs
 	routers      []*simulatedRouter
 	inFlight     []delivery
-	cut          map[[2]int]bool // links from one router to another
-	loss         float64         // the fraction of messages that are lost
-	spends       []time.Duration // of the one budget, in true time
+	cutLinks     map[[2]int]bool // links, each from one router to another
+	lossRate     float64         // fraction of messages that are lost
+	spendTimes   []time.Duration // when each token of testBudget was spent, in true time
 	limits       BudgetLimits
-	processCount uint64 // that were started
+	processCount uint64 // processes that were started
 }
 
 type simulatedRouter struct {
-	index       int
-	state       *State
-	clockRate   float64
-	clockOffset time.Duration
-	process     uint64
-	nextTick    time.Duration
-	pausedUntil time.Duration
-	demand      float64 // spends wanted a second
-	owed        float64 // spends wanted and not tried yet
-}
-
-// delivery is a message on its way.
+	index         int
+	state         *State
+	clockRate     float64
+	clockOffset   time.Duration
+	process       uint64
+	nextTick      time.Duration
+	pausedUntil   time.Duration
+	demand        float64 // tokens wanted per second
+	untriedSpends float64 // tokens wanted and not tried yet
+}
+
+// delivery is a message in flight.
 type delivery struct {
 	at       time.Duration
 	from, to int
@@ -65,10 +66,10 @@
 func newSimulatedCluster(t *testing.T, seed uint64, size int) *simulatedCluster {
 	t.Helper()
 	c := &simulatedCluster{
-		t:      t,
-		rnd:    rand.New(rand.NewPCG(seed, 7)),
-		cut:    map[[2]int]bool{},
-		limits: BudgetLimits{Rate: 20 * float64(size), Burst: 3 * float64(size)},
+		t:        t,
+		rnd:      rand.New(rand.NewPCG(seed, 7)),
+		cutLinks: map[[2]int]bool{},
+		limits:   BudgetLimits{Rate: 20 * float64(size), Burst: 3 * float64(size)},
 	}
 	for i := range size {
 		c.routers = append(c.routers, &simulatedRouter{index: i})
@@ -77,7 +78,7 @@
 	return c
 }
 
-// start starts a process of a router, which knows nothing of the one before.
+// start starts a process of a router, which has no state of the previous one.
 func (c *simulatedCluster) start(r *simulatedRouter) {
 	c.t.Helper()
 	c.processCount++
@@ -106,7 +107,7 @@
 	}
 }
 
-// step moves time on by stepTime.
+// step advances time by stepTime.
 func (c *simulatedCluster) step() {
 	c.now += stepTime
 	c.deliver()
@@ -122,7 +123,7 @@
 	}
 }
 
-// deliver hands over the messages that are due. Those to a paused router wait in its socket.
+// deliver delivers the messages that are due. Those to a paused router wait until it runs again, as in its socket.
 func (c *simulatedCluster) deliver() {
 	c.sortInFlight()
 	for len(c.inFlight) > 0 && c.inFlight[0].at <= c.now {
@@ -150,7 +151,7 @@
 	r.nextTick = c.now + 200*ms
 	var peers []string
 	for _, other := range c.routers {
-		if other != r && !c.cut[[2]int{other.index, r.index}] && c.now >= other.pausedUntil {
+		if other != r && !c.cutLinks[[2]int{other.index, r.index}] && c.now >= other.pausedUntil {
 			peers = append(peers, routerName(other.index))
 		}
 	}
@@ -160,22 +161,22 @@
 
 func (c *simulatedCluster) spendDemand(r *simulatedRouter) {
 	now := r.clock(c.now)
-	for r.owed = min(r.owed+r.demand/100, 20); r.owed >= 1; r.owed-- {
+	for r.untriedSpends = min(r.untriedSpends+r.demand/100, 20); r.untriedSpends >= 1; r.untriedSpends-- {
 		if r.state.CanSpend(now, testBudget) {
 			r.state.Spend(now, testBudget)
-			c.spends = append(c.spends, c.now)
+			c.spendTimes = append(c.spendTimes, c.now)
 		}
 	}
 }
 
-// transmit sends a message to those that it is for, now and then twice, unless it is lost. Some come very late.
+// transmit sends a message to its recipients, sometimes twice, unless it is lost. Some messages arrive up to 6 s late.
 func (c *simulatedCluster) transmit(from int, out OutgoingMessage) {
 	for to := range c.routers {
-		if to == from || out.Recipient != "" && out.Recipient != routerName(to) || c.cut[[2]int{from, to}] {
+		if to == from || out.Recipient != "" && out.Recipient != routerName(to) || c.cutLinks[[2]int{from, to}] {
 			continue
 		}
 		for range 1 + c.rnd.IntN(10)/9 {
-			if c.rnd.Float64() >= c.loss {
+			if c.rnd.Float64() >= c.lossRate {
 				delay := time.Duration(c.rnd.ExpFloat64() * float64(20*ms))
 				c.inFlight = append(c.inFlight, delivery{at: c.now + delay, from: from, to: to, message: out.Message})
 			}
@@ -186,18 +187,18 @@
 	}
 }
 
-// injectFault draws a fault, or ends those of the network, and draws new demands.
+// injectFault draws a fault, or ends the faults of the network, and draws new demands of all routers.
 func (c *simulatedCluster) injectFault() {
 	size := len(c.routers)
 	r := c.routers[c.rnd.IntN(size)]
 	switch c.rnd.IntN(7) {
 	case 0:
-		simulation.Partition(c.rnd, size, c.cut)
+		simulation.Partition(c.rnd, size, c.cutLinks)
 	case 1:
 		c.cutFrom(r.index)
 	case 2:
 		c.isolate(r.index)
-	case 3: // killed, and started again at once or later
+	case 3: // killed, and restarted at once or later
 		c.start(r)
 		if c.rnd.IntN(2) == 0 {
 			r.pausedUntil = c.now + time.Duration(c.rnd.Int64N(int64(3*time.Second)))
@@ -205,26 +206,26 @@
 	case 4:
 		r.pausedUntil = c.now + time.Duration(c.rnd.Int64N(int64(5*time.Second)))
 	case 5:
-		c.loss = c.rnd.Float64() / 2
+		c.lossRate = c.rnd.Float64() / 2
 	default:
-		clear(c.cut)
-		c.loss = 0
+		clear(c.cutLinks)
+		c.lossRate = 0
 	}
 	for _, r := range c.routers {
 		r.demand = c.rnd.ExpFloat64() * 30
 	}
 }
 
-// cutFrom cuts all links from a router: it hears the others, and they don't hear it.
+// cutFrom cuts all links from a router: it receives messages of the others, but they receive none of it.
 func (c *simulatedCluster) cutFrom(router int) {
 	for other := range c.routers {
-		c.cut[[2]int{router, other}] = true
+		c.cutLinks[[2]int{router, other}] = true
 	}
 }
 
 // isolate cuts all links from and to a router.
 func (c *simulatedCluster) isolate(router int) {
 	for other := range c.routers {
-		c.cut[[2]int{router, other}], c.cut[[2]int{other, router}] = true, true
+		c.cutLinks[[2]int{router, other}], c.cutLinks[[2]int{other, router}] = true, true
 	}
 }
