--- a/internal/credit/store/create.go
+++ b/internal/credit/store/create.go
@@ -11,12 +11,12 @@
 	bolterrors "go.etcd.io/bbolt/errors"
 )
 
-// unfinishedSuffix is appended to the name of a ledger until it is complete. A process that was killed may have left
-// such a file: the suffix must not change.
+// unfinishedSuffix is appended to the file name of a ledger until the ledger is complete. A process that was killed may
+// have left such a file, so the suffix must not change.
 const unfinishedSuffix = ".making"
 
-// create creates a ledger under another name and gives it its own once it is complete: a kill leaves no incomplete file
-// that would be taken for a damaged ledger.
+// create creates a ledger under a temporary name and links it to path once it is complete, so that a kill leaves no
+// incomplete file that would be taken for a damaged ledger. If path exists by then, create leaves it unchanged.
 func create(path, router string) error {
 	unfinished := path + unfinishedSuffix
 	if err := removeUnfinished(unfinished); err != nil {
@@ -30,7 +30,7 @@
 		return fmt.Errorf("ledger: %w", err)
 	}
 	err = os.Link(unfinished, path)
-	if err != nil && !errors.Is(err, fs.ErrExist) { // if it exists, another process was quicker
+	if err != nil && !errors.Is(err, fs.ErrExist) { // if path exists, another process has created it meanwhile
 		return fmt.Errorf("ledger: %w", err)
 	}
 	if err := os.Remove(unfinished); err != nil {
@@ -39,8 +39,8 @@
 	return syncDirectory(filepath.Dir(path))
 }
 
-// removeUnfinished removes what a process that was killed has left. If a process is creating the file just now, it
-// returns a FileInUseError.
+// removeUnfinished removes the unfinished file that a killed process has left, if there is one. If another process is
+// creating the file now, it returns a FileInUseError.
 func removeUnfinished(path string) error {
 	if _, err := os.Stat(path); errors.Is(err, fs.ErrNotExist) {
 		return nil
@@ -50,7 +50,7 @@
 	case errors.Is(err, bolterrors.ErrTimeout):
 		return FileInUseError{path}
 	case err == nil:
-		_ = database.Close() // nothing was written
+		_ = database.Close() // the error does not matter, as nothing was written
 	}
 	if err := os.Remove(path); err != nil && !errors.Is(err, fs.ErrNotExist) {
 		return fmt.Errorf("ledger: %w", err)
@@ -58,7 +58,7 @@
 	return nil
 }
 
-// syncDirectory makes the names of a directory's files durable.
+// syncDirectory makes the entries of a directory durable.
 func syncDirectory(path string) error {
 	directory, err := os.Open(path)
 	if err != nil {
--- a/internal/credit/store/golden_test.go
+++ b/internal/credit/store/golden_test.go
@@ -17,12 +17,12 @@
 
 // Ledgers outlive the releases that write them. testdata/golden/r1.ledger was written at commit 86ccf0f.
 //
-// What reaches the bytes: no name of a type or field, but the names of the buckets metadataBucket and recordsBucket,
-// the keys formatKey, routerKey, idKey and fileKey, the value of the constant format, and unfinishedSuffix, under
-// which a killed process may have left a file. A record is its checksum (CRC-32 of key and value, 4 bytes, highest
-// first) and its value. checkLength reads bbolt's own pages.
+// The bytes depend on the names of the buckets metadataBucket and recordsBucket, on the keys formatKey, routerKey, idKey
+// and fileKey, and on the value of the constant format, but on no name of a type or field. A killed process may have left
+// a file whose name ends in unfinishedSuffix. A stored value is a checksum (CRC-32 of key and value, 4 bytes, big-endian)
+// followed by the record's value. checkLength reads bbolt's own pages.
 
-const goldenID = "9ad047be1ce9f8e4d640c89889da1a33" // as it was drawn then
+const goldenLedgerID = "9ad047be1ce9f8e4d640c89889da1a33" // random, chosen when the golden file was created
 
 var goldenRecords = []credit.Record{
 	record("account/acme", []byte{0x82, 0x1a, 0, 1, 0x11, 0x70, 0x19, 1, 0x2c}),
@@ -32,12 +32,12 @@
 	record("zero/\x00\xff", []byte{0}),
 }
 
-// writeGolden writes the golden records as two groups, one of which writes a record anew.
+// writeGolden writes the golden records in two groups. The second overwrites a record of the first.
 func writeGolden(t *testing.T, path string) {
 	t.Helper()
 	ledger, records, err := Open(path, "r1")
 	if err != nil || len(records) != 0 {
-		t.Fatalf("%d lines, %v", len(records), err)
+		t.Fatalf("%d records, %v", len(records), err)
 	}
 	first := []credit.Record{record("meta", []byte("the first time")), goldenRecords[0]}
 	for _, group := range [][]credit.Record{first, goldenRecords[1:]} {
@@ -50,8 +50,8 @@
 	}
 }
 
-// contents lists all buckets, keys and values of a file. Two values are left out, as each file has others: the id,
-// which is drawn, and the file, which is the number that the file system gave it. Of the id its form is kept.
+// contents lists all buckets, keys and values of a file. It replaces two values that differ between files: the ledger ID,
+// which is random, and the file identity. It replaces the ID only if that has 32 hex digits.
 func contents(t *testing.T, path string) string {
 	t.Helper()
 	db, err := bolt.Open(path, 0o600, &bolt.Options{ReadOnly: true})
@@ -82,14 +82,15 @@
 	return text.String()
 }
 
-// copied copies the golden file and makes the copy the ledger's own file: a copy is refused for its number.
-func copied(t *testing.T) (path string) {
+// copyGolden copies the golden file and stores the copy's own file identity in it, because Open rejects a copy with the
+// identity of another file.
+func copyGolden(t *testing.T) (path string) {
 	t.Helper()
 	path = filepath.Join(t.TempDir(), "r1.ledger")
 	if err := os.WriteFile(path, golden.Read(t, "r1.ledger"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	here, err := fileIdentity(path)
+	identity, err := fileIdentity(path)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -98,7 +99,7 @@
 		t.Fatal(err)
 	}
 	if err := db.Update(func(tx *bolt.Tx) error {
-		return tx.Bucket([]byte("about")).Put([]byte("file"), []byte(here))
+		return tx.Bucket([]byte("about")).Put([]byte("file"), []byte(identity))
 	}); err != nil {
 		t.Fatal(err)
 	}
@@ -108,12 +109,12 @@
 	return path
 }
 
-// A ledger of before is read line by line, keeps its id, and takes more lines.
-func TestGoldenLedger(t *testing.T) {
-	path := copied(t)
+// All records of the golden ledger are read, its ID stays the same, and more records can be written.
+func TestGoldenLedgerReadAndExtended(t *testing.T) {
+	path := copyGolden(t)
 	ledger, records, err := Open(path, "r1")
-	if err != nil || !reflect.DeepEqual(records, goldenRecords) || ledger.LedgerID != goldenID {
-		t.Fatalf("read %q of %q, %v; want %q of %q", records, ledger.LedgerID, err, goldenRecords, goldenID)
+	if err != nil || !reflect.DeepEqual(records, goldenRecords) || ledger.LedgerID != goldenLedgerID {
+		t.Fatalf("read %q of %q, %v; want %q of %q", records, ledger.LedgerID, err, goldenRecords, goldenLedgerID)
 	}
 	if err := ledger.Write([]credit.Record{record("more", []byte("of today"))}); err != nil {
 		t.Fatal(err)
@@ -122,7 +123,7 @@
 		t.Fatal(err)
 	}
 	ledger, records, err = Open(path, "r1")
-	if err != nil || len(records) != len(goldenRecords)+1 || ledger.LedgerID != goldenID {
+	if err != nil || len(records) != len(goldenRecords)+1 || ledger.LedgerID != goldenLedgerID {
 		t.Fatalf("read %q, %v", records, err)
 	}
 	if err := ledger.Close(); err != nil {
@@ -130,29 +131,29 @@
 	}
 }
 
-// The same lines written today give the same buckets, keys and values.
+// Writing the golden records again gives the same buckets, keys and values as those of the golden file.
 func TestGoldenContents(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "r1.ledger")
 	writeGolden(t, path)
 	golden.Same(t, "contents.txt", []byte(contents(t, path)))
-	golden.Same(t, "contents.txt", []byte(contents(t, copied(t))))
+	golden.Same(t, "contents.txt", []byte(contents(t, copyGolden(t))))
 }
 
-// What a killed process of before has left under the name of an unfinished ledger is removed.
-func TestGoldenUnfinished(t *testing.T) {
+// An unfinished file that a killed process of an earlier release has left is removed.
+func TestGoldenUnfinishedFileRemoved(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "r1.ledger")
-	left := path + ".making"
-	if err := os.WriteFile(left, golden.Read(t, "r1.ledger")[:5000], 0o600); err != nil {
+	unfinished := path + ".making"
+	if err := os.WriteFile(unfinished, golden.Read(t, "r1.ledger")[:5000], 0o600); err != nil {
 		t.Fatal(err)
 	}
 	ledger, records, err := Open(path, "r1")
 	if err != nil || len(records) != 0 {
-		t.Fatalf("%d lines, %v", len(records), err)
+		t.Fatalf("%d records, %v", len(records), err)
 	}
 	if err := ledger.Close(); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := os.Stat(left); !os.IsNotExist(err) {
-		t.Errorf("%s is still there: %v", left, err)
+	if _, err := os.Stat(unfinished); !os.IsNotExist(err) {
+		t.Errorf("%s is still there: %v", unfinished, err)
 	}
 }
--- a/internal/credit/store/kill_test.go
+++ b/internal/credit/store/kill_test.go
@@ -11,9 +11,9 @@
 	"hillknot/internal/credit"
 )
 
-// A router that is killed at any moment of creating its ledger can create it again: nothing was promised by then.
-// What a kill leaves unfinished is told from a ledger that is damaged.
-func TestKilledWhileCreating(t *testing.T) {
+// A router that is killed at any moment while it creates its ledger can create it again, because no record was
+// acknowledged by then. Open must not take an unfinished file for a damaged ledger.
+func TestKilledWhileCreatingCanCreateAgain(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "r1.ledger")
 	ledger, _, err := Open(path, "r1")
 	if err != nil {
@@ -33,7 +33,7 @@
 		}
 		ledger, records, err := Open(path, "r1")
 		if err != nil || len(records) != 0 {
-			t.Fatalf("killed after %d bytes: %d lines, %v", size, len(records), err)
+			t.Fatalf("killed after %d bytes: %d records, %v", size, len(records), err)
 		}
 		if err := ledger.Write([]credit.Record{record("a", []byte("1"))}); err != nil {
 			t.Fatal(err)
@@ -42,18 +42,18 @@
 			t.Fatal(err)
 		}
 		if _, records, err = Open(path, "r1"); err != nil || len(records) != 1 {
-			t.Fatalf("killed after %d bytes, then written: %d lines, %v", size, len(records), err)
+			t.Fatalf("killed after %d bytes, then written: %d records, %v", size, len(records), err)
 		}
 	}
 	if _, err := os.Stat(path + unfinishedSuffix); !errors.Is(err, os.ErrNotExist) {
-		t.Errorf("what the ledger was made as is left: %v", err)
+		t.Errorf("the unfinished file still exists: %v", err)
 	}
 }
 
-// A router that is killed in the middle of a write finds all that was acknowledged, and of the group that was being
-// written all records or none. The disk may have any of the pages that were written before the sync, and then any
-// part of the meta page.
-func TestKilledWhileWriting(t *testing.T) {
+// A router that is killed during a write finds all acknowledged records, and all or none of the records of the group that
+// was being written. The disk may hold any of the pages that were written before the sync, and then any part of the meta
+// page.
+func TestKilledWhileWritingKeepsGroupsWhole(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "r1.ledger")
 	createLedger(t, path, 30)
 	ledger, _, err := Open(path, "r1")
@@ -75,10 +75,10 @@
 	}
 	states := intermediateStates(before, after)
 	if len(states) < 20 {
-		t.Fatalf("%d states", len(states))
+		t.Fatalf("%d intermediate states, want at least 20", len(states))
 	}
 	for i, state := range states {
-		if err := os.WriteFile(path, state, 0o600); err != nil { // the same file, so that it is no copy
+		if err := os.WriteFile(path, state, 0o600); err != nil { // overwrites the same file, so that it is not a copy
 			t.Fatal(err)
 		}
 		ledger, records, err := Open(path, "r1")
@@ -88,14 +88,15 @@
 		if err := ledger.Close(); err != nil {
 			t.Fatal(err)
 		}
-		if got := version(records); got != "old" && got != "new" {
-			t.Fatalf("state %d of %d: %s", i, len(states), got)
+		if got := recordsState(records); got != "old" && got != "new" {
+			t.Fatalf("state %d of %d: neither old nor new: %s", i, len(states), got)
 		}
 	}
 }
 
-// version tells which of the two states of TestKilledWhileWriting the records are.
-func version(records []credit.Record) string {
+// recordsState returns "old" or "new" if the records are those before or after the write of
+// TestKilledWhileWritingKeepsGroupsWhole, and otherwise a description of the records.
+func recordsState(records []credit.Record) string {
 	values := map[string]string{}
 	for _, record := range records {
 		values[record.Key] = fmt.Sprintf("%d %.3s", len(record.Value), record.Value)
@@ -106,11 +107,11 @@
 	case fmt.Sprint(32, "3 new", "5000 xxx", "300 yyy"):
 		return "new"
 	}
-	return fmt.Sprintf("%d lines, %q", len(records), values)
+	return fmt.Sprintf("%d records, %q", len(records), values)
 }
 
-// intermediateStates returns states between two of a file: the pages of data one after the other, each in pieces, and
-// then the meta page that has changed, in smaller pieces.
+// intermediateStates returns the contents that a file may have while it changes from before to after: first the data
+// pages change one after the other, each in pieces of 512 bytes, then the changed meta page in pieces of 8 bytes.
 func intermediateStates(before, after []byte) (states [][]byte) {
 	const page, piece, metaPiece = 4096, 512, 8
 	state := append(bytes.Clone(before), make([]byte, max(len(after)-len(before), 0))...)
@@ -118,20 +119,20 @@
 		copy(state[from:to], after[from:to])
 		states = append(states, bytes.Clone(state))
 	}
-	changed := func(p int) bool {
-		return !bytes.Equal(state[p:min(p+page, len(after))], after[p:min(p+page, len(after))])
+	changed := func(offset int) bool {
+		return !bytes.Equal(state[offset:min(offset+page, len(after))], after[offset:min(offset+page, len(after))])
 	}
-	for p := 2 * page; p < len(after); p += page {
-		for at := p; changed(p) && at < min(p+page, len(after)); at += piece {
-			copyTo(at, min(at+piece, len(after)))
+	for offset := 2 * page; offset < len(after); offset += page {
+		for start := offset; changed(offset) && start < min(offset+page, len(after)); start += piece {
+			copyTo(start, min(start+piece, len(after)))
 		}
 	}
-	for _, meta := range []int{0, page} {
-		if !changed(meta) {
+	for _, metaOffset := range []int{0, page} {
+		if !changed(metaOffset) {
 			continue
 		}
-		for at := meta; at < meta+page && !bytes.Equal(state[:2*page], after[:2*page]); at += metaPiece {
-			copyTo(at, at+metaPiece)
+		for start := metaOffset; start < metaOffset+page && !bytes.Equal(state[:2*page], after[:2*page]); start += metaPiece {
+			copyTo(start, start+metaPiece)
 		}
 	}
 	return states
--- a/internal/credit/store/space_test.go
+++ b/internal/credit/store/space_test.go
@@ -15,13 +15,14 @@
 	"hillknot/internal/credit"
 )
 
-// spaceFile names the ledger of a process that is to run out of space.
-const spaceFile = "HILLKNOT_TEST_LEDGER"
+// ledgerPathEnv is the environment variable with the path of the ledger that a child process of the test writes. It is
+// set only for that process.
+const ledgerPathEnv = "HILLKNOT_TEST_LEDGER"
 
-// TestMain lets the test's own program be a process whose files may not grow for a while.
+// TestMain runs writeWithAndWithoutSpace instead of the tests in a child process that has ledgerPathEnv set.
 func TestMain(m *testing.M) {
-	if path := os.Getenv(spaceFile); path != "" {
-		if err := runOutOfSpace(path); err != nil {
+	if path := os.Getenv(ledgerPathEnv); path != "" {
+		if err := writeWithAndWithoutSpace(path); err != nil {
 			fmt.Println(err)
 			os.Exit(1)
 		}
@@ -30,8 +31,9 @@
 	os.Exit(m.Run())
 }
 
-// runOutOfSpace writes a ledger, has writes fail for want of space, and writes on once there is space again.
-func runOutOfSpace(path string) error {
+// writeWithAndWithoutSpace writes a ledger, limits the size of files so that writes fail, and writes again without the
+// limit.
+func writeWithAndWithoutSpace(path string) error {
 	ledger, _, err := Open(path, "r1")
 	if err != nil {
 		return err
@@ -55,37 +57,37 @@
 	large := []credit.Record{record("large", bytes.Repeat([]byte("x"), 1<<20))}
 	for range 20 {
 		if err := ledger.Write(large); err == nil {
-			return errors.New("written without space")
+			return errors.New("a write over the file size limit succeeded")
 		}
 	}
 	if err := syscall.Setrlimit(syscall.RLIMIT_FSIZE, &unlimited); err != nil {
 		return err
 	}
 	if err := ledger.Write(large); err != nil {
-		return fmt.Errorf("with space again: %w", err)
+		return fmt.Errorf("write after the limit was lifted: %w", err)
 	}
 	return ledger.Close()
 }
 
-// A ledger that could not be written because the disk was full holds all that was acknowledged before, says so of
-// each write that fails, and takes writes again once there is space.
-func TestDiskFullForAWhile(t *testing.T) {
+// A ledger on a full disk returns an error for each write, keeps all records that were acknowledged before, and takes
+// writes again once there is space.
+func TestWritesFailWhileDiskFullThenSucceed(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "r1.ledger")
 	cmd := exec.Command(os.Args[0])
-	cmd.Env = append(os.Environ(), spaceFile+"="+path)
-	if text, err := cmd.CombinedOutput(); err != nil {
-		t.Fatalf("%v\n%s", err, text)
+	cmd.Env = append(os.Environ(), ledgerPathEnv+"="+path)
+	if output, err := cmd.CombinedOutput(); err != nil {
+		t.Fatalf("%v\n%s", err, output)
 	}
 	ledger, records, err := Open(path, "r1")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = ledger.Close() })
-	var keys []string
+	var found []string
 	for _, record := range records {
-		keys = append(keys, fmt.Sprintf("%s %d", record.Key, len(record.Value)))
+		found = append(found, fmt.Sprintf("%s %d", record.Key, len(record.Value)))
 	}
-	if got := strings.Join(keys, ", "); got != "before 1, large 1048576" {
-		t.Errorf("the ledger holds %s", got)
+	if got := strings.Join(found, ", "); got != "before 1, large 1048576" {
+		t.Errorf("the ledger holds %s, want before 1, large 1048576", got)
 	}
 }
--- a/internal/credit/store/store.go
+++ b/internal/credit/store/store.go
@@ -1,8 +1,8 @@
-// Package store keeps the records of a credit ledger on disk, where they survive a kill, in one bbolt file. Records are
-// written in groups: after a kill all records of a group are there, or none.
+// Package store keeps the records of a credit ledger in one bbolt file, where they survive a kill of the process.
+// Records are written in groups: after a kill the file holds all records of a group, or none.
 //
-// A ledger must not be copied or restored, as what it holds may have been spent since. So a file is bound to the router
-// that created it and to its device and inode.
+// A ledger must not be copied or restored from a backup, because its funds may have been spent since. So a file is bound
+// to the router that created it and to its device and inode.
 package store
 
 import (
@@ -19,10 +19,10 @@
 	"hillknot/internal/credit"
 )
 
-// lockTimeout is how long opening waits for another process that has the file open.
+// lockTimeout is how long Open waits for another process to close the file.
 const lockTimeout = 200 * time.Millisecond
 
-// File is an open ledger. It may be used by several goroutines.
+// File is an open ledger. It may be used by several goroutines at the same time.
 type File struct {
 	// LedgerID was chosen at random when the file was created.
 	LedgerID string
@@ -30,8 +30,8 @@
 	database *bolt.DB
 }
 
-// Open opens the ledger of a router, or creates it, and returns its records in the order of their keys. An error is a
-// ForeignFileError, CorruptFileError or FileInUseError, or comes from the file system.
+// Open opens the ledger of a router, or creates it, and returns its records sorted by key. An error is a ForeignFileError,
+// CorruptFileError or FileInUseError, or comes from the file system.
 func Open(path, router string) (*File, []credit.Record, error) {
 	info, err := os.Stat(path)
 	switch {
@@ -47,9 +47,9 @@
 	return openDatabase(path, router)
 }
 
-// openDatabase opens a file that is a ledger, or is empty and becomes one.
+// openDatabase opens a file that is a ledger, or initializes an empty or missing file as one.
 func openDatabase(path, router string) (file *File, records []credit.Record, err error) {
-	// Reads of a damaged file may fault, which would end the process if it did not cause a panic.
+	// Reads of a damaged file may fault. Without SetPanicOnFault a fault would end the process.
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
 		if cause := recover(); cause != nil {
@@ -69,7 +69,7 @@
 	return file, records, nil
 }
 
-// openError says why bbolt did not open a file.
+// openError returns the error to report for an error with which bbolt failed to open a file.
 func openError(path string, err error) error {
 	switch {
 	case errors.Is(err, bolterrors.ErrTimeout):
@@ -80,14 +80,13 @@
 	return CorruptFileError{path, err.Error()}
 }
 
-// Write writes records, all of them or none, and returns once they are durable. After an error they may be there or
-// not.
+// Write writes all of the records or none, and returns once they are durable. After an error they may be durable or not.
 func (f *File) Write(records []credit.Record) error {
 	return f.database.Update(func(tx *bolt.Tx) error {
 		bucket := tx.Bucket(recordsBucket)
 		for _, record := range records {
 			key := []byte(record.Key)
-			if err := bucket.Put(key, sealValue(key, record.Value)); err != nil {
+			if err := bucket.Put(key, encodeValue(key, record.Value)); err != nil {
 				return err
 			}
 		}
--- a/internal/credit/store/store_test.go
+++ b/internal/credit/store/store_test.go
@@ -12,7 +12,8 @@
 
 func record(key string, value []byte) credit.Record { return credit.Record{Key: key, Value: value} }
 
-// createLedger creates a ledger of router r1 with records of so many accounts, and one of their count.
+// createLedger creates a ledger of router r1 with a record for each of the given number of accounts, and a record named
+// count.
 func createLedger(t *testing.T, path string, accounts int) {
 	t.Helper()
 	ledger, _, err := Open(path, "r1")
@@ -39,15 +40,15 @@
 	return content
 }
 
-// What was written is there again, under the same ID; the ledger of another router, a copy, another kind of file and a
-// ledger in use are rejected.
-func TestOpen(t *testing.T) {
+// A reopened ledger has all its records and an ID. The ledger of another router, a copy, another kind of file and a ledger
+// in use are rejected.
+func TestOpenReadsOwnAndRejectsOtherFiles(t *testing.T) {
 	directory := t.TempDir()
 	path := filepath.Join(directory, "r1.ledger")
 	createLedger(t, path, 20)
 	ledger, records, err := Open(path, "r1")
 	if err != nil || len(records) != 21 || ledger.LedgerID == "" {
-		t.Fatalf("%d lines, %v", len(records), err)
+		t.Fatalf("%d records, %v", len(records), err)
 	}
 	if _, _, err := Open(path, "r1"); !errors.As(err, new(FileInUseError)) {
 		t.Errorf("in use: %v", err)
@@ -76,7 +77,7 @@
 	}
 }
 
-// truncate makes a file the first bytes of a content. It stays the same file, so it is no copy.
+// truncate overwrites a file with the first size bytes of content. The file keeps its identity, so it is not a copy.
 func truncate(t *testing.T, path string, content []byte, size int) {
 	t.Helper()
 	file, err := os.OpenFile(path, os.O_WRONLY, 0)
@@ -94,8 +95,8 @@
 	}
 }
 
-// A ledger that is truncated anywhere is rejected, or has all its records: never some of them, and never a panic.
-func TestTruncatedFile(t *testing.T) {
+// Opening a truncated ledger returns an error or all of its records, never only some of them, and does not panic.
+func TestTruncatedFileRejectedOrComplete(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "r1.ledger")
 	createLedger(t, path, 60)
 	content, err := os.ReadFile(path)
@@ -108,18 +109,18 @@
 		ledger, records, err := Open(path, "r1")
 		if err != nil {
 			if rejected++; !errors.As(err, new(CorruptFileError)) && !errors.As(err, new(ForeignFileError)) {
-				t.Fatalf("cut at %d: %v", size, err)
+				t.Fatalf("truncated to %d bytes: %v", size, err)
 			}
 			continue
 		}
 		if len(records) != 61 {
-			t.Fatalf("cut at %d: %d lines", size, len(records))
+			t.Fatalf("truncated to %d bytes: %d records", size, len(records))
 		}
 		if err := ledger.Close(); err != nil {
 			t.Fatal(err)
 		}
 	}
 	if rejected == 0 {
-		t.Error("no cut was found")
+		t.Error("no truncated file was rejected")
 	}
 }
