--- a/internal/credit/topups/golden_test.go
+++ b/internal/credit/topups/golden_test.go
@@ -9,11 +9,11 @@
 	"hillknot/internal/testutil/golden"
 )
 
-// Operators keep this file, and routers read it again and again: what an old line says must not change, as ledgers
-// hold its hash. testdata/golden/topups.hcl is as commit 86ccf0f reads it.
+// Operators keep this file, and routers read it repeatedly: the meaning of an old top-up must not change, because ledgers
+// hold its hash. The expected values are those that commit 86ccf0f reads from testdata/golden/topups.hcl.
 //
-// What reaches the bytes: the names of the tags `hcl:"..."` of file and topUp ("among", "topup", "id", "account",
-// "amount"), and no name of Go.
+// The format depends on the names in the tags `hcl:"..."` of fileContent and topUp ("among", "topup", "id", "account",
+// "amount"), and on no Go name.
 func TestGoldenTopUps(t *testing.T) {
 	got, err := Read(filepath.Join("testdata", "golden", "topups.hcl"))
 	want := []credit.TopUp{
--- a/internal/credit/topups/topups.go
+++ b/internal/credit/topups/topups.go
@@ -1,5 +1,5 @@
-// Package topups reads the file of top-ups, in which operators record what customers have paid. docs/credit.md
-// describes it.
+// Package topups reads the file of top-ups, in which operators record the payments of customers. docs/credit.md describes
+// the file.
 package topups
 
 import (
@@ -15,19 +15,19 @@
 )
 
 const (
-	// maxFileSize bounds the file, in bytes.
+	// maxFileSize is the maximum size of the file, in bytes.
 	maxFileSize = 16 << 20
 
-	// maxAmount bounds the credits of a top-up: within it a number in the file is exact to a millionth.
+	// maxAmount is the maximum amount of a top-up, in credits: up to it a number in the file is exact to a millionth.
 	maxAmount = 1e9
 
-	// unitsPerCredit is how many units of credit.TopUp.Amount a credit has.
+	// unitsPerCredit is the number of units of credit.TopUp.Amount per credit.
 	unitsPerCredit = 1e6
 )
 
-// file is the content of the file.
-type file struct {
-	Routers []string `hcl:"among,optional"` // of the top-ups that name none
+// fileContent is the decoded content of the file.
+type fileContent struct {
+	Routers []string `hcl:"among,optional"` // of the top-ups that name no routers
 	TopUps  []topUp  `hcl:"topup,block"`
 }
 
@@ -38,8 +38,8 @@
 	Routers []string `hcl:"among,optional"`
 }
 
-// Read reads the file, which is HCL. Errors name the file, and if they can, line and column. What the top-ups say is
-// for credit.Ledger.ApplyTopUps to check.
+// Read reads the file, which is in HCL. Errors name the file and, where known, line and column. Read does not check the
+// top-ups beyond the bound on their amounts; credit.Ledger.ApplyTopUps does.
 func Read(path string) ([]credit.TopUp, error) {
 	text, err := readBounded(path)
 	if err != nil {
@@ -49,14 +49,14 @@
 	if diagnostics.HasErrors() {
 		return nil, fmt.Errorf("top-ups: %w", diagnostics)
 	}
-	var content file
+	var content fileContent
 	if diagnostics := gohcl.DecodeBody(parsed.Body, nil, &content); diagnostics.HasErrors() {
 		return nil, fmt.Errorf("top-ups: %w", diagnostics)
 	}
 	var list []credit.TopUp
 	for _, t := range content.TopUps {
-		if !(math.Abs(t.Amount) <= maxAmount) { // not a number, too
-			return nil, fmt.Errorf("top-ups %s: %q: amount is over a milliard", path, t.ID)
+		if !(math.Abs(t.Amount) <= maxAmount) { // also true for NaN
+			return nil, fmt.Errorf("top-ups %s: top-up %q: amount is over a billion credits", path, t.ID)
 		}
 		routers := t.Routers
 		if routers == nil {
@@ -72,7 +72,8 @@
 	return list, nil
 }
 
-// readBounded reads a file, which may be of any kind, up to maxFileSize. The error names the file.
+// readBounded reads a file of any kind. It returns an error that names the file if the file cannot be read or is larger
+// than maxFileSize.
 func readBounded(path string) ([]byte, error) {
 	file, err := os.Open(path)
 	if err != nil {
@@ -84,7 +85,7 @@
 		return nil, err
 	}
 	if len(text) > maxFileSize {
-		return nil, fmt.Errorf("%s: over %d bytes", path, maxFileSize)
+		return nil, fmt.Errorf("%s: file is over %d bytes long", path, maxFileSize)
 	}
 	return text, nil
 }
--- a/internal/credit/topups/topups_test.go
+++ b/internal/credit/topups/topups_test.go
@@ -24,8 +24,9 @@
 }
 `
 
-// A file that the system does not give, for whatever reason, is an error that names the file and the reason.
-func TestUnreadableFile(t *testing.T) {
+// For a file that the system fails to open or read, Read returns an error that names the file and wraps the system's
+// error.
+func TestUnreadableFileReportsPathAndReason(t *testing.T) {
 	dir := t.TempDir()
 	loop := filepath.Join(dir, "loop")
 	if err := os.Symlink(loop, loop); err != nil {
@@ -35,12 +36,12 @@
 		path string
 		want error
 	}{
-		"missing":         {filepath.Join(dir, "none"), fs.ErrNotExist},
-		"no such folder":  {filepath.Join(dir, "none", "file"), fs.ErrNotExist},
-		"a folder":        {dir, syscall.EISDIR},
-		"a loop of links": {loop, syscall.ELOOP},
-		"name too long":   {filepath.Join(dir, strings.Repeat("x", 300)), syscall.ENAMETOOLONG},
-		"a broken disk":   {"/proc/self/mem", syscall.EIO}, // nothing is mapped at its start
+		"missing":           {filepath.Join(dir, "none"), fs.ErrNotExist},
+		"missing directory": {filepath.Join(dir, "none", "file"), fs.ErrNotExist},
+		"directory":         {dir, syscall.EISDIR},
+		"symlink loop":      {loop, syscall.ELOOP},
+		"name too long":     {filepath.Join(dir, strings.Repeat("x", 300)), syscall.ENAMETOOLONG},
+		"read error":        {"/proc/self/mem", syscall.EIO}, // no memory is mapped at address 0
 	} {
 		if list, err := Read(c.path); !errors.Is(err, c.want) || !strings.Contains(fmt.Sprint(err), c.path) {
 			t.Errorf("%s: %v, %v; want %v and the path", name, list, err, c.want)
@@ -48,16 +49,16 @@
 	}
 }
 
-// A file that never ends is read up to the bound, and no further.
-func TestEndlessFile(t *testing.T) {
+// Reading a file without an end stops at the size limit with an error.
+func TestEndlessFileRejected(t *testing.T) {
 	if list, err := Read("/dev/zero"); err == nil || !strings.Contains(err.Error(), "over") {
 		t.Errorf("read %d top-ups, %v", len(list), err)
 	}
 }
 
-// A file that is cut at any byte, as by a process that is killed while it writes, gives an error, or the top-ups that are there
-// as a whole, unchanged.
-func TestCutFile(t *testing.T) {
+// A file that is truncated at any byte, as by a process that is killed while it writes, gives an error, or only complete
+// and unchanged top-ups.
+func TestTruncatedFileHasErrorOrWholeTopUps(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "topups.hcl")
 	read := func(text string) (list []string, err error) {
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -71,7 +72,7 @@
 	}
 	complete, err := read(twoTopUps)
 	if err != nil || len(complete) != 2 {
-		t.Fatalf("the whole file: %v, %v", complete, err)
+		t.Fatalf("complete file: read %v, %v", complete, err)
 	}
 	for length := range len(twoTopUps) {
 		list, err := read(twoTopUps[:length])
@@ -80,7 +81,7 @@
 		}
 		for i, topUp := range list {
 			if topUp != complete[i] {
-				t.Errorf("cut after %d bytes: %s, want %s", length, topUp, complete[i])
+				t.Errorf("truncated to %d bytes: read %s, want %s", length, topUp, complete[i])
 			}
 		}
 	}
