--- a/internal/extension/prepaidcredit/extension.go
+++ b/internal/extension/prepaidcredit/extension.go
@@ -1,6 +1,5 @@
-// Package prepaidcredit ties prepaid credit into the core: it carries out what a credit.Ledger decides, writes the
-// ledger's records, and passes requests of the core and packets of other routers to it. Only programs built with the
-// tag cluster contain it.
+// Package prepaidcredit adds prepaid credit to the core: it passes requests of the core and packets of other routers to a
+// credit.Ledger, writes the ledger's records and sends its packets. Only programs built with the tag cluster contain it.
 package prepaidcredit
 
 import (
@@ -18,24 +17,24 @@
 
 var log = logging.For("credit")
 
-// writeRetryInterval is how long after a failed write the records are written again.
+// writeRetryInterval is the delay after a failed write until the records are written again.
 const writeRetryInterval = 500 * time.Millisecond
 
 // Transport sends packets to other routers. No method may block.
 type Transport interface {
 	// SendCreditPackets sends packets of the ledger. Packets may be lost.
 	SendCreditPackets([]messaging.Packet)
-	// Alive returns the names of the other routers that are alive, in order, and how many routers keep orders.
+	// Alive returns the sorted names of the other routers that are alive, and the number of routers that keep orders.
 	Alive() (others []string, owners int)
 }
 
-// Settings are what the extension needs beside credit.Settings.
+// Settings configures the extension, in addition to credit.Settings.
 type Settings struct {
-	TopUpFile    string // the path of the file of top-ups
+	TopUpFile    string // path of the file of top-ups
 	AllowUnnamed bool   // requests without an account are free
 }
 
-// Extension implements core.Credit. Its methods are called on the core's goroutine, but for ReloadTopUps.
+// Extension implements core.Credit. Its methods must be called on the core's goroutine, except for ReloadTopUps.
 type Extension struct {
 	core         *core.Core
 	settings     Settings
@@ -43,16 +42,16 @@
 	ledger       *credit.Ledger
 	transport    Transport
 	metrics      []core.Metric
-	loggedFault  string // the fault that was logged last; empty if there is none
+	loggedFault  string // the fault that was logged last, or "" if none has been logged since the latest recovery
 
 	file    *store.File
 	writer  *recordWriter
-	writing []credit.Record // the group that is being written; nil if none is
-	closed  bool            // Close was called: nothing more is written
+	writing []credit.Record // the group that is being written, or nil
+	closed  bool            // Close was called, so the writer gets no more groups
 }
 
-// Open opens the ledger's file, or creates it, and reads the top-ups. The LedgerID of the credit settings is that of
-// the file, whatever the caller sets. An error is one of package store, credit or topups.
+// Open opens the ledger's file, or creates it, and reads the top-ups. It replaces the LedgerID of the credit settings by
+// that of the file. An error comes from package store, credit or topups.
 func Open(
 	c *core.Core, path string, creditSettings credit.Settings, settings Settings, transport Transport,
 ) (*Extension, error) {
@@ -90,15 +89,16 @@
 	return ledger, ledger.ApplyTopUps(list)
 }
 
-// Start has the core charge requests to their accounts, and starts the goroutine that writes records. Close ends it.
+// Start starts the goroutine that writes records, which Close ends, sets the extension as the core's Credit and runs the
+// first tick.
 func (e *Extension) Start() {
 	e.writer.start()
 	e.core.SetCredit(e)
 	e.tick()
 }
 
-// Close implements core.Credit: what is available goes back to the ledger's records. It blocks until these are
-// durable, and no goroutine of the extension is left.
+// Close implements core.Credit: it returns available rights to the ledger's records. It blocks until the records are
+// durable or their write has failed, and until the goroutine that writes records has ended.
 func (e *Extension) Close() {
 	e.closed = true
 	e.ledger.Close()
@@ -111,11 +111,11 @@
 			log.Error("unspent credit not returned to the ledger", operatorhint.Attr(credit.LedgerWriteError{Err: err}))
 		}
 	}
-	_ = e.file.Close() // all is written, or the log has the error
+	_ = e.file.Close() // all records are written, or the error is logged
 }
 
-// ReloadTopUps reads the file of top-ups again and waits until the ledger has it. A faulty file changes nothing. It
-// may be called on any goroutine but the core's.
+// ReloadTopUps reads the file of top-ups again and waits until the ledger has applied or rejected it. A faulty file
+// changes nothing. ReloadTopUps may be called on any goroutine except the core's, on which it would block forever.
 func (e *Extension) ReloadTopUps() error {
 	list, err := topups.Read(e.settings.TopUpFile)
 	if err != nil {
@@ -126,12 +126,12 @@
 	return <-result
 }
 
-// ReceivePacket handles a packet of another router.
+// ReceivePacket handles a packet from another router.
 func (e *Extension) ReceivePacket(data []byte) { e.ledger.ReceivePacket(e.core.LoopTime(), data) }
 
-// Flush implements core.Credit: it has records written and sends packets.
+// Flush implements core.Credit: it hands changed records to the writer and sends the packets that are due.
 func (e *Extension) Flush() {
-	if e.ledger.WriteError() == nil { // else they are written at the next retry
+	if e.ledger.WriteError() == nil { // otherwise the records are written at the next retry
 		e.write()
 	}
 	if packets := e.ledger.OutgoingPackets(e.core.LoopTime()); len(packets) > 0 {
@@ -139,7 +139,7 @@
 	}
 }
 
-// tick calls the ledger's Tick, now and at each interval until the extension is closed.
+// tick calls the ledger's Tick now and once per tick interval, until the extension is closed.
 func (e *Extension) tick() {
 	if e.closed {
 		return
@@ -153,7 +153,8 @@
 	e.core.Schedule(now+e.tickInterval, e.tick)
 }
 
-// logFault logs, once for each change, why the ledger isn't written or may not be used.
+// logFault logs why the ledger cannot be written or its identity is in doubt, and the recovery from such faults. It logs
+// once for each change.
 func (e *Extension) logFault() {
 	err := errors.Join(e.ledger.WriteError(), e.ledger.IdentityError())
 	fault := ""
@@ -171,7 +172,7 @@
 	}
 }
 
-// write hands the records that have changed to the writer, unless it still writes others.
+// write hands the records that have changed to the writer, unless the writer is still busy or the extension is closed.
 func (e *Extension) write() {
 	if e.writing != nil || e.closed {
 		return
@@ -181,7 +182,7 @@
 	}
 }
 
-// writeCompleted is called once the writer has a result. Close may have taken that.
+// writeCompleted is called on the core's goroutine once the writer has a result, which Close may already have taken.
 func (e *Extension) writeCompleted() {
 	if e.writing == nil {
 		return
--- a/internal/extension/prepaidcredit/metrics.go
+++ b/internal/extension/prepaidcredit/metrics.go
@@ -5,10 +5,10 @@
 	"hillknot/internal/credit"
 )
 
-// Metrics implements core.Credit. They are those of the latest tick.
+// Metrics implements core.Credit: it returns the metrics as of the latest tick.
 func (e *Extension) Metrics() []core.Metric { return e.metrics }
 
-// ledgerMetrics returns what operators see of a ledger. Amounts are millionths of a credit.
+// ledgerMetrics returns the metrics of a ledger. Amounts are in millionths of a credit.
 func ledgerMetrics(totals credit.Totals, accounts []credit.AccountStatus) []core.Metric {
 	counter := func(name, help string, value uint64) core.Metric {
 		return core.Metric{Name: name, Help: help, Value: value, Counter: true}
--- a/internal/extension/prepaidcredit/requests.go
+++ b/internal/extension/prepaidcredit/requests.go
@@ -8,7 +8,7 @@
 	"hillknot/internal/credit"
 )
 
-// Reasons of rejected requests, as clients read them.
+// Reasons of rejected requests, which are sent to clients and must not change.
 const (
 	reasonExhausted      = "funds-out"
 	reasonPaced          = "funds-low"
@@ -17,10 +17,11 @@
 	reasonFault          = "credit"
 )
 
-// retryAfterFault is what clients wait while the ledger can't be used.
+// retryAfterFault is how long clients are asked to wait while the ledger cannot be used.
 const retryAfterFault = time.Second
 
-// Reserve implements core.Credit.
+// Reserve implements core.Credit: it sets aside credit for a request. A request without an account is free if the
+// settings allow it; its reservation is nil.
 func (e *Extension) Reserve(q *core.Request) (core.Reservation, error) {
 	if q.Account == "" && e.settings.AllowUnnamed {
 		return nil, nil
@@ -32,21 +33,22 @@
 	return reservation, nil
 }
 
-// Charge implements core.Credit.
+// Charge implements core.Credit: it charges a request for a response of the given size in bytes.
 func (e *Extension) Charge(r core.Reservation, bytes int) {
-	if reservation, ok := r.(credit.Reservation); ok { // else it was free
+	if reservation, ok := r.(credit.Reservation); ok { // otherwise the request was free
 		e.ledger.Charge(reservation, bytes)
 	}
 }
 
-// Release implements core.Credit.
+// Release implements core.Credit: it charges nothing for a request.
 func (e *Extension) Release(r core.Reservation) {
-	if reservation, ok := r.(credit.Reservation); ok { // else it was free
+	if reservation, ok := r.(credit.Reservation); ok { // otherwise the request was free
 		e.ledger.Release(reservation)
 	}
 }
 
-// RetryAfter implements core.Credit: it returns what the client of a rejected request is told.
+// RetryAfter implements core.Credit: it returns how long the client of a rejected request is asked to wait, and the
+// reason that is sent to the client.
 func (e *Extension) RetryAfter(err error) (wait time.Duration, reason string) {
 	var (
 		exhausted credit.FundsExhaustedError
--- a/internal/extension/prepaidcredit/requests_test.go
+++ b/internal/extension/prepaidcredit/requests_test.go
@@ -9,7 +9,8 @@
 	"hillknot/internal/credit"
 )
 
-// Clients read these reasons: they must not change.
+// Each error type gives its own retry delay and reason, also when wrapped. The reasons are sent to clients and must not
+// change.
 func TestRetryAfterAndReason(t *testing.T) {
 	e := &Extension{}
 	for _, test := range []struct {
--- a/internal/extension/prepaidcredit/writer.go
+++ b/internal/extension/prepaidcredit/writer.go
@@ -5,15 +5,15 @@
 	"hillknot/internal/credit/store"
 )
 
-// recordWriter writes groups of records to a file on a goroutine of its own, one group at a time: a write waits for the
-// disk, which the core must not.
+// recordWriter writes groups of records to a file on its own goroutine, one group at a time, because a write waits for
+// the disk, and the core's goroutine must not.
 type recordWriter struct {
 	file      *store.File
-	completed func() // called on the writer's goroutine once result has the result of a write
+	completed func() // called on the writer's goroutine after each write, once its result is ready
 
 	groups  chan []credit.Record
 	results chan error
-	done    chan struct{}
+	done    chan struct{} // closed when the goroutine has ended
 }
 
 func newRecordWriter(file *store.File, completed func()) *recordWriter {
@@ -37,13 +37,13 @@
 	}()
 }
 
-// write has a group written. It doesn't block, as long as the result of the group before has been taken.
+// write passes a group to the goroutine. It does not block if the result of the previous group has been taken.
 func (w *recordWriter) write(group []credit.Record) { w.groups <- group }
 
-// result waits for the result of a write.
+// result waits for a write to complete and returns its error.
 func (w *recordWriter) result() error { return <-w.results }
 
-// stop ends the goroutine, and waits for its end. No group may be written after it.
+// stop ends the goroutine and waits until it has ended. write must not be called after it.
 func (w *recordWriter) stop() {
 	close(w.groups)
 	<-w.done
--- a/internal/extension/prepaidcredit/writer_test.go
+++ b/internal/extension/prepaidcredit/writer_test.go
@@ -8,8 +8,8 @@
 	"hillknot/internal/credit/store"
 )
 
-// Each group has one result, of which the writer reports that it is there; stop waits until the goroutine has ended.
-func TestRecordWriter(t *testing.T) {
+// The writer calls completed once for each group, each group has one result, and stop waits until the goroutine has ended.
+func TestRecordWriterReportsEachResult(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "r1.ledger")
 	file, _, err := store.Open(path, "r1")
 	if err != nil {
@@ -26,7 +26,7 @@
 	}
 	w.stop()
 	if len(completed) != 2 {
-		t.Errorf("%d completions were reported", len(completed))
+		t.Errorf("completed was called %d times, want 2", len(completed))
 	}
 	if err := file.Close(); err != nil {
 		t.Fatal(err)
@@ -38,8 +38,8 @@
 	t.Cleanup(func() { _ = reopened.Close() })
 }
 
-// A write that fails has the store's error as its result.
-func TestRecordWriterReportsFailure(t *testing.T) {
+// A failed write returns the store's error as its result.
+func TestRecordWriterReportsStoreError(t *testing.T) {
 	file, _, err := store.Open(filepath.Join(t.TempDir(), "r1.ledger"), "r1")
 	if err != nil {
 		t.Fatal(err)
@@ -51,7 +51,7 @@
 	w.start()
 	w.write([]credit.Record{{Key: "account/a"}})
 	if err := w.result(); err == nil {
-		t.Error("written to a closed file")
+		t.Error("a write to a closed file succeeded")
 	}
 	w.stop()
 }
