--- a/internal/credit/account.go
+++ b/internal/credit/account.go
@@ -5,57 +5,57 @@
 	"time"
 )
 
-// account is what this router holds of one customer's balance. Amounts are millionths of a credit.
+// account holds this router's part of one customer's balance. Amounts are in millionths of a credit.
 //
-// A right goes from the record to withdrawing (the record that it was withdrawn is being written), then to available,
-// then to reserved, and is then charged or becomes available again. What is available, reserved or withdrawing is
-// lost if the process is killed, as the record no longer has it.
+// A right moves from record.Rights to withdrawing (while the record of the withdrawal is being written), then to
+// available, then to reserved. It is then charged or becomes available again. Rights that are withdrawing, available or
+// reserved are lost if the process is killed, because the record no longer contains them.
 type account struct {
 	name   string
 	record accountRecord
 
-	unwritten   int64 // the part of record.Rights that is not durable yet: it can neither be withdrawn nor transferred
+	unwritten   int64 // part of record.Rights that is not durable yet and so can be neither withdrawn nor transferred
 	withdrawing int64
 	available   int64
 	reserved    int64
 	charged     int64 // since the start of the process
 
 	spentSinceTick    int64
-	spendingRate      float64 // a second; smoothed
-	rejectedSinceTick bool    // a request was, as too little was available or its class was paced
+	spendingRate      float64 // per second, smoothed
+	rejectedSinceTick bool    // a request was rejected because too little was available or the account was paced
 	pacer             pacer
 
-	requestedAt time.Duration // when rights were requested from another router last
+	transferRequestedAt time.Duration // time of the latest request for rights from another router
 }
 
-// spendable returns what this router may still spend of the account.
+// spendable returns the amount that this router may still spend of the account, without what is reserved.
 func (a *account) spendable() int64 { return max(a.record.Rights, 0) + a.available + a.withdrawing }
 
-// durableRights returns the rights that can be withdrawn or transferred.
+// durableRights returns the rights on record that can be withdrawn or transferred.
 func (a *account) durableRights() int64 { return a.record.Rights - a.unwritten }
 
-// spentWithin returns how much is spent in a time at the present rate, times a factor, rounded up.
-func (a *account) spentWithin(window time.Duration, factor float64) int64 {
+// projectedSpending returns the amount that is spent within window at the present rate, times factor, rounded up.
+func (a *account) projectedSpending(window time.Duration, factor float64) int64 {
 	return int64(math.Ceil(factor * a.spendingRate * window.Seconds()))
 }
 
 // spendingRateDecay is the time in which the weight of older spending falls to 1/e.
 const spendingRateDecay = 2 * time.Second
 
-// negligibleRate is the spending rate, in millionths of a credit a second, below which an account counts as unused.
+// negligibleRate is the spending rate, in millionths of a credit per second, below which an account counts as unused.
 const negligibleRate = 1e-3
 
-// updateRate moves the smoothed spending rate towards that of the latest interval between two ticks.
+// updateRate moves the smoothed spending rate towards the rate of the latest interval between two ticks.
 func (a *account) updateRate(interval time.Duration) {
-	keep := math.Exp(-interval.Seconds() / spendingRateDecay.Seconds())
-	a.spendingRate = a.spendingRate*keep + float64(max(a.spentSinceTick, 0))/interval.Seconds()*(1-keep)
+	decay := math.Exp(-interval.Seconds() / spendingRateDecay.Seconds())
+	a.spendingRate = a.spendingRate*decay + float64(max(a.spentSinceTick, 0))/interval.Seconds()*(1-decay)
 	if a.spendingRate < negligibleRate {
 		a.spendingRate = 0
 	}
 	a.spentSinceTick = 0
 }
 
-// account returns the account of a name, and adds it if the ledger has none.
+// account returns the account with the given name, and adds it if the ledger does not have it.
 func (l *Ledger) account(name string) *account {
 	a := l.accounts[name]
 	if a == nil {
@@ -65,20 +65,21 @@
 	return a
 }
 
-// addRights adds rights to an account's record; a negative amount takes them away. Rights that are added can be spent
-// once the record is durable; rights that are taken away are gone at once. The records of the other keys are written
-// together with that of the account.
+// addRights adds rights to an account's record; a negative amount removes rights. Added rights can be spent once the
+// record is durable; removed rights are gone at once. The records with the other keys are written in the same group as
+// the account's record.
 func (l *Ledger) addRights(a *account, amount int64, keys ...string) {
 	added := max(amount, 0)
 	a.record.Rights += amount
 	a.unwritten += added
-	l.writes.change(func(time.Duration) { a.unwritten -= added }, append(keys, accountKey(a.name))...)
+	l.writes.markChanged(func(time.Duration) { a.unwritten -= added }, append(keys, accountKey(a.name))...)
 }
 
-// withdraw moves rights from the record to memory, where requests are paid from: as much as is spent in the withdrawal
-// window, and at least what is needed.
+// withdraw moves rights from the record to memory, from which requests are paid. It withdraws until the rights in
+// memory cover the spending of one withdrawal window, and at least the needed amount, as far as the durable rights
+// suffice. It does nothing while the ledger is stale or its latest write has failed.
 func (l *Ledger) withdraw(a *account, needed int64) {
-	wanted := max(a.spentWithin(l.settings.WithdrawalWindow, 1), needed, 1) - a.available - a.withdrawing
+	wanted := max(a.projectedSpending(l.settings.WithdrawalWindow, 1), needed, 1) - a.available - a.withdrawing
 	amount := min(wanted, a.durableRights())
 	if amount <= 0 || l.identity.state == identityStale || l.writes.err != nil {
 		return
@@ -86,13 +87,13 @@
 	a.record.Rights -= amount
 	a.record.Withdrawn += amount
 	a.withdrawing += amount
-	l.writes.change(func(time.Duration) {
+	l.writes.markChanged(func(time.Duration) {
 		a.withdrawing -= amount
 		a.available += amount
 	}, accountKey(a.name))
 }
 
-// returnAvailable moves what is available, but for what is to be kept, back to the record.
+// returnAvailable moves the available rights, except for the amount keep, back to the record.
 func (l *Ledger) returnAvailable(a *account, keep int64) {
 	amount := a.available - keep
 	if amount <= 0 {
@@ -103,26 +104,26 @@
 	l.addRights(a, amount)
 }
 
-// standby returns how much is withdrawn even of an account that nobody uses: enough for the next two requests, so
-// that these need not wait for the disk.
-func (l *Ledger) standby(a *account) int64 {
-	dearest := int64(0)
+// minAvailable returns the amount that is kept withdrawn even of an unused account: enough for two of the most
+// expensive requests, so that the next two requests need not wait for the disk.
+func (l *Ledger) minAvailable(a *account) int64 {
+	highestCost := int64(0)
 	for _, price := range l.settings.Prices {
-		dearest = max(dearest, price.Cost(l.settings.MaxResponseBytes))
+		highestCost = max(highestCost, price.Cost(l.settings.MaxResponseBytes))
 	}
-	return min(2*dearest, max(a.durableRights(), 0)+a.available+a.withdrawing)
+	return min(2*highestCost, max(a.durableRights(), 0)+a.available+a.withdrawing)
 }
 
-// rebalance withdraws or returns rights by how fast an account is spent, and requests some from another router if
-// those of this router don't last.
+// rebalance withdraws or returns rights depending on how fast an account is spent, and requests rights from another
+// router if this router's rights do not last.
 func (l *Ledger) rebalance(now time.Duration, a *account) {
-	needed := a.spentWithin(l.settings.WithdrawalWindow, 1)
-	standby := l.standby(a)
-	if a.available+a.withdrawing < max(needed/2, standby) || a.rejectedSinceTick {
-		l.withdraw(a, max(needed, standby))
+	needed := a.projectedSpending(l.settings.WithdrawalWindow, 1)
+	minimum := l.minAvailable(a)
+	if a.available+a.withdrawing < max(needed/2, minimum) || a.rejectedSinceTick {
+		l.withdraw(a, max(needed, minimum))
 	}
-	if a.available > 4*max(needed, standby) && a.spendingRate == 0 {
-		l.returnAvailable(a, standby)
+	if a.available > 4*max(needed, minimum) && a.spendingRate == 0 {
+		l.returnAvailable(a, minimum)
 	}
 	if a.spendable() < 2*needed || a.rejectedSinceTick && a.durableRights() <= 0 {
 		l.requestTransfer(now, a)
--- a/internal/credit/errors.go
+++ b/internal/credit/errors.go
@@ -8,102 +8,105 @@
 	"hillknot/internal/operatorhint"
 )
 
-// FundsExhaustedError says that nothing is left of a balance, as far as this router knows. The request never ran.
+// FundsExhaustedError reports that, as far as this router knows, too little is left of a balance to pay for the request.
+// The request never ran.
 type FundsExhaustedError struct {
 	Account    string
 	RetryAfter time.Duration
 }
 
 func (e FundsExhaustedError) Error() string {
-	return fmt.Sprintf("the balance of %q is used up", e.Account)
+	return fmt.Sprintf("the balance of account %q is used up", e.Account)
 }
 
 // Hint implements operatorhint.Error.
 func (FundsExhaustedError) Hint() string {
-	return "Add a top-up to the file and send SIGHUP; it counts within a second at each router that reads it."
+	return "Add a top-up to the file and send SIGHUP; each router that reads it applies it within a second."
 }
 
-// FundsPacedError says that little is left of a balance, and that other requests go first. The request never ran.
+// FundsPacedError reports that a balance is low: its spending is paced, and other requests go first. The request never
+// ran.
 type FundsPacedError struct {
 	Account    string
 	RetryAfter time.Duration
 }
 
 func (e FundsPacedError) Error() string {
-	return fmt.Sprintf("the balance of %q is low, and paced to last", e.Account)
+	return fmt.Sprintf("the balance of account %q is low and its spending is paced", e.Account)
 }
 
 // Hint implements operatorhint.Error.
 func (FundsPacedError) Hint() string {
-	return "Add a top-up, or shorten rest_s to have the rest spent sooner."
+	return "Add a top-up, or shorten rest_s so that the remaining balance is spent sooner."
 }
 
-// TransferPendingError says that nothing is available to this router yet: rights are being withdrawn from its
-// records, or requested from another router. The request never ran.
+// TransferPendingError reports that this router does not have enough rights available yet: they are being withdrawn from
+// its records, or requested from another router. The request never ran.
 type TransferPendingError struct {
 	Account    string
 	RetryAfter time.Duration
 }
 
 func (e TransferPendingError) Error() string {
-	return fmt.Sprintf("rights to spend of %q are on their way here", e.Account)
+	return fmt.Sprintf("rights to spend from account %q are not available to this router yet", e.Account)
 }
 
 // Hint implements operatorhint.Error.
 func (TransferPendingError) Hint() string {
-	return "None, if it is rare; else raise chunk_ms, or look whether routers are cut off from each other."
+	return "No action if it is rare; otherwise raise chunk_ms, or check whether routers can reach each other."
 }
 
-// UnknownAccountError says that a request names no account, or one that no top-up has named. The request never ran.
+// UnknownAccountError reports that a request names no account, or an account that no top-up has named. The request never
+// ran.
 type UnknownAccountError struct{ Account string }
 
-func (e UnknownAccountError) Error() string { return fmt.Sprintf("no account %q", e.Account) }
+func (e UnknownAccountError) Error() string { return fmt.Sprintf("unknown account %q", e.Account) }
 
 // Hint implements operatorhint.Error.
 func (UnknownAccountError) Hint() string {
-	return "Have the client send its account, or fund it; unnamed = \"free\" lets requests without one pass."
+	return "Have the client send its account, or fund the account; unnamed = \"free\" admits requests without an account."
 }
 
-// TopUpRejectedError says that the list of top-ups contradicts itself or what was applied before. Nothing of it was
-// taken.
+// TopUpRejectedError reports that the list of top-ups is invalid, contradicts itself or contradicts a top-up that was
+// applied before. No top-up of the list was applied.
 type TopUpRejectedError struct{ ID, Reason string }
 
 func (e TopUpRejectedError) Error() string {
-	return fmt.Sprintf("top-up %q is refused: %s", e.ID, e.Reason)
+	return fmt.Sprintf("top-up %q is rejected: %s", e.ID, e.Reason)
 }
 
 // Hint implements operatorhint.Error.
 func (TopUpRejectedError) Hint() string {
-	return "Leave lines that were read once as they were, and put what is new into lines with ids of their own."
+	return "Leave top-ups that were read before unchanged, and add new top-ups under new ids."
 }
 
-// NameTakenError says that another router knows another ledger under this router's name.
+// NameTakenError reports that another router knows a different ledger under this router's name.
 type NameTakenError struct{ Peer string }
 
 func (e NameTakenError) Error() string {
-	return fmt.Sprintf("%q knows another ledger under this router's name", e.Peer)
+	return fmt.Sprintf("router %q knows a different ledger under this router's name", e.Peer)
 }
 
 // Hint implements operatorhint.Error.
 func (NameTakenError) Hint() string {
-	return "Give this router its old ledger back, or a name that no router had; until then it spends what others give it."
+	return "Put this router's old ledger back, or use a name that no router has had; until then it spends only transferred rights."
 }
 
-// StaleLedgerError says that another router has received more from this ledger than the ledger knows: it is a copy of
-// an earlier state.
+// StaleLedgerError reports that another router has received more transfers from this ledger than the ledger has on
+// record: the ledger is a copy of an earlier state.
 type StaleLedgerError struct{ Peer string }
 
 func (e StaleLedgerError) Error() string {
-	return fmt.Sprintf("%q has got more from this ledger than it knows: it is a copy of before", e.Peer)
+	return fmt.Sprintf("the ledger is an old copy: router %q has received more transfers from it than are on record", e.Peer)
 }
 
 // Hint implements operatorhint.Error.
 func (StaleLedgerError) Hint() string {
-	return "Bring the latest ledger back; this router spends nothing, as what it holds may be spent already."
+	return "Put the latest ledger back; until then this router spends nothing, because its funds may have been spent already."
 }
 
-// LedgerWriteError says that the ledger's records could not be written. Until they are, rights are neither withdrawn
-// nor transferred.
+// LedgerWriteError reports that the ledger's records could not be written. Until they are written, rights are neither
+// withdrawn nor transferred.
 type LedgerWriteError struct{ Err error }
 
 func (e LedgerWriteError) Error() string { return "the ledger could not be written: " + e.Err.Error() }
@@ -113,16 +116,16 @@
 
 // Hint implements operatorhint.Error.
 func (LedgerWriteError) Hint() string {
-	return "Make room on the ledger's disk or mend it; what was drawn before goes on being spent."
+	return "Free space on the ledger's disk or repair it; meanwhile this router still spends what it withdrew before."
 }
 
-// Errors holds an example of each error type of this package, as docs/errors.md shows it.
+// Errors holds an example of each error type of this package, as docs/errors.md lists them.
 var Errors = []operatorhint.Error{
 	FundsExhaustedError{Account: "acme"},
 	FundsPacedError{Account: "acme"},
 	TransferPendingError{Account: "acme"},
 	UnknownAccountError{"acme"},
-	TopUpRejectedError{"2026-12-01/1", "its amount is 0, or over a trillion"},
+	TopUpRejectedError{"2026-12-01/1", "its amount is 0, or over a trillion credits"},
 	NameTakenError{"r2"},
 	StaleLedgerError{"r2"},
 	LedgerWriteError{syscall.ENOSPC},
--- a/internal/credit/golden_test.go
+++ b/internal/credit/golden_test.go
@@ -13,19 +13,19 @@
 	"hillknot/internal/testutil/golden"
 )
 
-// Ledgers outlive the releases that write them, and routers of different releases exchange these messages. The files of
+// Ledgers outlive the releases that write them, and routers of different releases exchange these messages. The files in
 // testdata/golden were written at commit 86ccf0f.
 //
-// What reaches the bytes:
+// The encoded bytes depend on the following:
 //   - identityRecord, accountRecord, topUpRecord, transferRecord, message and balanceReport are CBOR arrays
-//     (`cbor:",toarray"`), so that the order, the types and the number of their exported fields count, and no name
-//     does. A struct that loses its field _ with the tag is written as a map of its fields' names.
-//   - The constants of messageKind are sent as numbers, so their order counts.
+//     (`cbor:",toarray"`), so the order, the types and the number of their exported fields matter, and the names do
+//     not. A struct without the field _ and its tag would be written as a map with the names of its fields as keys.
+//   - The constants of messageKind are sent as numbers, so their order matters.
 //   - The keys of records begin with the constants kindIdentity to kindKnownLedger: "meta", "account/", "topup/",
 //     "gift/", "got/", "name/".
 //   - The replies are the texts of ackAccepted, ackRejected and ackStale.
-//   - TopUp.fingerprint hashes ID, Account, Amount and Routers, in this order and in the form of %q; the ledger holds
-//     the hash. A release that hashes otherwise rejects the whole list of top-ups.
+//   - TopUp.fingerprint hashes ID, Account, Amount and Routers, in this order and formatted with "%q %q %d %q"; the
+//     ledger holds the hash. A release that hashes differently would reject the whole list of top-ups.
 
 var (
 	goldenTopUp             = TopUp{ID: "inv-1", Account: "acme", Amount: 9_000_001, Routers: []string{"r2", "r1", `r"3`}}
@@ -40,7 +40,7 @@
 	goldenOtherLedger       = "fedcba9876543210fedcba9876543210"
 )
 
-// One value of each kind of record.
+// One value of each kind of record encodes to the golden bytes and decodes from them.
 func TestGoldenRecords(t *testing.T) {
 	golden.Nonzero(t, goldenIdentity)
 	golden.Nonzero(t, goldenAccount)
@@ -73,7 +73,7 @@
 	}
 }
 
-// goldenLedger is a whole ledger: its keys, and the files of its values.
+// goldenLedger holds the keys of a whole ledger, with the names of the files that hold their values.
 var goldenLedger = map[string]string{
 	"meta":                     "meta",
 	"account/acme":             "account",
@@ -86,18 +86,18 @@
 	"name/r2":                  "name",
 }
 
-// A ledger restores every kind of record, and writes each as it was.
-func TestGoldenLedger(t *testing.T) {
-	var lines []Record
+// A ledger restores every kind of record, and writes each with the same bytes again.
+func TestGoldenLedgerRestoredAndRewritten(t *testing.T) {
+	var records []Record
 	for _, key := range slices.Sorted(maps.Keys(goldenLedger)) {
-		lines = append(lines, Record{key, golden.Read(t, "line-"+goldenLedger[key]+".hex")})
+		records = append(records, Record{key, golden.Read(t, "line-"+goldenLedger[key]+".hex")})
 	}
-	ledger, err := New(Defaults("r1", 11, goldenIdentity.LedgerID), lines)
+	ledger, err := New(Defaults("r1", 11, goldenIdentity.LedgerID), records)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if ledger.identity.record != goldenIdentity {
-		t.Errorf("meta %+v, want %+v", ledger.identity.record, goldenIdentity)
+		t.Errorf("identity %+v, want %+v", ledger.identity.record, goldenIdentity)
 	}
 	accounts := map[string]accountRecord{}
 	for name, a := range ledger.accounts {
@@ -119,18 +119,18 @@
 		t.Errorf("transfers %+v, want %+v", ledger.transfers, want)
 	}
 	if want := map[string]uint64{goldenOtherLedger: goldenReceived}; !reflect.DeepEqual(ledger.received, want) {
-		t.Errorf("taken %+v, want %+v", ledger.received, want)
+		t.Errorf("received %+v, want %+v", ledger.received, want)
 	}
 	if want := map[string]string{"r2": goldenOtherLedger}; !reflect.DeepEqual(ledger.identity.knownLedgers, want) {
-		t.Errorf("names %+v, want %+v", ledger.identity.knownLedgers, want)
+		t.Errorf("known ledgers %+v, want %+v", ledger.identity.knownLedgers, want)
 	}
-	ledger.writes.change(nil, slices.Collect(maps.Keys(goldenLedger))...)
-	if out := ledger.NextWrite(); !reflect.DeepEqual(out, lines) {
-		t.Errorf("written anew as %q, want %q", out, lines)
+	ledger.writes.markChanged(nil, slices.Collect(maps.Keys(goldenLedger))...)
+	if out := ledger.NextWrite(); !reflect.DeepEqual(out, records) {
+		t.Errorf("written again as %q, want %q", out, records)
 	}
 }
 
-// The hash that tells top-ups of one id apart is in ledgers.
+// The hash that distinguishes top-ups with the same ID is stored in ledgers and must not change.
 func TestGoldenFingerprint(t *testing.T) {
 	for name, topUp := range map[string]TopUp{
 		"print.hex":      goldenTopUp,
@@ -163,6 +163,7 @@
 	"birth-old.hex":   {Kind: messageIdentity, LedgerID: goldenOtherLedger},
 }
 
+// Each kind of message, and each reply, encodes to the golden bytes; messages also decode from them.
 func TestGoldenMessages(t *testing.T) {
 	golden.Nonzero(t, goldenMessages["message.hex"])
 	for name, want := range goldenMessages {
@@ -187,8 +188,8 @@
 	}
 }
 
-// A ledger takes each message of before, acknowledges it, and writes and sends what follows: the transfer that was
-// requested, byte for byte. No rate is reckoned here, as its last bits may differ between machines.
+// A ledger acknowledges each golden message, and writes the expected records and sends the requested transfer, byte for
+// byte. The test uses no spending rate, because the last bits of its value may differ between machines.
 func TestGoldenMessagesReceived(t *testing.T) {
 	records := []Record{{"account/acme", golden.Read(t, "line-account.hex")}}
 	ledger, err := New(Defaults("r1", 11, goldenIdentity.LedgerID), records)
@@ -197,58 +198,58 @@
 	}
 	other := messaging.New(messaging.Defaults("r2", 22))
 	replies, now := map[uint64]string{}, time.Second
-	turn := func() (bodies [][]byte, lines []Record) {
-		for range 8 { // they have to learn of each other first
+	exchangePackets := func() (bodies [][]byte, written []Record) {
+		for range 8 { // the routers have to learn of each other first
 			now += time.Second / 2
 			for _, p := range other.DuePackets(now) {
 				ledger.ReceivePacket(now, p.Data)
 			}
-			if w := ledger.NextWrite(); w != nil {
-				lines = append(lines, w...)
-				ledger.WriteCompleted(now, w, nil)
+			if group := ledger.NextWrite(); group != nil {
+				written = append(written, group...)
+				ledger.WriteCompleted(now, group, nil)
 			}
 			for _, p := range ledger.OutgoingPackets(now) {
-				for _, a := range other.Receive(now, p.Data) {
-					bodies = append(bodies, a.Body)
+				for _, delivery := range other.Receive(now, p.Data) {
+					bodies = append(bodies, delivery.Body)
 				}
 			}
 		}
-		for _, d := range other.Completions() {
-			replies[d.ID] = string(d.Reply)
+		for _, completion := range other.Completions() {
+			replies[completion.ID] = string(completion.Reply)
 		}
-		return bodies, lines
+		return bodies, written
 	}
-	turn()
+	exchangePackets()
 	for _, c := range []struct {
 		file, reply string
-		sent        string            // file of the message that follows; empty: there is none
-		lines       map[string]string // files of the lines written, by their keys
+		sent        string            // file of the message that the ledger sends in response, or "" if it sends none
+		written     map[string]string // files of the records written, by key
 	}{
 		{file: "tell.hex", reply: ackAccepted},
-		{file: "birth-other.hex", reply: ackAccepted, lines: map[string]string{"name/r2": "line-name.hex"}},
-		{file: "birth.hex", reply: ackRejected}, // another ledger under the same name
+		{file: "birth-other.hex", reply: ackAccepted, written: map[string]string{"name/r2": "line-name.hex"}},
+		{file: "birth.hex", reply: ackRejected}, // a different ledger under the same name
 		{file: "beg-other.hex", reply: ackAccepted, sent: "give-taken.hex",
-			lines: map[string]string{"account/acme": "line-account-given.hex", "gift/r2": "line-gift-given.hex"}},
+			written: map[string]string{"account/acme": "line-account-given.hex", "gift/r2": "line-gift-given.hex"}},
 		{file: "give-other.hex", reply: ackAccepted,
-			lines: map[string]string{"account/acme": "line-account-got.hex", "got/" + goldenOtherLedger: "line-got-first.hex"}},
-		{file: "birth-old.hex", reply: ackStale}, // it has forgotten what it gave
+			written: map[string]string{"account/acme": "line-account-got.hex", "got/" + goldenOtherLedger: "line-got-first.hex"}},
+		{file: "birth-old.hex", reply: ackStale}, // the sender no longer has its transfer on record
 	} {
 		id, err := other.Send(now, "r1", golden.Read(t, c.file), now+time.Minute)
 		if err != nil {
 			t.Fatal(err)
 		}
-		bodies, lines := turn()
+		bodies, written := exchangePackets()
 		if replies[id] != c.reply {
-			t.Errorf("%s: answered %q, want %q", c.file, replies[id], c.reply)
+			t.Errorf("%s: acknowledged with %q, want %q", c.file, replies[id], c.reply)
 		}
-		if (len(bodies) == 1) != (c.sent != "") || len(bodies) > 1 || len(lines) != len(c.lines) {
-			t.Fatalf("%s: sent %x, wrote %q; want %q, %v", c.file, bodies, lines, c.sent, c.lines)
+		if (len(bodies) == 1) != (c.sent != "") || len(bodies) > 1 || len(written) != len(c.written) {
+			t.Fatalf("%s: sent %x, wrote %q; want %q, %v", c.file, bodies, written, c.sent, c.written)
 		}
 		for _, body := range bodies {
 			golden.Same(t, c.sent, body)
 		}
-		for _, l := range lines {
-			golden.Same(t, c.lines[l.Key], l.Value)
+		for _, record := range written {
+			golden.Same(t, c.written[record.Key], record.Value)
 		}
 	}
 }
--- a/internal/credit/identity.go
+++ b/internal/credit/identity.go
@@ -7,32 +7,32 @@
 	"hillknot/internal/cluster/messaging"
 )
 
-// identityInterval is how long a request to confirm the identity is sent, until a new one is made.
+// identityInterval is the timeout of a request to confirm the identity. After it a new request is sent.
 const identityInterval = time.Second
 
-// identityState says what this ledger may do.
+// identityState determines whether this ledger may apply top-ups and spend.
 //
-//	unconfirmed --all others confirm--> confirmed
-//	unconfirmed --one rejects--> conflict
-//	any --one has received later transfers--> stale
+//	unconfirmed --all other routers confirm--> confirmed
+//	unconfirmed --one router rejects--> conflict
+//	any --one router has received later transfers--> stale
 type identityState uint8
 
 const (
-	identityUnconfirmed identityState = iota // applies no top-ups yet; spends what others transfer to it
+	identityUnconfirmed identityState = iota // applies no top-ups yet; spends what other routers transfer to it
 	identityConfirmed                        // applies top-ups
-	identityConflict                         // applies no top-ups: another ledger may have applied them; spends as above
-	identityStale                            // spends nothing: it is a copy of an earlier state
+	identityConflict                         // as identityUnconfirmed, because another ledger may have applied the top-ups
+	identityStale                            // spends nothing, because the ledger is a copy of an earlier state
 )
 
-// identity is what makes sure that one ledger alone acts under this router's name, and what this router knows of the
-// ledgers of others.
+// identity ensures that only one ledger acts under this router's name, and holds the ledger IDs that this router knows of
+// other routers.
 type identity struct {
 	state identityState
-	err   error // of identityConflict and identityStale: NameTakenError or StaleLedgerError
+	err   error // NameTakenError in identityConflict, StaleLedgerError in identityStale, else nil
 
 	record       identityRecord
 	confirmedBy  map[string]bool   // routers that have confirmed the identity to this process
-	knownLedgers map[string]string // ledger IDs of other routers, by their names
+	knownLedgers map[string]string // ledger IDs of other routers, by router name
 }
 
 func newIdentity(settings Settings) identity {
@@ -43,10 +43,11 @@
 	}
 }
 
-// restoreState sets the state by the record, which was restored from the store, or is new.
+// restoreState sets the state from the record, which was restored from the store or is new. It returns an error if the
+// record belongs to another ledger or router than the settings name.
 func (i *identity) restoreState(settings Settings) error {
 	if i.record.LedgerID != settings.LedgerID || i.record.Router != settings.Router {
-		return fmt.Errorf("the ledger is %q of %q, not %q of %q",
+		return fmt.Errorf("the records are of ledger %q of router %q, want ledger %q of router %q",
 			i.record.LedgerID, i.record.Router, settings.LedgerID, settings.Router)
 	}
 	if i.record.Confirmed {
@@ -55,32 +56,34 @@
 	return nil
 }
 
-// confirm ends identityUnconfirmed: all others have confirmed the identity.
-func (i *identity) confirm() {
+// markConfirmed changes the state to identityConfirmed. It is called once all other routers have confirmed the identity.
+func (i *identity) markConfirmed() {
 	i.state = identityConfirmed
 	i.record.Confirmed = true
 }
 
-// conflict ends identityUnconfirmed: a router knows another ledger under this router's name. In all other states it
-// changes nothing.
-func (i *identity) conflict(by string) {
+// markConflict changes identityUnconfirmed to identityConflict: peer knows a different ledger under this router's name.
+// In all other states it changes nothing.
+func (i *identity) markConflict(peer string) {
 	if i.state == identityUnconfirmed {
-		i.state, i.err = identityConflict, NameTakenError{by}
+		i.state, i.err = identityConflict, NameTakenError{peer}
 	}
 }
 
-// stale ends all other states: a router has received more from this ledger than the ledger knows.
-func (i *identity) stale(by string) {
-	i.state, i.err = identityStale, StaleLedgerError{by}
+// markStale changes any state to identityStale: peer has received more transfers from this ledger than the ledger has on
+// record.
+func (i *identity) markStale(peer string) {
+	i.state, i.err = identityStale, StaleLedgerError{peer}
 }
 
-// IdentityError returns why this router applies no top-ups, as a NameTakenError, or spends nothing, as a
-// StaleLedgerError; nil if neither is so.
+// IdentityError returns a NameTakenError if this router applies no top-ups because of a conflict, a StaleLedgerError if
+// it spends nothing, and nil otherwise.
 func (l *Ledger) IdentityError() error { return l.identity.err }
 
-// confirmIdentity asks all others among whom top-ups are divided whether they know another ledger under this router's
-// name, until all have said that they don't: only then it is certain that nobody else has had this router's portions.
-// A ledger that is confirmed asks each router once after each start, too, to learn whether it is stale.
+// confirmIdentity asks all other routers among which top-ups are divided whether they know a different ledger under this
+// router's name, until each has replied that it does not. Only then is it certain that no other ledger has received this
+// router's portions. A confirmed ledger also asks each router after each start, until it has confirmed, to learn whether
+// the ledger is stale.
 func (l *Ledger) confirmIdentity(now time.Duration) {
 	confirmedByAll := true
 	for _, router := range l.topUps.routers(l.settings.Router) {
@@ -93,13 +96,13 @@
 		}
 	}
 	if confirmedByAll && len(l.topUps.listed) > 0 && l.identity.state == identityUnconfirmed {
-		l.identity.confirm()
-		l.writes.change(func(time.Duration) { l.applyListedTopUps() }, kindIdentity)
+		l.identity.markConfirmed()
+		l.writes.markChanged(func(time.Duration) { l.applyListedTopUps() }, kindIdentity)
 	}
 }
 
 func (l *Ledger) awaitsIdentityReply(router string) bool {
-	for _, sent := range l.unsettled {
+	for _, sent := range l.unacknowledged {
 		if sent == (sentMessage{messageIdentity, router}) {
 			return true
 		}
@@ -115,7 +118,8 @@
 	l.send(now, router, request, identityInterval)
 }
 
-// identityRequestCompleted handles the reply of a router that was asked. Without a reply the router is asked again.
+// identityRequestCompleted handles the reply to an identity request. Without a reply the router is asked again at a later
+// tick.
 func (l *Ledger) identityRequestCompleted(router string, completion messaging.Completion) {
 	if completion.Err != nil {
 		return
@@ -124,14 +128,15 @@
 	case ackAccepted:
 		l.identity.confirmedBy[router] = true
 	case ackStale:
-		l.identity.stale(router)
+		l.identity.markStale(router)
 	default:
-		l.identity.conflict(router)
+		l.identity.markConflict(router)
 	}
 }
 
-// receiveIdentityRequest replies whether another ledger is known under a router's name, and whether this router has
-// received more from the ledger than that one knows. The first ledger that asks is accepted, once that is durable.
+// receiveIdentityRequest rejects a ledger if this router knows a different one under the sender's name, and replies that
+// it is stale if this router has received later transfers from it than it has on record. The first ledger that asks under
+// a name is accepted, once its ID is durable.
 func (l *Ledger) receiveIdentityRequest(delivery messaging.Delivery, m message) {
 	known := l.identity.knownLedgers[delivery.From]
 	switch {
@@ -143,7 +148,7 @@
 		l.acknowledgeWhenDurable(delivery)
 	default:
 		l.identity.knownLedgers[delivery.From] = m.LedgerID
-		l.writes.change(nil, knownLedgerKey(delivery.From))
+		l.writes.markChanged(nil, knownLedgerKey(delivery.From))
 		l.acknowledgeWhenDurable(delivery)
 	}
 }
--- a/internal/credit/identity_test.go
+++ b/internal/credit/identity_test.go
@@ -5,11 +5,11 @@
 	"testing"
 )
 
-// Each state changes as its comment says, by what other routers reply.
+// The replies of other routers change the state as the comment of identityState defines.
 func TestIdentityTransitions(t *testing.T) {
-	confirm := func(i *identity) { i.confirm() }
-	conflict := func(i *identity) { i.conflict("r2") }
-	stale := func(i *identity) { i.stale("r3") }
+	confirm := func(i *identity) { i.markConfirmed() }
+	conflict := func(i *identity) { i.markConflict("r2") }
+	stale := func(i *identity) { i.markStale("r3") }
 	for name, test := range map[string]struct {
 		events []func(*identity)
 		want   identityState
@@ -36,13 +36,14 @@
 	}
 }
 
-// A process goes on with the identity of the one before it, and takes no other router's ledger.
-func TestIdentityRecovery(t *testing.T) {
+// A process restores the identity that an earlier process has recorded, and rejects the record of another router or
+// ledger.
+func TestIdentityRestoredFromOwnRecordOnly(t *testing.T) {
 	settings := Defaults("r1", 1, "ledger")
 	i := newIdentity(settings)
 	i.record.Confirmed = true
 	if err := i.restoreState(settings); err != nil || i.state != identityConfirmed {
-		t.Errorf("state %d, %v", i.state, err)
+		t.Errorf("restored own record: state %d, error %v", i.state, err)
 	}
 	for name, record := range map[string]identityRecord{
 		"another router": {LedgerID: "ledger", Router: "r2"},
@@ -51,7 +52,7 @@
 		i := newIdentity(settings)
 		i.record = record
 		if err := i.restoreState(settings); err == nil {
-			t.Errorf("%s: recovered", name)
+			t.Errorf("record of %s: restored without an error", name)
 		}
 	}
 }
--- a/internal/credit/ledger.go
+++ b/internal/credit/ledger.go
@@ -10,7 +10,7 @@
 	"hillknot/internal/cluster/messaging"
 )
 
-// Ledger is one router's part of all balances. It is not safe for concurrent use.
+// Ledger holds one router's part of all balances. It is not safe for concurrent use.
 type Ledger struct {
 	settings Settings
 	accounts map[string]*account
@@ -18,55 +18,56 @@
 	identity identity
 	writes   writeQueue
 
-	messenger *messaging.Messenger
-	unsettled map[uint64]sentMessage // messages without an acknowledgement yet, by their number
-	peers     peerTable
-	transfers map[string]*transfer // by receiving router
-	received  map[string]uint64    // by the sending ledger's ID: the sequence number of the latest transfer received
+	messenger      *messaging.Messenger
+	unacknowledged map[uint64]sentMessage // messages that are not acknowledged yet, by message ID
+	peers          peerTable
+	transfers      map[string]*transfer // by receiving router
+	received       map[string]uint64    // sequence number of the latest transfer received, by the sending ledger's ID
 
-	// Totals may be read at any time between two calls.
+	// Totals may be read at any time between two calls of methods.
 	Totals Totals
 }
 
-// Totals count what has happened since the start of the process. Amounts are millionths of a credit.
+// Totals holds amounts and numbers of requests since the start of the process. Amounts are in millionths of a credit.
 type Totals struct {
 	Charged, Released             int64
 	TransferredOut, TransferredIn int64
 
-	RejectedExhausted, RejectedPaced, RejectedPending uint64 // requests
+	RejectedExhausted, RejectedPaced, RejectedPending uint64 // numbers of requests
 }
 
-// New returns the ledger of a process that has just started, with the records that its store holds.
+// New returns the ledger of a process that has just started, restored from the records that its store holds. It returns
+// an error if the settings are invalid, a record cannot be decoded, or the records belong to another ledger or router.
 func New(settings Settings, records []Record) (*Ledger, error) {
 	if err := settings.Validate(); err != nil {
 		return nil, fmt.Errorf("credit: %w", err)
 	}
 	l := &Ledger{
-		settings:  settings,
-		accounts:  map[string]*account{},
-		topUps:    topUpRegistry{applied: map[string]topUpRecord{}},
-		identity:  newIdentity(settings),
-		writes:    writeQueue{changed: map[string]struct{}{}},
-		messenger: messaging.New(messaging.Defaults(settings.Router, settings.Incarnation)),
-		unsettled: map[uint64]sentMessage{},
-		peers:     peerTable{reports: map[string]*peerReport{}},
-		transfers: map[string]*transfer{},
-		received:  map[string]uint64{},
+		settings:       settings,
+		accounts:       map[string]*account{},
+		topUps:         topUpRegistry{applied: map[string]topUpRecord{}},
+		identity:       newIdentity(settings),
+		writes:         writeQueue{changed: map[string]struct{}{}},
+		messenger:      messaging.New(messaging.Defaults(settings.Router, settings.Incarnation)),
+		unacknowledged: map[uint64]sentMessage{},
+		peers:          peerTable{reports: map[string]*peerReport{}},
+		transfers:      map[string]*transfer{},
+		received:       map[string]uint64{},
 	}
 	for _, record := range records {
 		if err := l.restore(record); err != nil {
-			return nil, fmt.Errorf("credit: ledger line %q: %w", record.Key, err)
+			return nil, fmt.Errorf("credit: restore ledger record %q: %w", record.Key, err)
 		}
 	}
 	if err := l.identity.restoreState(settings); err != nil {
 		return nil, fmt.Errorf("credit: %w", err)
 	}
-	l.writes.change(nil, kindIdentity)
+	l.writes.markChanged(nil, kindIdentity)
 	return l, nil
 }
 
-// Tick updates rates and levels, withdraws ahead of need, and exchanges balances and rights with other routers. It is
-// due every Settings.TickInterval; a late call does no harm.
+// Tick updates spending rates and levels, withdraws rights before they are needed, and exchanges balances and rights with
+// other routers. It is due every Settings.TickInterval; a late call does no harm.
 func (l *Ledger) Tick(now time.Duration) {
 	l.messenger.Tick(now)
 	l.handleCompletions(now)
@@ -81,43 +82,43 @@
 	l.confirmIdentity(now)
 }
 
-// Close returns what is available to the records. Nothing may be reserved after it. The caller writes the records that
-// NextWrite returns then.
+// Close returns the available rights to the records. Reserve must not be called after it. The caller then writes the
+// records that NextWrite returns.
 func (l *Ledger) Close() {
 	for a := range l.sortedAccounts() {
 		l.returnAvailable(a, 0)
 	}
 }
 
-// AccountStatus is what a router holds and knows of an account. Amounts are millionths of a credit.
+// AccountStatus describes an account as this router knows it. Amounts are in millionths of a credit.
 type AccountStatus struct {
-	Account   string
-	Level     Level
-	Rights    int64 // on record; negative if more was taken back than was left
-	Available int64 // withdrawn, or being withdrawn
-	Reserved  int64
-	Charged   int64 // by this process
-	Elsewhere int64 // what other routers have reported that they hold
+	Account     string
+	Level       Level
+	Rights      int64 // on record; negative if more was taken back than was left
+	Available   int64 // withdrawn, or being withdrawn
+	Reserved    int64
+	Charged     int64 // by this process
+	HeldByPeers int64 // sum of what other routers have lately reported
 }
 
-// AccountStatuses returns the status of all accounts, in the order of their names.
+// AccountStatuses returns the status of all accounts, sorted by name.
 func (l *Ledger) AccountStatuses(now time.Duration) []AccountStatus {
 	var statuses []AccountStatus
 	for a := range l.sortedAccounts() {
 		statuses = append(statuses, AccountStatus{
-			Account:   a.name,
-			Level:     a.pacer.level,
-			Rights:    a.record.Rights,
-			Available: a.available + a.withdrawing,
-			Reserved:  a.reserved,
-			Charged:   a.charged,
-			Elsewhere: l.peers.balance(now, a.name),
+			Account:     a.name,
+			Level:       a.pacer.level,
+			Rights:      a.record.Rights,
+			Available:   a.available + a.withdrawing,
+			Reserved:    a.reserved,
+			Charged:     a.charged,
+			HeldByPeers: l.peers.balance(now, a.name),
 		})
 	}
 	return statuses
 }
 
-// sortedAccounts iterates over all accounts in the order of their names.
+// sortedAccounts returns an iterator over all accounts, sorted by name.
 func (l *Ledger) sortedAccounts() iter.Seq[*account] {
 	return func(yield func(*account) bool) {
 		for _, name := range slices.Sorted(maps.Keys(l.accounts)) {
--- a/internal/credit/pacing.go
+++ b/internal/credit/pacing.go
@@ -2,41 +2,44 @@
 
 import "time"
 
-// Level is how much is left of an account, compared with how fast it is spent.
+// Level classifies how much is left of an account, compared with how fast it is spent.
 type Level uint8
 
 // The levels.
 const (
 	LevelAmple     Level = iota
-	LevelLow             // what is left is paced
+	LevelLow             // spending is paced
 	LevelExhausted       // nothing is left, as far as this router knows
 )
 
-// String returns the name of a level, as metrics have it.
+// String returns the name of a level as it appears in the names of metrics.
 func (l Level) String() string { return [...]string{"ample", "low", "out"}[min(l, LevelExhausted)] }
 
-// lowHysteresis is how much more has to be left to leave LevelLow than to enter it.
+// lowHysteresis is the factor by which more must be left to leave LevelLow than to enter it.
 const lowHysteresis = 1.25
 
-// pacer is a token bucket that limits what is spent of an account while its level is LevelLow.
+// pacer is a token bucket that limits the spending of an account while its level is LevelLow. A token is a millionth of a
+// credit.
 type pacer struct {
 	level     Level
-	rate      float64 // a second
+	rate      float64 // tokens per second
 	tokens    float64
 	updatedAt time.Duration
 }
 
-// burst returns what may be spent at once: that of a second, or two requests of an amount.
+// burst returns the number of tokens that may be spent at once: those of one second, or enough for two requests that
+// cost amount, if that is more.
 func (p *pacer) burst(amount int64) float64 { return max(p.rate, 2*float64(amount)) }
 
-// refill adds the tokens of the time since the latest refill.
+// refill adds the tokens for the time since the latest refill, up to the burst.
 func (p *pacer) refill(now time.Duration, amount int64) {
 	elapsed := max(now-p.updatedAt, 0).Seconds()
 	p.tokens = min(p.tokens+p.rate*elapsed, p.burst(amount))
 	p.updatedAt = max(p.updatedAt, now)
 }
 
-// take takes an amount if so much, and a headroom, is there.
+// take removes amount from the tokens and returns true if the tokens cover the amount and the headroom. Otherwise it
+// returns false and removes nothing.
 func (p *pacer) take(amount int64, headroom float64) bool {
 	if p.tokens < float64(amount)+headroom {
 		return false
@@ -45,8 +48,8 @@
 	return true
 }
 
-// pace sets the rate so that what is left lasts for the horizon. The rate never falls while the level is LevelLow, so
-// the account is used up in the end.
+// pace sets the level to LevelLow and the rate so that the remaining amount lasts for the horizon. The rate never falls
+// while the level is LevelLow, so that the account is used up in the end.
 func (p *pacer) pace(now time.Duration, remaining int64, horizon time.Duration) {
 	if p.level != LevelLow {
 		p.level, p.rate, p.tokens, p.updatedAt = LevelLow, 0, 0, now
@@ -54,8 +57,8 @@
 	p.rate = max(p.rate, float64(remaining)/horizon.Seconds())
 }
 
-// takeFromPacer tells whether a paced account lets a request pass. Half of the bucket is kept for the classes of the
-// greatest weight.
+// takeFromPacer takes the cost of a request from a paced account's tokens, and reports whether there were enough. Half of
+// the bucket is kept for the classes with the greatest weight.
 func (l *Ledger) takeFromPacer(now time.Duration, a *account, price Price, amount int64) bool {
 	a.pacer.refill(now, amount)
 	headroom := 0.0
@@ -74,8 +77,8 @@
 	return false
 }
 
-// updateLevel sets an account's level by what is left and how fast it is spent, at all routers that have reported
-// lately.
+// updateLevel sets an account's level from the amount that is left and the rate at which it is spent, summed over this
+// router and all routers that have reported lately.
 func (l *Ledger) updateLevel(now time.Duration, a *account) {
 	remaining := float64(a.spendable() + l.peers.balance(now, a.name))
 	rate := a.spendingRate + l.peers.spendingRate(now, a.name)
--- a/internal/credit/peers.go
+++ b/internal/credit/peers.go
@@ -9,23 +9,24 @@
 
 const (
 	maxReportedBalances = 24   // accounts in one message
-	maxReportReceivers  = 8    // routers that are reported to at a time
-	maxPeers            = 1024 // routers whose reports are remembered
-	maxPeerAccounts     = 4096 // accounts that are remembered of each
+	maxReportReceivers  = 8    // routers that receive the reports of one tick
+	maxPeers            = 1024 // routers whose reports are kept
+	maxPeerAccounts     = 4096 // accounts that are kept of each router
 
-	// reportLifetime is how long a report counts.
+	// reportLifetime is how long a report is used after it was received.
 	reportLifetime = 5 * time.Second
 )
 
-// peerTable is what is known of the other routers. It guides pacing and requests; no guarantee rests on it.
+// peerTable holds what the other routers have reported. It guides pacing and requests for transfers; no guarantee
+// depends on it.
 type peerTable struct {
-	alive        []string // in order
-	reports      map[string]*peerReport
-	nextReceiver int // index into alive: who is reported to next
-	reportedAt   time.Duration
+	alive        []string               // sorted names
+	reports      map[string]*peerReport // by router name
+	nextReceiver int                    // index into alive of the router that receives the next report
+	reportedAt   time.Duration          // time of this router's latest report
 }
 
-// peerReport is what another router has reported.
+// peerReport holds the balances that another router has reported.
 type peerReport struct {
 	receivedAt time.Duration
 	balances   map[string]balanceReport // by account
@@ -33,7 +34,7 @@
 
 func (r *peerReport) recent(now time.Duration) bool { return now-r.receivedAt < reportLifetime }
 
-// balance returns how much other routers have lately reported that they hold of an account.
+// balance returns the sum of the amounts that other routers have lately reported for an account, at most MaxAmount.
 func (p *peerTable) balance(now time.Duration, account string) int64 {
 	sum := int64(0)
 	for _, report := range p.reports {
@@ -44,10 +45,11 @@
 	return min(sum, MaxAmount)
 }
 
-// spendingRate returns how much other routers have lately reported that they spend of an account a second.
+// spendingRate returns the sum of the spending rates, in millionths of a credit per second, that other routers have
+// lately reported for an account.
 func (p *peerTable) spendingRate(now time.Duration, account string) float64 {
 	sum := 0.0
-	for _, name := range slices.Sorted(maps.Keys(p.reports)) { // in order: the sum of floats depends on it
+	for _, name := range slices.Sorted(maps.Keys(p.reports)) { // sorted, because the sum of floats depends on the order
 		if report := p.reports[name]; report.recent(now) {
 			sum += report.balances[account].Rate
 		}
@@ -55,25 +57,27 @@
 	return sum
 }
 
-// richest returns the router that is alive and has reported the most of an account; empty if none has any.
-func (p *peerTable) richest(now time.Duration, account string) string {
-	best, most := "", int64(0)
+// largestHolder returns the router that is alive and has lately reported the largest amount of an account, or "" if none
+// has reported any.
+func (p *peerTable) largestHolder(now time.Duration, account string) string {
+	holder, largest := "", int64(0)
 	for _, name := range p.alive {
 		report := p.reports[name]
 		if report == nil || !report.recent(now) {
 			continue
 		}
-		if amount := report.balances[account].Amount; amount > most {
-			best, most = name, amount
+		if amount := report.balances[account].Amount; amount > largest {
+			holder, largest = name, amount
 		}
 	}
-	return best
+	return holder
 }
 
-// SetPeers sets the names of the other routers that are alive, in order.
+// SetPeers sets the names of the other routers that are alive, sorted.
 func (l *Ledger) SetPeers(alive []string) { l.peers.alive = alive }
 
-// reportBalances reports what this router holds to some other routers, in turn.
+// reportBalances sends this router's balances to up to maxReportReceivers other routers; each call goes on with the
+// routers after those of the call before.
 func (l *Ledger) reportBalances(now time.Duration) {
 	p := &l.peers
 	if len(p.alive) == 0 || now < p.reportedAt+l.settings.TickInterval {
@@ -82,19 +86,19 @@
 	p.reportedAt = now
 	receivers := min(len(p.alive), maxReportReceivers)
 	balances := l.balanceReports()
-	for part := range slices.Chunk(balances, maxReportedBalances) {
+	for chunk := range slices.Chunk(balances, maxReportedBalances) {
 		for i := range receivers {
-			to := p.alive[(p.nextReceiver+i)%len(p.alive)]
-			l.send(now, to, message{Kind: messageBalances, Balances: part}, l.settings.TickInterval)
+			receiver := p.alive[(p.nextReceiver+i)%len(p.alive)]
+			l.send(now, receiver, message{Kind: messageBalances, Balances: chunk}, l.settings.TickInterval)
 		}
-		if len(balances) > 4*maxReportedBalances { // only those used most; the others wait until these are used less
+		if len(balances) > 4*maxReportedBalances { // report only the accounts that are spent fastest
 			break
 		}
 	}
 	p.nextReceiver = (p.nextReceiver + receivers) % len(p.alive)
 }
 
-// balanceReports returns reports of all accounts; those that are spent fastest come first.
+// balanceReports returns the reports of all accounts, sorted by descending spending rate.
 func (l *Ledger) balanceReports() []balanceReport {
 	var reports []balanceReport
 	for a := range l.sortedAccounts() {
@@ -106,7 +110,7 @@
 	return reports
 }
 
-// receiveBalances remembers what another router has reported of accounts that this router knows.
+// receiveBalances stores what another router has reported for accounts that this router knows.
 func (l *Ledger) receiveBalances(now time.Duration, from string, balances []balanceReport) {
 	report := l.peers.reports[from]
 	if report == nil {
--- a/internal/credit/records.go
+++ b/internal/credit/records.go
@@ -7,20 +7,20 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// Record is a durable record of the ledger: a key, and its value.
+// Record is a durable record of the ledger. Its value is encoded as CBOR.
 type Record struct {
 	Key   string
 	Value []byte
 }
 
-// Kinds of records. A key is "kind/name". The kinds stand in ledgers that exist: they must not change.
+// Kinds of records. A key is "kind/name". The kinds are stored in existing ledgers and must not change.
 const (
 	kindIdentity    = "meta"    // no name; identityRecord
 	kindAccount     = "account" // by account; accountRecord
 	kindTopUp       = "topup"   // by top-up ID; topUpRecord
 	kindTransfer    = "gift"    // by receiving router; transferRecord
-	kindReceived    = "got"     // by the sending ledger's ID; the sequence number of the latest transfer received from it
-	kindKnownLedger = "name"    // by router; the ID of its ledger
+	kindReceived    = "got"     // by the sending ledger's ID; sequence number of the latest transfer received from it
+	kindKnownLedger = "name"    // by router; ID of its ledger
 )
 
 func accountKey(account string) string    { return kindAccount + "/" + account }
@@ -37,7 +37,7 @@
 
 // The values of records are CBOR arrays, so the order of their fields must not change; names of fields are not stored.
 
-// identityRecord says whose ledger it is.
+// identityRecord holds the ID and the router of the ledger.
 type identityRecord struct {
 	_         struct{} `cbor:",toarray"`
 	LedgerID  string
@@ -49,27 +49,28 @@
 type accountRecord struct {
 	_         struct{} `cbor:",toarray"`
 	Rights    int64    // that can be withdrawn or transferred; negative if more was taken back than was left
-	Withdrawn int64    // in total, less what was returned
+	Withdrawn int64    // total, minus the amounts returned to the record
 }
 
-// topUpRecord says that this router has had its portion of a top-up.
+// topUpRecord records that this router has applied its portion of a top-up.
 type topUpRecord struct {
 	_           struct{} `cbor:",toarray"`
 	Fingerprint [32]byte
 	Portion     int64
 }
 
-// transferRecord is the latest transfer to a router.
+// transferRecord describes the latest transfer to a router.
 type transferRecord struct {
 	_        struct{} `cbor:",toarray"`
-	Sequence uint64   // of this ledger's transfers to that router, from 1
+	Sequence uint64   // sequence number among this ledger's transfers to that router, from 1
 	Account  string
-	Amount   int64 // 0: the transfer is complete
+	Amount   int64 // 0 once the transfer is complete
 }
 
-var errUnknownRecordKind = errors.New("no such kind of line")
+var errUnknownRecordKind = errors.New("unknown kind of record")
 
-// restore puts a record, as it was read from the store, into the ledger.
+// restore adds a record that was read from the store to the ledger. It returns an error if the kind is unknown or the
+// value cannot be decoded.
 func (l *Ledger) restore(record Record) error {
 	kind, name := splitKey(record.Key)
 	switch kind {
@@ -102,7 +103,7 @@
 	return err
 }
 
-// encode returns a record as it is now.
+// encode returns the record with the given key and its present value.
 func (l *Ledger) encode(key string) (Record, error) {
 	value, err := cbor.Marshal(l.recordValue(key))
 	return Record{key, value}, err
--- a/internal/credit/reservation.go
+++ b/internal/credit/reservation.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// withdrawAheadRequests is how many requests an account in use is withdrawn for, at least.
+// withdrawAheadRequests is the number of requests that a withdrawal for an account in use pays for, at least.
 const withdrawAheadRequests = 16
 
 const (
@@ -10,14 +10,14 @@
 	retryAfterPendingTransfer = 50 * time.Millisecond
 )
 
-// Reservation is what is set aside for a request. It is settled by one call of Charge or Release.
+// Reservation is the amount that is set aside for a request. It is settled by one call of Charge or Release.
 type Reservation struct {
 	Account string
-	price   Price // as it was when the request came
-	amount  int64
+	price   Price // at the time of the reservation
+	amount  int64 // in millionths of a credit
 }
 
-// Reserve sets aside the most that a request of a class may cost. An error says why the request is rejected: it is an
+// Reserve sets aside the highest amount that a request of a class may cost. If the request is rejected, the error is an
 // UnknownAccountError, FundsExhaustedError, FundsPacedError, TransferPendingError, LedgerWriteError or
 // StaleLedgerError.
 func (l *Ledger) Reserve(now time.Duration, accountName, class string) (Reservation, error) {
@@ -28,7 +28,7 @@
 	price := l.settings.Prices[class]
 	amount := price.Cost(l.settings.MaxResponseBytes)
 	switch {
-	case l.identity.state == identityStale: // what was withdrawn before that was known may be spent already, too
+	case l.identity.state == identityStale: // rights withdrawn earlier may be spent already, too
 		return Reservation{}, l.identity.err
 	case amount == 0:
 		return Reservation{Account: accountName, price: price}, nil
@@ -48,7 +48,7 @@
 	return Reservation{accountName, price, amount}, nil
 }
 
-// withdrawAhead withdraws rights for the next requests if few are left, rather than at the next tick.
+// withdrawAhead withdraws rights for the next requests if few are left in memory, without waiting for the next tick.
 func (l *Ledger) withdrawAhead(a *account, amount int64) {
 	needed := int64(a.spendingRate * l.settings.WithdrawalWindow.Seconds())
 	if a.available+a.withdrawing < max(needed/2, withdrawAheadRequests/2*amount) {
@@ -56,8 +56,9 @@
 	}
 }
 
-// rejectUnavailable returns why an amount can't be reserved now, and requests rights from another router if these
-// have some.
+// rejectUnavailable returns the error for an amount that is not available now. If too few rights are left at this router
+// but others have reported enough to make up for it, it requests a transfer. It counts the rejected request, except if
+// the error is a LedgerWriteError.
 func (l *Ledger) rejectUnavailable(now time.Duration, a *account, amount int64) error {
 	spendable := a.spendable()
 	if spendable >= amount && l.writes.err != nil {
@@ -74,15 +75,15 @@
 	return TransferPendingError{a.name, retryAfterPendingTransfer}
 }
 
-// Charge settles a request that was served, or may have run, and returns what was charged for a response of so many
-// bytes. The rest of the reservation is available again.
+// Charge settles a request that was served, or may have run, and returns the amount charged for a response of
+// responseBytes bytes: at most the reserved amount. The rest of the reservation becomes available again.
 func (l *Ledger) Charge(r Reservation, responseBytes int) int64 {
 	amount := min(r.price.Cost(responseBytes), r.amount)
 	l.settle(r, amount)
 	return amount
 }
 
-// Release settles a request that never ran, or was rejected: nothing is charged.
+// Release settles a request that never ran, or was rejected. Nothing is charged.
 func (l *Ledger) Release(r Reservation) { l.settle(r, 0) }
 
 func (l *Ledger) settle(r Reservation, charged int64) {
--- a/internal/credit/settings.go
+++ b/internal/credit/settings.go
@@ -6,28 +6,28 @@
 	"time"
 )
 
-// MaxAmount bounds an amount, and the sum of all top-ups of an account: a trillion credits, in millionths.
+// MaxAmount bounds an amount, and the sum of all top-ups of an account: a trillion credits, in millionths of a credit.
 const MaxAmount = int64(1e18)
 
 const (
-	maxNameLength     = 128 // bytes of the name of a router, an account or a top-up
+	maxNameLength     = 128 // bytes, of the name of a router or an account or the ID of a top-up
 	maxLedgerIDLength = 64  // bytes
 )
 
-// Settings set up one router's ledger.
+// Settings configures one router's ledger.
 type Settings struct {
 	Router           string           // the name of this router
-	Incarnation      uint64           // of this process; above 0, and another one for each process of a router
+	Incarnation      uint64           // of this process; above 0, and different for each process of a router
 	LedgerID         string           // identifies the ledger; chosen at random when its file was created
 	Prices           map[string]Price // by class of request; a class without a price is free
 	PacingHorizon    time.Duration    // an account that would be used up sooner is paced to last for this long
-	WithdrawalWindow time.Duration    // how much is withdrawn at a time: what is spent in this time
-	TickInterval     time.Duration    // how often Ledger.Tick is due
-	MaxAccounts      int              // accounts that a ledger may hold
-	MaxResponseBytes int              // the largest response; a reservation covers its price
+	WithdrawalWindow time.Duration    // a withdrawal covers the spending of this time
+	TickInterval     time.Duration    // interval at which Ledger.Tick is due
+	MaxAccounts      int              // number of accounts that a ledger may hold
+	MaxResponseBytes int              // size of the largest response; a reservation covers its cost
 }
 
-// Defaults returns settings without prices.
+// Defaults returns the default settings, without prices, for the given router, process and ledger.
 func Defaults(router string, incarnation uint64, ledgerID string) Settings {
 	return Settings{
 		Router:           router,
@@ -41,12 +41,12 @@
 	}
 }
 
-// Validate returns an error that names the first setting that can't be used.
+// Validate returns an error that names the first setting found to be invalid, or nil if all are valid.
 func (s Settings) Validate() error {
 	nameOK := s.Router != "" && len(s.Router) <= maxNameLength
 	ledgerOK := s.LedgerID != "" && len(s.LedgerID) <= maxLedgerIDLength
 	if !nameOK || !ledgerOK || s.Incarnation == 0 {
-		return fmt.Errorf("setting Router is %q, Incarnation %d, LedgerID %q: names, and a number above 0",
+		return fmt.Errorf("setting Router is %q, Incarnation %d, LedgerID %q: a name is empty or too long, or the number is 0",
 			s.Router, s.Incarnation, s.LedgerID)
 	}
 	durations := []struct {
@@ -59,28 +59,28 @@
 	}
 	for _, d := range durations {
 		if d.value < d.low || d.value > d.high {
-			return fmt.Errorf("setting %s is %v, not %v to %v", d.name, d.value, d.low, d.high)
+			return fmt.Errorf("setting %s is %v, want %v to %v", d.name, d.value, d.low, d.high)
 		}
 	}
 	if s.MaxAccounts < 1 || s.MaxAccounts > 1<<20 {
-		return fmt.Errorf("setting MaxAccounts is %d, not 1 to a million", s.MaxAccounts)
+		return fmt.Errorf("setting MaxAccounts is %d, want 1 to 1048576", s.MaxAccounts)
 	}
 	for class, price := range s.Prices {
 		if !price.valid() {
-			return fmt.Errorf("the price of %q is under 0, or over any balance", class)
+			return fmt.Errorf("the price of class %q has a negative value, or costs over a million credits", class)
 		}
 	}
 	return nil
 }
 
-// Price is what a request of a class costs. Amounts are millionths of a credit.
+// Price defines what a request of a class costs. Amounts are in millionths of a credit.
 type Price struct {
 	PerRequest  int64
 	PerMegabyte int64   // of the response
-	Weight      float64 // priority where funds are low: classes of greater weight go first
+	Weight      float64 // priority when funds are low: classes with a greater weight go first
 }
 
-// Cost returns what a request costs whose response has so many bytes.
+// Cost returns what a request with a response of responseBytes bytes costs, rounded up.
 func (p Price) Cost(responseBytes int) int64 {
 	return p.PerRequest + int64(math.Ceil(float64(p.PerMegabyte)*float64(responseBytes)/1e6))
 }
--- a/internal/credit/simulation_test.go
+++ b/internal/credit/simulation_test.go
@@ -15,36 +15,37 @@
 	"hillknot/internal/testutil/simulation"
 )
 
-var seeds = flag.Int("seeds", 60, "seeds of the simulated clusters")
+var seeds = flag.Int("seeds", 60, "number of seeds, each of which simulates one cluster")
 
 const ms = time.Millisecond
 
-// cluster is routers with ledgers of their own on a network in virtual time that loses, delays, repeats and cuts.
+// cluster simulates routers, each with its own ledger, in virtual time. The network loses, delays and repeats packets and
+// can be partitioned.
 type cluster struct {
 	random  *rand.Rand
 	now     time.Duration
 	routers []*router
 	topUps  []TopUp
 	prices  map[string]Price
-	created uint64 // ledgers and processes so far
+	lastID  uint64 // of ledgers and of processes, which are numbered together
 
-	network  []packet        // on its way
-	cut      map[[2]int]bool // from a router to another nothing arrives
-	lossRate float64         // of packets
+	packetsInFlight []packet
+	blockedLinks    map[[2]int]bool // by indexes of sender and receiver: no packets arrive
+	lossRate        float64         // share of packets, from 0 to 1
 
-	funded     map[string]int64 // by account: all that any router has read
-	charged    map[string]int64
-	lost       map[string]int64 // in the memory of processes that were killed
-	served     int
+	funded     map[string]int64 // by account: sum of the positive top-ups
+	charged    map[string]int64 // by account
+	lost       map[string]int64 // by account: rights in the memory of processes that were killed
+	served     int              // requests charged at all routers
 	violations []string
 }
 
-// router is a router whose process and disk can fail.
+// router simulates a router whose process and disk can fail.
 type router struct {
 	index int
 	name  string
 
-	process     uint64
+	incarnation uint64
 	ledger      *Ledger
 	down        bool
 	pausedUntil time.Duration
@@ -57,12 +58,12 @@
 	writing     []Record
 	writeEndsAt time.Duration
 
-	class    string
-	demand   map[string]float64 // by account, a second
-	owed     map[string]float64 // requests that are due, by account
-	open     []openRequest
-	served   map[string]int
-	rejected map[string]int
+	class        string
+	demand       map[string]float64 // requests per second, by account
+	due          map[string]float64 // requests to make now, by account; fractions are kept for later
+	openRequests []openRequest
+	served       map[string]int
+	rejected     map[string]int
 }
 
 type openRequest struct {
@@ -78,11 +79,11 @@
 
 func newCluster(seed uint64, size int) *cluster {
 	c := &cluster{
-		random:  rand.New(rand.NewPCG(seed, 21)),
-		cut:     map[[2]int]bool{},
-		funded:  map[string]int64{},
-		charged: map[string]int64{},
-		lost:    map[string]int64{},
+		random:       rand.New(rand.NewPCG(seed, 21)),
+		blockedLinks: map[[2]int]bool{},
+		funded:       map[string]int64{},
+		charged:      map[string]int64{},
+		lost:         map[string]int64{},
 		prices: map[string]Price{
 			"page":  {PerRequest: 1000, PerMegabyte: 500_000, Weight: 1},
 			"order": {PerRequest: 9000, Weight: 3},
@@ -94,7 +95,7 @@
 			name:     fmt.Sprintf("r%d", i),
 			class:    "page",
 			demand:   map[string]float64{},
-			owed:     map[string]float64{},
+			due:      map[string]float64{},
 			served:   map[string]int{},
 			rejected: map[string]int{},
 		})
@@ -107,16 +108,16 @@
 }
 
 func (c *cluster) replaceDisk(r *router) {
-	c.created++
-	r.disk, r.ledgerID = map[string][]byte{}, fmt.Sprintf("l%d", c.created)
+	c.lastID++
+	r.disk, r.ledgerID = map[string][]byte{}, fmt.Sprintf("l%d", c.lastID)
 }
 
-// start starts a new process of a router.
+// start starts a new process of a router from the records on its disk.
 func (c *cluster) start(r *router) {
-	c.created++
-	r.process, r.down, r.pausedUntil, r.writing, r.open = c.created, false, 0, nil, nil
-	r.clockOffset = time.Duration(c.random.Int64N(int64(time.Hour))) // its clock may be behind that of the process before
-	settings := Defaults(r.name, r.process, r.ledgerID)
+	c.lastID++
+	r.incarnation, r.down, r.pausedUntil, r.writing, r.openRequests = c.lastID, false, 0, nil, nil
+	r.clockOffset = time.Duration(c.random.Int64N(int64(time.Hour))) // may be lower than in the earlier process
+	settings := Defaults(r.name, r.incarnation, r.ledgerID)
 	settings.Prices, settings.MaxResponseBytes = c.prices, 20_000
 	var records []Record
 	for _, key := range slices.Sorted(maps.Keys(r.disk)) {
@@ -131,7 +132,7 @@
 	}
 }
 
-// fund adds a top-up to the list, which some routers read.
+// fund adds a top-up to the list, which the given routers read unless they are down.
 func (c *cluster) fund(t TopUp, readers ...*router) {
 	c.topUps = append(c.topUps, t)
 	c.funded[t.Account] += max(t.Amount, 0)
@@ -145,20 +146,20 @@
 	}
 }
 
-func (c *cluster) names() (names []string) {
+func (c *cluster) routerNames() (names []string) {
 	for _, r := range c.routers {
 		names = append(names, r.name)
 	}
 	return names
 }
 
-// kill ends a process; a write that is under way may be on the disk, or not.
+// kill ends a router's process. A write in progress is on the disk afterwards with a probability of 1/2.
 func (c *cluster) kill(r *router) {
 	if r.down {
 		return
 	}
 	if r.writing != nil && c.random.IntN(2) == 0 {
-		r.store(r.writing)
+		r.writeToDisk(r.writing)
 	}
 	for name, a := range r.ledger.accounts {
 		c.lost[name] += a.available + a.reserved
@@ -166,19 +167,19 @@
 	r.down = true
 }
 
-func (r *router) store(records []Record) {
+func (r *router) writeToDisk(records []Record) {
 	for _, record := range records {
 		r.disk[record.Key] = record.Value
 	}
 }
 
-// step moves time on by 5 ms.
+// step advances the time by 5 ms, runs all routers that are due and records violations.
 func (c *cluster) step() {
 	c.now += 5 * ms
 	c.deliverPackets()
 	for _, r := range c.routers {
 		if !r.down && c.now >= r.pausedUntil {
-			c.run(r)
+			c.runRouter(r)
 		}
 	}
 	for name, amount := range c.charged {
@@ -189,30 +190,31 @@
 	}
 }
 
-func (c *cluster) sortNetwork() {
-	slices.SortStableFunc(c.network, func(a, b packet) int { return cmp.Compare(a.arrivesAt, b.arrivesAt) })
+func (c *cluster) sortPackets() {
+	slices.SortStableFunc(c.packetsInFlight, func(a, b packet) int { return cmp.Compare(a.arrivesAt, b.arrivesAt) })
 }
 
-// deliverPackets delivers what has arrived by now; at a router that is paused it waits.
+// deliverPackets delivers the packets that have arrived by now. Packets to a paused router wait until it runs again;
+// packets to a router that is down are lost.
 func (c *cluster) deliverPackets() {
-	c.sortNetwork()
-	for len(c.network) > 0 && c.network[0].arrivesAt <= c.now {
-		p := c.network[0]
-		c.network = c.network[1:]
+	c.sortPackets()
+	for len(c.packetsInFlight) > 0 && c.packetsInFlight[0].arrivesAt <= c.now {
+		p := c.packetsInFlight[0]
+		c.packetsInFlight = c.packetsInFlight[1:]
 		switch r := c.routers[p.to]; {
 		case r.down:
 		case c.now < r.pausedUntil:
 			p.arrivesAt = r.pausedUntil
-			c.network = append(c.network, p)
-			c.sortNetwork()
+			c.packetsInFlight = append(c.packetsInFlight, p)
+			c.sortPackets()
 		default:
 			r.ledger.ReceivePacket(c.now+r.clockOffset, p.data)
 		}
 	}
 }
 
-// run lets a router do what is due.
-func (c *cluster) run(r *router) {
+// runRouter performs all due actions of a router.
+func (c *cluster) runRouter(r *router) {
 	now := c.now + r.clockOffset
 	c.completeWrite(now, r)
 	c.tick(now, r)
@@ -231,8 +233,8 @@
 	if r.diskFull {
 		err = errors.New("no space left")
 	}
-	if err == nil || c.random.IntN(4) == 0 { // the sync failed, and it is there all the same
-		r.store(records)
+	if err == nil || c.random.IntN(4) == 0 { // a write whose sync failed may still be on the disk
+		r.writeToDisk(records)
 	}
 	r.ledger.WriteCompleted(now, records, err)
 }
@@ -244,7 +246,7 @@
 	r.nextTick = c.now + 200*ms
 	var alive []string
 	for _, other := range c.routers {
-		if other != r && !other.down && !c.cut[[2]int{other.index, r.index}] && c.now >= other.pausedUntil {
+		if other != r && !other.down && !c.blockedLinks[[2]int{other.index, r.index}] && c.now >= other.pausedUntil {
 			alive = append(alive, other.name)
 		}
 	}
@@ -254,7 +256,7 @@
 
 func (c *cluster) admitRequests(now time.Duration, r *router) {
 	for _, name := range slices.Sorted(maps.Keys(r.demand)) {
-		for r.owed[name] = min(r.owed[name]+r.demand[name]/200, 20); r.owed[name] >= 1; r.owed[name]-- {
+		for r.due[name] = min(r.due[name]+r.demand[name]/200, 20); r.due[name] >= 1; r.due[name]-- {
 			reservation, err := r.ledger.Reserve(now, name, r.class)
 			if err != nil {
 				r.rejected[name]++
@@ -262,13 +264,13 @@
 			}
 			r.served[name]++
 			endsAt := c.now + time.Duration(c.random.Int64N(int64(100*ms)))
-			r.open = append(r.open, openRequest{endsAt, reservation})
+			r.openRequests = append(r.openRequests, openRequest{endsAt, reservation})
 		}
 	}
 }
 
 func (c *cluster) completeRequests(r *router) {
-	r.open = slices.DeleteFunc(r.open, func(request openRequest) bool {
+	r.openRequests = slices.DeleteFunc(r.openRequests, func(request openRequest) bool {
 		if c.now < request.endsAt {
 			return false
 		}
@@ -295,34 +297,35 @@
 	for _, p := range r.ledger.OutgoingPackets(now) {
 		to := slices.IndexFunc(c.routers, func(other *router) bool { return other.name == p.To })
 		for range 1 + c.random.IntN(10)/9 {
-			if c.cut[[2]int{r.index, to}] || c.random.Float64() < c.lossRate {
+			if c.blockedLinks[[2]int{r.index, to}] || c.random.Float64() < c.lossRate {
 				continue
 			}
 			arrivesAt := c.now + time.Duration(c.random.ExpFloat64()*float64(8*ms))
 			if c.random.IntN(60) == 0 {
 				arrivesAt += time.Duration(c.random.Int64N(int64(6 * time.Second)))
 			}
-			c.network = append(c.network, packet{arrivesAt, r.index, to, p.Data})
+			c.packetsInFlight = append(c.packetsInFlight, packet{arrivesAt, r.index, to, p.Data})
 		}
 	}
 }
 
-// pass lets time pass.
-func (c *cluster) pass(duration time.Duration) {
+// advance advances the time by duration in steps.
+func (c *cluster) advance(duration time.Duration) {
 	for end := c.now + duration; c.now < end; {
 		c.step()
 	}
 }
 
-// fault begins a random fault, or ends those of the network.
-func (c *cluster) fault() {
+// injectRandomFault begins a random fault, or ends the faults of the network. It also restarts some of the routers that
+// are down.
+func (c *cluster) injectRandomFault() {
 	size := len(c.routers)
 	r := c.routers[c.random.IntN(size)]
 	switch c.random.IntN(10) {
 	case 0:
-		simulation.Partition(c.random, size, c.cut)
+		simulation.Partition(c.random, size, c.blockedLinks)
 	case 1:
-		c.cut[[2]int{r.index, c.random.IntN(size)}] = true
+		c.blockedLinks[[2]int{r.index, c.random.IntN(size)}] = true
 	case 2:
 		c.lossRate = c.random.Float64() * 0.4
 	case 3:
@@ -332,13 +335,13 @@
 	case 6:
 		r.diskFull = !r.diskFull
 	case 7:
-		// The disk is lost, but never all disks: the routers that know this name by its ledger remember it.
+		// Only the disks of routers with an index above 1 are lost: a router that remembers the lost ledger must remain.
 		if c.random.IntN(4) == 0 && r.index > 1 {
 			c.kill(r)
 			c.replaceDisk(r)
 		}
 	default:
-		clear(c.cut)
+		clear(c.blockedLinks)
 		c.lossRate = 0
 	}
 	for _, r := range c.routers {
@@ -348,9 +351,9 @@
 	}
 }
 
-// heal ends all faults.
+// heal ends all faults except pauses, which end by themselves, and starts the routers that are down.
 func (c *cluster) heal() {
-	clear(c.cut)
+	clear(c.blockedLinks)
 	c.lossRate = 0
 	for _, r := range c.routers {
 		r.diskFull = false
@@ -360,8 +363,8 @@
 	}
 }
 
-// holds returns what all routers hold of an account, and what is being transferred.
-func (c *cluster) holds(name string) (sum int64) {
+// totalHeld returns the sum of the rights of an account that all routers hold, and that are being transferred.
+func (c *cluster) totalHeld(name string) (sum int64) {
 	for _, r := range c.routers {
 		if a := r.ledger.accounts[name]; a != nil {
 			sum += a.record.Rights + a.available + a.withdrawing + a.reserved
@@ -375,28 +378,29 @@
 	return sum
 }
 
-// runRandomFaults funds three accounts, has them spent through 20 seconds of random faults, ends these and waits.
+// runRandomFaults funds three accounts, spends from them during random faults until second 20, ends the faults and
+// waits for 30 seconds.
 func (c *cluster) runRandomFaults() {
 	for i := range 3 {
 		c.fund(TopUp{
 			ID:      fmt.Sprint("first", i),
 			Account: fmt.Sprint("a", i),
 			Amount:  2_000_000 + c.random.Int64N(9_000_000),
-			Routers: c.names(),
+			Routers: c.routerNames(),
 		}, c.routers...)
 	}
 	for _, r := range c.routers {
 		r.demand[fmt.Sprint("a", c.random.IntN(3))] = c.random.Float64() * 120
 		r.class = []string{"page", "order"}[c.random.IntN(2)]
 	}
-	c.pass(2 * time.Second)
+	c.advance(2 * time.Second)
 	for c.now < 20*time.Second && len(c.violations) == 0 {
 		c.step()
 		if c.random.IntN(60) == 0 {
-			c.fault()
+			c.injectRandomFault()
 		}
 		if c.random.IntN(600) == 0 {
-			c.fundAtSome()
+			c.fundAtRandomRouters()
 		}
 	}
 	c.heal()
@@ -406,11 +410,11 @@
 		}
 		clear(r.demand)
 	}
-	c.pass(30 * time.Second)
+	c.advance(30 * time.Second)
 }
 
-// fundAtSome adds a random top-up that some routers read.
-func (c *cluster) fundAtSome() {
+// fundAtRandomRouters adds a random top-up that a random set of routers reads.
+func (c *cluster) fundAtRandomRouters() {
 	var readers []*router
 	for _, r := range c.routers {
 		if c.random.IntN(2) == 0 {
@@ -421,13 +425,13 @@
 		ID:      fmt.Sprint("more", c.now),
 		Account: fmt.Sprint("a", c.random.IntN(3)),
 		Amount:  1 + c.random.Int64N(3_000_000),
-		Routers: c.names(),
+		Routers: c.routerNames(),
 	}, readers...)
 }
 
-// Never more is charged than was funded, through kills in the middle of writes, full and lost disks, cuts of all
-// shapes, loss, late and repeated packets, and top-ups read by some routers, late or twice; and no rights appear or
-// are lost but those that killed processes had withdrawn.
+// The routers never charge more than was funded, despite kills during writes, full and lost disks, partitions of all
+// shapes, lost, late and repeated packets, and top-ups that only some routers read, or that are read late or twice. No
+// rights appear from nothing, and rights in the memory of a killed process do not reappear.
 func TestNeverOverspent(t *testing.T) {
 	var mu sync.Mutex
 	served, lost, funded := 0, int64(0), int64(0)
@@ -440,17 +444,17 @@
 			t.Errorf("seed %d: %s", seed, c.violations[0])
 		}
 		for name, sum := range c.funded {
-			holds, charged, killed := c.holds(name), c.charged[name], c.lost[name]
-			if holds+charged+killed > sum { // what a killed process had in memory is not to be there again
-				t.Errorf("seed %d: %d held, %d charged and %d lost of %d funded to %s", seed, holds, charged, killed, sum, name)
+			held, charged, discarded := c.totalHeld(name), c.charged[name], c.lost[name]
+			if held+charged+discarded > sum { // rights in the memory of a killed process must not reappear
+				t.Errorf("seed %d: %d held, %d charged and %d lost of %d funded to %s", seed, held, charged, discarded, sum, name)
 			}
-			funded, lost = funded+sum, lost+sum-holds-charged
+			funded, lost = funded+sum, lost+sum-held-charged
 		}
 		served += c.served
 	})
-	t.Logf("%d requests charged; %.3f of what was funded was lost with disks and drawn by the killed",
+	t.Logf("%d requests charged; %.3f of all funds lost with disks or in the memory of killed processes",
 		served, float64(lost)/float64(funded))
 	if served < 400**seeds {
-		t.Errorf("only %d requests were charged", served)
+		t.Errorf("only %d requests were charged in all simulations", served)
 	}
 }
--- a/internal/credit/transfers.go
+++ b/internal/credit/transfers.go
@@ -9,11 +9,11 @@
 )
 
 const (
-	requestInterval = 100 * time.Millisecond // between two requests for rights of an account
-	transferTimeout = 10 * time.Second       // then the transfer is sent anew
+	requestInterval = 100 * time.Millisecond // minimum between two requests for rights of an account
+	transferTimeout = 10 * time.Second       // after it the transfer is sent as a new message
 )
 
-// transferState is the progress of a transfer at the router that gives rights away.
+// transferState is the progress of a transfer at the sending router.
 //
 //	idle --request--> recording --durable--> ready --send--> sent --accepted--> idle
 //	                                           ^               |
@@ -21,36 +21,37 @@
 type transferState uint8
 
 const (
-	transferIdle      transferState = iota // none is under way
-	transferRecording                      // its record is being written; it must not be sent before that is durable
-	transferReady                          // durable, to be sent
-	transferSent                           // not acknowledged yet
+	transferIdle      transferState = iota // no transfer is in progress
+	transferRecording                      // the record is being written; it must be durable before the transfer is sent
+	transferReady                          // the record is durable and the transfer is to be sent
+	transferSent                           // the transfer is sent and not acknowledged yet
 )
 
-// transfer is the transfer of rights to another router. There is one at a time to each.
+// transfer is a transfer of rights to another router. There is at most one at a time to each router.
 type transfer struct {
 	receiver string
 	state    transferState
 	record   transferRecord
 }
 
-// requestTransfer asks the router that is known to hold most of an account for rights.
+// requestTransfer requests rights of an account from the router that is known to hold the most of it, at most once per
+// requestInterval.
 func (l *Ledger) requestTransfer(now time.Duration, a *account) {
-	if now < a.requestedAt+requestInterval || l.identity.state == identityStale {
+	if now < a.transferRequestedAt+requestInterval || l.identity.state == identityStale {
 		return
 	}
-	to := l.peers.richest(now, a.name)
-	if to == "" {
+	holder := l.peers.largestHolder(now, a.name)
+	if holder == "" {
 		return
 	}
-	a.requestedAt = now
-	amount := max(a.spentWithin(l.settings.WithdrawalWindow, 4)-a.spendable(), 1)
+	a.transferRequestedAt = now
+	amount := max(a.projectedSpending(l.settings.WithdrawalWindow, 4)-a.spendable(), 1)
 	request := message{Kind: messageTransferRequest, Account: a.name, Amount: amount}
-	l.send(now, to, request, l.settings.TickInterval)
+	l.send(now, holder, request, l.settings.TickInterval)
 }
 
-// receiveTransferRequest begins a transfer of rights that are not needed here: as many as are requested, or half of them
-// if that is more, so that a router that uses the account needs few transfers.
+// receiveTransferRequest begins a transfer of rights that this router does not need: as many as are requested, or half of
+// them if that is more, so that a router that uses the account needs few transfers.
 func (l *Ledger) receiveTransferRequest(from string, m message) {
 	a := l.accounts[m.Account]
 	if a == nil || l.identity.state == identityStale || l.writes.err != nil {
@@ -72,23 +73,25 @@
 	l.beginTransfer(t, a, amount)
 }
 
-// transferableRights returns the rights of an account that are not needed here. If the account isn't used here, these
-// are all rights on record, and what is available is returned to the record, so that a later request can have it.
+// transferableRights returns the rights of an account that this router does not need. If the account is not used here,
+// these are all durable rights on record, and the available rights are returned to the record, so that a later request
+// can have them.
 func (l *Ledger) transferableRights(a *account) int64 {
 	if a.spendingRate == 0 {
 		l.returnAvailable(a, 0)
 		return a.durableRights()
 	}
-	return a.durableRights() - a.spentWithin(l.settings.WithdrawalWindow, 2)
+	return a.durableRights() - a.projectedSpending(l.settings.WithdrawalWindow, 2)
 }
 
-// beginTransfer takes rights from an account and records that they are given away. Once that is durable they are sent.
+// beginTransfer takes rights from an account and records that they are given away. Once the record is durable, the
+// transfer is sent.
 func (l *Ledger) beginTransfer(t *transfer, a *account, amount int64) {
 	a.record.Rights -= amount
 	t.state = transferRecording
 	t.record = transferRecord{Sequence: t.record.Sequence + 1, Account: a.name, Amount: amount}
 	l.Totals.TransferredOut += amount
-	l.writes.change(func(now time.Duration) {
+	l.writes.markChanged(func(now time.Duration) {
 		t.state = transferReady
 		l.sendTransfer(now, t)
 	}, accountKey(a.name), transferKey(t.receiver))
@@ -105,18 +108,18 @@
 	}
 }
 
-// resendTransfers sends all transfers that are ready: those that a process before this one has left, and those that
-// could not be sent.
+// resendTransfers sends all transfers that are ready: those that an earlier process has left, those that could not be
+// sent, and those that were rejected.
 func (l *Ledger) resendTransfers(now time.Duration) {
-	for _, to := range slices.Sorted(maps.Keys(l.transfers)) {
-		l.sendTransfer(now, l.transfers[to])
+	for _, receiver := range slices.Sorted(maps.Keys(l.transfers)) {
+		l.sendTransfer(now, l.transfers[receiver])
 	}
 }
 
-// transferCompleted ends a transfer that was accepted. Any other is sent again, until it is accepted, however long that
-// takes: at once after a time-out, at the next tick after a rejection.
-func (l *Ledger) transferCompleted(now time.Duration, to string, completion messaging.Completion) {
-	t := l.transfers[to]
+// transferCompleted ends a transfer that was accepted. Any other transfer is sent again, without a limit, until it is
+// accepted: at once after a timeout, at the next tick after a rejection.
+func (l *Ledger) transferCompleted(now time.Duration, receiver string, completion messaging.Completion) {
+	t := l.transfers[receiver]
 	t.state = transferReady
 	switch {
 	case completion.Err != nil:
@@ -124,11 +127,12 @@
 	case string(completion.Reply) == ackAccepted:
 		t.state = transferIdle
 		t.record.Amount = 0
-		l.writes.change(nil, transferKey(to))
+		l.writes.markChanged(nil, transferKey(receiver))
 	}
 }
 
-// receiveTransfer adds the rights of a transfer, once. It is accepted only when they are durable here.
+// receiveTransfer adds the rights of a transfer once, even if it is received several times. It accepts the transfer only
+// once the rights are durable here.
 func (l *Ledger) receiveTransfer(delivery messaging.Delivery, m message) {
 	latest := l.received[m.LedgerID]
 	if m.Sequence <= latest { // received before
--- a/internal/credit/writes.go
+++ b/internal/credit/writes.go
@@ -6,44 +6,47 @@
 	"time"
 )
 
-// afterWrite is called once what it waits for is durable.
-type afterWrite func(now time.Duration)
+// durableCallback is called once the records that it waits for are durable.
+type durableCallback func(now time.Duration)
 
-// writeQueue collects the records that have changed, until they are handed to the store as one group. One group is
-// written at a time; what changes meanwhile makes the next group.
+// writeQueue collects the keys of records that have changed, until the records are handed to the store as one group. One
+// group is written at a time; records that change meanwhile form the next group.
 type writeQueue struct {
-	changed      map[string]struct{} // keys of the records of the next group
-	afterChanged []afterWrite        // wait for the next group
+	changed       map[string]struct{} // keys of the records of the next group
+	nextCallbacks []durableCallback   // wait for the next group
 
-	writing      bool         // a group is being written
-	afterWriting []afterWrite // wait for that group; after it failed, for the next one
+	writing          bool              // a group is being written
+	writingCallbacks []durableCallback // wait for the group being written; if it fails, for the next one
 
-	err error // why the latest write failed; nil once one succeeds
+	err error // LedgerWriteError of the latest write; nil if it succeeded
 }
 
-// change marks records as changed. after, if it isn't nil, is called once they are durable.
-func (q *writeQueue) change(after afterWrite, keys ...string) {
+// markChanged marks the records with the given keys as changed. callback, if it is not nil, is called once they are
+// durable.
+func (q *writeQueue) markChanged(callback durableCallback, keys ...string) {
 	for _, key := range keys {
 		q.changed[key] = struct{}{}
 	}
-	if after != nil {
-		q.afterChanged = append(q.afterChanged, after)
+	if callback != nil {
+		q.nextCallbacks = append(q.nextCallbacks, callback)
 	}
 }
 
-// whenDurable calls a function once all that has changed so far is durable, which may be at once.
-func (q *writeQueue) whenDurable(after afterWrite) {
+// whenDurable calls callback once all records that have changed so far are durable. If all are durable already, it calls
+// callback at once with the time 0.
+func (q *writeQueue) whenDurable(callback durableCallback) {
 	switch {
 	case len(q.changed) > 0:
-		q.afterChanged = append(q.afterChanged, after)
+		q.nextCallbacks = append(q.nextCallbacks, callback)
 	case q.writing:
-		q.afterWriting = append(q.afterWriting, after)
+		q.writingCallbacks = append(q.writingCallbacks, callback)
 	default:
-		after(0)
+		callback(0)
 	}
 }
 
-// begin takes the keys of the next group, in order; nil if there are none or a group is being written.
+// begin begins a write and returns the sorted keys of the next group. It returns nil if there are none or a group is
+// being written.
 func (q *writeQueue) begin() []string {
 	if q.writing || len(q.changed) == 0 {
 		return nil
@@ -51,36 +54,37 @@
 	keys := slices.Sorted(maps.Keys(q.changed))
 	clear(q.changed)
 	q.writing = true
-	q.afterWriting = append(q.afterWriting, q.afterChanged...)
-	q.afterChanged = nil
+	q.writingCallbacks = append(q.writingCallbacks, q.nextCallbacks...)
+	q.nextCallbacks = nil
 	return keys
 }
 
-// succeed ends a write, and calls all that has waited for it.
+// succeed ends a write that has succeeded, and calls the callbacks that waited for it.
 func (q *writeQueue) succeed(now time.Duration) {
 	q.writing, q.err = false, nil
-	waiting := q.afterWriting
-	q.afterWriting = nil
-	for _, after := range waiting {
-		after(now)
+	callbacks := q.writingCallbacks
+	q.writingCallbacks = nil
+	for _, callback := range callbacks {
+		callback(now)
 	}
 }
 
-// fail ends a write after which the records may be durable or not: they are written again with the next group.
+// fail ends a write that has failed. Its records may be durable or not, so they are written again with the next group.
 func (q *writeQueue) fail(records []Record, err error) {
 	q.writing, q.err = false, LedgerWriteError{err}
 	for _, record := range records {
-		q.change(nil, record.Key)
+		q.markChanged(nil, record.Key)
 	}
 }
 
-// NextWrite returns the group of records to be written now, all of them or none. It returns nil if nothing has
-// changed, or if the latest group is still being written. The caller calls WriteCompleted when the write has ended.
+// NextWrite returns the group of records to be written now; the store must write all of them or none. It returns nil if
+// nothing has changed, or if the latest group is still being written. The caller calls WriteCompleted when the write has
+// ended.
 func (l *Ledger) NextWrite() []Record {
 	var records []Record
 	for _, key := range l.writes.begin() {
 		record, err := l.encode(key)
-		if err != nil { // the types of records can always be encoded
+		if err != nil { // does not happen: the values of records can always be encoded
 			continue
 		}
 		records = append(records, record)
@@ -88,9 +92,9 @@
 	return records
 }
 
-// WriteCompleted reports that the records of the latest NextWrite are durable, or the error after which they may not
-// be. After an error, rights that were taken from records stay taken; rights that were to be added are added once the
-// records are written after all.
+// WriteCompleted reports to the ledger that the records of the latest NextWrite are durable, or, if err is not nil, that
+// they may not be. After an error, rights that were removed from records stay removed, and rights that were to be added
+// can be used once a later write of the records has succeeded.
 func (l *Ledger) WriteCompleted(now time.Duration, records []Record, err error) {
 	if err != nil {
 		l.writes.fail(records, err)
@@ -99,5 +103,5 @@
 	l.writes.succeed(now)
 }
 
-// WriteError returns why the latest write failed, as a LedgerWriteError; nil if it did not.
+// WriteError returns the LedgerWriteError of the latest write, or nil if that write did not fail.
 func (l *Ledger) WriteError() error { return l.writes.err }
--- a/internal/credit/writes_test.go
+++ b/internal/credit/writes_test.go
@@ -7,10 +7,11 @@
 	"time"
 )
 
-// What waits for records is called once these are durable, in order: after a failed write, once the next has succeeded.
-func TestWriteQueueCallsBackOnceDurable(t *testing.T) {
+// Callbacks are called in order once the records that they wait for are durable: after a failed write, once the next
+// write has succeeded.
+func TestWriteQueueCallsBackWhenDurable(t *testing.T) {
 	var called []string
-	note := func(name string) afterWrite { return func(time.Duration) { called = append(called, name) } }
+	note := func(name string) durableCallback { return func(time.Duration) { called = append(called, name) } }
 	expect := func(step string, want ...string) {
 		t.Helper()
 		if !slices.Equal(called, want) {
@@ -22,12 +23,12 @@
 	queue.whenDurable(note("nothing to write"))
 	expect("nothing has changed", "nothing to write")
 
-	queue.change(note("first"), "b", "a")
+	queue.markChanged(note("first"), "b", "a")
 	if keys := queue.begin(); !slices.Equal(keys, []string{"a", "b"}) {
 		t.Fatalf("first group %q", keys)
 	}
 	queue.whenDurable(note("during the first"))
-	queue.change(note("second"), "c")
+	queue.markChanged(note("second"), "c")
 	if keys := queue.begin(); keys != nil {
 		t.Fatalf("group %q while another is being written", keys)
 	}
