--- a/internal/credit/identity.go
+++ b/internal/credit/identity.go
@@ -20,7 +20,7 @@
 const (
 	identityUnconfirmed identityState = iota // applies no top-ups yet; spends what other routers transfer to it
 	identityConfirmed                        // applies top-ups
-	identityConflict                         // as identityUnconfirmed, because another ledger may have applied the top-ups
+	identityConflict                         // applies no top-ups: another ledger may have applied them; spends as identityUnconfirmed
 	identityStale                            // spends nothing, because the ledger is a copy of an earlier state
 )
 
--- a/internal/credit/messages.go
+++ b/internal/credit/messages.go
@@ -57,8 +57,8 @@
 }
 
 // send sends a message repeatedly until it is acknowledged or the timeout has passed, and reports whether the messenger
-// has taken it. The messenger takes no message while too many to the same router are in flight; a later tick then sends
-// it.
+// has taken it. The messenger takes no message while too many to the same router are in flight. The caller may then try
+// again at a later tick.
 func (l *Ledger) send(now time.Duration, receiver string, m message, timeout time.Duration) bool {
 	m.LedgerID = l.settings.LedgerID
 	body, err := cbor.Marshal(&m)
