--- a/balancer/attempts.go
+++ b/balancer/attempts.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// Attempts, from their sending to their end.
+// This file holds the life cycle of an attempt, from sending to its outcome.
 
 func (b *Balancer) sendAttempt(r *request, a attempt) {
 	a.sentAt, a.state = b.now, attemptInFlight
 	send := SendAttempt{ID: r.ID, Attempt: len(r.attempts), Endpoint: a.endpoint.id, Source: a.source.id,
 		CachedOnly: a.cachedOnly, MayHaveRun: r.mayHaveRun()}
 	if !b.isWrite(r) {
-		// An object seen again ranks above one seen once, so that a scan doesn't evict the popular ones.
+		// An object requested again ranks above one requested once, so that a scan doesn't evict popular objects.
 		send.CachePriority = min(r.object.requestCount, 2)
 		send.MaxAge = b.maxAge(r)
 		send.Coalesce = b.settings.Capabilities.CoalesceFills
@@ -24,8 +24,8 @@
 	b.emit(send)
 }
 
-// chargeAttempt counts an attempt where it takes capacity: at its endpoint, at its source, on the zone's link, and
-// in the budgets of slow start and of probes.
+// chargeAttempt counts an attempt against the capacity that it uses: at its endpoint, at its source, on the zone's link
+// and in the slow-start budgets. It schedules the next probe of an ejected endpoint.
 func (b *Balancer) chargeAttempt(r *request, a *attempt) {
 	a.endpoint.inFlight++
 	a.linkInFlight = b.link.inFlight + a.fillProbability
@@ -60,7 +60,7 @@
 	}
 }
 
-// endAttempt gives the capacity of an attempt back, and notes what its status says of the request.
+// endAttempt releases the capacity of an attempt and records what its status means for the request.
 func (b *Balancer) endAttempt(r *request, a *attempt, status Status) {
 	a.state = attemptMayHaveRun
 	if status.NeverRan() {
@@ -74,7 +74,7 @@
 	if status == OK && a.endpoint.role == roleCache {
 		r.object.servedAt = b.now
 	}
-	lookup := a.source == a.endpoint && a.endpoint.role == roleCache // only asked for what it has
+	lookup := a.source == a.endpoint && a.endpoint.role == roleCache // the attempt asked for a cached copy only
 	if status == Miss && lookup {
 		r.cacheMissed = true
 	} else if status != OK {
@@ -86,14 +86,14 @@
 	}
 }
 
-// continueRequest decides what follows an attempt that has not answered its request.
+// continueRequest decides what follows an attempt that has ended without answering its request.
 func (b *Balancer) continueRequest(r *request, a *attempt, status Status) {
-	timeIsUp := status == TimedOut && b.now >= r.deadline-time.Millisecond
+	deadlineReached := status == TimedOut && b.now >= r.deadline-time.Millisecond
 	switch {
-	case timeIsUp || status == NotSent:
-		b.finish(r)
+	case deadlineReached || status == NotSent:
+		b.rejectOrFail(r)
 	case status == Rejected && a.avoidOnRetry == a.endpoint && len(r.attempts) < b.maxAttempts() && b.mayQueue(r):
-		r.phase = requestQueued // retryQueued chooses among all queued requests: the other caches are likely as full
+		r.phase = requestQueued // no retry at once, as the other caches are likely as full; retryQueued routes it again
 	default:
 		b.route(r)
 	}
@@ -104,7 +104,7 @@
 	b.emit(CancelAttempt{ID: r.ID, Attempt: i})
 }
 
-// scheduleScan keeps one timer running while there are requests.
+// scheduleScan sets the timer of the next scan, unless one is set already or there are no requests.
 func (b *Balancer) scheduleScan() {
 	if !b.requests.scanScheduled && len(b.requests.inOrder) > 0 {
 		b.requests.scanScheduled = true
@@ -112,23 +112,23 @@
 	}
 }
 
-// scanRequests forgets the requests that are over, finds attempts that take too long, and tries queued requests
-// again.
+// scanRequests removes the requests that are closed and have no open attempts, handles attempts that take too long, and
+// routes queued requests again.
 func (b *Balancer) scanRequests() {
 	b.requests.scanScheduled = false
 	b.requests.inOrder = slices.DeleteFunc(b.requests.inOrder, func(r *request) bool {
 		open := b.scanAttempts(r)
-		over := r.phase == requestClosed && open == 0
-		if over {
+		done := r.phase == requestClosed && open == 0
+		if done {
 			delete(b.requests.byID, r.ID)
 		}
-		return over
+		return done
 	})
 	b.retryQueued()
 	b.scheduleScan()
 }
 
-// scanAttempts looks at the open attempts of a request and returns how many they are.
+// scanAttempts checks the open attempts of a request and returns their number.
 func (b *Balancer) scanAttempts(r *request) int {
 	open := 0
 	for i := range r.attempts {
@@ -140,30 +140,30 @@
 		if a.state == attemptInFlight && !r.streaming && b.isSlow(r, a) {
 			b.handleOverdue(r, i)
 		}
-		b.expectFill(r, a)
+		b.assumeFill(r, a)
 	}
 	return open
 }
 
-// expectFill counts an attempt as a whole transfer on the zone's link once a hit would be over.
-func (b *Balancer) expectFill(r *request, a *attempt) {
+// assumeFill counts an attempt as a whole transfer on the zone's link once a hit would have ended.
+func (b *Balancer) assumeFill(r *request, a *attempt) {
 	if a.fillSource() != nil && a.fillProbability < 1 && b.now-a.sentAt > seconds(r.serviceTime) {
 		b.link.inFlight += 1 - a.fillProbability
 		a.fillProbability = 1
 	}
 }
 
-// handleOverdue meets a response that takes too long, well before any time-out: the endpoint may be slow, hung or
-// cut off. A cache that has answered something since is not silent; then its source is in question. An attempt at
-// an ejected endpoint is cancelled, so that another can be sent elsewhere; not one at the origin, which has no
-// peer.
+// handleOverdue handles an attempt whose response takes too long, well before any timeout: the endpoint may be slow,
+// hung or unreachable. The source of the fill is the suspect if the cache likely lacks the object, or if the cache has
+// responded to anything since the attempt was sent, and so is not silent. An attempt with an ejected endpoint or source
+// is cancelled, so that another can be sent elsewhere, but not one whose source is the origin, which has no peer.
 func (b *Balancer) handleOverdue(r *request, i int) {
 	a := &r.attempts[i]
 	if !a.late {
 		a.late = true
 		suspect := a.endpoint
-		respondsSince := a.endpoint.health.lastResponse > a.sentAt
-		if source := a.fillSource(); source != nil && (respondsSince || !b.likelyCached(r)) {
+		respondedSince := a.endpoint.health.lastResponse > a.sentAt
+		if source := a.fillSource(); source != nil && (respondedSince || !b.likelyCached(r)) {
 			suspect = source
 		}
 		b.updateHealthScore(suspect, false)
@@ -174,9 +174,9 @@
 			b.recordFailure(e)
 		}
 	}
-	elsewhere := (a.endpoint.health.ejected || a.source.health.ejected) && a.source.role != roleOrigin
+	retryElsewhere := (a.endpoint.health.ejected || a.source.health.ejected) && a.source.role != roleOrigin
 	cancellable := r.class.Idempotency == Idempotent && b.settings.Capabilities.Cancellation
-	if elsewhere && cancellable && r.phase != requestClosed {
+	if retryElsewhere && cancellable && r.phase != requestClosed {
 		b.cancelAttempt(r, i)
 	}
 }
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -7,12 +7,13 @@
 	"time"
 )
 
-// Balancer decides for one router. It is not safe for concurrent use: one goroutine owns it and calls its methods.
+// Balancer makes the decisions of one router. It is not safe for concurrent use: one goroutine owns it and calls its
+// methods.
 type Balancer struct {
 	settings  Settings
 	slowStart [roleCount]SlowStartRule // by role; the origin has none
-	now       time.Duration            // of the call of Handle that is in progress
-	actions   []Action                 // what Handle returns; reused by its next call
+	now       time.Duration            // clock time of the current call of Handle
+	actions   []Action                 // result of Handle; reused by its next call
 
 	classes   classTable
 	endpoints endpointTable
@@ -21,10 +22,10 @@
 	purges    purgeTable
 	link      linkUse
 	load      [roleCount]load    // usual load by role
-	bestScore [roleCount]float64 // the highest health score of a usable endpoint, by role
+	bestScore [roleCount]float64 // highest health score of a usable endpoint, by role
 }
 
-// New returns a balancer without endpoints. Settings that contradict themselves are an error.
+// New returns a balancer without endpoints. It returns an error if the settings are invalid.
 func New(s Settings) (*Balancer, error) {
 	if err := s.validate(); err != nil {
 		return nil, err
@@ -53,31 +54,31 @@
 }
 
 func (s *Settings) validate() error {
-	site := &s.Topology
+	topology := &s.Topology
 	if len(s.Classes) == 0 {
-		return errors.New("no classes")
+		return errors.New("no request classes")
 	}
-	if !slices.Contains(site.Zones, site.Zone) {
-		return fmt.Errorf("own location %q is not listed", site.Zone)
+	if !slices.Contains(topology.Zones, topology.Zone) {
+		return fmt.Errorf("the router's zone %q is not in the list of zones", topology.Zone)
 	}
-	if site.ParentKind >= len(site.Kinds) || site.OriginKind >= len(site.Kinds) {
-		return errors.New("kind of the parents or the origin is not listed")
+	if topology.ParentKind >= len(topology.Kinds) || topology.OriginKind >= len(topology.Kinds) {
+		return errors.New("the kind of the parents or of the origin is not in the list of kinds")
 	}
 	for _, d := range []time.Duration{s.PurgeWindow, s.CacheSlowStart.WarmUpTime, s.CacheSlowStart.OverloadWindow,
 		s.ParentSlowStart.WarmUpTime, s.ParentSlowStart.OverloadWindow} {
 		if d < 0 {
-			return errors.New("negative time")
+			return errors.New("purge window, warm-up time or overload window is negative")
 		}
 	}
 	for _, c := range s.Classes {
 		if c.LatencyObjective < 0 || c.Deadline < 0 || c.DedupWindow < 0 || c.FreshnessLifetime < 0 {
-			return fmt.Errorf("class %q: negative time", c.Name)
+			return fmt.Errorf("class %q: objective, deadline, deduplication window or freshness lifetime is negative", c.Name)
 		}
 	}
 	return nil
 }
 
-// routerCount is the number of routers in all zones.
+// routerCount returns the number of routers in all zones.
 func (b *Balancer) routerCount() float64 {
 	n := 0.0
 	for _, inZone := range b.settings.Topology.RoutersPerZone {
@@ -86,26 +87,26 @@
 	return n
 }
 
-// routersInZone is the number of routers that share this zone's caches and link, at least 1.
+// routersInZone returns the number of routers that share this zone's caches and link, at least 1.
 func (b *Balancer) routersInZone() float64 {
-	site := &b.settings.Topology
-	if i := slices.Index(site.Zones, site.Zone); i < len(site.RoutersPerZone) && site.RoutersPerZone[i] > 1 {
-		return float64(site.RoutersPerZone[i])
+	topology := &b.settings.Topology
+	if i := slices.Index(topology.Zones, topology.Zone); i < len(topology.RoutersPerZone) && topology.RoutersPerZone[i] > 1 {
+		return float64(topology.RoutersPerZone[i])
 	}
 	return 1
 }
 
-// standalone is the Coordinator of a router that shares no state with others.
+// standalone is the ClusterState of a router that shares no state with others. It allows everything.
 type standalone struct{}
 
-// AdmitWarmingUp implements Coordinator.
+// AdmitWarmingUp implements ClusterState.
 func (standalone) AdmitWarmingUp(time.Duration, EndpointID) bool { return true }
 
-// AdmitRetry implements Coordinator.
+// AdmitRetry implements ClusterState.
 func (standalone) AdmitRetry(time.Duration) bool { return true }
 
-// ProbedByPeer implements Coordinator.
+// ProbedByPeer implements ClusterState.
 func (standalone) ProbedByPeer(time.Duration, EndpointID) bool { return false }
 
-// AttemptSent implements Coordinator.
+// AttemptSent implements ClusterState.
 func (standalone) AttemptSent(time.Duration, SendAttempt) {}
--- a/balancer/classes.go
+++ b/balancer/classes.go
@@ -5,10 +5,11 @@
 	"time"
 )
 
-// Classes of requests, the service times that are learned of them, and load counted by class. A service time is the
-// time, in seconds, that it takes to send a response at full speed; one response of a second is one unit of load.
+// This file holds the classes of requests with their learned service times, and load counted by class. A service time is
+// the time in seconds that sending a response takes at full speed. Load is measured in seconds of service time per
+// second: one response per second with a service time of one second is one unit of load.
 
-// class is a class of the settings with its mean service time.
+// class holds a class of the settings and its learned mean service time.
 type class struct {
 	Class
 	index       int     // in classTable.inOrder; 0: the class is not in the settings
@@ -18,15 +19,16 @@
 
 func newClass(c Class) *class { return &class{Class: c, serviceTime: initialServiceTime.Seconds()} }
 
-// observe takes a service time into the mean. The first sample replaces the initial guess: a router that has just
-// started would else go by the guess for long, and count the budget of a warming-up endpoint in units of it.
+// observe adds a service time, in seconds, to the mean. The first sample replaces the initial guess. Otherwise a router
+// that has just started would use the guess for a long time, and compute the budget of an endpoint in slow start from
+// it.
 func (c *class) observe(serviceTime float64) {
 	c.samples = min(c.samples+1, averagingWindow)
 	c.serviceTime += (serviceTime - c.serviceTime) / c.samples
 }
 
-// classTable holds the classes of the settings. Index 0 of inOrder is a class of its own, whose calls are counted in
-// seconds of service time: it stands for the load that resolvers' clients bring.
+// classTable holds the classes of the settings. Index 0 of inOrder is an extra class, whose calls are counted in seconds
+// of service time. It holds load that is not known by class: that of resolvers' clients, and that of a snapshot.
 type classTable struct {
 	byName  map[string]*class
 	inOrder []*class
@@ -42,7 +44,7 @@
 	return t
 }
 
-// serviceTime is the service time of calls, in seconds.
+// serviceTime returns the total service time of calls, in seconds.
 func (t *classTable) serviceTime(calls callsByClass) float64 {
 	sum := 0.0
 	for i, k := range t.inOrder {
@@ -51,7 +53,8 @@
 	return sum
 }
 
-// largestServiceTime is the highest mean of the classes seen so far, or the initial guess before any was seen.
+// largestServiceTime returns the highest mean service time, in seconds, of the classes that have samples, or the initial
+// guess if none has.
 func (t *classTable) largestServiceTime() float64 {
 	largest := 0.0
 	for _, k := range t.inOrder[1:] {
@@ -65,15 +68,16 @@
 // callsByClass counts calls by the index of their class.
 type callsByClass []float64
 
-func (calls callsByClass) setScaled(to callsByClass, factor float64) {
-	for i, n := range to {
+// setScaled sets calls to another count by class times a factor.
+func (calls callsByClass) setScaled(from callsByClass, factor float64) {
+	for i, n := range from {
 		calls[i] = n * factor
 	}
 }
 
-// load is the usual load of a role.
+// load holds the usual load of a role.
 type load struct {
-	rate      callsByClass // calls a second, averaged over usualLoadWindow
+	rate      callsByClass // calls per second, averaged over usualLoadWindow
 	peak      callsByClass // the highest rate, decaying over peakLoadWindow
 	updatedAt time.Duration
 }
--- a/balancer/endpoints.go
+++ b/balancer/endpoints.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// The endpoint list. A change costs what has changed, however many endpoints are listed: what decisions choose from
-// is kept in order and changed in place.
+// This file maintains the endpoint list. The cost of an update depends on the number of changed endpoints, not on the
+// length of the list: the slices that endpoints are chosen from are kept in order and changed in place.
 
 func (b *Balancer) handleEndpointUpdate(ev EndpointUpdate) {
 	if b.settings.Capabilities.WatchRequired && (ev.Failed || !b.endpoints.watched) {
@@ -28,7 +28,7 @@
 	b.endpoints.forgetRemoved()
 }
 
-// applyEndpoint takes in one line of the list.
+// applyEndpoint applies one entry of an endpoint update.
 func (b *Balancer) applyEndpoint(listed Endpoint) {
 	e := b.endpoints.byID[listed.ID]
 	if e == nil {
@@ -38,7 +38,7 @@
 	b.unindex(e)
 	e.role, e.zone, e.cell, e.weight, e.state = b.roleOf(listed), listed.Zone, listed.Cell, listed.Weight, listed.State
 	if e.role != roleCache {
-		e.missRate = 1 // an attempt that bypasses the caches is always a transfer
+		e.missRate = 1 // an attempt that bypasses the caches is always a transfer on the zone's link
 	}
 	if listed.StartedAt > e.startedAt {
 		e.restart(b.now, listed.StartedAt)
@@ -46,20 +46,21 @@
 	b.index(e)
 }
 
-// restart forgets what was seen of an endpoint's earlier process. Its cache is empty, and its slow start begins.
+// restart discards what was learned of an endpoint's earlier process. The endpoint's cache is empty, and its slow start
+// begins.
 func (e *endpoint) restart(now, startedAt time.Duration) {
 	e.startedAt, e.missRate = startedAt, 1
 	e.health.ejected, e.health.consecutiveFailures, e.health.penalty = false, 0, 0
 	e.warmUp.budget, e.warmUp.budgetAt = 0, now
 }
 
-// removeUnlisted removes all endpoints that a complete list lacks.
+// removeUnlisted marks all endpoints that are not in a complete list as removed.
 func (b *Balancer) removeUnlisted(entries []Endpoint) {
 	listed := make(map[EndpointID]bool, len(entries))
 	for _, entry := range entries {
 		listed[entry.ID] = true
 	}
-	for id, e := range b.endpoints.byID { // in no set order: what is done to one has no effect on another
+	for id, e := range b.endpoints.byID { // in any order, as the removals are independent of each other
 		if !listed[id] && e.state != Removed {
 			b.unindex(e)
 			e.state = Removed
@@ -68,7 +69,7 @@
 	}
 }
 
-// index puts an endpoint where decisions find it, and counts it.
+// index adds an endpoint to the slices that endpoints are chosen from and to the counts.
 func (b *Balancer) index(e *endpoint) {
 	t := &b.endpoints
 	if e.state == Removed {
@@ -76,7 +77,7 @@
 		return
 	}
 	t.countCache(e, 1)
-	if list := b.choicesOf(e); list != nil {
+	if list := b.candidateList(e); list != nil {
 		*list = insertEndpoint(*list, e)
 	}
 	if b.isLocalCache(e) {
@@ -86,7 +87,7 @@
 	b.countAvailable(e)
 }
 
-// unindex undoes index. It must come before a change of anything that index goes by.
+// unindex reverts index. It must be called before a change of anything that index depends on.
 func (b *Balancer) unindex(e *endpoint) {
 	t := &b.endpoints
 	if e.state == Removed {
@@ -94,7 +95,7 @@
 		return
 	}
 	t.countCache(e, -1)
-	if list := b.choicesOf(e); list != nil {
+	if list := b.candidateList(e); list != nil {
 		*list = removeEndpoint(*list, e)
 	}
 	t.origin = firstEndpoint(t.origins)
@@ -103,8 +104,9 @@
 	e.counted = countedCapacity{}
 }
 
-// choicesOf is the list that an endpoint is chosen from; caches of other zones are never chosen.
-func (b *Balancer) choicesOf(e *endpoint) *[]*endpoint {
+// candidateList returns the slice that an endpoint is chosen from, or nil for caches of other zones, which are never
+// chosen.
+func (b *Balancer) candidateList(e *endpoint) *[]*endpoint {
 	switch {
 	case e.role == roleParent:
 		return &b.endpoints.parents
@@ -120,7 +122,8 @@
 	return e.role == roleCache && e.zone == b.settings.Topology.Zone
 }
 
-// countCache adds an endpoint to the counts of caches, or with sign -1 takes it out of them.
+// countCache adds an endpoint to the counts of caches with sign 1, and subtracts it with sign -1. It ignores endpoints
+// that are no caches.
 func (t *endpointTable) countCache(e *endpoint, sign int) {
 	if e.role != roleCache {
 		return
@@ -131,7 +134,7 @@
 	}
 }
 
-// forgetRemoved forgets the removed endpoints that have no attempts in flight any more.
+// forgetRemoved deletes the removed endpoints that have no attempts in flight.
 func (t *endpointTable) forgetRemoved() {
 	t.removed = slices.DeleteFunc(t.removed, func(e *endpoint) bool {
 		if e.inFlight == 0 {
@@ -141,10 +144,11 @@
 	})
 }
 
-// ---- How much capacity of a role is in service ----
+// ---- Capacity in service, by role ----
 
-// countAvailable counts an endpoint in service: at once as available, and as warmed up when its slow start is over.
-// During a release both the old and the new endpoints are listed. Caches of other zones don't count.
+// countAvailable adds an endpoint in service to the available capacity at once, and to the warmed-up capacity when its
+// slow start is over. The two are counted separately because both the old and the new endpoints are listed during a
+// release. Caches of other zones don't count.
 func (b *Balancer) countAvailable(e *endpoint) {
 	t := &b.endpoints
 	if !e.inService() || e.role == roleCache && !b.isLocalCache(e) {
@@ -161,51 +165,54 @@
 	t.warmingUp[e.role] = slices.Insert(queue, at, warmUpEntry{e, e.startedAt})
 }
 
+// countWarmedUp adds an available endpoint to the warmed-up capacity.
 func (t *endpointTable) countWarmedUp(e *endpoint) {
 	e.counted.warmedUp = e.counted.available
 	t.warmedUp[e.role] += e.counted.warmedUp
 }
 
-// countWarmedUp counts the endpoints whose slow start is over.
+// countWarmedUp adds the endpoints whose slow start is over to the warmed-up capacity.
 func (b *Balancer) countWarmedUp() {
-	for of, queue := range b.endpoints.warmingUp {
+	for roleIndex, queue := range b.endpoints.warmingUp {
 		n := 0
-		for n < len(queue) && b.now-queue[n].startedAt >= b.slowStart[of].WarmUpTime {
+		for n < len(queue) && b.now-queue[n].startedAt >= b.slowStart[roleIndex].WarmUpTime {
 			if queue[n].current() {
 				b.endpoints.countWarmedUp(queue[n].endpoint)
 			}
 			n++
 		}
-		b.endpoints.warmingUp[of] = slices.Delete(queue, 0, n)
+		b.endpoints.warmingUp[roleIndex] = slices.Delete(queue, 0, n)
 	}
 }
 
-// current tells whether an entry still stands: its endpoint has not left the list or restarted since.
+// current reports whether an entry is still valid: its endpoint has neither left service nor restarted since, and does
+// not count as warmed up yet.
 func (w warmUpEntry) current() bool {
 	e := w.endpoint
 	return e.counted.available > 0 && e.counted.warmedUp == 0 && e.startedAt == w.startedAt
 }
 
-// raisePeakCapacity keeps the most capacity that was in service at once. What is lost for a while still counts: the
-// fewer endpoints are left, the less the usual load says of one.
+// raisePeakCapacity updates the peak of the capacity that was in service at once. Before the first peak, endpoints in
+// slow start count as well. The peak never falls, so capacity that is lost for a while still counts: with fewer
+// endpoints left, the usual load says less about a single endpoint.
 func (b *Balancer) raisePeakCapacity() {
 	t := &b.endpoints
-	for of := range t.peakCapacity {
-		capacity := t.warmedUp[of]
-		if t.peakCapacity[of] == 0 {
-			capacity = t.available[of]
+	for roleIndex := range t.peakCapacity {
+		capacity := t.warmedUp[roleIndex]
+		if t.peakCapacity[roleIndex] == 0 {
+			capacity = t.available[roleIndex]
 		}
-		if capacity <= t.peakCapacity[of] {
+		if capacity <= t.peakCapacity[roleIndex] {
 			continue
 		}
-		t.peakCapacity[of] = capacity
-		if role(of) == roleCache {
+		t.peakCapacity[roleIndex] = capacity
+		if role(roleIndex) == roleCache {
 			b.updateCacheLimits()
 		}
 	}
 }
 
-// ---- Lists in the order of ids ----
+// ---- Slices in the order of ids ----
 
 func insertEndpoint(list []*endpoint, e *endpoint) []*endpoint {
 	at, _ := slices.BinarySearchFunc(list, e.id, compareID)
@@ -232,12 +239,14 @@
 }
 
 func (b *Balancer) roleOf(listed Endpoint) role {
-	site := &b.settings.Topology
-	is := func(kind int) bool { return kind >= 0 && kind < len(site.Kinds) && site.Kinds[kind] == listed.Kind }
+	topology := &b.settings.Topology
+	isKind := func(kind int) bool {
+		return kind >= 0 && kind < len(topology.Kinds) && topology.Kinds[kind] == listed.Kind
+	}
 	switch {
-	case is(site.ParentKind):
+	case isKind(topology.ParentKind):
 		return roleParent
-	case is(site.OriginKind):
+	case isKind(topology.OriginKind):
 		return roleOrigin
 	}
 	return roleCache
--- a/balancer/events.go
+++ b/balancer/events.go
@@ -8,20 +8,20 @@
 // RequestID identifies one request. A client's retry is a request of its own.
 type RequestID uint64
 
-// Event is something that happened to this instance. The types below implement it.
+// Event is an input of the balancer. The types below implement it.
 type Event interface{ event() }
 
-// EndpointState is what the list says of an endpoint.
+// EndpointState is the state of an endpoint according to the endpoint list.
 type EndpointState uint8
 
-// The states.
+// The states of an endpoint.
 const (
 	InService EndpointState = iota
-	Draining                // it finishes what it has and must get nothing new
+	Draining                // finishes its attempts in flight and must get no new ones
 	Removed
 )
 
-// Endpoint is one line of an endpoint list: an edge cache, a parent or the origin.
+// Endpoint is one entry of an endpoint list: an edge cache, a parent or the origin.
 type Endpoint struct {
 	ID        EndpointID
 	Kind      string // one of Topology.Kinds
@@ -34,25 +34,25 @@
 
 // EndpointUpdate carries the endpoint list, or changes to it.
 type EndpointUpdate struct {
-	Complete  bool // what is not listed is removed
-	Failed    bool // the poll or the watch failed; the old list stands
+	Complete  bool // endpoints that are not listed are removed
+	Failed    bool // the poll or the watch failed; the old list stays valid
 	Endpoints []Endpoint
 }
 
-// Request is a request of a client. One final answer is owed: an Outcome with Answered set, a Reject or a Fail.
+// Request reports a request of a client. It gets one final answer: an Outcome with Answered set, a Reject or a Fail.
 type Request struct {
 	ID        RequestID
 	Class     string
 	Object    uint64
 	Part      uint64        // of the object
-	Group     uint64        // that the object may be purged with
-	Remaining time.Duration // until the client gives up
+	Group     uint64        // group of objects that may be purged together
+	Remaining time.Duration // time until the client gives up
 	SizeKB    float64       // 0: unknown
 	Write     bool
-	Retry     bool // the client has asked before, and was rejected, failed or answered too late
+	Retry     bool // the client has sent it before, and it was rejected, failed or was answered too late
 }
 
-// Outcome ends one attempt.
+// Outcome reports the end of one attempt.
 type Outcome struct {
 	ID         RequestID
 	Attempt    int
@@ -64,18 +64,18 @@
 	Detail     Detail
 }
 
-// ResponseStarted says that a streamed response has begun. From now on the attempt is the client's and isn't
-// cancelled.
+// ResponseStarted reports that a streamed response has begun. From then on the client receives the attempt's response,
+// and the request's attempts are not cancelled any more.
 type ResponseStarted struct {
 	ID       RequestID
 	Attempt  int
 	Endpoint EndpointID
 }
 
-// ClientAborted says that nothing more is owed for a request.
+// ClientAborted reports that the client has aborted a request, which needs no answer any more.
 type ClientAborted struct{ ID RequestID }
 
-// Purge says that an object, or with ByGroup a group of objects, was purged Age ago.
+// Purge reports that an object, or with ByGroup a group of objects, was purged. Age is the time since the purge.
 type Purge struct {
 	ByGroup bool
 	Object  uint64
@@ -84,17 +84,17 @@
 }
 
 // Resolve asks for endpoints that a DNS resolver may name to its clients. One ResolveAnswer, Reject or Fail follows
-// at once. What the resolver's clients send is not seen here, so it is counted as Load says.
+// at once. The router doesn't see the requests of the resolver's clients, so it counts Load for them.
 type Resolve struct {
 	ID           RequestID
-	Key          uint64        // of the resolver's clients: equal keys get equal answers
-	MaxEndpoints int           // in the answer
-	OnlyEndpoint EndpointID    // the only one to consider; 0: any
-	Load         float64       // of one resolver's clients, in seconds of service time per second
+	Key          uint64        // hash key of the resolver's clients; equal keys get equal answers
+	MaxEndpoints int           // maximum number of endpoints in the answer, at least 1
+	OnlyEndpoint EndpointID    // the only endpoint to consider; 0: any
+	Load         float64       // load of the resolver's clients, in seconds of service time per second
 	TTL          time.Duration // how long the resolver may keep the answer
 }
 
-// Timer says that a timer set by SetTimer is due.
+// Timer reports that a timer set by SetTimer is due.
 type Timer struct{ Token uint64 }
 
 func (EndpointUpdate) event()  {}
@@ -109,40 +109,40 @@
 // Status is how an attempt ended.
 type Status uint8
 
-// The statuses.
+// The statuses of an attempt that has ended.
 const (
 	OK            Status = iota
 	Error                // the endpoint failed; the attempt may have run
-	Rejected             // the endpoint or the source refused it, unprocessed
+	Rejected             // the endpoint or the source rejected it without processing it
 	TimedOut             // no response in time; it may have run
-	ConnectFailed        // no connection
+	ConnectFailed        // no connection could be opened
 	Reset                // the connection broke; it may have run
-	Cancelled            // by CancelAttempt; it may have run
+	Cancelled            // cancelled by CancelAttempt; it may have run
 	NotSent              // the router did not send it
-	Miss                 // there is no usable copy
+	Miss                 // a cached copy was asked for, and there is no usable one
 )
 
-// NeverRan tells whether the status proves that the attempt had no effect.
+// NeverRan reports whether the status proves that the attempt had no effect.
 func (s Status) NeverRan() bool {
 	return s == Rejected || s == ConnectFailed || s == NotSent || s == Miss
 }
 
-// Detail says how a response came about or why a fill failed, where the cache reports it.
+// Detail is how a response was produced or why a fill failed, where the cache reports it.
 type Detail uint8
 
-// The details.
+// The details of an outcome.
 const (
 	NoDetail Detail = iota
 	Hit
-	Filled            // by the source, which had it
-	FilledByOrigin    // by the source, which had to ask the origin
+	Filled            // filled from the source, which had a copy
+	FilledByOrigin    // filled from the source, which had to ask the origin
 	Coalesced         // joined the fill of another request
 	Stale             // a copy past its freshness lifetime
-	SourceRejected    // the source refused the fill
-	SourceUnreachable // no connection, a broken one, or a time-out
+	SourceRejected    // the source rejected the fill
+	SourceUnreachable // no connection to the source, a broken one, or a timeout
 	SourceMiss        // the source was asked for a cached copy, and has none
 	NoFillSlot        // the cache runs as many fills as it can
-	OriginFailed      // behind the parent
+	OriginFailed      // the origin failed a parent
 )
 
 func (d Detail) isHit() bool { return d == Hit || d == Stale }
--- a/balancer/handle.go
+++ b/balancer/handle.go
@@ -2,14 +2,15 @@
 
 import "time"
 
-// Handle takes events that arrived together, in their order, and returns the actions to carry out, in theirs. Now
-// is the caller's clock, which must not go back between calls. The result is valid until the next call.
+// Handle processes events that arrived together, in order, and returns the actions that the caller must carry out, in
+// order. The time now is read from the caller's clock, which must not go back between calls. The result is valid until
+// the next call.
 func (b *Balancer) Handle(now time.Duration, events ...Event) []Action {
 	b.now, b.actions = now, b.actions[:0]
 	for _, ev := range events {
 		b.dispatch(ev)
 	}
-	if b.requests.retryQueuedAfterEvents { // once for all events: each pass looks at every open request
+	if b.requests.retryQueuedAfterEvents { // once for all events, as each pass visits every request of the table
 		b.requests.retryQueuedAfterEvents = false
 		b.retryQueued()
 	}
--- a/balancer/hashing.go
+++ b/balancer/hashing.go
@@ -5,28 +5,29 @@
 	"math"
 )
 
-// Rendezvous hashing: each endpoint has a score for a key, and the highest that suits wins. All routers compute the
-// same.
+// This file implements rendezvous hashing: each endpoint has a score for a key, and the eligible endpoint with the
+// highest score is chosen. All routers compute the same scores.
 
-// preference is how well an endpoint suits a request; less is better.
+// preference is how well an endpoint suits a request; a lower value is better.
 type preference uint8
 
 const (
-	preferred   preference   = iota // usable, and the key is in the part of its range that it serves now
-	spillOver                       // usable
-	failedOnce                      // usable, but it has failed this request already
-	ejected                         // an outlier
-	ineligible                      // it must not be chosen
-	preferences = ineligible        // number of preferences by which an endpoint may be chosen
+	preferred       preference   = iota // usable, and the key is in the part of its range that it serves now
+	spillOver                           // usable, but overloaded or outside the part of its range that it serves now
+	failedOnce                          // usable, but it has failed this request already
+	ejected                             // not usable: ejected as an outlier, or probed by a peer
+	ineligible                          // it must not be chosen
+	preferenceCount = ineligible        // number of preferences by which an endpoint may be chosen
 )
 
-// topCandidates is how many endpoints are looked at in the order of their scores before all are: mostly the first
-// one suits.
+// topCandidates is the number of endpoints that pick tries in the order of their scores before it looks at all
+// candidates. In most cases the first one is preferred.
 const topCandidates = 4
 
-// pick returns the endpoint with the highest score that is preferred; failing that, the highest that is usable,
-// then one that has failed the request before. An ejected one is chosen only where all are ejected: while the
-// others are full, requests would else run into a dead endpoint. Excluded, which may be nil, is left out.
+// pick returns the preferred endpoint with the highest score, else the usable one with the highest score, else the one
+// with the highest score among those that have failed the request before. It returns an ejected endpoint only where
+// all are ejected; otherwise requests would go to a dead endpoint while the others are full. The endpoint excluded,
+// which may be nil, is left out. The result is nil if no endpoint is eligible.
 func (b *Balancer) pick(r *request, key uint64, candidates []*endpoint, salt uint64, excluded *endpoint) *endpoint {
 	c := choice{balancer: b, request: r, key: key, salt: salt, candidates: candidates, excluded: excluded}
 	bound := math.Inf(1)
@@ -43,7 +44,7 @@
 	return c.bestOfAll()
 }
 
-// choice is the choice of one endpoint for a request.
+// choice holds the inputs of the choice of one endpoint for a request.
 type choice struct {
 	balancer   *Balancer
 	request    *request
@@ -51,26 +52,27 @@
 	candidates []*endpoint
 	excluded   *endpoint
 
-	overloadedFrom float64 // own attempts in flight that make an endpoint overloaded; 0: not computed yet
+	overloadedFrom float64 // result of overloadThreshold for the candidates; 0: not computed yet
 }
 
-// highestBelow returns the endpoint with the highest score under a bound.
-func (c *choice) highestBelow(bound float64) (best *endpoint, top float64) {
+// highestBelow returns the endpoint with the highest score below a bound and that score, or nil if there is none.
+func (c *choice) highestBelow(bound float64) (best *endpoint, topScore float64) {
 	mixed := mix(c.key ^ c.salt)
 	for _, e := range c.candidates {
 		u := mixedFraction(mixed, uint64(e.id))
 		capacity := c.balancer.capacityOf(e)
-		if best != nil && capacity <= top*(1-u) { // as -ln u >= 1-u, its score is at most capacity/(1-u)
+		if best != nil && capacity <= topScore*(1-u) { // as -ln u >= 1-u, its score is at most capacity/(1-u)
 			continue
 		}
-		if score := -capacity / math.Log(u); score < bound && (best == nil || score > top) {
-			best, top = e, score
+		if score := -capacity / math.Log(u); score < bound && (best == nil || score > topScore) {
+			best, topScore = e, score
 		}
 	}
-	return best, top
+	return best, topScore
 }
 
-// preference tells how well an endpoint suits. For one in slow start it brings the budget up to date.
+// preference returns how well an endpoint suits the request. As a side effect it updates the slow-start budget of an
+// endpoint that is warming up.
 func (c *choice) preference(e *endpoint) preference {
 	b, r := c.balancer, c.request
 	full := e.role == roleCache &&
@@ -88,10 +90,10 @@
 	return spillOver
 }
 
-// bestOfAll looks at all candidates.
+// bestOfAll returns the best of all candidates, in the order that pick describes, or nil.
 func (c *choice) bestOfAll() *endpoint {
-	var best [preferences]*endpoint
-	var top [preferences]float64
+	var best [preferenceCount]*endpoint
+	var topScores [preferenceCount]float64
 	allEjected := true
 	for _, e := range c.candidates {
 		allEjected = allEjected && (e == c.excluded || !c.balancer.usable(e))
@@ -100,9 +102,9 @@
 			continue
 		}
 		score := c.balancer.score(c.key, e, c.salt)
-		for ; p < preferences; p++ { // an endpoint also does where one that suits less well would
-			if best[p] == nil || score > top[p] {
-				best[p], top[p] = e, score
+		for ; p < preferenceCount; p++ { // an endpoint also counts for each worse preference
+			if best[p] == nil || score > topScores[p] {
+				best[p], topScores[p] = e, score
 			}
 		}
 	}
@@ -112,11 +114,12 @@
 	return cmp.Or(best[preferred], best[spillOver], best[failedOnce])
 }
 
-// overloaded tells whether an endpoint has many more own attempts in flight than its peers: its range then spills
-// over to the next score. It guards against a hot object that outgrows one cache's link.
+// overloaded reports whether an endpoint has many more of this router's attempts in flight than its peers. Its keys
+// then spill over to the endpoint with the next score. This guards against a hot object that needs more than one
+// cache's link.
 func (c *choice) overloaded(e *endpoint) bool {
 	inFlight := float64(e.inFlight)
-	if inFlight < overloadMargin { // whatever its peers have
+	if inFlight < overloadMargin { // the threshold is never lower
 		return false
 	}
 	if c.overloadedFrom == 0 {
@@ -125,7 +128,8 @@
 	return inFlight >= c.overloadedFrom
 }
 
-// overloadThreshold is how many own attempts in flight make one of some endpoints overloaded.
+// overloadThreshold returns the number of this router's attempts in flight from which one of the peers counts as
+// overloaded.
 func (b *Balancer) overloadThreshold(peers []*endpoint) float64 {
 	n, inFlight := 0.0, 0.0
 	for _, e := range peers {
@@ -136,15 +140,15 @@
 	return overloadRatio*inFlight/max(n, 1) + overloadMargin
 }
 
-// score is the rendezvous hash of an endpoint, weighted by its capacity.
+// score returns the rendezvous hash score of an endpoint for a key, weighted by the endpoint's capacity.
 func (b *Balancer) score(key uint64, e *endpoint, salt uint64) float64 {
 	return -b.capacityOf(e) / math.Log(hashFraction(key, uint64(e.id), salt))
 }
 
-// hashFraction hashes to a number above 0 and below 1.
+// hashFraction returns a hash of its arguments as a number above 0 and below 1.
 func hashFraction(key, id, salt uint64) float64 { return mixedFraction(mix(key^salt), id) }
 
-// mixedFraction is hashFraction for a key that is mixed with the salt already.
+// mixedFraction returns hashFraction for a key that is already mixed with the salt.
 func mixedFraction(mixed, id uint64) float64 {
 	h := mix(mixed + id*0x9e3779b97f4a7c15)
 	return (float64(h>>11) + 0.5) / (1 << 53)
--- a/balancer/health.go
+++ b/balancer/health.go
@@ -2,14 +2,14 @@
 
 import "math"
 
-// Health of endpoints: outlier detection from the outcomes of attempts alone. A health score lowers the part of its
-// range that a slow endpoint serves; failures in a row eject it.
+// This file implements outlier detection, from the outcomes of attempts alone. A low health score reduces the part of its
+// range that a slow endpoint serves; consecutive failures eject an endpoint.
 
-// inService tells whether the list allows attempts at an endpoint.
+// inService reports whether the endpoint list allows attempts at an endpoint.
 func (e *endpoint) inService() bool { return e.state == InService }
 
-// usable tells whether an endpoint may get ordinary attempts: it is not ejected, or a probe is due, and the fleet
-// has not left its probes to another router.
+// usable reports whether an endpoint may get ordinary attempts: it is in service, it is not ejected or its probe is due,
+// and no other router of the fleet probes it.
 func (b *Balancer) usable(e *endpoint) bool {
 	return e.inService() && (!e.health.ejected || b.now >= e.health.nextProbe) &&
 		!b.settings.ClusterState.ProbedByPeer(b.now, e.id)
@@ -43,14 +43,15 @@
 	}
 }
 
-// healthScore is how well an endpoint has answered lately, up to 1. It recovers with time.
+// healthScore returns an endpoint's health score, up to 1, which says how well the endpoint has responded lately. The
+// score recovers with time.
 func (b *Balancer) healthScore(e *endpoint) float64 {
 	return min(1, 1-e.health.penalty+float64(b.now-e.health.penalizedAt)/float64(scoreRecoveryTime))
 }
 
-// updateHealthScore moves an endpoint's score by a response that was quick or slow. It guards against endpoints
-// that grow slow while they still answer, and against sources that are asked for more than they can serve: what
-// they lose of their range goes to the next in the hash's order, which all routers find by themselves.
+// updateHealthScore raises or lowers an endpoint's score after a quick or a slow response. It guards against endpoints
+// that grow slow while they still respond, and against sources that get more fills than they can serve. The part of the
+// range that such an endpoint loses goes to the next one in the hash's order, which all routers compute alike.
 func (b *Balancer) updateHealthScore(e *endpoint, quick bool) {
 	score := b.healthScore(e)
 	if quick {
@@ -62,39 +63,41 @@
 	b.updateBestScore(e.role)
 }
 
-// updateBestScore finds the highest score of a role. The origin is measured against nothing but the parents.
-func (b *Balancer) updateBestScore(of role) {
+// updateBestScore recomputes the highest health score of a role's usable endpoints, at least minHealthScore. The
+// origin's entry is computed from the parents.
+func (b *Balancer) updateBestScore(peerRole role) {
 	peers := b.endpoints.parents
-	if of == roleCache {
+	if peerRole == roleCache {
 		peers = b.endpoints.caches
 	}
 	best := minHealthScore
 	for _, p := range peers {
 		if score := b.healthScore(p); score > best && b.usable(p) {
 			best = score
-			if score >= 1 { // the highest that there is
+			if score >= 1 { // the highest possible score
 				break
 			}
 		}
 	}
-	b.bestScore[of] = best
+	b.bestScore[peerRole] = best
 }
 
-// slowResponseFactor is what a slow response leaves of a score. The more routers share the origin, the fewer of its
-// responses each of them sees, and the longer all ask too much of it. The root leaves room for chance.
+// slowResponseFactor returns the factor by which a slow response reduces an endpoint's score. The more routers share the
+// origin, the fewer of its responses each router sees, and the longer all of them overload it; so the factor for the
+// origin falls with their number. It falls only with the square root, which leaves a margin for chance.
 func (b *Balancer) slowResponseFactor(e *endpoint) float64 {
 	if e.role != roleOrigin {
 		return slowScoreFactor
 	}
-	return slowScoreFactor / math.Sqrt(max(1, b.routerCount()/fullViewRouters))
+	return slowScoreFactor / math.Sqrt(max(1, b.routerCount()/originScoreRouters))
 }
 
-// slack is what the latency objective of a request leaves beside its service time, in seconds.
+// slack returns the seconds that the latency objective of a request leaves beyond its service time, at least minSlack.
 func (r *request) slack() float64 {
 	return max(r.class.LatencyObjective.Seconds()+(r.class.ObjectiveStretch-1)*r.serviceTime, minSlack.Seconds())
 }
 
-// isSlow tells whether a response that comes now, or has yet to come, uses up most of the slack.
+// isSlow reports whether a response that arrives now or later uses up more than slowThreshold of the slack.
 func (b *Balancer) isSlow(r *request, a *attempt) bool {
 	return (b.now-a.sentAt).Seconds()-r.serviceTime > slowThreshold*r.slack()
 }
--- a/balancer/outcomes.go
+++ b/balancer/outcomes.go
@@ -1,8 +1,8 @@
 package balancer
 
-// What the outcome of an attempt tells of its endpoint, its source and the object.
+// This file updates what is known of an attempt's endpoint, source and object from the attempt's outcome.
 
-// learnOutcome learns from the outcome of an attempt that has just ended.
+// learnOutcome updates endpoints, classes and objects from the outcome of an attempt that has just ended.
 func (b *Balancer) learnOutcome(r *request, a *attempt, ev Outcome) {
 	switch ev.Status {
 	case OK:
@@ -16,7 +16,7 @@
 			b.updateHealthScore(source, false)
 		}
 	case Rejected, Miss:
-		b.blameSourceOfRejection(a, ev)
+		b.attributeRejection(a, ev)
 	}
 }
 
@@ -37,22 +37,22 @@
 	}
 }
 
-// scoreLatency moves the health scores of those that a response's latency depends on: the cache itself for a hit,
-// else the source, and the origin for its own part where that is known.
+// scoreLatency updates the health scores of the endpoints that a response's latency depends on: the cache itself for a
+// hit, else the source. If the origin's part of the latency is known, the origin and the source are scored separately.
 func (b *Balancer) scoreLatency(r *request, a *attempt, ev Outcome) {
-	source, origin, inTime := a.fillSource(), b.endpoints.origin, slowThreshold*r.slack()
+	source, origin, maxQuickDelay := a.fillSource(), b.endpoints.origin, slowThreshold*r.slack()
 	switch {
 	case ev.Detail.isHit():
 		b.updateHealthScore(a.endpoint, !b.isSlow(r, a))
 	case source != nil && ev.Detail == FilledByOrigin && origin != nil:
-		b.updateHealthScore(origin, ev.SourceWait.Seconds() <= inTime)
-		b.updateHealthScore(source, (ev.Elapsed-ev.SourceWait).Seconds()-r.serviceTime <= inTime)
+		b.updateHealthScore(origin, ev.SourceWait.Seconds() <= maxQuickDelay)
+		b.updateHealthScore(source, (ev.Elapsed-ev.SourceWait).Seconds()-r.serviceTime <= maxQuickDelay)
 	case source != nil && !a.late:
 		b.updateHealthScore(source, !b.isSlow(r, a))
 	}
 }
 
-// learnFill learns from a fill that its source has served.
+// learnFill records a fill that the attempt's source has served.
 func (b *Balancer) learnFill(r *request, a *attempt, detail Detail) {
 	b.recordSuccess(a.source)
 	r.object.cachedAtHome = detail == Filled
@@ -62,7 +62,8 @@
 	b.recordLoad(a.source.role, r.class, 1)
 }
 
-// learnConnectionFailure counts a failed connection once, though it ends all attempts on it at the same time.
+// learnConnectionFailure counts a failed connection once, although it ends all attempts on the connection at the same
+// time.
 func (b *Balancer) learnConnectionFailure(e *endpoint) {
 	if e.health.connectionFailedAt != b.now {
 		b.recordFailure(e)
@@ -78,14 +79,15 @@
 		return
 	}
 	b.recordFailure(a.endpoint)
-	if source != nil { // an error without a cause may be the source's
+	if source != nil { // the source may have caused an error whose cause is not reported
 		b.updateHealthScore(source, false)
 	}
 }
 
-// blameSourceOfRejection finds out whose a rejection was. Where the cache names no cause, its own rejection comes at once
-// and one of its source later.
-func (b *Balancer) blameSourceOfRejection(a *attempt, ev Outcome) {
+// attributeRejection finds the endpoint that caused a rejection, and records a failure of the source or the origin if it
+// was one of them. Where the cache reports no cause, a rejection after more than cacheRejectionTime came from the
+// source, as a cache's own rejection comes at once.
+func (b *Balancer) attributeRejection(a *attempt, ev Outcome) {
 	a.endpoint.health.lastResponse = b.now
 	source := a.fillSource()
 	if ev.Detail == OriginFailed && b.endpoints.origin != nil {
--- a/balancer/purges.go
+++ b/balancer/purges.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Cache invalidation: purges, and the age of copies that they rule out.
+// This file implements cache invalidation: it remembers purges and limits the age of the copies that may be served.
 
 // purgeKey identifies a purged object or group.
 type purgeKey struct {
@@ -16,10 +16,10 @@
 // purgeTable remembers purges until no older copy can be left anywhere.
 type purgeTable struct {
 	purgedAt map[purgeKey]time.Duration
-	floor    time.Duration // all copies older than this count as purged: set when the table is full
+	floor    time.Duration // copies older than this count as purged; raised by purges that the full table can't hold
 }
 
-// record takes in a purge.
+// record adds a purge. In a full table it raises the floor instead.
 func (t *purgeTable) record(k purgeKey, at time.Duration) {
 	if len(t.purgedAt) >= maxPurges {
 		t.floor = max(t.floor, at)
@@ -28,32 +28,32 @@
 	}
 }
 
-// latest is the time of the latest purge of an object, by itself or with its group; 0: there was none.
+// latest returns the time of the latest purge of an object, by itself or with its group, or 0 if there was none.
 func (t *purgeTable) latest(object, group uint64) time.Duration {
 	return max(t.purgedAt[purgeKey{false, object}], t.purgedAt[purgeKey{true, group}], t.floor)
 }
 
 func (b *Balancer) handlePurge(ev Purge) {
-	maps.DeleteFunc(b.purges.purgedAt, func(_ purgeKey, at time.Duration) bool { return b.purgeIsOver(at) })
+	maps.DeleteFunc(b.purges.purgedAt, func(_ purgeKey, at time.Duration) bool { return b.purgeExpired(at) })
 	k := purgeKey{ev.ByGroup, ev.Object}
 	if ev.ByGroup {
 		k.id = ev.Group
 	}
-	b.purges.record(k, max(b.now-ev.Age, 1)) // 0 would mean that there was none
+	b.purges.record(k, max(b.now-ev.Age, 1)) // 0 would mean that there was no purge
 }
 
-// purgeIsOver tells whether all copies older than a purge are gone.
-func (b *Balancer) purgeIsOver(at time.Duration) bool {
+// purgeExpired reports whether all copies older than a purge are gone.
+func (b *Balancer) purgeExpired(at time.Duration) bool {
 	return b.now-at > b.settings.PurgeWindow+purgeMargin
 }
 
 func (b *Balancer) purgedAt(r *request) time.Duration { return b.purges.latest(r.Object, r.Group) }
 
-// maxAge is the age of the oldest copy that may be served, which rules out copies from before a purge. 0 means that
-// the cache's own default for the class will do.
+// maxAge returns the age of the oldest copy that may be served, which excludes copies from before a purge. 0 means that
+// the cache's default for the class applies.
 func (b *Balancer) maxAge(r *request) time.Duration {
 	at := b.purgedAt(r)
-	if at == 0 || b.purgeIsOver(at) {
+	if at == 0 || b.purgeExpired(at) {
 		return 0
 	}
 	age := max(b.now-at-time.Microsecond, time.Microsecond)
--- a/balancer/requests.go
+++ b/balancer/requests.go
@@ -6,11 +6,11 @@
 	"time"
 )
 
-// The life of a request, from its arrival to its final answer.
+// This file holds the life cycle of a request, from its arrival to its final answer.
 
 func (b *Balancer) handleRequest(ev Request) {
 	c := b.classes.byName[ev.Class]
-	if c == nil { // unknown: the zero Class is the most careful one
+	if c == nil { // an unknown class gets the zero Class, which is the most careful one
 		c = newClass(Class{Name: ev.Class})
 	}
 	r := &request{
@@ -26,7 +26,8 @@
 	}
 	b.addRequest(r)
 	b.recordLoad(roleClient, c, 1)
-	if b.requests.firstAt == 0 { // after recordLoad, for which a router without requests is no young one
+	// firstAt is set after recordLoad, which must not treat a router without requests as a young one.
+	if b.requests.firstAt == 0 {
 		b.requests.firstAt = b.now
 	}
 	b.route(r)
@@ -42,7 +43,8 @@
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// serviceTimeOf is the service time of a request in seconds, as far as it is known.
+// serviceTimeOf returns the service time of a request in seconds: computed from its size where that is known, else
+// learned from its object or its class.
 func (b *Balancer) serviceTimeOf(r *request) float64 {
 	if r.SizeKB > 0 && b.settings.PaceKBps > 0 {
 		s := r.SizeKB / b.settings.PaceKBps
@@ -55,7 +57,7 @@
 // route sends the next attempt of a request, queues the request, or ends it.
 func (b *Balancer) route(r *request) {
 	if len(r.attempts) >= b.maxAttempts() || b.now >= r.deadline || !b.mayRetry(r) {
-		b.finish(r)
+		b.rejectOrFail(r)
 		return
 	}
 	var a attempt
@@ -71,22 +73,23 @@
 	case len(b.endpoints.caches) > 0 && b.mayQueue(r):
 		r.phase = requestQueued
 	default:
-		b.finish(r)
+		b.rejectOrFail(r)
 	}
 }
 
 func (b *Balancer) maxAttempts() int { return max(b.settings.MaxAttempts, 1) }
 
-// isWrite tells whether a request runs at the origin and leaves no copy.
+// isWrite reports whether a request runs at the origin and leaves no copy in a cache.
 func (b *Balancer) isWrite(r *request) bool { return r.class.Write || r.Write }
 
-// mayQueue tells whether a request can still be answered in time after a wait. If not, it is ended: failing
-// late is worse than rejecting early, and its work would make others late. It must also end in time for its client.
+// mayQueue reports whether a queued request can still meet its latency objective and its client's deadline. A request
+// that can't is ended at once: an early rejection is better than a late failure, and its work would delay other
+// requests.
 func (b *Balancer) mayQueue(r *request) bool {
 	return b.now+seconds(giveUpFactor*r.serviceTime) < r.objective && b.now+2*scanInterval < r.deadline
 }
 
-// retryQueued routes the queued requests again, the cheapest for their weight first.
+// retryQueued routes the queued requests again, those with the lowest cost for their weight first.
 func (b *Balancer) retryQueued() {
 	var queued []*request
 	for _, r := range b.requests.inOrder {
@@ -100,14 +103,16 @@
 	}
 }
 
-// likelyCached tells whether the edge cache likely has the part: it was served lately and not purged since.
+// likelyCached reports whether the edge cache likely holds the object's part: a cache served it within likelyCachedFor,
+// and it was not purged since.
 func (b *Balancer) likelyCached(r *request) bool {
 	served := r.object.servedAt
 	return served > 0 && b.now-served < likelyCachedFor && served > b.purgedAt(r)
 }
 
-// mayRetry keeps the rule on idempotency: an attempt may follow others only where none of them can have run, or
-// where the class lets a repeat do no harm. Routers of a fleet also bound such retries together.
+// mayRetry reports whether the idempotency rule allows another attempt: either no earlier attempt can have run, or a
+// repeat does no harm in the request's class. The cluster state also limits retries after an attempt that may have
+// run, over all routers together.
 func (b *Balancer) mayRetry(r *request) bool {
 	idempotency := r.class.Idempotency
 	for i := range r.attempts {
@@ -125,21 +130,21 @@
 	return !r.mayHaveRun() || b.settings.ClusterState.AdmitRetry(b.now)
 }
 
-// finish gives the final answer that the router itself owes: a rejection where the client may safely ask again,
-// else a failure. While an attempt is in flight, its outcome decides instead.
-func (b *Balancer) finish(r *request) {
+// rejectOrFail gives the final answer of a request that the router answers itself: Reject where the client may safely
+// retry, else Fail. It does nothing while an attempt is open, as that attempt's outcome then decides.
+func (b *Balancer) rejectOrFail(r *request) {
 	repeatable := r.class.Idempotency == Idempotent ||
 		r.class.Idempotency == IdempotentByKey && r.class.DedupScope == DedupEverywhere
-	safe := true
+	safeToRetry := true
 	for i := range r.attempts {
 		if r.attempts[i].open() {
 			return
 		}
 		if r.attempts[i].state == attemptMayHaveRun {
-			safe = repeatable
+			safeToRetry = repeatable
 		}
 	}
-	if safe {
+	if safeToRetry {
 		b.emit(Reject{ID: r.ID, RetryAfter: b.settings.MaxRetryAfter})
 	} else {
 		b.emit(Fail{ID: r.ID})
@@ -147,7 +152,8 @@
 	b.closeRequest(r)
 }
 
-// closeRequest ends a request and cancels what nobody waits for any more.
+// closeRequest ends a request. If attempts may be cancelled and the response is not streaming, it cancels the request's
+// attempts in flight, whose responses have no receiver any more.
 func (b *Balancer) closeRequest(r *request) {
 	r.phase = requestClosed
 	if r.streaming || !b.settings.Capabilities.Cancellation {
--- a/balancer/routing.go
+++ b/balancer/routing.go
@@ -2,18 +2,18 @@
 
 import "slices"
 
-// Where an attempt goes: to which endpoint, and from which source a miss is filled. An attempt without an endpoint
-// means that there is no capacity now.
+// This file chooses the endpoint of an attempt and the source that a miss is filled from. An attempt without an
+// endpoint means that there is no capacity now.
 
-// routeWrite sends what runs at the origin straight there where that is allowed, else through an edge cache with a
-// parent or the origin as its source. A retry takes another way.
+// routeWrite routes a write. Where direct attempts are allowed, it goes straight to the origin or the home parent, else
+// through an edge cache with a parent or the origin as its source. A retry takes another path.
 func (b *Balancer) routeWrite(r *request) attempt {
-	home, second := b.homeParents(r)
+	home, secondHome := b.homeParents(r)
 	origin := b.originInService()
 	if b.settings.Capabilities.DirectAttempts && origin != nil {
 		return b.routeDirectWrite(r, home, origin)
 	}
-	for _, source := range [...]*endpoint{home, second, origin} {
+	for _, source := range [...]*endpoint{home, secondHome, origin} {
 		if source != nil && source.inService() && !r.failedAt(source) {
 			if c := b.edgeCache(r); c != nil {
 				return attempt{endpoint: c, source: source}
@@ -23,28 +23,28 @@
 	return attempt{}
 }
 
-// routeDirectWrite takes turns between the origin and the home parent.
+// routeDirectWrite alternates between the origin and the home parent, starting with the origin.
 func (b *Balancer) routeDirectWrite(r *request, home, origin *endpoint) attempt {
-	to := origin
-	if home != nil && (!r.dedupAllows(to) || len(r.attempts)%2 == 1 && b.usable(home)) {
-		to = home
+	target := origin
+	if home != nil && (!r.dedupAllows(target) || len(r.attempts)%2 == 1 && b.usable(home)) {
+		target = home
 	}
-	if !r.dedupAllows(to) {
+	if !r.dedupAllows(target) {
 		return attempt{}
 	}
-	return attempt{endpoint: to, source: to}
+	return attempt{endpoint: target, source: target}
 }
 
-// routeRead sends a read to the edge cache that the hash names, and bounds the fills on the zone's link: over the
-// bound the cache only serves what it has.
+// routeRead routes a read to the edge cache that the hash names, and limits the fills on the zone's link. Over the
+// limit, the cache only serves what it has.
 func (b *Balancer) routeRead(r *request) attempt {
 	a := attempt{endpoint: b.edgeCache(r)}
-	home, second := b.homeParents(r)
+	home, secondHome := b.homeParents(r)
 	origin := b.originInService()
 	originHealthy := origin != nil && b.inRange(r.Object, origin, b.healthScore(origin)/originScoreRatio)
-	a.source, a.toSecondHome = b.sourceOf(r, sourceCandidates{home, second, origin, originHealthy})
-	// While the origin is slow, parents serve only what they have for most objects: a fill that waits for the origin
-	// would keep quick ones off the link, and its load would keep the origin slow.
+	a.source, a.toSecondHome = b.sourceOf(r, sourceCandidates{home, secondHome, origin, originHealthy})
+	// While the origin is slow, parents serve most objects from their caches only: a fill that waits for the origin
+	// would keep quick fills off the link, and its load would keep the origin slow.
 	a.cachedOnly = origin != nil && !originHealthy && a.source != nil && a.source.role == roleParent
 	if a.endpoint == nil {
 		b.bypassCaches(&a, origin)
@@ -62,7 +62,8 @@
 	return a
 }
 
-// withoutFill asks a cache only for what it has, where that may help.
+// withoutFill returns an attempt that only asks a cache for a cached copy. The attempt is empty where the cache has
+// already missed for this request, or where the endpoint is no edge cache.
 func withoutFill(r *request, e *endpoint) attempt {
 	if r.cacheMissed || e.role != roleCache {
 		return attempt{}
@@ -72,38 +73,38 @@
 
 // sourceCandidates are the endpoints that may be the source of a fill; each may be nil.
 type sourceCandidates struct {
-	home, second  *endpoint // parents
-	origin        *endpoint
-	originHealthy bool // the origin's health score lets it take this object's fills
+	home, secondHome *endpoint // parents
+	origin           *endpoint
+	originHealthy    bool // the origin's health score allows fills of this object
 }
 
-// sourceOf chooses the source of a fill: the home parent; the second home once in replicationInterval, or where the
-// home fails; the origin where there are no parents or its score is good and the home's is not. Nil means that
-// there is none.
+// sourceOf chooses the source of a fill. That is normally the home parent. It is the second home once per
+// replicationInterval, which toSecondHome reports, or where the home fails. It is the origin where no parent can fill,
+// or where the origin's health score is good and the home's is not. A nil source means that there is none.
 func (b *Balancer) sourceOf(r *request, c sourceCandidates) (source *endpoint, toSecondHome bool) {
 	if r.sourceMisses > 0 {
 		return b.sourceAfterMiss(r, c), false
 	}
 	if !b.canFill(r, c.home) {
-		if b.canFill(r, c.second) {
-			return c.second, false
+		if b.canFill(r, c.secondHome) {
+			return c.secondHome, false
 		}
 		return c.origin, false
 	}
 	switch {
 	case c.originHealthy && !b.inRange(r.Object, c.home, b.healthScore(c.home)/originScoreRatio):
 		return c.origin, false
-	case b.replicationDue(r.object) && c.second != nil && b.usable(c.second):
-		return c.second, true
+	case b.replicationDue(r.object) && c.secondHome != nil && b.usable(c.secondHome):
+		return c.secondHome, true
 	}
 	return c.home, false
 }
 
-// sourceAfterMiss chooses a source when one that was asked for cached copies only had none: once the second home, then
-// the origin if its score allows it.
+// sourceAfterMiss chooses a source after a source that was asked for a cached copy only had none: first the second
+// home, then the origin if its health score allows it, else nil.
 func (b *Balancer) sourceAfterMiss(r *request, c sourceCandidates) *endpoint {
-	if r.sourceMisses == 1 && c.second != nil && b.usable(c.second) {
-		return c.second
+	if r.sourceMisses == 1 && c.secondHome != nil && b.usable(c.secondHome) {
+		return c.secondHome
 	}
 	if c.originHealthy {
 		return c.origin
@@ -111,17 +112,18 @@
 	return nil
 }
 
-// canFill tells whether an endpoint, which may be nil, can be the source of a request's fill.
+// canFill reports whether an endpoint, which may be nil, can be the source of a request's fill.
 func (b *Balancer) canFill(r *request, e *endpoint) bool {
 	return e != nil && b.usable(e) && !r.failedAt(e)
 }
 
-// replicationDue tells whether a fill should go to the second home, which then keeps a copy, too.
+// replicationDue reports whether the next fill should go to the second home, which then keeps a copy as well.
 func (b *Balancer) replicationDue(o *object) bool {
 	return o.cachedAtHome && b.now-o.replicatedAt > replicationInterval
 }
 
-// bypassCaches sends an attempt straight to its source, where no edge cache has capacity and the link has.
+// bypassCaches sends an attempt straight to its source, where no edge cache has capacity. It has no effect unless direct
+// attempts are allowed, the origin is in service and the zone's link has capacity.
 func (b *Balancer) bypassCaches(a *attempt, origin *endpoint) {
 	allowed := b.settings.Capabilities.DirectAttempts && origin != nil && b.link.inFlight < b.link.limit
 	if !allowed || a.source == nil {
@@ -133,7 +135,7 @@
 	}
 }
 
-// originInService is the origin, or nil where it takes no attempts.
+// originInService returns the origin, or nil where there is none in service.
 func (b *Balancer) originInService() *endpoint {
 	if o := b.endpoints.origin; o != nil && o.inService() {
 		return o
@@ -141,26 +143,27 @@
 	return nil
 }
 
-// edgeCache picks the edge cache of a request. What it hashes is one part of an object: the parts of a long object
-// would else all go over one cache's link.
+// edgeCache picks the edge cache of a request, or nil. The hash key covers the object and the part: otherwise all parts
+// of a long object would go over one cache's link.
 func (b *Balancer) edgeCache(r *request) *endpoint {
 	return b.pick(r, mix(r.Object)+r.Part, b.endpoints.caches, saltCache, nil)
 }
 
-// homeParents names the home and the second home of an object.
-func (b *Balancer) homeParents(r *request) (home, second *endpoint) {
+// homeParents returns the home and the second home of a request's object; each may be nil.
+func (b *Balancer) homeParents(r *request) (home, secondHome *endpoint) {
 	home = b.pick(r, r.Object, b.endpoints.parents, saltHome, nil)
-	second = b.pick(r, r.Object, b.endpoints.parents, saltSecond, home)
-	return home, second
+	secondHome = b.pick(r, r.Object, b.endpoints.parents, saltSecondHome, home)
+	return home, secondHome
 }
 
-// failedAt tells whether an endpoint has failed this request already, as server or as source.
+// failedAt reports whether an earlier attempt of this request failed because of the endpoint, as its server or as its
+// source.
 func (r *request) failedAt(e *endpoint) bool {
 	return slices.ContainsFunc(r.attempts, func(a attempt) bool { return a.avoidOnRetry == e })
 }
 
-// dedupAllows tells whether an attempt at an endpoint may follow the earlier ones: all that may have run must be in
-// the scope that drops repeats.
+// dedupAllows reports whether deduplication allows an attempt at an endpoint: all earlier attempts that may have run
+// must be within the same deduplication scope as the endpoint.
 func (r *request) dedupAllows(e *endpoint) bool {
 	if r.class.Idempotency != IdempotentByKey || r.class.DedupScope == DedupEverywhere {
 		return true
@@ -177,17 +180,17 @@
 	return true
 }
 
-// servesKey tells whether an endpoint serves a key now. Its part of its range rises in a line after a start and
-// shrinks while it is slower than its peers. The key's hash decides, so that all routers agree.
+// servesKey reports whether an endpoint serves a key now. The fraction of its range that it serves rises linearly after
+// a start and shrinks while the endpoint is slower than its peers. The key's hash decides, so that all routers agree.
 func (b *Balancer) servesKey(key uint64, e *endpoint) bool {
-	part := min(1, b.healthScore(e)/(peerScoreRatio*b.bestScore[e.role]))
+	fraction := min(1, b.healthScore(e)/(peerScoreRatio*b.bestScore[e.role]))
 	if e.startedAt > 0 && e.role != roleOrigin {
-		part *= min(1, float64(b.now-e.startedAt)/float64(rangeRampTime))
+		fraction *= min(1, float64(b.now-e.startedAt)/float64(rangeRampTime))
 	}
-	return b.inRange(key, e, part)
+	return b.inRange(key, e, fraction)
 }
 
-// inRange tells whether a key is in a part, up to 1, of an endpoint's range.
-func (b *Balancer) inRange(key uint64, e *endpoint, part float64) bool {
-	return part >= 1 || hashFraction(key, uint64(e.id), saltRange) < part
+// inRange reports whether a key is in the given fraction, up to 1, of an endpoint's range.
+func (b *Balancer) inRange(key uint64, e *endpoint, fraction float64) bool {
+	return fraction >= 1 || hashFraction(key, uint64(e.id), saltRange) < fraction
 }
--- a/balancer/snapshot.go
+++ b/balancer/snapshot.go
@@ -6,15 +6,14 @@
 	"time"
 )
 
-// What one process of a router hands over to the one that replaces it. Nothing here decides; state is copied out
-// and in.
+// This file exports the state that one process of a router hands over to its successor, and imports it there. It makes
+// no decisions.
 
-// snapshotObjects bounds the objects in a snapshot: those served last.
+// snapshotObjects is the maximum number of objects in a snapshot. Those served last are kept.
 const snapshotObjects = 4096
 
-// Snapshot is what a router's module has learned and its successor goes on from. Its times are readings of the
-// module's clock; Relative and Absolute carry them over to another clock. Package handover writes it as rows of
-// numbers.
+// Snapshot holds what a balancer has learned, from which its successor continues. Its times are readings of the
+// balancer's clock; Relative and Absolute convert them to another clock. Package handover writes it as rows of numbers.
 type Snapshot struct {
 	LinkLimit  float64
 	PurgeFloor time.Duration // copies older than this count as purged
@@ -25,14 +24,14 @@
 	Objects    []ObjectSnapshot
 }
 
-// PurgeSnapshot is a purge that may still rule out copies.
+// PurgeSnapshot is a purge that may still exclude copies.
 type PurgeSnapshot struct {
 	ByGroup  bool
 	ID       uint64 // of the object or the group
 	PurgedAt time.Duration
 }
 
-// EndpointSnapshot is what was seen of an endpoint: its health, and its budget while it is in slow start.
+// EndpointSnapshot is what a balancer has learned of an endpoint: its health, and its budget while it is in slow start.
 type EndpointSnapshot struct {
 	ID                  EndpointID
 	StartedAt           time.Duration
@@ -48,7 +47,7 @@
 // LoadSnapshot is the usual load of a role, in seconds of service time per second.
 type LoadSnapshot struct {
 	Rate, Peak   float64
-	PeakCapacity float64 // the most capacity that was in service at once
+	PeakCapacity float64 // the highest capacity that was in service at once
 	UpdatedAt    time.Duration
 }
 
@@ -58,7 +57,7 @@
 	ServiceTime float64
 }
 
-// ObjectSnapshot is what is known of a part of an object.
+// ObjectSnapshot is what a balancer has learned of a part of an object.
 type ObjectSnapshot struct {
 	Object, Part uint64
 	RequestCount int
@@ -68,28 +67,28 @@
 	ServiceTime  float64 // in seconds
 }
 
-// ExportSnapshot returns what a successor goes on from. The saved budgets of slow start go with it, and are not kept:
-// together the two processes may not send an endpoint in slow start more than one budget.
+// ExportSnapshot returns the state from which a successor continues. It sets the accumulated slow-start budgets to zero,
+// because the two processes together may not send an endpoint in slow start more than one budget.
 func (b *Balancer) ExportSnapshot() Snapshot {
-	m := Snapshot{LinkLimit: b.link.limit, PurgeFloor: b.purges.floor}
+	s := Snapshot{LinkLimit: b.link.limit, PurgeFloor: b.purges.floor}
 	for k, at := range b.purges.purgedAt {
-		m.Purges = append(m.Purges, PurgeSnapshot{k.byGroup, k.id, at})
+		s.Purges = append(s.Purges, PurgeSnapshot{k.byGroup, k.id, at})
 	}
 	for _, e := range b.endpoints.byID {
-		m.Endpoints = append(m.Endpoints, e.snapshot())
+		s.Endpoints = append(s.Endpoints, e.snapshot())
 		e.warmUp.budget = 0
 	}
-	for of, l := range b.load {
-		m.Loads = append(m.Loads, LoadSnapshot{Rate: b.classes.serviceTime(l.rate), Peak: b.classes.serviceTime(l.peak),
-			PeakCapacity: b.endpoints.peakCapacity[of], UpdatedAt: l.updatedAt})
+	for roleIndex, l := range b.load {
+		s.Loads = append(s.Loads, LoadSnapshot{Rate: b.classes.serviceTime(l.rate), Peak: b.classes.serviceTime(l.peak),
+			PeakCapacity: b.endpoints.peakCapacity[roleIndex], UpdatedAt: l.updatedAt})
 	}
 	for _, c := range b.classes.byName {
-		m.Classes = append(m.Classes, ClassSnapshot{c.Name, c.serviceTime})
+		s.Classes = append(s.Classes, ClassSnapshot{c.Name, c.serviceTime})
 	}
-	m.Objects = b.objects.snapshot()
-	m.sort()
-	m.Objects = m.Objects[:min(len(m.Objects), snapshotObjects)]
-	return m
+	s.Objects = b.objects.snapshot()
+	s.sort()
+	s.Objects = s.Objects[:min(len(s.Objects), snapshotObjects)]
+	return s
 }
 
 func (e *endpoint) snapshot() EndpointSnapshot {
@@ -100,7 +99,7 @@
 	}
 }
 
-// snapshot returns the objects that were served; one that is in both generations is returned twice.
+// snapshot returns the objects that were served. An object in both generations is returned twice.
 func (t *objectTable) snapshot() []ObjectSnapshot {
 	var all []ObjectSnapshot
 	for _, generation := range [...]map[objectKey]*object{t.young, t.old} {
@@ -120,60 +119,60 @@
 	}
 }
 
-// sort orders what comes from maps, so that modules in the same state return the same, and drops objects that are
-// there twice. The objects served last come first.
-func (m *Snapshot) sort() {
-	slices.SortFunc(m.Purges, func(x, y PurgeSnapshot) int {
+// sort orders the entries that come from maps, so that balancers in the same state export equal snapshots. It removes
+// duplicate objects. The objects served last come first.
+func (s *Snapshot) sort() {
+	slices.SortFunc(s.Purges, func(x, y PurgeSnapshot) int {
 		return cmp.Or(cmp.Compare(x.ID, y.ID), cmp.Compare(x.PurgedAt, y.PurgedAt))
 	})
-	slices.SortFunc(m.Endpoints, func(x, y EndpointSnapshot) int { return cmp.Compare(x.ID, y.ID) })
-	slices.SortFunc(m.Classes, func(x, y ClassSnapshot) int { return cmp.Compare(x.Name, y.Name) })
-	slices.SortFunc(m.Objects, func(x, y ObjectSnapshot) int {
+	slices.SortFunc(s.Endpoints, func(x, y EndpointSnapshot) int { return cmp.Compare(x.ID, y.ID) })
+	slices.SortFunc(s.Classes, func(x, y ClassSnapshot) int { return cmp.Compare(x.Name, y.Name) })
+	slices.SortFunc(s.Objects, func(x, y ObjectSnapshot) int {
 		return cmp.Or(cmp.Compare(y.ServedAt, x.ServedAt), cmp.Compare(x.Object, y.Object), cmp.Compare(x.Part, y.Part))
 	})
-	m.Objects = slices.CompactFunc(m.Objects, func(x, y ObjectSnapshot) bool {
+	s.Objects = slices.CompactFunc(s.Objects, func(x, y ObjectSnapshot) bool {
 		return x.Object == y.Object && x.Part == y.Part
 	})
 }
 
-// ImportSnapshot goes on from what a predecessor has handed over. It must be called when the endpoint list is
-// known, and before any request. What was handed over of an endpoint that is not listed, or has restarted since, is
-// dropped, and values that make no sense are bounded.
-func (b *Balancer) ImportSnapshot(now time.Duration, m Snapshot) {
+// ImportSnapshot takes over the state that a predecessor has handed over. It must be called once the endpoint list is
+// known, and before any request. It drops the entries of endpoints that are not listed or have restarted since, and
+// bounds values that are out of range.
+func (b *Balancer) ImportSnapshot(now time.Duration, s Snapshot) {
 	b.now = now
-	if m.LinkLimit > 0 {
-		b.link.limit = min(max(minLimit, m.LinkLimit), b.link.maxLimit)
+	if s.LinkLimit > 0 {
+		b.link.limit = min(max(minLimit, s.LinkLimit), b.link.maxLimit)
 	}
-	b.purges.floor = max(b.purges.floor, min(m.PurgeFloor, now))
-	for _, p := range m.Purges {
+	b.purges.floor = max(b.purges.floor, min(s.PurgeFloor, now))
+	for _, p := range s.Purges {
 		b.purges.record(purgeKey{p.ByGroup, p.ID}, min(p.PurgedAt, now))
 	}
-	for _, from := range m.Endpoints {
+	for _, from := range s.Endpoints {
 		if e := b.endpoints.byID[from.ID]; e != nil && e.startedAt == from.StartedAt {
 			b.importEndpoint(e, from)
 		}
 	}
-	for of := range min(len(m.Loads), len(b.load)) {
-		b.importLoad(role(of), m.Loads[of])
+	for roleIndex := range min(len(s.Loads), len(b.load)) {
+		b.importLoad(role(roleIndex), s.Loads[roleIndex])
 	}
-	for _, from := range m.Classes {
+	for _, from := range s.Classes {
 		if c := b.classes.byName[from.Name]; c != nil && from.ServiceTime > 0 {
 			c.serviceTime = from.ServiceTime
 		}
 	}
-	for _, from := range m.Objects[:min(len(m.Objects), snapshotObjects)] {
+	for _, from := range s.Objects[:min(len(s.Objects), snapshotObjects)] {
 		b.objects.restore(now, from)
 	}
 	b.objects.rotatedAt = now
 	b.updateCacheLimits()
 }
 
-// importLoad takes over the usual load of a role as a whole: its calls by class are not in a snapshot, so it counts
-// under the class whose calls are seconds of service time.
-func (b *Balancer) importLoad(of role, from LoadSnapshot) {
-	l := &b.load[of]
+// importLoad takes over the usual load of a role as a total. A snapshot doesn't hold the calls by class, so the load
+// counts under class 0, whose calls are seconds of service time.
+func (b *Balancer) importLoad(loadRole role, from LoadSnapshot) {
+	l := &b.load[loadRole]
 	l.rate[0], l.peak[0], l.updatedAt = max(from.Rate, 0), max(from.Peak, 0), min(from.UpdatedAt, b.now)
-	b.endpoints.peakCapacity[of] = max(b.endpoints.peakCapacity[of], from.PeakCapacity)
+	b.endpoints.peakCapacity[loadRole] = max(b.endpoints.peakCapacity[loadRole], from.PeakCapacity)
 }
 
 func (t *objectTable) restore(now time.Duration, from ObjectSnapshot) {
@@ -191,42 +190,42 @@
 	b.setEjected(e, from.Ejected)
 }
 
-// Relative turns all times but the starts of endpoints into spans to now, which are negative in the past, as the
-// clocks of two processes have nothing in common. 0, which means never, stays 0.
-func (m *Snapshot) Relative(now time.Duration) {
-	m.eachTime(func(at *time.Duration) {
+// Relative converts all times except the starts of endpoints to offsets from now, which are negative for the past: the
+// clocks of two processes are unrelated. 0, which means never, stays 0.
+func (s *Snapshot) Relative(now time.Duration) {
+	s.eachTime(func(at *time.Duration) {
 		if *at != 0 {
 			if *at -= now; *at == 0 {
-				*at = -1
+				*at = -1 // 0 would mean never
 			}
 		}
 	})
 }
 
-// Absolute turns spans to now into times again.
-func (m *Snapshot) Absolute(now time.Duration) {
-	m.eachTime(func(at *time.Duration) {
+// Absolute converts offsets from now back to times.
+func (s *Snapshot) Absolute(now time.Duration) {
+	s.eachTime(func(at *time.Duration) {
 		if *at != 0 {
-			*at = max(now+min(*at, now), 1) // a span that makes no sense must not overflow
+			*at = max(now+min(*at, now), 1) // min prevents an overflow by an invalid offset
 		}
 	})
 }
 
-func (m *Snapshot) eachTime(f func(at *time.Duration)) {
-	f(&m.PurgeFloor)
-	for i := range m.Purges {
-		f(&m.Purges[i].PurgedAt)
+func (s *Snapshot) eachTime(f func(at *time.Duration)) {
+	f(&s.PurgeFloor)
+	for i := range s.Purges {
+		f(&s.Purges[i].PurgedAt)
 	}
-	for i := range m.Endpoints {
-		f(&m.Endpoints[i].NextProbe)
-		f(&m.Endpoints[i].PenalizedAt)
+	for i := range s.Endpoints {
+		f(&s.Endpoints[i].NextProbe)
+		f(&s.Endpoints[i].PenalizedAt)
 	}
-	for i := range m.Loads {
-		f(&m.Loads[i].UpdatedAt)
+	for i := range s.Loads {
+		f(&s.Loads[i].UpdatedAt)
 	}
-	for i := range m.Objects {
-		f(&m.Objects[i].ServedAt)
-		f(&m.Objects[i].ReplicatedAt)
+	for i := range s.Objects {
+		f(&s.Objects[i].ServedAt)
+		f(&s.Objects[i].ReplicatedAt)
 	}
 }
 
