--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -81,10 +81,10 @@
 	if !ev.Detail.isFill() || a.endpoint.role != roleCache || a.source.role != roleParent {
 		return
 	}
-	serviceTime := r.serviceTime
-	inTimeLimit := b.link.utilization * a.linkInFlight * (serviceTime + r.slack()) / max(ev.Elapsed.Seconds(), serviceTime)
-	if ev.Elapsed > seconds(congestionThreshold*serviceTime) || inTimeLimit > b.link.limit {
-		gain := serviceTime / (serviceTime + r.class.serviceTime) * linkLearningRate
+	s := r.serviceTime
+	inTimeLimit := b.link.utilization * a.linkInFlight * (s + r.slack()) / max(ev.Elapsed.Seconds(), s)
+	if ev.Elapsed > seconds(congestionThreshold*s) || inTimeLimit > b.link.limit {
+		gain := s / (s + r.class.serviceTime) * linkLearningRate
 		if r.SizeKB == 0 && r.object.serviceTime == 0 {
 			gain *= 1 - 1/b.routersInZone()
 		}
