--- a/balancer/balancer_test.go
+++ b/balancer/balancer_test.go
@@ -7,15 +7,15 @@
 	"testing"
 )
 
-// The operators print the files that the deploy file names under policy: these are all that decide, each of a size
-// that can be read in one go, in lines that fit a page.
+// Operators print the files that the deploy file lists under policy. These must be all files that make decisions, each
+// short enough to be read in one go, with lines that fit a page.
 func TestPolicyFiles(t *testing.T) {
 	deploy, err := os.ReadFile("../deploy/balancer.toml")
 	if err != nil {
 		t.Fatal(err)
 	}
-	// The interface, the state, and what is copied out for others decide nothing.
-	plain := map[string]bool{"doc.go": true, "settings.go": true, "events.go": true, "actions.go": true,
+	// The files of the interface, the state and its export make no decisions.
+	notPolicy := map[string]bool{"doc.go": true, "settings.go": true, "events.go": true, "actions.go": true,
 		"state.go": true, "status.go": true, "snapshot.go": true}
 	files, err := filepath.Glob("*.go")
 	if err != nil {
@@ -25,7 +25,7 @@
 		if strings.HasSuffix(name, "_test.go") {
 			continue
 		}
-		if listed := strings.Contains(string(deploy), `"balancer/`+name+`"`); listed == plain[name] {
+		if listed := strings.Contains(string(deploy), `"balancer/`+name+`"`); listed == notPolicy[name] {
 			t.Errorf("%s is listed under policy: %t", name, listed)
 		}
 		text, err := os.ReadFile(name)
@@ -34,28 +34,28 @@
 		}
 		lines := strings.Split(string(text), "\n")
 		if len(lines) > 300 {
-			t.Errorf("%s has %d lines", name, len(lines))
+			t.Errorf("%s has %d lines, more than 300", name, len(lines))
 		}
 		for i, line := range lines {
 			if w := len([]rune(strings.ReplaceAll(line, "\t", "    "))); w > 130 {
-				t.Errorf("%s:%d has %d columns", name, i+1, w)
+				t.Errorf("%s:%d has %d columns, more than 130", name, i+1, w)
 			}
 		}
 	}
 }
 
-func TestSettingsRejected(t *testing.T) {
-	for name, bend := range map[string]func(*Settings){
-		"no classes":    func(s *Settings) { s.Classes = nil },
-		"own location":  func(s *Settings) { s.Topology.Zone = "nowhere" },
-		"negative time": func(s *Settings) { s.PurgeWindow = -1 },
-		"negative aim":  func(s *Settings) { s.Classes[0].LatencyObjective = -1 },
-		"parent kind":   func(s *Settings) { s.Topology.ParentKind = 3 },
+func TestInvalidSettingsAreRejected(t *testing.T) {
+	for name, invalidate := range map[string]func(*Settings){
+		"no classes":                 func(s *Settings) { s.Classes = nil },
+		"own zone not listed":        func(s *Settings) { s.Topology.Zone = "nowhere" },
+		"negative purge window":      func(s *Settings) { s.PurgeWindow = -1 },
+		"negative latency objective": func(s *Settings) { s.Classes[0].LatencyObjective = -1 },
+		"parent kind not listed":     func(s *Settings) { s.Topology.ParentKind = 3 },
 	} {
-		s := site()
-		bend(&s)
+		s := testSettings()
+		invalidate(&s)
 		if _, err := New(s); err == nil {
-			t.Errorf("%s: accepted", name)
+			t.Errorf("%s: settings were accepted", name)
 		}
 	}
 }
--- a/balancer/endpoints_test.go
+++ b/balancer/endpoints_test.go
@@ -8,16 +8,17 @@
 	"time"
 )
 
-// rebuilt is what the list came to when it was rebuilt at each change: endpoints by id, and the most that was in
-// service.
+// referenceList is a reference implementation of the endpoint list, which is rebuilt at each change. It holds the
+// endpoints by id and the highest capacity that was in service.
 type referenceList struct {
 	endpoints    map[EndpointID]Endpoint
 	startedAt    map[EndpointID]time.Duration
 	peakCapacity [4]float64
 }
 
-// take applies an event, and rebuilds all that follows from the list.
-func (l *referenceList) apply(b *Balancer, ev EndpointUpdate) (caches, parents, origins []EndpointID, targets int) {
+// apply applies an event, and returns the caches, parents and origins that a balancer should choose from, rebuilt from
+// the list, and the number of listed caches.
+func (l *referenceList) apply(b *Balancer, ev EndpointUpdate) (caches, parents, origins []EndpointID, cacheCount int) {
 	if ev.Complete {
 		clear(l.endpoints)
 	}
@@ -28,19 +29,19 @@
 			delete(l.endpoints, e.ID)
 		}
 	}
-	for id := range l.startedAt { // a member that has left is forgotten, its start too
+	for id := range l.startedAt { // an endpoint that is not listed any more is forgotten with its start
 		if _, listed := l.endpoints[id]; !listed {
 			delete(l.startedAt, id)
 		}
 	}
-	var fleet [4]float64
+	var capacity [4]float64
 	for _, id := range slices.Sorted(endpointIDs(l.endpoints)) {
 		e := l.endpoints[id]
 		ro := b.roleOf(e)
-		m := &endpoint{role: ro, startedAt: l.startedAt[id], weight: e.Weight}
+		known := &endpoint{role: ro, startedAt: l.startedAt[id], weight: e.Weight}
 		local := ro != roleCache || e.Zone == b.settings.Topology.Zone
-		if e.State == InService && local && (l.peakCapacity[ro] == 0 || !b.isWarmingUp(m)) {
-			fleet[ro] += b.capacityOf(m)
+		if e.State == InService && local && (l.peakCapacity[ro] == 0 || !b.isWarmingUp(known)) {
+			capacity[ro] += b.capacityOf(known)
 		}
 		switch {
 		case ro == roleParent:
@@ -51,18 +52,18 @@
 			caches = append(caches, id)
 		}
 		if ro == roleCache {
-			targets++
+			cacheCount++
 		}
 	}
-	for ro := range fleet {
-		l.peakCapacity[ro] = max(l.peakCapacity[ro], fleet[ro])
+	for ro := range capacity {
+		l.peakCapacity[ro] = max(l.peakCapacity[ro], capacity[ro])
 	}
-	return caches, parents, origins, targets
+	return caches, parents, origins, cacheCount
 }
 
-func endpointIDs(m map[EndpointID]Endpoint) func(func(EndpointID) bool) {
+func endpointIDs(byID map[EndpointID]Endpoint) func(func(EndpointID) bool) {
 	return func(yield func(EndpointID) bool) {
-		for id := range m {
+		for id := range byID {
 			if !yield(id) {
 				return
 			}
@@ -70,18 +71,18 @@
 	}
 }
 
-func idsOf(list []*endpoint) (out []EndpointID) {
-	for _, m := range list {
-		out = append(out, m.id)
+func idsOf(list []*endpoint) (ids []EndpointID) {
+	for _, e := range list {
+		ids = append(ids, e.id)
 	}
-	return out
+	return ids
 }
 
-// However the list changes, changing it in place comes to the same as rebuilding it.
-func TestEndpointListChangesInPlace(t *testing.T) {
+// Changing the endpoint list in place must give the same result as rebuilding it, for random changes.
+func TestChangedListEqualsRebuiltList(t *testing.T) {
 	for seed := range uint64(40) {
 		rnd := rand.New(rand.NewPCG(seed, 1))
-		s := site()
+		s := testSettings()
 		s.StaticWeights = seed%2 == 0
 		b, err := New(s)
 		if err != nil {
@@ -96,23 +97,23 @@
 				ev.Endpoints = append(ev.Endpoints, randomEntry(rnd, now))
 			}
 			b.Handle(now, ev)
-			caches, parents, origins, targets := ref.apply(b, ev)
+			caches, parents, origins, cacheCount := ref.apply(b, ev)
 			got := fmt.Sprint(idsOf(b.endpoints.caches), idsOf(b.endpoints.parents), idsOf(b.endpoints.origins),
 				b.endpoints.peakCapacity, b.endpoints.cachesListed)
-			want := fmt.Sprint(caches, parents, origins, ref.peakCapacity, targets)
+			want := fmt.Sprint(caches, parents, origins, ref.peakCapacity, cacheCount)
 			if got != want {
-				t.Fatalf("seed %d, step %d:\n%s, want\n%s", seed, step, got, want)
+				t.Fatalf("seed %d, step %d: got\n%s, want\n%s", seed, step, got, want)
 			}
 			if b.endpoints.origin != firstEndpoint(b.endpoints.origins) {
-				t.Fatalf("seed %d, step %d: the origin is not the first of them", seed, step)
+				t.Fatalf("seed %d, step %d: the origin is not the first of the origins", seed, step)
 			}
-			for _, m := range b.endpoints.caches {
-				if m.concurrencyLimit != b.cacheLimit(m) {
-					t.Fatalf("seed %d, step %d: the limit of %d is out of date", seed, step, m.id)
+			for _, e := range b.endpoints.caches {
+				if e.concurrencyLimit != b.cacheLimit(e) {
+					t.Fatalf("seed %d, step %d: the limit of cache %d is out of date", seed, step, e.id)
 				}
 			}
 			if len(b.endpoints.byID) != len(ref.endpoints) {
-				t.Fatalf("seed %d, step %d: %d endpoints are kept, and %d are listed", seed, step,
+				t.Fatalf("seed %d, step %d: %d endpoints are kept, want the %d listed ones", seed, step,
 					len(b.endpoints.byID), len(ref.endpoints))
 			}
 		}
@@ -122,7 +123,7 @@
 func randomEntry(rnd *rand.Rand, now time.Duration) Endpoint {
 	e := Endpoint{ID: EndpointID(1 + rnd.IntN(40)), Zone: "edge", Weight: []float64{0.5, 1, 1.5, 2}[rnd.IntN(4)],
 		State: EndpointState(rnd.IntN(3))}
-	kinds := site().Topology.Kinds
+	kinds := testSettings().Topology.Kinds
 	e.Kind = kinds[int(e.ID)%len(kinds)]
 	if rnd.IntN(4) == 0 {
 		e.Zone = "hub"
@@ -133,16 +134,17 @@
 	return e
 }
 
-// listed returns a balancer with so many caches in its zone, and one event that changes one of them.
+// balancerWithCaches returns a balancer with the given number of caches in its zone, and a function that changes the
+// state of one of them per call.
 func balancerWithCaches(tb testing.TB, size int) (*Balancer, func()) {
 	tb.Helper()
-	b, err := New(site())
+	b, err := New(testSettings())
 	if err != nil {
 		tb.Fatal(err)
 	}
 	all := EndpointUpdate{Complete: true}
 	for i := range size {
-		all.Endpoints = append(all.Endpoints, Endpoint{ID: EndpointID(mix(uint64(i + 1))), Kind: site().Topology.Kinds[0],
+		all.Endpoints = append(all.Endpoints, Endpoint{ID: EndpointID(mix(uint64(i + 1))), Kind: testSettings().Topology.Kinds[0],
 			Zone: "edge", Weight: 1, State: InService})
 	}
 	now := 1000 * time.Hour
@@ -161,13 +163,13 @@
 	}
 }
 
-// A change of one endpoint costs the same number of allocations however many are listed, and they are few.
-func TestListChangeCostIsConstant(t *testing.T) {
+// A change of one endpoint makes at most 4 allocations, however many endpoints are listed.
+func TestListChangeAllocationsAreConstant(t *testing.T) {
 	for _, size := range []int{200, 3200} {
 		_, change := balancerWithCaches(t, size)
-		change() // the first of all
+		change() // the first change is not measured
 		if n := testing.AllocsPerRun(600, change); n > 4 {
-			t.Errorf("%d members: %.1f allocations for one change, want at most 4", size, n)
+			t.Errorf("%d endpoints: %.1f allocations for one change, want at most 4", size, n)
 		}
 	}
 }
@@ -186,18 +188,20 @@
 func BenchmarkDecision(b *testing.B) {
 	for _, size := range []int{200, 800, 3200} {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
-			m, _ := balancerWithCaches(b, size)
+			balancer, _ := balancerWithCaches(b, size)
 			now, id := 1001*time.Hour, RequestID(0)
 			for b.Loop() {
 				id++
 				now += time.Millisecond
-				for _, a := range m.Handle(now, Request{ID: id, Class: "page", Object: uint64(id), Remaining: 3 * time.Second, SizeKB: 100}) {
-					if g, ok := a.(SendAttempt); ok {
-						m.Handle(now, Outcome{ID: id, Endpoint: g.Endpoint, Status: OK, Detail: Hit, Elapsed: time.Millisecond, Answered: true})
+				for _, a := range balancer.Handle(now, Request{ID: id, Class: "page", Object: uint64(id),
+					Remaining: 3 * time.Second, SizeKB: 100}) {
+					if send, ok := a.(SendAttempt); ok {
+						balancer.Handle(now, Outcome{ID: id, Endpoint: send.Endpoint, Status: OK, Detail: Hit,
+							Elapsed: time.Millisecond, Answered: true})
 					}
 				}
 				if id%25 == 0 {
-					m.Handle(now, Timer{Token: scanToken})
+					balancer.Handle(now, Timer{Token: scanToken})
 				}
 			}
 		})
--- a/balancer/example_test.go
+++ b/balancer/example_test.go
@@ -7,7 +7,7 @@
 	"hillknot/balancer"
 )
 
-// A router feeds its events in and carries out what comes back.
+// A router passes events to Handle and carries out the actions that it returns.
 func Example() {
 	b, err := balancer.New(balancer.Settings{
 		Topology: balancer.Topology{Zone: "branch", Zones: []string{"hub", "branch"},
@@ -19,13 +19,13 @@
 		fmt.Println(err)
 		return
 	}
-	now := 10 * time.Second // of the clock that the director keeps
+	now := 10 * time.Second // reading of the router's clock
 	b.Handle(now, balancer.EndpointUpdate{Complete: true, Endpoints: []balancer.Endpoint{
 		{ID: 1, Kind: "cache", Zone: "branch"}, {ID: 7, Kind: "parent", Zone: "hub"},
 	}})
 	for _, a := range b.Handle(now, balancer.Request{ID: 42, Class: "page", Object: 0xfeed, Remaining: time.Second}) {
-		if g, ok := a.(balancer.SendAttempt); ok {
-			fmt.Printf("ask cache %d for request %d, filling from %d\n", g.Endpoint, g.ID, g.Source)
+		if send, ok := a.(balancer.SendAttempt); ok {
+			fmt.Printf("ask cache %d for request %d, filling from %d\n", send.Endpoint, send.ID, send.Source)
 		}
 	}
 	// Output: ask cache 1 for request 42, filling from 7
--- a/balancer/faults_test.go
+++ b/balancer/faults_test.go
@@ -5,143 +5,144 @@
 	"time"
 )
 
-// A crashed cache is left after a few failures, though the list still names it (a late list), is tried about
-// once a second, and gets its work back when it answers.
+// A crashed cache is ejected after a few failures even while a late endpoint list still names it. It is then probed
+// about once a second, and gets its requests back when it responds.
 func TestCrashedCacheIsProbedAndRecovers(t *testing.T) {
-	r := newRig(t, site(), fleetList())
+	r := newRig(t, testSettings(), testEndpoints())
 	r.failUntilEjected(1, ConnectFailed)
 	for o := range uint64(40) {
-		if g := r.request("page", o); g.Endpoint == 1 {
-			t.Fatalf("sent to the dead cache")
+		if send := r.request("page", o); send.Endpoint == 1 {
+			t.Fatalf("a request was sent to the dead cache")
 		} else {
-			r.finish(g, 0, OK, Hit)
+			r.finish(send, 0, OK, Hit)
 		}
 	}
 	r.now += 5 * sec
-	trials := 0
+	probes := 0
 	for o := range uint64(40) {
-		g := r.request("page", o)
-		if g.Endpoint == 1 {
-			trials++
+		send := r.request("page", o)
+		if send.Endpoint == 1 {
+			probes++
 			r.now += ms
-			r.finish(g, 0, OK, Filled)
+			r.finish(send, 0, OK, Filled)
 			break
 		}
-		r.finish(g, 0, OK, Hit)
+		r.finish(send, 0, OK, Hit)
 	}
-	m := r.balancer.endpoints.byID[1]
-	if trials != 1 || m.health.ejected {
-		t.Errorf("%d trials, back as %+v", trials, m)
+	e := r.balancer.endpoints.byID[1]
+	if probes != 1 || e.health.ejected {
+		t.Errorf("%d probes, want 1; the cache after it: %+v", probes, e)
 	}
 }
 
-// With all caches of the zone lost, requests pass them by, within the link; when the caches are
-// back the ordinary path is too.
-func TestZoneLostAndBack(t *testing.T) {
-	r := newRig(t, site(), fleetList())
-	gone := fleetList()[:3]
-	for i := range gone {
-		gone[i].State = Removed
-	}
-	r.handle(EndpointUpdate{Endpoints: gone})
-	passed := 0
+// With all caches of the zone lost, requests bypass them, within the link limit. Once the caches are back, requests go to
+// them again.
+func TestLostZoneIsBypassedUntilItReturns(t *testing.T) {
+	r := newRig(t, testSettings(), testEndpoints())
+	lost := testEndpoints()[:3]
+	for i := range lost {
+		lost[i].State = Removed
+	}
+	r.handle(EndpointUpdate{Endpoints: lost})
+	bypassed := 0
 	for o := range uint64(100) {
-		if g := r.request("page", o); g.Endpoint >= 11 && g.Source == 20 {
-			passed++
-		} else if g.Endpoint != 0 {
-			t.Fatalf("%+v", g)
+		if send := r.request("page", o); send.Endpoint >= 11 && send.Source == 20 {
+			bypassed++
+		} else if send.Endpoint != 0 {
+			t.Fatalf("attempt does not bypass the caches: %+v", send)
 		}
 	}
-	if passed == 0 || float64(passed) > defaultLimit*cheapAllowance+1 {
-		t.Errorf("%d passed the caches by", passed)
+	if bypassed == 0 || float64(bypassed) > defaultLimit*cheapAllowance+1 {
+		t.Errorf("%d requests bypassed the caches", bypassed)
 	}
 	r.now += 60 * sec
-	back := fleetList()[:3]
+	back := testEndpoints()[:3]
 	for i := range back {
 		back[i].StartedAt = r.now - 30*sec
 	}
 	r.handle(EndpointUpdate{Endpoints: back})
 	r.balancer.link.inFlight = 0
-	if g := r.request("page", 500); g.Endpoint < 1 || g.Endpoint > 3 {
-		t.Errorf("after the return: %+v", g)
+	if send := r.request("page", 500); send.Endpoint < 1 || send.Endpoint > 3 {
+		t.Errorf("attempt after the caches' return: %+v", send)
 	}
 }
 
-// A rolling deploy: nothing for what drains, a rising part for its successor.
-func TestRollingDeploy(t *testing.T) {
-	r := newRig(t, site(), fleetList())
-	for o := range uint64(100) { // some usual load
+// In a rolling deploy, a draining cache gets no attempts, and its replacement gets a rising part of the requests.
+func TestRollingDeployMovesLoadGradually(t *testing.T) {
+	r := newRig(t, testSettings(), testEndpoints())
+	for o := range uint64(100) { // builds up a usual load
 		r.now += 100 * ms
 		r.finish(r.request("page", o), 0, OK, Hit)
 	}
 	old, fresh := listedEndpoint(1, "box", "edge"), listedEndpoint(4, "box", "edge")
 	old.State, fresh.StartedAt = Draining, r.now
 	r.handle(EndpointUpdate{Endpoints: []Endpoint{old, fresh}})
-	part := func() (n int) {
+	countNew := func() (n int) {
 		for o := range uint64(200) {
 			r.now += 5 * ms
-			g := r.request("page", o)
-			if g.Endpoint == 1 {
-				t.Fatalf("sent to what drains")
+			send := r.request("page", o)
+			if send.Endpoint == 1 {
+				t.Fatalf("a request was sent to the draining cache")
 			}
-			if g.Endpoint == 4 {
+			if send.Endpoint == 4 {
 				n++
 			}
-			r.finish(g, 0, OK, Hit)
+			r.finish(send, 0, OK, Hit)
 		}
 		return n
 	}
-	early := part()
+	early := countNew()
 	r.now += 20 * sec
-	if late := part(); early >= late/2 || late < 40 {
-		t.Errorf("the successor got %d of 200 at first, %d when warm", early, late)
+	if late := countNew(); early >= late/2 || late < 40 {
+		t.Errorf("the new cache got %d of 200 requests at first, %d when warmed up", early, late)
 	}
 }
 
-// A scan washes nothing out: what is seen once stays at the lowest rank.
+// A scan over many objects must not evict popular ones: an object requested once gets the lowest rank.
 func TestScanDoesNotEvictPopularObjects(t *testing.T) {
-	r := newRig(t, site(), fleetList())
+	r := newRig(t, testSettings(), testEndpoints())
 	for n, want := range []int{1, 2, 2} {
-		g := r.request("page", 5)
-		if g.CachePriority != want {
-			t.Errorf("request %d: rank %d, want %d", n, g.CachePriority, want)
+		send := r.request("page", 5)
+		if send.CachePriority != want {
+			t.Errorf("request %d: cache priority %d, want %d", n, send.CachePriority, want)
 		}
-		r.finish(g, 0, OK, Hit)
+		r.finish(send, 0, OK, Hit)
 	}
 }
 
-// Two at once: a cache is dead and so is a home; the request still gets away.
-func TestTwoFaultsAtOnce(t *testing.T) {
-	r := newRig(t, site(), fleetList())
-	home := r.request("page", 5)
-	r.finish(home, 0, OK, Filled)
-	r.failUntilEjected(home.Endpoint, Reset)
-	h := r.balancer.endpoints.byID[home.Source]
-	h.health.ejected, h.health.nextProbe = true, r.now+time.Minute
-	g := r.request("page", 5)
-	if g.Endpoint == home.Endpoint || g.Source == home.Source || g.Endpoint == 0 {
-		t.Errorf("%+v, the lost are %d and %d", g, home.Endpoint, home.Source)
+// With an object's cache and home parent both dead, its request goes to another cache with another source.
+func TestRequestAvoidsDeadCacheAndDeadHome(t *testing.T) {
+	r := newRig(t, testSettings(), testEndpoints())
+	first := r.request("page", 5)
+	r.finish(first, 0, OK, Filled)
+	r.failUntilEjected(first.Endpoint, Reset)
+	home := r.balancer.endpoints.byID[first.Source]
+	home.health.ejected, home.health.nextProbe = true, r.now+time.Minute
+	send := r.request("page", 5)
+	if send.Endpoint == first.Endpoint || send.Source == first.Source || send.Endpoint == 0 {
+		t.Errorf("attempt %+v; the dead endpoints are %d and %d", send, first.Endpoint, first.Source)
 	}
 }
 
-// While the living caches are full, requests wait rather than run into the dead one.
+// While the other caches are full, requests are queued or rejected and not sent to the dead cache.
 func TestEjectedCacheTakesNoOverflow(t *testing.T) {
-	s := site()
+	s := testSettings()
 	s.Capabilities.DirectAttempts = false
-	r := newRig(t, s, fleetList())
+	r := newRig(t, s, testEndpoints())
 	r.failUntilEjected(1, ConnectFailed)
 	r.balancer.endpoints.byID[2].concurrencyLimit, r.balancer.endpoints.byID[3].concurrencyLimit = 0, 0
 	for o := range uint64(30) {
-		if g := r.request("page", o); g.Endpoint != 0 {
-			t.Fatalf("%+v", g)
+		if send := r.request("page", o); send.Endpoint != 0 {
+			t.Fatalf("a request was sent: %+v", send)
 		}
 	}
 }
 
-// A lost hub: the parents left take the fills at once; those that return get a part that rises.
-func TestHubLostAndBack(t *testing.T) {
-	r := newRig(t, site(), fleetList())
-	for o := range uint64(200) { // some usual load of fills
+// When parents are lost, the remaining ones take over their fills at once. Parents that return get a rising part of the
+// fills.
+func TestLostParentsGetFillsBackGradually(t *testing.T) {
+	r := newRig(t, testSettings(), testEndpoints())
+	for o := range uint64(200) { // builds up a usual load of fills
 		r.now += 50 * ms
 		r.finish(r.request("page", o), 0, OK, Filled)
 	}
@@ -150,27 +151,27 @@
 		lost[i].State = Removed
 	}
 	r.handle(EndpointUpdate{Endpoints: lost})
-	part := func() (n int) {
+	countReturned := func() (n int) {
 		for o := range uint64(200) {
 			r.now += 5 * ms
-			g := r.request("page", 1000+o)
-			if g.Source == 11 || g.Source == 12 {
+			send := r.request("page", 1000+o)
+			if send.Source == 11 || send.Source == 12 {
 				n++
 			}
-			r.finish(g, 0, OK, Hit)
+			r.finish(send, 0, OK, Hit)
 		}
 		return n
 	}
-	if n := part(); n != 0 {
-		t.Errorf("%d fills named a lost parent", n)
+	if n := countReturned(); n != 0 {
+		t.Errorf("%d fills went to a lost parent", n)
 	}
 	for i := range lost {
 		lost[i].State, lost[i].StartedAt = InService, r.now
 	}
 	r.handle(EndpointUpdate{Endpoints: lost})
-	early := part()
+	early := countReturned()
 	r.now += 20 * sec
-	if late := part(); early >= late/2 || late < 80 {
-		t.Errorf("the returned parents were named by %d of 200 at first, by %d when warm", early, late)
+	if late := countReturned(); early >= late/2 || late < 80 {
+		t.Errorf("the returned parents were the source of %d of 200 attempts at first, of %d when warmed up", early, late)
 	}
 }
--- a/balancer/golden_test.go
+++ b/balancer/golden_test.go
@@ -8,9 +8,9 @@
 	"hillknot/internal/testutil/golden"
 )
 
-// Routers of different releases name the same endpoints for an object only if they hash alike. The file of
-// testdata/golden was written at commit 86ccf0f. No name of Go reaches the hashes. The numbers of the roles reach
-// the bytes that package handover writes: the place in Snapshot.Loads is a role's.
+// Routers of different releases choose the same endpoints for an object only if they compute the same hashes. The file
+// in testdata/golden was written at commit 86ccf0f. The hashes don't depend on names in the Go code. The numbers of the
+// roles are part of what package handover writes, as they are the indices of Snapshot.Loads.
 func TestGoldenHashes(t *testing.T) {
 	var text strings.Builder
 	for _, key := range []uint64{1, 0x91f03b7c55d20a64, 1<<64 - 1} {
--- a/balancer/handle.go
+++ b/balancer/handle.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// Handle processes events that arrived together, in order, and returns the actions that the caller must carry out, in
-// order. The time now is read from the caller's clock, which must not go back between calls. The result is valid until
-// the next call.
+// Handle processes events that arrived together, in their order, and returns the actions that the caller must carry out,
+// in their order. The parameter now is the time of the caller's clock, which must not go back between calls. The result
+// is valid until the next call.
 func (b *Balancer) Handle(now time.Duration, events ...Event) []Action {
 	b.now, b.actions = now, b.actions[:0]
 	for _, ev := range events {
--- a/balancer/requests_test.go
+++ b/balancer/requests_test.go
@@ -8,98 +8,98 @@
 )
 
 func TestRetriesByIdempotency(t *testing.T) {
-	r := newRig(t, site(), fleetList())
-	g := r.request("once", 1)
-	if g.Endpoint != 20 || g.CachePriority != 0 {
-		t.Errorf("a write goes straight to the origin and keeps nothing: %+v", g)
+	r := newRig(t, testSettings(), testEndpoints())
+	send := r.request("once", 1)
+	if send.Endpoint != 20 || send.CachePriority != 0 {
+		t.Errorf("a write must go straight to the origin and leave no copy: %+v", send)
 	}
-	as := r.finish(g, 0, Reset, NoDetail)
-	if _, ok := as[0].(Fail); !ok {
-		t.Errorf("after an unsafe attempt that may have run: %v", as)
+	actions := r.finish(send, 0, Reset, NoDetail)
+	if _, ok := actions[0].(Fail); !ok {
+		t.Errorf("not idempotent, after an attempt that may have run: %v, want Fail", actions)
 	}
-	g = r.request("once", 1)
-	if as = r.finish(g, 0, ConnectFailed, NoDetail); len(sentAttempts(as)) != 1 {
-		t.Errorf("after one that never ran: %v", as)
+	send = r.request("once", 1)
+	if actions = r.finish(send, 0, ConnectFailed, NoDetail); len(sentAttempts(actions)) != 1 {
+		t.Errorf("not idempotent, after an attempt that never ran: %v, want a retry", actions)
 	}
-	g = r.request("pay", 1)
-	if as = r.finish(g, 0, Reset, NoDetail); len(sentAttempts(as)) != 1 {
-		t.Errorf("keyed, within its window: %v", as)
+	send = r.request("pay", 1)
+	if actions = r.finish(send, 0, Reset, NoDetail); len(sentAttempts(actions)) != 1 {
+		t.Errorf("idempotent by key, within the window: %v, want a retry", actions)
 	}
-	g = r.request("pay", 1)
+	send = r.request("pay", 1)
 	r.now += 2500 * ms
-	if as = r.finish(g, 0, Reset, NoDetail); len(sentAttempts(as)) != 0 {
-		t.Errorf("keyed, after its window: %v", as)
+	if actions = r.finish(send, 0, Reset, NoDetail); len(sentAttempts(actions)) != 0 {
+		t.Errorf("idempotent by key, after the window: %v, want no retry", actions)
 	}
 }
 
-// A try shorter than the scan is answered in its time.
+// A request with less time left than the scan interval must not be queued.
 func TestShortDeadlineIsMet(t *testing.T) {
-	r := newRig(t, site(), fleetList())
-	for _, m := range r.balancer.endpoints.caches {
-		m.concurrencyLimit = 0
+	r := newRig(t, testSettings(), testEndpoints())
+	for _, e := range r.balancer.endpoints.caches {
+		e.concurrencyLimit = 0
 	}
-	as := r.handle(Request{ID: 7, Class: "page", Object: 1, Remaining: 10 * ms})
-	if _, ok := as[0].(Reject); !ok && len(sentAttempts(as)) == 0 {
-		t.Errorf("held beyond its time: %v", as)
+	actions := r.handle(Request{ID: 7, Class: "page", Object: 1, Remaining: 10 * ms})
+	if _, ok := actions[0].(Reject); !ok && len(sentAttempts(actions)) == 0 {
+		t.Errorf("the request was queued beyond its deadline: %v", actions)
 	}
 }
 
 func TestUnknownIDsAreIgnored(t *testing.T) {
-	r := newRig(t, site(), nil)
+	r := newRig(t, testSettings(), nil)
 	r.handle(Outcome{ID: 99, Endpoint: 5})
 	r.handle(ClientAborted{ID: 99})
 	r.handle(ResponseStarted{ID: 99})
 	r.handle(EndpointUpdate{Failed: true})
 	r.handle(EndpointUpdate{Complete: true, Endpoints: []Endpoint{{ID: 4, Kind: "strange", Zone: "edge"}}})
-	if as := r.handle(Request{ID: 1, Class: "unheard of", Remaining: sec}); len(as) == 0 {
-		t.Errorf("no decision")
+	if actions := r.handle(Request{ID: 1, Class: "unheard of", Remaining: sec}); len(actions) == 0 {
+		t.Errorf("a request of an unknown class got no action")
 	}
 }
 
-// Under overload what costs little for its worth goes first.
+// Under overload, queued requests with the lowest cost for their weight are sent first.
 func TestQueueServesCheapestFirst(t *testing.T) {
-	s := site()
+	s := testSettings()
 	s.Capabilities.DirectAttempts = false
-	r := newRig(t, s, fleetList())
-	for _, m := range r.balancer.endpoints.caches {
-		m.concurrencyLimit = 0
+	r := newRig(t, s, testEndpoints())
+	for _, e := range r.balancer.endpoints.caches {
+		e.concurrencyLimit = 0
 	}
 	for i, kb := range []float64{300, 100, 200} {
 		r.handle(Request{ID: RequestID(i + 1), Class: "page", Object: uint64(i), Remaining: 3 * sec, SizeKB: kb})
 	}
-	for _, m := range r.balancer.endpoints.caches {
-		m.concurrencyLimit = 9
+	for _, e := range r.balancer.endpoints.caches {
+		e.concurrencyLimit = 9
 	}
 	got := ""
-	for _, g := range sentAttempts(r.advance(scanInterval)) {
-		got += fmt.Sprint(g.ID)
+	for _, send := range sentAttempts(r.advance(scanInterval)) {
+		got += fmt.Sprint(send.ID)
 	}
 	if got != "231" {
-		t.Errorf("resumed in the order %s", got)
+		t.Errorf("queued requests were sent in the order %s, want 231", got)
 	}
 }
 
-// What comes in together gives what it would have given one by one.
-func TestHandleBatch(t *testing.T) {
-	one, all := newRig(t, site(), fleetList()), newRig(t, site(), fleetList())
-	var evs []Event
+// Events passed to Handle together give the same actions as events passed one by one.
+func TestBatchOfEventsGivesSameActions(t *testing.T) {
+	single, batch := newRig(t, testSettings(), testEndpoints()), newRig(t, testSettings(), testEndpoints())
+	var events []Event
 	var want []Action
 	for i := range 20 {
 		ev := Request{ID: RequestID(i + 1), Class: "page", Object: uint64(i % 5), Remaining: 3 * sec, SizeKB: 100}
-		evs, want = append(evs, ev), append(want, one.handle(ev)...)
+		events, want = append(events, ev), append(want, single.handle(ev)...)
 	}
-	if got := append([]Action(nil), all.balancer.Handle(all.now, evs...)...); !reflect.DeepEqual(got, want) {
+	if got := append([]Action(nil), batch.balancer.Handle(batch.now, events...)...); !reflect.DeepEqual(got, want) {
 		t.Errorf("got %v, want %v", got, want)
 	}
 }
 
-// A rejection comes at once and says how long to stay away.
+// A rejection is sent at once and says how long the client should wait.
 func TestRejectHasRetryAfter(t *testing.T) {
-	s := site()
+	s := testSettings()
 	s.MaxRetryAfter = 500 * time.Millisecond
 	r := newRig(t, s, nil)
-	as := r.handle(Request{ID: 1, Class: "page", Remaining: 3 * sec})
-	if len(as) == 0 || as[0] != (Reject{ID: 1, RetryAfter: s.MaxRetryAfter}) {
-		t.Errorf("actions %v", as)
+	actions := r.handle(Request{ID: 1, Class: "page", Remaining: 3 * sec})
+	if len(actions) == 0 || actions[0] != (Reject{ID: 1, RetryAfter: s.MaxRetryAfter}) {
+		t.Errorf("actions %v, want a rejection with RetryAfter", actions)
 	}
 }
--- a/balancer/rig_test.go
+++ b/balancer/rig_test.go
@@ -10,13 +10,15 @@
 	ms  = time.Millisecond
 )
 
-func site() Settings {
-	cold := SlowStartRule{InitialCapacity: 0.2, WarmUpTime: 15 * sec, OverloadFactor: 2, OverloadWindow: 3 * sec}
+// testSettings returns the settings of a router in zone "edge", which is the only router of its zone.
+func testSettings() Settings {
+	slowStart := SlowStartRule{InitialCapacity: 0.2, WarmUpTime: 15 * sec, OverloadFactor: 2, OverloadWindow: 3 * sec}
 	return Settings{
 		Topology: Topology{Zone: "edge", Zones: []string{"hub", "edge"}, RoutersPerZone: []int{0, 1},
 			Kinds: []string{"box", "mid", "store"}, ParentKind: 1, OriginKind: 2},
 		Classes: []Class{
-			{Name: "page", LatencyObjective: 300 * ms, ObjectiveStretch: 2, Deadline: 3 * sec, Idempotency: Idempotent, Weight: 1},
+			{Name: "page", LatencyObjective: 300 * ms, ObjectiveStretch: 2, Deadline: 3 * sec, Idempotency: Idempotent,
+				Weight: 1},
 			{Name: "news", LatencyObjective: 300 * ms, Deadline: 3 * sec, Idempotency: Idempotent,
 				Weight: 1, FreshnessLifetime: 20 * sec},
 			{Name: "pay", LatencyObjective: 600 * ms, Deadline: 3 * sec, Idempotency: IdempotentByKey,
@@ -25,11 +27,11 @@
 		},
 		PaceKBps: 1000, MaxAttempts: 8,
 		Capabilities: Capabilities{Hedging: true, Cancellation: true, DirectAttempts: true, CoalesceFills: true},
-		PurgeWindow:  6 * sec, CacheSlowStart: cold, ParentSlowStart: cold,
+		PurgeWindow:  6 * sec, CacheSlowStart: slowStart, ParentSlowStart: slowStart,
 	}
 }
 
-// rig drives one balancer by hand.
+// rig passes events to one balancer and keeps its clock.
 type rig struct {
 	t        *testing.T
 	balancer *Balancer
@@ -41,7 +43,8 @@
 	return Endpoint{ID: id, Kind: kind, Zone: zone, Weight: 1}
 }
 
-func fleetList() []Endpoint {
+// testEndpoints returns three caches in zone "edge", one in zone "elsewhere", three parents and the origin.
+func testEndpoints() []Endpoint {
 	return []Endpoint{
 		listedEndpoint(1, "box", "edge"), listedEndpoint(2, "box", "edge"), listedEndpoint(3, "box", "edge"),
 		listedEndpoint(9, "box", "elsewhere"),
@@ -65,68 +68,73 @@
 	return append([]Action(nil), r.balancer.Handle(r.now, ev)...)
 }
 
-func sentAttempts(as []Action) (g []SendAttempt) {
-	for _, a := range as {
-		if x, ok := a.(SendAttempt); ok {
-			g = append(g, x)
+// sentAttempts returns the attempts among actions.
+func sentAttempts(actions []Action) (sent []SendAttempt) {
+	for _, a := range actions {
+		if send, ok := a.(SendAttempt); ok {
+			sent = append(sent, send)
 		}
 	}
-	return g
+	return sent
 }
 
-// ask sends a request and returns its first attempt; the zero Get if there was none.
+// request sends a request and returns its first attempt, or the zero SendAttempt if there was none.
 func (r *rig) request(class string, object uint64) SendAttempt {
 	r.lastID++
-	g := sentAttempts(r.handle(Request{ID: r.lastID, Class: class, Object: object, Group: object % 8,
+	sent := sentAttempts(r.handle(Request{ID: r.lastID, Class: class, Object: object, Group: object % 8,
 		Remaining: 3 * sec, SizeKB: 100}))
-	if len(g) == 0 {
+	if len(sent) == 0 {
 		return SendAttempt{}
 	}
-	return g[0]
+	return sent[0]
 }
 
-func (r *rig) finish(g SendAttempt, n int, st Status, detail Detail) []Action {
-	return r.handle(Outcome{ID: g.ID, Attempt: n, Endpoint: g.Endpoint, Status: st, Answered: st == OK, Detail: detail,
-		Elapsed: 50 * ms})
+// finish ends attempt n of a request with an elapsed time of 50 ms, and returns the actions that follow.
+func (r *rig) finish(send SendAttempt, n int, status Status, detail Detail) []Action {
+	return r.handle(Outcome{ID: send.ID, Attempt: n, Endpoint: send.Endpoint, Status: status, Answered: status == OK,
+		Detail: detail, Elapsed: 50 * ms})
 }
 
-// wait lets time pass with the timer running.
-func (r *rig) advance(d time.Duration) (as []Action) {
+// advance moves the clock by at least d with the scan timer running, and returns the actions of all scans.
+func (r *rig) advance(d time.Duration) (actions []Action) {
 	for until := r.now + d; r.now < until; {
 		r.now += scanInterval
-		as = append(as, r.handle(Timer{Token: scanToken})...)
+		actions = append(actions, r.handle(Timer{Token: scanToken})...)
 	}
-	return as
+	return actions
 }
 
-// fail ends what is sent to a node in the given way until the balancer avoids it.
-func (r *rig) failUntilEjected(id EndpointID, st Status) {
+// failUntilEjected sends requests, and ends the attempts at an endpoint with the given status until it is ejected. Other
+// attempts are hits.
+func (r *rig) failUntilEjected(id EndpointID, status Status) {
 	r.t.Helper()
 	for o := uint64(1000); !r.balancer.endpoints.byID[id].health.ejected; o++ {
 		if o > 1200 {
-			r.t.Fatalf("node %d was never ejected", id)
+			r.t.Fatalf("endpoint %d was never ejected", id)
 		}
 		r.now += ms
-		if g := r.request("page", o); g.Endpoint == id {
-			r.finish(g, 0, st, NoDetail)
-		} else if g.Endpoint != 0 {
-			r.finish(g, 0, OK, Hit)
+		if send := r.request("page", o); send.Endpoint == id {
+			r.finish(send, 0, status, NoDetail)
+		} else if send.Endpoint != 0 {
+			r.finish(send, 0, OK, Hit)
 		}
 	}
 }
 
-// late answers a request after the given time, however long the balancer's clock must move for it.
-func (r *rig) finishAfter(g SendAttempt, took time.Duration, note Detail) {
-	r.now += took
-	waited := time.Duration(0)
-	if note == FilledByOrigin {
-		waited = took
+// finishAfter moves the clock by elapsed and answers a request with that elapsed time. All of it counts as the source's
+// wait if the origin filled the response.
+func (r *rig) finishAfter(send SendAttempt, elapsed time.Duration, detail Detail) {
+	r.now += elapsed
+	sourceWait := time.Duration(0)
+	if detail == FilledByOrigin {
+		sourceWait = elapsed
 	}
-	r.handle(Outcome{ID: g.ID, Endpoint: g.Endpoint, Status: OK, Answered: true, Detail: note, Elapsed: took, SourceWait: waited})
+	r.handle(Outcome{ID: send.ID, Endpoint: send.Endpoint, Status: OK, Answered: true, Detail: detail, Elapsed: elapsed,
+		SourceWait: sourceWait})
 }
 
-// share counts how many of 300 objects a endpoint owns.
-func (r *rig) rangeOf(id EndpointID) (n int) {
+// servedKeys returns how many of 300 keys an endpoint serves.
+func (r *rig) servedKeys(id EndpointID) (n int) {
 	for o := range uint64(300) {
 		if r.balancer.servesKey(o, r.balancer.endpoints.byID[id]) {
 			n++
--- a/balancer/rules_test.go
+++ b/balancer/rules_test.go
@@ -6,30 +6,33 @@
 	"time"
 )
 
-// What a site's rules allow after a drain is listed, and after a client's deadline.
+// Tolerances of a site's rules: for attempts after an endpoint is listed as draining, and for answers after a client's
+// deadline.
 const drainGrace, answerSlack = 500 * ms, 8 * ms
 
-// TestRulesUnderRandomEvents drives random but legal events and asserts the rules on every action, for the test
-// site and for the shapes of both deployments: the rules must not hold by luck of one deployment's values.
+// TestRulesUnderRandomEvents passes random valid events to balancers and checks every action against the rules. It does so
+// for the settings of the tests and for two that resemble the real deployments, because the rules must not hold only by
+// chance for the values of one deployment.
 func TestRulesUnderRandomEvents(t *testing.T) {
-	testSite := deployment{site(), fleetList(), []string{"page", "page", "page", "news", "pay", "once"}}
-	for _, d := range []deployment{testSite, scores(), episodes()} {
+	testSite := deployment{testSettings(), testEndpoints(), []string{"page", "page", "page", "news", "pay", "once"}}
+	for _, d := range []deployment{testSite, scoresDeployment(), episodesDeployment()} {
 		for seed := range uint64(30) {
-			newRulesRun(t, seed, d).play()
+			newRulesRun(t, seed, d).execute()
 		}
 	}
 }
 
-// deployment is what the module is given: settings, a list, and the mix of classes asked for.
+// deployment holds the settings of a balancer, its endpoint list, and the mix of classes that clients request.
 type deployment struct {
 	settings Settings
 	list     []Endpoint
-	mix      []string
+	mix      []string // classes, repeated by their relative frequency
 }
 
-// scores has the first deployment's shape: an unsafe class beside two safe ones, three zones, six attempts.
-func scores() deployment {
-	s := site()
+// scoresDeployment resembles the first deployment: one class that is not idempotent and two that are, three zones, and up
+// to six attempts.
+func scoresDeployment() deployment {
+	s := testSettings()
 	s.Topology.Zone, s.Topology.Zones = "coastal", []string{"upper", "coastal", "river"}
 	s.Topology.RoutersPerZone, s.MaxAttempts = []int{0, 3, 0}, 6
 	s.Classes = []Class{
@@ -45,9 +48,10 @@
 	return deployment{s, list, []string{"score", "score", "page", "page", "arrange"}}
 }
 
-// episodes has the second's: parts that wait 6 s, assets fresh for 8 s, a listen event that must never run twice.
-func episodes() deployment {
-	s := site()
+// episodesDeployment resembles the second deployment: parts with a deadline of 6 s, assets that are fresh for 8 s, and a
+// listen event that must never run twice.
+func episodesDeployment() deployment {
+	s := testSettings()
 	s.Topology.Zone, s.Topology.Zones = "west", []string{"north", "west", "south"}
 	s.Topology.RoutersPerZone, s.MaxAttempts = []int{0, 4, 0}, 8
 	s.Classes = []Class{
@@ -64,31 +68,31 @@
 	return deployment{s, list, []string{"part", "part", "part", "part", "asset", "asset", "asset", "listen"}}
 }
 
-// rulesRun drives one balancer with random but legal events, and checks each of its actions against the rules.
+// rulesRun passes random valid events to one balancer, and checks each of its actions against the rules.
 type rulesRun struct {
 	*rig
 	seed     uint64
 	rnd      *rand.Rand
 	settings Settings
 	list     []Endpoint
-	mix      []string // classes, as often as clients ask for them
+	mix      []string // classes, repeated by their relative frequency
 	classes  map[string]*Class
 
 	requests  map[RequestID]*trackedRequest
 	inOrder   []RequestID
 	drainedAt map[EndpointID]time.Duration // when an endpoint was listed as draining or removed
 	purgedAt  map[uint64]time.Duration     // by object
-	timerAt   time.Duration                // -1: none is set
+	timerAt   time.Duration                // when the timer is due; -1: none is set
 }
 
-// trackedRequest is what the checker knows of a request.
+// trackedRequest is what a rulesRun knows of a request.
 type trackedRequest struct {
 	class      *Class
 	object     uint64
 	deadline   time.Duration
 	inFlight   map[int]SendAttempt
 	sent       int
-	mayHaveRun []time.Duration // when attempts that may have run have ended
+	mayHaveRun []time.Duration // end times of the attempts that may have run
 	answers    int
 }
 
@@ -107,8 +111,8 @@
 	return run
 }
 
-// play runs some seconds of random events.
-func (run *rulesRun) play() {
+// execute generates 3000 random events, which take some seconds of clock time.
+func (run *rulesRun) execute() {
 	for step := range 3000 {
 		run.now += time.Duration(run.rnd.IntN(4)) * ms
 		if run.timerAt >= 0 && run.now >= run.timerAt {
@@ -145,7 +149,7 @@
 		SizeKB: float64(run.rnd.IntN(400))}))
 }
 
-// endRandomAttempt ends the first attempt of any request.
+// endRandomAttempt ends the first open attempt of a random request with a random status.
 func (run *rulesRun) endRandomAttempt() {
 	id := run.inOrder[run.rnd.IntN(len(run.inOrder))]
 	for n := range 8 {
@@ -171,6 +175,7 @@
 		Elapsed: time.Duration(run.rnd.IntN(300)) * ms, Answered: answered, Detail: Detail(run.rnd.IntN(11))}))
 }
 
+// purge purges a random object, or in one of four cases its whole group.
 func (run *rulesRun) purge() {
 	object := uint64(run.rnd.IntN(60))
 	age := time.Duration(run.rnd.IntN(300)) * ms
@@ -185,7 +190,7 @@
 	run.apply(run.handle(Purge{ByGroup: true, Group: object % 8, Age: age}))
 }
 
-// changeList drains, removes or restarts one endpoint.
+// changeList drains, removes or restarts a random endpoint.
 func (run *rulesRun) changeList() {
 	e := run.list[run.rnd.IntN(len(run.list))]
 	e.State = EndpointState(run.rnd.IntN(3))
@@ -198,7 +203,7 @@
 	run.apply(run.handle(EndpointUpdate{Endpoints: []Endpoint{e}}))
 }
 
-// endOverdue ends a request's attempts at the client's deadline, as the router does.
+// endOverdue ends a request's open attempts as timed out at the client's deadline, as the router does.
 func (run *rulesRun) endOverdue(id RequestID) {
 	q := run.requests[id]
 	for n := range 8 {
@@ -229,7 +234,7 @@
 func (run *rulesRun) checkAttempt(a SendAttempt) {
 	q := run.requests[a.ID]
 	if q == nil || q.answers > 0 {
-		run.t.Fatalf("seed %d: attempt for a request that is over: %+v", run.seed, a)
+		run.t.Fatalf("seed %d: attempt for a request that is unknown or answered: %+v", run.seed, a)
 	}
 	run.checkHedging(q, a)
 	run.checkIdempotency(q, a)
@@ -238,85 +243,86 @@
 	q.inFlight[q.sent] = a
 	q.sent++
 	if q.sent > run.settings.MaxAttempts {
-		run.t.Fatalf("seed %d: %d attempts", run.seed, q.sent)
+		run.t.Fatalf("seed %d: %d attempts are over the maximum", run.seed, q.sent)
 	}
 }
 
-// checkHedging: only idempotent requests are hedged, where the settings allow it.
+// checkHedging checks that only idempotent requests are hedged, and only where the settings allow it.
 func (run *rulesRun) checkHedging(q *trackedRequest, a SendAttempt) {
 	if len(q.inFlight) > 0 && (!run.settings.Capabilities.Hedging || q.class.Idempotency != Idempotent) {
-		run.t.Fatalf("seed %d: second attempt in flight: %+v", run.seed, a)
+		run.t.Fatalf("seed %d: second attempt in flight is not allowed: %+v", run.seed, a)
 	}
 }
 
-// checkIdempotency: no request takes effect twice.
+// checkIdempotency checks that no request can take effect twice.
 func (run *rulesRun) checkIdempotency(q *trackedRequest, a SendAttempt) {
 	for _, at := range q.mayHaveRun {
 		outOfWindow := q.class.Idempotency == IdempotentByKey && run.now-at > q.class.DedupWindow
 		if q.class.Idempotency == NotIdempotent || outOfWindow {
-			run.t.Fatalf("seed %d: effect twice: %+v", run.seed, a)
+			run.t.Fatalf("seed %d: the request may take effect twice: %+v", run.seed, a)
 		}
 	}
 }
 
-// checkDrained: nothing is sent to an endpoint that is draining or removed.
+// checkDrained checks that nothing is sent to an endpoint that is draining or removed for longer than drainGrace.
 func (run *rulesRun) checkDrained(a SendAttempt) {
 	for _, id := range []EndpointID{a.Endpoint, a.Source} {
 		if at, ok := run.drainedAt[id]; ok && run.now-at > drainGrace {
-			run.t.Fatalf("seed %d: sent to drained %d", run.seed, id)
+			run.t.Fatalf("seed %d: attempt at drained endpoint %d", run.seed, id)
 		}
 	}
 }
 
-// checkPurged: no copy from before a purge is served.
+// checkPurged checks that no copy from before a purge may be served.
 func (run *rulesRun) checkPurged(q *trackedRequest, a SendAttempt) {
 	at, ok := run.purgedAt[q.object]
 	if !ok || run.now-at >= run.settings.PurgeWindow || q.class.Write {
 		return
 	}
 	if a.MaxAge <= 0 || run.now-a.MaxAge < at {
-		run.t.Fatalf("seed %d: age %v for a purge %v ago", run.seed, a.MaxAge, run.now-at)
+		run.t.Fatalf("seed %d: MaxAge %v for a purge %v ago", run.seed, a.MaxAge, run.now-at)
 	}
 }
 
-// checkFinalAnswer: a request gets one final answer.
+// checkFinalAnswer records a final answer, and checks that it is the request's first.
 func (run *rulesRun) checkFinalAnswer(id RequestID) {
 	q := run.requests[id]
 	if q == nil || q.answers > 0 {
-		run.t.Fatalf("seed %d: a second final answer for %d", run.seed, id)
+		run.t.Fatalf("seed %d: second final answer for request %d", run.seed, id)
 	}
 	q.answers++
 }
 
-// checkRejection: what may have run is not rejected, as a rejection invites a retry.
+// checkRejection checks that a request that is not idempotent and may have run is not rejected, as a rejection invites a
+// retry.
 func (run *rulesRun) checkRejection(id RequestID) {
 	if q := run.requests[id]; q != nil && len(q.mayHaveRun) > 0 && q.class.Idempotency == NotIdempotent {
-		run.t.Fatalf("seed %d: rejected what may have run", run.seed)
+		run.t.Fatalf("seed %d: rejected a request that may have run", run.seed)
 	}
 }
 
-// checkNotLost: a request is answered by the client's deadline.
+// checkNotLost checks that a request is answered within answerSlack of the client's deadline.
 func (run *rulesRun) checkNotLost(id RequestID) {
 	if q := run.requests[id]; q.answers == 0 && run.now > q.deadline+answerSlack {
-		run.t.Fatalf("seed %d: request %d lost", run.seed, id)
+		run.t.Fatalf("seed %d: request %d got no answer by its deadline", run.seed, id)
 	}
 }
 
-// The same events give the same actions.
+// The balancer is deterministic: the same events give the same actions.
 func TestSameEventsGiveSameActions(t *testing.T) {
-	play := func() (n int) {
-		r := newRig(t, site(), fleetList())
+	hashOfActions := func() (n int) {
+		r := newRig(t, testSettings(), testEndpoints())
 		for o := range uint64(300) {
 			r.now += ms
-			g := r.request("page", o%40)
-			n = n*31 + int(g.Endpoint)*7 + int(g.Source)
-			if o%3 == 0 && g.Endpoint != 0 {
-				r.finish(g, 0, Status(o%9), NoDetail)
+			send := r.request("page", o%40)
+			n = n*31 + int(send.Endpoint)*7 + int(send.Source)
+			if o%3 == 0 && send.Endpoint != 0 {
+				r.finish(send, 0, Status(o%9), NoDetail)
 			}
 		}
 		return n
 	}
-	if a, b := play(), play(); a != b {
-		t.Errorf("%d and %d", a, b)
+	if a, b := hashOfActions(), hashOfActions(); a != b {
+		t.Errorf("two runs differ: hash of actions %d and %d", a, b)
 	}
 }
--- a/balancer/slowstart_fleet_test.go
+++ b/balancer/slowstart_fleet_test.go
@@ -11,12 +11,12 @@
 	"time"
 )
 
-// Many routers that each see few requests share one cache and one parent in slow start. No router knows of the
-// others, and still their sum stays within the rule in every window, while the endpoint gets requests well before
-// it has warmed up.
-func TestManyRoutersWarmUpOneEndpoint(t *testing.T) {
-	const cache, parent = 0, 4 // places in the list
-	for _, restarted := range []Endpoint{fleetList()[cache], fleetList()[parent]} {
+// Many routers that each see few requests share one endpoint in slow start, first a cache, then a parent. They share no
+// state. The sum of what they send must stay within the slow-start rule in every window, and the endpoint must get
+// requests well before it has warmed up.
+func TestManyRoutersKeepRuleForOneEndpoint(t *testing.T) {
+	const cache, parent = 0, 4 // indices of testEndpoints
+	for _, restarted := range []Endpoint{testEndpoints()[cache], testEndpoints()[parent]} {
 		run := newWarmUpRun(t, restarted)
 		for step := 0; run.now < run.restartAt+15*sec; step++ {
 			run.step(step)
@@ -26,7 +26,7 @@
 	}
 }
 
-// warmUpRun is many routers that send requests in turn, while one endpoint restarts.
+// warmUpRun simulates many routers that send requests in turn while one endpoint restarts.
 type warmUpRun struct {
 	t         *testing.T
 	settings  Settings
@@ -44,15 +44,16 @@
 func newWarmUpRun(t *testing.T, restarted Endpoint) *warmUpRun {
 	t.Helper()
 	const routers = 60
-	run := &warmUpRun{t: t, settings: site(), restarted: restarted, now: 100 * sec, restartAt: 130 * sec}
+	run := &warmUpRun{t: t, settings: testSettings(), restarted: restarted, now: 100 * sec, restartAt: 130 * sec}
 	run.settings.Topology.RoutersPerZone = []int{0, routers}
 	for range routers {
-		run.rigs = append(run.rigs, newRig(t, run.settings, fleetList()))
+		run.rigs = append(run.rigs, newRig(t, run.settings, testEndpoints()))
 	}
 	return run
 }
 
-// step lets the next router send a request: each sends about two a second, of which one in three is no hit.
+// step sends a request to the next router. Each router gets about two requests per second, of which one in three is no
+// hit.
 func (run *warmUpRun) step(step int) {
 	run.now += 500 * ms / time.Duration(len(run.rigs))
 	turn := step % len(run.rigs)
@@ -79,6 +80,7 @@
 	}
 }
 
+// restart lists the endpoint as restarted at all routers.
 func (run *warmUpRun) restart() {
 	run.restarted.StartedAt = run.now
 	for _, r := range run.rigs {
@@ -87,6 +89,7 @@
 	}
 }
 
+// count adds an attempt's service time to the usual load before the restart, which takes 30 s, or to sent after it.
 func (run *warmUpRun) count(serviceTime float64) {
 	if run.now < run.restartAt {
 		run.usual += serviceTime / 30
@@ -95,8 +98,8 @@
 	}
 }
 
-// checkRule: no window holds more than the rule allows of the capacity that the endpoint has shown, as far as it
-// has warmed up.
+// checkRule checks that no window holds more than the rule allows for the endpoint's earlier load and for how far it has
+// warmed up.
 func (run *warmUpRun) checkRule() {
 	run.t.Helper()
 	rule := run.settings.CacheSlowStart
@@ -107,15 +110,16 @@
 				total += x.serviceTime
 			}
 		}
-		warm := rule.InitialCapacity + (1-rule.InitialCapacity)*a.at/rule.WarmUpTime.Seconds()
-		most := rule.OverloadFactor * warm * rule.OverloadWindow.Seconds() * run.usual * 1.1
-		if total > most {
+		warmFraction := rule.InitialCapacity + (1-rule.InitialCapacity)*a.at/rule.WarmUpTime.Seconds()
+		limit := rule.OverloadFactor * warmFraction * rule.OverloadWindow.Seconds() * run.usual * 1.1
+		if total > limit {
 			run.t.Fatalf("endpoint %d, %.1f s after its start: %.2f s of service time in a window, the rule allows %.2f",
-				run.restarted.ID, a.at, total, most)
+				run.restarted.ID, a.at, total, limit)
 		}
 	}
 }
 
+// checkEarlyLoad checks that the endpoint gets at least a second's usual load in the first 10 s after its restart.
 func (run *warmUpRun) checkEarlyLoad() {
 	run.t.Helper()
 	early := 0.0
@@ -125,18 +129,19 @@
 		}
 	}
 	if early < run.usual {
-		run.t.Errorf("endpoint %d was sent %.2f s of service time in its first 10 s, before its restart %.2f a second",
+		run.t.Errorf("endpoint %d was sent %.2f s of service time in its first 10 s, want at least %.2f s",
 			run.restarted.ID, early, run.usual)
 	}
 }
 
-// slowStartTrial tries the slow-start rule: many routers that share no state, and what all of them send together.
+// slowStartTrial describes a trial of the slow-start rule: many routers that share no state send requests, and what all
+// of them send together is checked.
 type slowStartTrial struct {
-	restarted   string        // "cache", "parent", all of them, or "caches and routers" of a zone
-	routers     int           // in zones of 30 at most, with 4 caches each
-	load        float64       // what clients ask for, as part of what warmed-up caches can serve
-	capacity    float64       // calls a second that a warmed-up cache can serve
-	serviceTime time.Duration // of a call; 200 ms is what a router assumes before its first response
+	restarted   string        // "cache", "parent", "all parents", or "caches" or "caches and routers" of a zone
+	routers     int           // spread over zones with up to 30 routers and 4 caches each
+	load        float64       // requested load, as part of what warmed-up caches can serve
+	capacity    float64       // calls per second that a warmed-up cache can serve
+	serviceTime time.Duration // of a call; a router assumes 200 ms before its first response
 	uneven      bool          // a fifth of the routers get most of the traffic
 	seed        uint64
 }
@@ -145,15 +150,15 @@
 	trialStart   = 100 * sec
 	trialRestart = 120 * sec
 	trialEnd     = 140 * sec
-	storeID      = 9
+	originID     = 9
 )
 
-// zones is the number of zones with routers and caches.
+// zones returns the number of zones with routers and caches.
 func (c slowStartTrial) zones() int { return (c.routers + 29) / 30 }
 
-// settings are those of a router in the first zone.
+// settings returns the settings of a router. The caller sets Topology.Zone.
 func (c slowStartTrial) settings() Settings {
-	s := site()
+	s := testSettings()
 	s.Capabilities.DirectAttempts, s.Capabilities.CoalesceFills = false, false
 	s.Topology.Zones, s.Topology.RoutersPerZone = []string{"hub"}, []int{0}
 	s.CacheSlowStart = SlowStartRule{InitialCapacity: 0.2, WarmUpTime: 15 * sec, OverloadFactor: 3, OverloadWindow: 2 * sec}
@@ -165,7 +170,7 @@
 	return s
 }
 
-// endpoints is the list: parents have the ids from 10, caches those from 100.
+// endpoints returns the endpoint list. The ids of parents start at 10, those of caches at 100.
 func (c slowStartTrial) endpoints() (list []Endpoint) {
 	for z := range c.zones() {
 		for i := range 4 {
@@ -175,12 +180,13 @@
 	for i := range c.parents() {
 		list = append(list, listedEndpoint(EndpointID(10+i), "mid", "hub"))
 	}
-	return append(list, listedEndpoint(storeID, "store", "hub"))
+	return append(list, listedEndpoint(originID, "store", "hub"))
 }
 
+// parents returns the number of parents.
 func (c slowStartTrial) parents() int { return max(2, c.zones()/2) }
 
-// restarts tells whether an endpoint is one of those that restart.
+// restarts reports whether an endpoint is one of those that restart.
 func (c slowStartTrial) restarts(e Endpoint) bool {
 	switch c.restarted {
 	case "cache":
@@ -193,57 +199,58 @@
 	return e.Kind == "box" && e.Zone == "e0"
 }
 
-// server is what a cache or a parent can serve: a token bucket that fills at its rate of that moment. It rejects
-// what finds the bucket empty.
+// server simulates the capacity of a cache or a parent as a token bucket, which fills at the server's current rate. It
+// rejects calls while the bucket is empty.
 type server struct {
 	rule       SlowStartRule
-	rate       float64 // when warmed up
+	rate       float64 // calls per second when warmed up
 	tokens     float64
 	filledAt   time.Duration
 	restarts   bool
-	knownCalls []time.Duration // since its restart, of routers that knew of it
+	knownCalls []time.Duration // times since the restart of calls from routers that knew of it
 }
 
-// warm is the part of its full rate that a server has at a time after its restart.
-func (m *server) warm(at time.Duration) float64 {
-	return min(1, m.rule.InitialCapacity+(1-m.rule.InitialCapacity)*float64(at)/float64(m.rule.WarmUpTime))
+// warmFraction returns the part of its full rate that a server has at a time after its restart.
+func (srv *server) warmFraction(at time.Duration) float64 {
+	return min(1, srv.rule.InitialCapacity+(1-srv.rule.InitialCapacity)*float64(at)/float64(srv.rule.WarmUpTime))
 }
 
-// serve takes a call, unless it has to reject it.
-func (m *server) serve(now time.Duration, known bool) bool {
-	rate := m.rate
-	if m.restarts && now >= trialRestart {
-		rate *= m.warm(now - trialRestart)
+// serve handles a call, and reports whether the server had capacity for it. known says whether the calling router knows
+// of the restart.
+func (srv *server) serve(now time.Duration, known bool) bool {
+	rate := srv.rate
+	if srv.restarts && now >= trialRestart {
+		rate *= srv.warmFraction(now - trialRestart)
 		if known {
-			m.knownCalls = append(m.knownCalls, now-trialRestart)
+			srv.knownCalls = append(srv.knownCalls, now-trialRestart)
 		}
 	}
-	m.tokens = min(m.tokens+rate*(now-m.filledAt).Seconds(), max(1, rate/2))
-	m.filledAt = now
-	if m.tokens < 1 {
+	srv.tokens = min(srv.tokens+rate*(now-srv.filledAt).Seconds(), max(1, rate/2))
+	srv.filledAt = now
+	if srv.tokens < 1 {
 		return false
 	}
-	m.tokens--
+	srv.tokens--
 	return true
 }
 
-// worstWindow is the most calls in any window, over N + 2 root N + 2: N is what the rule allows then, and the rest
-// is what chance may add.
-func (m *server) worstWindow() float64 {
+// worstWindow returns the highest ratio of the calls in any window to N + 2 sqrt(N) + 2, where N is the number of calls
+// that the rule allows in that window and the rest is a margin for chance.
+func (srv *server) worstWindow() float64 {
 	worst := 0.0
-	for i, at := range m.knownCalls {
-		if at > m.rule.WarmUpTime {
-			break // the rule holds no longer
+	for i, at := range srv.knownCalls {
+		if at > srv.rule.WarmUpTime {
+			break // the rule applies no longer
 		}
-		from, _ := slices.BinarySearch(m.knownCalls, at-m.rule.OverloadWindow)
-		warm := m.warm((max(at-m.rule.OverloadWindow, 0) + at) / 2)
-		n := m.rule.OverloadFactor * warm * m.rate * m.rule.OverloadWindow.Seconds()
+		from, _ := slices.BinarySearch(srv.knownCalls, at-srv.rule.OverloadWindow)
+		warm := srv.warmFraction((max(at-srv.rule.OverloadWindow, 0) + at) / 2)
+		n := srv.rule.OverloadFactor * warm * srv.rate * srv.rule.OverloadWindow.Seconds()
 		worst = max(worst, float64(i-from+1)/(n+2*math.Sqrt(n)+2))
 	}
 	return worst
 }
 
-// trialRun is a trial that is being played.
+// trialRun is the state of a running trial.
 type trialRun struct {
 	slowStartTrial
 	t        *testing.T
@@ -253,12 +260,12 @@
 	rigs     []*rig
 	learnsAt []time.Duration // when each router learns of the restart
 	known    []bool          // which routers know of it
-	newList  []Endpoint      // the list after it
+	newList  []Endpoint      // endpoint list after the restart
 	now      time.Duration
 }
 
-// play returns the worst window of all servers.
-func (c slowStartTrial) play(t *testing.T) float64 {
+// execute runs the trial and returns the highest worstWindow of all servers.
+func (c slowStartTrial) execute(t *testing.T) float64 {
 	t.Helper()
 	run := &trialRun{
 		slowStartTrial: c, t: t, rnd: rand.New(rand.NewPCG(c.seed, 17)), base: c.settings(),
@@ -278,21 +285,21 @@
 		run.now += time.Duration(run.rnd.ExpFloat64() / total * float64(sec))
 	}
 	worst := 0.0
-	for _, m := range run.servers {
-		worst = max(worst, m.worstWindow())
+	for _, srv := range run.servers {
+		worst = max(worst, srv.worstWindow())
 	}
 	return worst
 }
 
 func (run *trialRun) addServers() {
 	for i, e := range run.newList {
-		m := &server{rule: run.base.CacheSlowStart, rate: run.capacity, restarts: run.restarts(e), filledAt: trialStart}
-		if e.Kind == "mid" { // a third of all calls are filled
-			m.rule = run.base.ParentSlowStart
-			m.rate = run.capacity * float64(4*run.zones()) / 3 / float64(run.parents()) * 1.4
+		srv := &server{rule: run.base.CacheSlowStart, rate: run.capacity, restarts: run.restarts(e), filledAt: trialStart}
+		if e.Kind == "mid" { // a third of all calls are fills
+			srv.rule = run.base.ParentSlowStart
+			srv.rate = run.capacity * float64(4*run.zones()) / 3 / float64(run.parents()) * 1.4
 		}
-		run.servers[e.ID] = m
-		if m.restarts {
+		run.servers[e.ID] = srv
+		if srv.restarts {
 			run.newList[i].StartedAt = trialRestart
 		}
 	}
@@ -308,7 +315,7 @@
 	run.rigs[i] = r
 }
 
-// busyRouter draws the router that gets the next request.
+// busyRouter returns a random router, which gets the next request.
 func (run *trialRun) busyRouter() int {
 	i := run.rnd.IntN(len(run.rigs))
 	for run.uneven && i/run.zones()%5 > 0 && i >= run.zones() && run.rnd.IntN(8) > 0 {
@@ -317,8 +324,8 @@
 	return i
 }
 
-// spreadRestart tells the routers that learn of the restart by now, or starts them anew where they have restarted,
-// too.
+// spreadRestart sends the new endpoint list to the routers that learn of the restart by now. Routers that restart
+// themselves are replaced by new ones.
 func (run *trialRun) spreadRestart() {
 	run.t.Helper()
 	for i := range run.rigs {
@@ -335,7 +342,8 @@
 	}
 }
 
-// request sends a request to a router, and ends at once all attempts that follow, also those of queued requests.
+// request sends a request to a router, and immediately ends all attempts that follow, including those of queued
+// requests.
 func (run *trialRun) request(i int) {
 	r := run.rigs[i]
 	r.now = run.now
@@ -351,7 +359,8 @@
 	}
 }
 
-// serve is how an attempt ends. A third are fills; at a cache that has just restarted, all are.
+// serve returns how an attempt ends. A third of the attempts are fills; in the first 10 s after the restart, all attempts
+// at restarted endpoints are.
 func (run *trialRun) serve(a SendAttempt, known bool) (Status, Detail) {
 	to := run.servers[a.Endpoint]
 	fill := run.rnd.IntN(3) == 0 || to.restarts && run.now >= trialRestart && run.now < trialRestart+10*sec
@@ -360,7 +369,7 @@
 		return Rejected, NoDetail
 	case fill && a.Source == a.Endpoint:
 		return Miss, NoDetail
-	case fill && a.Source != storeID && !run.servers[a.Source].serve(run.now, known):
+	case fill && a.Source != originID && !run.servers[a.Source].serve(run.now, known):
 		return Rejected, SourceRejected
 	case fill:
 		return OK, Filled
@@ -368,29 +377,31 @@
 	return OK, Hit
 }
 
-var printTrials = flag.Bool("cold", false, "play all trials of slow start and print them as a table")
+var printTrials = flag.Bool("cold", false, "run all trials of slow start and print them as a table")
 
-// All routers together send a cache or parent in slow start no more than the rule allows and chance may add,
-// although they share no state: be they one or three hundred, alike or not, and whatever service time they assumed
-// at their start.
-func TestSlowStartOfManyRouters(t *testing.T) {
+// Routers that share no state must together send a cache or parent in slow start no more than the rule allows plus a
+// margin for chance. This must hold for 1 to 300 routers, for even and uneven traffic, and for service times other than
+// the one that routers assume at their start.
+func TestSlowStartRuleHoldsForAllRoutersTogether(t *testing.T) {
 	loads, capacities, times := []float64{0.95}, []float64{2, 20}, []time.Duration{50 * ms}
 	if *printTrials {
 		loads, capacities = []float64{0.6, 0.95}, []float64{2, 6, 20, 80}
 		times = []time.Duration{50 * ms, 200 * ms, 600 * ms}
 	}
 	for _, load := range loads {
-		for _, took := range times {
-			for _, what := range []string{"cache", "caches", "parent", "all parents", "caches and routers"} {
-				row := fmt.Sprintf("| %s | %.2f | %v", what, load, took)
+		for _, serviceTime := range times {
+			for _, restarted := range []string{"cache", "caches", "parent", "all parents", "caches and routers"} {
+				row := fmt.Sprintf("| %s | %.2f | %v", restarted, load, serviceTime)
 				for _, routers := range []int{1, 2, 3, 4, 5, 20, 30, 300} {
 					for _, uneven := range []bool{false, true} {
 						worst := 0.0
-						for _, per := range capacities {
-							worst = max(worst, slowStartTrial{what, routers, load, per, took, uneven, 1}.play(t))
+						for _, capacity := range capacities {
+							worst = max(worst,
+								slowStartTrial{restarted, routers, load, capacity, serviceTime, uneven, 1}.execute(t))
 						}
 						if row += fmt.Sprintf(" | %.2f", worst); worst > 1 {
-							t.Errorf("%s: %d routers, load %.2f, uneven %v: %.2f of what is allowed", what, routers, load, uneven, worst)
+							t.Errorf("%s: %d routers, load %.2f, uneven %v: %.2f times the calls that rule and chance allow",
+								restarted, routers, load, uneven, worst)
 						}
 					}
 				}
--- a/balancer/snapshot_test.go
+++ b/balancer/snapshot_test.go
@@ -6,62 +6,63 @@
 	"testing"
 )
 
-// learned is a module that has seen a bad cache, a purge, a cold start and some objects.
+// rigWithHistory returns a rig that has seen an ejected cache, a purge, an endpoint in slow start and some objects.
 func rigWithHistory(t *testing.T) *rig {
-	r := newRig(t, site(), fleetList())
+	r := newRig(t, testSettings(), testEndpoints())
 	r.failUntilEjected(1, ConnectFailed)
 	fresh := listedEndpoint(4, "box", "edge")
 	fresh.StartedAt = r.now
 	r.handle(EndpointUpdate{Endpoints: []Endpoint{fresh}})
-	for o := range uint64(40) { // less than a second: the bad cache is not tried again yet
+	for o := range uint64(40) { // less than a second, so that the ejected cache is not probed yet
 		r.now += 20 * ms
-		if g := r.request("page", o); g.Endpoint != 0 {
-			r.finish(g, 0, OK, Hit)
+		if send := r.request("page", o); send.Endpoint != 0 {
+			r.finish(send, 0, OK, Hit)
 		}
 	}
 	r.handle(Purge{Object: 7})
 	return r
 }
 
-// A successor goes on from what its predecessor knew: it shuns the same cache, bars the same copies, and knows the
-// objects. What is left of a cold cache's budget is handed over once.
+// A successor continues from its predecessor's state: it ejects the same cache, excludes the same copies, and knows the
+// objects. The rest of a slow-start budget is handed over, and the predecessor doesn't keep it.
 func TestSnapshotCarriesStateOver(t *testing.T) {
-	old, later := rigWithHistory(t), rigWithHistory(t)
+	old, twin := rigWithHistory(t), rigWithHistory(t)
 	if old.balancer.endpoints.byID[4].warmUp.budget <= 0 {
-		t.Fatal("nothing of the cold budget to hand over")
+		t.Fatal("there is no slow-start budget to hand over")
 	}
-	spare := old.balancer.endpoints.byID[4].warmUp.budget
-	m := old.balancer.ExportSnapshot()
-	if other := later.balancer.ExportSnapshot(); !reflect.DeepEqual(m, other) {
-		t.Error("alike modules hand over different things")
+	exportedBudget := old.balancer.endpoints.byID[4].warmUp.budget
+	snapshot := old.balancer.ExportSnapshot()
+	if other := twin.balancer.ExportSnapshot(); !reflect.DeepEqual(snapshot, other) {
+		t.Error("balancers in the same state export different snapshots")
 	}
-	if len(m.Objects) == 0 || old.balancer.endpoints.byID[4].warmUp.budget != 0 {
-		t.Errorf("%d objects; %v of the cold budget kept", len(m.Objects), old.balancer.endpoints.byID[4].warmUp.budget)
+	if len(snapshot.Objects) == 0 || old.balancer.endpoints.byID[4].warmUp.budget != 0 {
+		t.Errorf("%d objects exported; %v of the slow-start budget kept", len(snapshot.Objects),
+			old.balancer.endpoints.byID[4].warmUp.budget)
 	}
-	r := newRig(t, site(), fleetList())
+	r := newRig(t, testSettings(), testEndpoints())
 	r.now = old.now
 	fresh := listedEndpoint(4, "box", "edge")
 	fresh.StartedAt = old.balancer.endpoints.byID[4].startedAt
 	r.handle(EndpointUpdate{Endpoints: []Endpoint{fresh}})
-	r.balancer.ImportSnapshot(r.now, m)
-	if s := r.balancer.endpoints.byID[4].warmUp.budget; s != spare {
-		t.Errorf("saved for the cold cache: %v, want %v", s, spare)
+	r.balancer.ImportSnapshot(r.now, snapshot)
+	if s := r.balancer.endpoints.byID[4].warmUp.budget; s != exportedBudget {
+		t.Errorf("imported slow-start budget %v, want %v", s, exportedBudget)
 	}
 	if _, avoided := r.balancer.CacheCounts(); avoided != 1 || !r.balancer.endpoints.byID[1].health.ejected {
-		t.Errorf("%d avoided; want the one that the predecessor held to be bad", avoided)
+		t.Errorf("%d caches avoided; want the one that the predecessor had ejected", avoided)
 	}
-	if p := (objectKey{3, 0}); r.balancer.objects.young[p] == nil || r.balancer.objects.young[p].servedAt == 0 {
-		t.Error("an object served lately is not known")
+	if k := (objectKey{3, 0}); r.balancer.objects.young[k] == nil || r.balancer.objects.young[k].servedAt == 0 {
+		t.Error("an object that was served lately is not known")
 	}
 	r.now += 10 * ms
-	if g := r.request("page", 7); g.MaxAge <= 0 || g.MaxAge > 10*ms {
-		t.Errorf("oldest copy of a purged object: %v", g.MaxAge)
+	if send := r.request("page", 7); send.MaxAge <= 0 || send.MaxAge > 10*ms {
+		t.Errorf("MaxAge of a purged object: %v", send.MaxAge)
 	}
 }
 
-// Figures that make no sense, from a predecessor that has gone wrong, are cut; a cold start since is not undone.
-func TestImportSnapshotBoundsNonsense(t *testing.T) {
-	r := newRig(t, site(), fleetList())
+// Invalid values from a faulty predecessor are bounded, and the state of an endpoint that has restarted since is dropped.
+func TestImportSnapshotBoundsInvalidValues(t *testing.T) {
+	r := newRig(t, testSettings(), testEndpoints())
 	inf := math.Inf(1)
 	fresh := listedEndpoint(4, "box", "edge")
 	fresh.StartedAt = r.now
@@ -77,16 +78,16 @@
 			{ID: 4, WarmUpBudget: 1e9}, {ID: 99},
 		},
 	})
-	if m := r.balancer.endpoints.byID[4]; m.warmUp.budget != 0 {
-		t.Errorf("%v saved from before the start", m.warmUp.budget)
+	if e := r.balancer.endpoints.byID[4]; e.warmUp.budget != 0 {
+		t.Errorf("slow-start budget %v imported from before the restart", e.warmUp.budget)
 	}
 	for o := range uint64(50) {
 		r.now += 50 * ms
-		if g := r.request("page", o); g.Endpoint != 0 {
-			r.finish(g, 0, OK, Hit)
+		if send := r.request("page", o); send.Endpoint != 0 {
+			r.finish(send, 0, OK, Hit)
 		}
 	}
-	if m := r.balancer.endpoints.byID[1]; m.health.ejected {
-		t.Error("a trial time out of reach keeps the cache out for good")
+	if e := r.balancer.endpoints.byID[1]; e.health.ejected {
+		t.Error("a next probe far in the future keeps the cache ejected")
 	}
 }
--- a/balancer/state.go
+++ b/balancer/state.go
@@ -30,7 +30,7 @@
 	startedAt time.Duration // time of the latest start; 0: long ago
 
 	inFlight         int     // this router's attempts in flight that it serves or is the source of
-	concurrencyLimit float64 // limit of inFlight, wider for cheap requests; caches only
+	concurrencyLimit float64 // limit of inFlight within which it answers in time; caches only
 	missRate         float64 // moving average of the fraction of attempts that were no hit; 1 for parents and the origin
 
 	health  health
