--- a/balancer/health_test.go
+++ b/balancer/health_test.go
@@ -162,7 +162,7 @@
 	}
 	for _, e := range r.balancer.endpoints.caches {
 		if r.balancer.healthScore(e) < 1 {
-			t.Errorf("cache %d was ejected or lost health score", e.id)
+			t.Errorf("cache %d lost health score", e.id)
 		}
 	}
 }
@@ -175,7 +175,7 @@
 		send := r.request("page", o)
 		if r.now += 10 * ms; send.Source == 11 && o%2 == 0 {
 			r.finish(send, 0, Error, NoDetail)
-			r.finish(r.request("page", o), 1, OK, Filled) // the retry is served elsewhere
+			r.finish(r.request("page", o), 1, OK, Filled) // the client's retry is served elsewhere
 		} else {
 			r.finishAfter(send, 100*ms, Filled)
 		}
--- a/balancer/slowstart_fleet_test.go
+++ b/balancer/slowstart_fleet_test.go
@@ -279,8 +279,8 @@
 	}
 	total := c.load * c.capacity * float64(4*c.zones())
 	for run.now < trialEnd {
-		i := run.busyRouter()
-		run.spreadRestart()
+		i := run.randomRouter()
+		run.announceRestart()
 		run.request(i)
 		run.now += time.Duration(run.rnd.ExpFloat64() / total * float64(sec))
 	}
@@ -315,8 +315,8 @@
 	run.rigs[i] = r
 }
 
-// busyRouter returns a random router, which gets the next request.
-func (run *trialRun) busyRouter() int {
+// randomRouter returns a random router, which gets the next request.
+func (run *trialRun) randomRouter() int {
 	i := run.rnd.IntN(len(run.rigs))
 	for run.uneven && i/run.zones()%5 > 0 && i >= run.zones() && run.rnd.IntN(8) > 0 {
 		i = run.rnd.IntN(len(run.rigs))
@@ -324,9 +324,9 @@
 	return i
 }
 
-// spreadRestart sends the new endpoint list to the routers that learn of the restart by now. Routers that restart
+// announceRestart sends the new endpoint list to the routers that learn of the restart by now. Routers that restart
 // themselves are replaced by new ones.
-func (run *trialRun) spreadRestart() {
+func (run *trialRun) announceRestart() {
 	run.t.Helper()
 	for i := range run.rigs {
 		if run.known[i] || run.now < run.learnsAt[i] {
