--- a/balancer/slowstart_test.go
+++ b/balancer/slowstart_test.go
@@ -12,19 +12,19 @@
 		list[i].StartedAt = 99 * sec
 	}
 	r := newRig(t, testSettings(), list)
-	sentWork := map[EndpointID]float64{}
+	sentTime := map[EndpointID]float64{}
 	for i := range uint64(600) { // about 300 a second of 0.2 s each, far more than three cold caches serve
 		r.now += 3 * ms
 		for _, send := range sentAttempts(r.handle(Request{ID: RequestID(i), Class: "page", Object: i, Remaining: 3 * sec})) {
-			sentWork[send.Endpoint] += initialServiceTime.Seconds()
+			sentTime[send.Endpoint] += initialServiceTime.Seconds()
 		}
 	}
 	// Nothing has been served yet, so half of the requested load counts, for three caches.
 	usual := r.balancer.classes.serviceTime(r.balancer.load[roleClient].peak) / 2 / 3
 	warmFraction := 0.2 + 0.8*2.8/15
 	for id := EndpointID(1); id <= 3; id++ {
-		if budget := 2 * warmFraction * 3 * usual; sentWork[id] > budget {
-			t.Errorf("cache %d was sent %.1f s of service time in a window, its budget is %.1f s", id, sentWork[id], budget)
+		if budget := 2 * warmFraction * 3 * usual; sentTime[id] > budget {
+			t.Errorf("cache %d was sent %.1f s of service time in a window, its budget is %.1f s", id, sentTime[id], budget)
 		}
 	}
 }
