--- a/internal/netio/accept.go
+++ b/internal/netio/accept.go
@@ -13,49 +13,53 @@
 	"hillknot/internal/logging"
 )
 
-// pausableListener is a listener for netpoll that can stop accepting without closing what it has accepted, and
-// pauses after errors that last. What still arrives waits for others who have the same socket. Unlike netpoll's own
-// listener it holds one descriptor, which is never made blocking (it would block for another process that has it
-// too) and never used or closed once it is closed (by then the number may be another's).
+// pausableListener is a listener for netpoll. It can stop accepting without closing the connections that it has
+// accepted, and it pauses after persistent errors. Connections that arrive in the meantime wait in the queue of the
+// socket, where another process that shares the socket can accept them.
 //
-// Netpoll is told of a pause as of an end: it takes the listener off its poller, for good. Server.Serve goes on with
-// another event loop once the pause is over. Netpoll's own pause would register the number of a descriptor that may
-// be closed by then, and can take a listener off the poller only once.
+// Unlike netpoll's own listener it holds a single descriptor. That descriptor is never made blocking, because it would
+// then block for other processes that share it too. It is never used or closed again after Close, because the number
+// may by then belong to another file.
+//
+// A pause is reported to netpoll as a closed listener, so netpoll removes the listener from its poller for good.
+// Server.Serve continues with a new event loop after the pause. Netpoll's own pause is not used: it would register the
+// number of a descriptor that may have been closed, and it can remove a listener from the poller only once.
 type pausableListener struct {
 	net.Listener
 	fd          int
 	tcp         bool
 	accept      acceptFunc
-	state       acceptSwitch
-	failures    atomic.Int32 // calls of accept(2) in a row that failed
+	state       atomicAcceptState
+	failures    atomic.Int32 // consecutive failed calls of accept(2)
 	pausesInRow atomic.Int32
 
 	mu     sync.Mutex // held while fd is used or closed
-	closed bool       // fd is no longer this listener's
+	closed bool       // fd no longer belongs to this listener
 
-	// holdOff says whether new connections are to wait in the queue of the socket, for others that have been
-	// evicted and have yet to close. exhausted is called where the process or the machine lacks what a connection
-	// needs. Both may be nil.
-	holdOff   func() bool
-	exhausted func()
+	// holdOff reports whether new connections should wait in the queue of the socket until evicted connections have
+	// closed. onResourcesExhausted is called when the process or the machine lacks the resources for a connection.
+	// Both may be nil.
+	holdOff              func() bool
+	onResourcesExhausted func()
 }
 
-// maxFailures is how many calls in a row may fail for a reason of the connection or of the network, such as a peer
-// that has left the queue, before the listener pauses.
-const maxFailures = 16
+// maxAcceptFailures is the number of consecutive failed calls of accept(2) at which the listener pauses even though the
+// cause is the connection or the network, such as a peer that has left the queue.
+const maxAcceptFailures = 16
 
-// A pause lasts twice minPause at first and twice as long each time, up to maxPause, which it has reached after
-// maxPauseDoublings.
+// The first pause lasts twice minPause. Each consecutive pause lasts twice as long as the one before it, up to maxPause,
+// which is reached after maxPauseDoublings doublings.
 const (
 	minPause          = 5 * time.Millisecond
 	maxPause          = 100 * time.Millisecond
 	maxPauseDoublings = 5
 )
 
-// errPaused says that the listener accepts nothing for a while.
+// errPaused is returned by Accept when the listener pauses. It wraps net.ErrClosed, at which netpoll removes the
+// listener from its poller.
 var errPaused = fmt.Errorf("accept paused: %w", net.ErrClosed)
 
-// acceptFunc is accept4(2) with the flags that the connections need.
+// acceptFunc accepts a connection from a listening descriptor, as accept4(2) does with the flags that connections need.
 type acceptFunc func(listener int) (fd int, peer syscall.Sockaddr, err error)
 
 func acceptSocket(listener int) (int, syscall.Sockaddr, error) {
@@ -79,30 +83,30 @@
 // Fd implements netpoll.Listener.
 func (l *pausableListener) Fd() int { return l.fd }
 
-// Accept implements net.Listener in the way that netpoll wants: it returns nil where no connection waits. Netpoll
-// takes a listener off its poller at an error that says "closed".
+// Accept implements net.Listener as netpoll requires: it returns nil and no error if no connection is waiting. Netpoll
+// removes a listener from its poller if the text of the error contains "closed".
 func (l *pausableListener) Accept() (net.Conn, error) {
 	if l.state.load() != accepting {
 		return nil, net.ErrClosed
 	}
 	if l.holdOff != nil && l.holdOff() {
-		runtime.Gosched() // to the goroutines in which connections close
+		runtime.Gosched() // lets the goroutines run that close connections
 		return nil, nil
 	}
-	fd, peer, err := l.acceptOpen()
+	fd, peer, err := l.acceptUnlessClosed()
 	if err != nil {
-		return nil, l.acceptFailed(err)
+		return nil, l.handleAcceptError(err)
 	}
 	l.failures.Store(0)
 	l.pausesInRow.Store(0)
 	if l.tcp {
-		_ = syscall.SetsockoptInt(fd, syscall.IPPROTO_TCP, syscall.TCP_NODELAY, 1) // it works without, but slower
+		_ = syscall.SetsockoptInt(fd, syscall.IPPROTO_TCP, syscall.TCP_NODELAY, 1) // the connection works without it, but slower
 	}
 	return acceptedConn{fd: fd, local: l.Addr(), remote: peerAddr(peer)}, nil
 }
 
-// acceptOpen calls accept(2), unless the listener is closed.
-func (l *pausableListener) acceptOpen() (fd int, peer syscall.Sockaddr, err error) {
+// acceptUnlessClosed calls accept(2), or returns net.ErrClosed if the listener is closed.
+func (l *pausableListener) acceptUnlessClosed() (fd int, peer syscall.Sockaddr, err error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.closed {
@@ -122,20 +126,21 @@
 	return l.Listener.Close()
 }
 
-// acceptFailed returns what netpoll is to do about an error of accept(2): nil to call again as soon as the socket
-// is ready, or errPaused, or that the listener is of no more use, which ends Serve. The socket stays ready for as long as any connection waits in its queue: after an error
-// that lasts it must not be looked at again at once.
-func (l *pausableListener) acceptFailed(err error) error {
+// handleAcceptError turns an error of accept(2) into the error that Accept returns to netpoll: nil if netpoll should call
+// Accept again as soon as the socket is ready, errPaused if the listener pauses, or an error that ends Serve if the
+// listener can no longer be used. The socket stays ready as long as any connection waits in its queue, so after a
+// persistent error netpoll must not poll it again immediately.
+func (l *pausableListener) handleAcceptError(err error) error {
 	if errors.Is(err, net.ErrClosed) {
 		return err
 	}
-	tooMany := l.failures.Add(1) >= maxFailures
-	cause := causeOfAcceptError(err)
+	tooMany := l.failures.Add(1) >= maxAcceptFailures
+	cause := classifyAcceptError(err)
 	if cause == listenerBroken {
 		return fmt.Errorf("%w: %w", net.ErrClosed, err)
 	}
-	if cause == noResources && l.exhausted != nil {
-		l.exhausted()
+	if cause == noResources && l.onResourcesExhausted != nil {
+		l.onResourcesExhausted()
 	}
 	if !tooMany && (cause == emptyQueue || cause == connectionFailed) {
 		return nil
@@ -144,7 +149,7 @@
 	return errPaused
 }
 
-// pause has the listener accept nothing until resume is called.
+// pause makes the listener accept nothing until its state is resumed. It logs the first of several consecutive pauses.
 func (l *pausableListener) pause(cause error) {
 	if l.pausesInRow.Add(1) == 1 {
 		log.Warn("accept paused", logging.KeyListen, l.Addr(), logging.KeyError, cause)
@@ -152,23 +157,23 @@
 	l.state.pause()
 }
 
-// pauseLength is how long the present pause lasts.
-func (l *pausableListener) pauseLength() time.Duration {
+// pauseDuration returns how long the current pause lasts.
+func (l *pausableListener) pauseDuration() time.Duration {
 	return min(minPause<<min(l.pausesInRow.Load(), maxPauseDoublings), maxPause)
 }
 
-// acceptErrorCause groups the errors of accept(2) by what they are due to.
+// acceptErrorCause is the cause of an error of accept(2).
 type acceptErrorCause uint8
 
 const (
 	unknownCause     acceptErrorCause = iota
-	emptyQueue                        // no connection waits, or another process was quicker
-	connectionFailed                  // the connection has failed already, and is out of the queue
+	emptyQueue                        // no connection is waiting, or another process accepted it first
+	connectionFailed                  // the connection has already failed and has left the queue
 	noResources                       // the process or the machine lacks descriptors or memory
-	listenerBroken                    // no later call will do better: the socket does not listen any more
+	listenerBroken                    // all later calls will fail too: the socket no longer listens
 )
 
-func causeOfAcceptError(err error) acceptErrorCause {
+func classifyAcceptError(err error) acceptErrorCause {
 	switch err {
 	case syscall.EAGAIN:
 		return emptyQueue
@@ -183,7 +188,8 @@
 	return unknownCause
 }
 
-// acceptedConn is what netpoll makes a connection of: it asks for the descriptor and the addresses alone.
+// acceptedConn is an accepted connection as netpoll takes it over. It implements only the methods that netpoll calls,
+// which return the descriptor and the addresses; net.Conn is nil.
 type acceptedConn struct {
 	net.Conn
 	fd            int
--- a/internal/netio/accept_test.go
+++ b/internal/netio/accept_test.go
@@ -13,8 +13,8 @@
 	syscall.ENOBUFS, syscall.ENOMEM, syscall.EPROTO, syscall.EPERM, syscall.ENETDOWN, syscall.ENOPROTOOPT, syscall.EHOSTDOWN, syscall.ENONET,
 	syscall.EHOSTUNREACH, syscall.EOPNOTSUPP, syscall.ENETUNREACH, syscall.ETIMEDOUT, syscall.ENOSR, syscall.EIO}
 
-// failFor has accept calls fail for a while, counts them, and then lets them through.
-func failFor(s *Server, errno syscall.Errno, span time.Duration) (calls *atomic.Int64) {
+// failAcceptFor has accept calls fail for a while, counts them, and then lets them through.
+func failAcceptFor(s *Server, errno syscall.Errno, span time.Duration) (calls *atomic.Int64) {
 	calls = &atomic.Int64{}
 	end := time.Now().Add(span)
 	s.listener.accept = func(fd int) (int, syscall.Sockaddr, error) {
@@ -34,15 +34,15 @@
 	for _, errno := range acceptErrors {
 		t.Run(errno.Error(), func(t *testing.T) {
 			t.Parallel()
-			s, err := Listen("127.0.0.1:0", 100, lim, NewBudget(1<<20), newEcho)
+			s, err := Listen("127.0.0.1:0", 100, testLimits, NewBudget(1<<20), newEcho)
 			if err != nil {
 				t.Fatal(err)
 			}
-			calls := failFor(s, errno, span)
+			calls := failAcceptFor(s, errno, span)
 			go s.Serve()
 			t.Cleanup(s.Close)
 			for range 3 {
-				echoed(t, dial(t, s.Addr().String()))
+				expectEcho(t, dial(t, s.Addr().String()))
 			}
 			if n := calls.Load(); n > most {
 				t.Errorf("%d calls in %v, want at most %d", n, span, most)
@@ -61,7 +61,7 @@
 	t.Cleanup(func() { ln.Close() })
 	var servers [2]*Server
 	for i := range servers {
-		servers[i], err = ListenInherited(dup(t, ln), 100, lim, NewBudget(1<<20), newEcho)
+		servers[i], err = ListenInherited(dup(t, ln), 100, testLimits, NewBudget(1<<20), newEcho)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -69,7 +69,7 @@
 	t.Cleanup(servers[1].Close)
 	go servers[0].Serve()
 	old := dial(t, ln.Addr().String())
-	echoed(t, old)
+	expectEcho(t, old)
 	go servers[1].Serve()
 	servers[0].StopAccepting()
 	for range 20 {
@@ -78,7 +78,7 @@
 	if n := servers[0].OpenConns(); n != 1 {
 		t.Errorf("%d connections at the one that stopped", n)
 	}
-	echoed(t, old)
+	expectEcho(t, old)
 	servers[0].Close()
 	exchange(t, ln.Addr().String())
 }
@@ -98,7 +98,7 @@
 }
 
 func TestListenInheritedRejectsClosedDescriptor(t *testing.T) {
-	if _, err := ListenInherited(1<<20, 1, lim, NewBudget(1), newEcho); err == nil {
+	if _, err := ListenInherited(1<<20, 1, testLimits, NewBudget(1), newEcho); err == nil {
 		t.Error("a descriptor that is not open was taken")
 	}
 }
--- a/internal/netio/acceptpause_test.go
+++ b/internal/netio/acceptpause_test.go
@@ -10,7 +10,7 @@
 // failingServer starts a server whose accept fails until the returned function is called.
 func failingServer(t *testing.T, errno syscall.Errno) (s *Server, succeed func()) {
 	t.Helper()
-	s, err := Listen("127.0.0.1:0", 100, lim, NewBudget(1<<20), newEcho)
+	s, err := Listen("127.0.0.1:0", 100, testLimits, NewBudget(1<<20), newEcho)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -42,7 +42,7 @@
 		if err := <-served; err != nil {
 			t.Errorf("moment %d: serve: %v", moment, err)
 		}
-		other, err := Listen("127.0.0.1:0", 100, lim, NewBudget(1<<20), newEcho)
+		other, err := Listen("127.0.0.1:0", 100, testLimits, NewBudget(1<<20), newEcho)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -75,7 +75,7 @@
 // itself once waited until the pause was over.
 func TestSecondPauseDoesNotHoldUpThePoller(t *testing.T) {
 	const pauses, span, least = 3, 300 * time.Millisecond, 15
-	s, err := Listen("127.0.0.1:0", 100, lim, NewBudget(1<<20), newEcho)
+	s, err := Listen("127.0.0.1:0", 100, testLimits, NewBudget(1<<20), newEcho)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -92,16 +92,16 @@
 	go s.Serve()
 	t.Cleanup(s.Close)
 	open := dial(t, s.Addr().String())
-	echoed(t, open)
+	expectEcho(t, open)
 	for pause := range pauses {
 		failing <- true
 		waiting := dial(t, s.Addr().String())
 		exchanges := 0
 		for end := time.Now().Add(span); time.Now().Before(end); exchanges++ {
-			echoed(t, open)
+			expectEcho(t, open)
 		}
 		<-failing
-		echoed(t, waiting)
+		expectEcho(t, waiting)
 		if exchanges < least {
 			t.Errorf("pause %d: %d exchanges on an open connection in %v, want at least %d", pause, exchanges, span, least)
 		}
@@ -116,14 +116,14 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { ln.Close() })
-	s, err := ListenInherited(dup(t, ln), 100, lim, NewBudget(1<<20), newEcho)
+	s, err := ListenInherited(dup(t, ln), 100, testLimits, NewBudget(1<<20), newEcho)
 	if err != nil {
 		t.Fatal(err)
 	}
-	calls := failFor(s, syscall.ENOBUFS, 50*time.Millisecond)
+	calls := failAcceptFor(s, syscall.ENOBUFS, 50*time.Millisecond)
 	go s.Serve()
 	t.Cleanup(s.Close)
-	echoed(t, dial(t, ln.Addr().String()))
+	expectEcho(t, dial(t, ln.Addr().String()))
 	if calls.Load() < 2 {
 		t.Fatal("accept was not paused")
 	}
@@ -131,15 +131,15 @@
 	dial(t, ln.Addr().String()) // nobody takes it
 	time.Sleep(50 * time.Millisecond)
 	const span = 300 * time.Millisecond
-	before := processorTime(t)
+	before := cpuTime(t)
 	time.Sleep(span)
-	if used := processorTime(t) - before; used > span/3 {
+	if used := cpuTime(t) - before; used > span/3 {
 		t.Errorf("%v of processor time in %v with nothing to do", used, span)
 	}
 }
 
-// processorTime returns what this process has used.
-func processorTime(t *testing.T) time.Duration {
+// cpuTime returns what this process has used.
+func cpuTime(t *testing.T) time.Duration {
 	t.Helper()
 	var usage syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
--- a/internal/netio/acceptstate.go
+++ b/internal/netio/acceptstate.go
@@ -2,22 +2,23 @@
 
 import "sync/atomic"
 
-// acceptState is whether a listener accepts connections.
+// acceptState is the state of a listener with respect to new connections.
 type acceptState int32
 
 const (
-	// accepting: the poller calls Accept while connections wait.
+	// accepting: the poller calls Accept while connections are waiting.
 	accepting acceptState = iota
-	// acceptPaused: the listener is off its poller after an error, until Server.Serve goes on.
+	// acceptPaused: the listener was removed from its poller after an error, until Server.Serve resumes it.
 	acceptPaused
-	// acceptStopped: the listener leaves new connections to others who have the same socket, for good.
+	// acceptStopped: the listener accepts no more connections, and leaves them to other processes that share the socket.
+	// This state is final.
 	acceptStopped
 )
 
-// stopped is the state that follows from a call of stop.
+// stopped returns the state that follows a call of stop.
 func (s acceptState) stopped() acceptState { return acceptStopped }
 
-// paused is the state that follows from an error of accept(2) that lasts.
+// paused returns the state that follows a persistent error of accept(2).
 func (s acceptState) paused() acceptState {
 	if s == accepting {
 		return acceptPaused
@@ -25,7 +26,7 @@
 	return s
 }
 
-// resumed is the state that follows from the end of a pause.
+// resumed returns the state that follows the end of a pause.
 func (s acceptState) resumed() acceptState {
 	if s == acceptPaused {
 		return accepting
@@ -33,19 +34,19 @@
 	return s
 }
 
-// acceptSwitch holds the state of a listener, which any goroutine may change.
-type acceptSwitch struct{ value atomic.Int32 }
+// atomicAcceptState holds the state of a listener. Any goroutine may read or change it.
+type atomicAcceptState struct{ value atomic.Int32 }
 
-func (a *acceptSwitch) load() acceptState { return acceptState(a.value.Load()) }
+func (a *atomicAcceptState) load() acceptState { return acceptState(a.value.Load()) }
 
-func (a *acceptSwitch) stop()  { a.change(acceptState.stopped) }
-func (a *acceptSwitch) pause() { a.change(acceptState.paused) }
+func (a *atomicAcceptState) stop()  { a.change(acceptState.stopped) }
+func (a *atomicAcceptState) pause() { a.change(acceptState.paused) }
 
-// resume ends a pause, and returns the state before.
-func (a *acceptSwitch) resume() acceptState { return a.change(acceptState.resumed) }
+// resume ends a pause, and returns the state from before the call.
+func (a *atomicAcceptState) resume() acceptState { return a.change(acceptState.resumed) }
 
-// change moves to the next state and returns the one before.
-func (a *acceptSwitch) change(next func(acceptState) acceptState) acceptState {
+// change replaces the state with the result of next, and returns the state from before the call.
+func (a *atomicAcceptState) change(next func(acceptState) acceptState) acceptState {
 	for {
 		before := a.load()
 		after := next(before)
--- a/internal/netio/bench_test.go
+++ b/internal/netio/bench_test.go
@@ -7,7 +7,7 @@
 
 // BenchmarkEcho measures one message in and one out on a connection that was accepted.
 func BenchmarkEcho(b *testing.B) {
-	s, err := Listen("127.0.0.1:0", 10, lim, NewBudget(1<<20), newEcho)
+	s, err := Listen("127.0.0.1:0", 10, testLimits, NewBudget(1<<20), newEcho)
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/internal/netio/budget.go
+++ b/internal/netio/budget.go
@@ -5,31 +5,31 @@
 	"sync/atomic"
 )
 
-// ErrBudgetExceeded says that too many bytes are buffered for all peers together.
-var ErrBudgetExceeded = errors.New("too many bytes held")
+// ErrBudgetExceeded is returned when a message does not fit into the budget of bytes that all connections share.
+var ErrBudgetExceeded = errors.New("shared byte budget exceeded")
 
-// Budget bounds the bytes that connections buffer together: of messages that are not complete yet, and of those
-// that wait to be written. Its methods may be called from any goroutine.
+// Budget bounds the total number of bytes that connections buffer: those of incomplete incoming messages and those of
+// messages that wait to be written. Its methods may be called from any goroutine.
 type Budget struct{ limit, used atomic.Int64 }
 
-// NewBudget returns a budget of that many bytes.
+// NewBudget returns a budget of limit bytes.
 func NewBudget(limit int) *Budget {
 	b := &Budget{}
 	b.SetLimit(limit)
 	return b
 }
 
-// SetLimit changes how many bytes may be buffered. What is buffered already stays.
+// SetLimit changes how many bytes may be buffered. Bytes that are already buffered stay, even if they exceed the limit.
 func (b *Budget) SetLimit(limit int) { b.limit.Store(int64(limit)) }
 
-// AboveHighWater says whether so much is buffered that no new request should be admitted: three quarters of the
-// limit. The last quarter is there to finish those that were admitted.
+// AboveHighWater reports whether at least three quarters of the limit are in use, so that no new request should be
+// admitted. The last quarter is reserved for finishing the requests that were already admitted.
 func (b *Budget) AboveHighWater() bool { return b.used.Load() >= b.limit.Load()/4*3 }
 
-// add counts n bytes whatever the limit; below 0 they are free again.
+// add counts n bytes regardless of the limit. A negative n releases bytes.
 func (b *Budget) add(n int) { b.used.Add(int64(n)) }
 
-// take counts n bytes if they fit, and says whether they did.
+// take counts n bytes if they fit within the limit, and reports whether they did.
 func (b *Budget) take(n int) bool {
 	if b.used.Add(int64(n)) <= b.limit.Load() {
 		return true
--- a/internal/netio/client_test.go
+++ b/internal/netio/client_test.go
@@ -39,14 +39,14 @@
 
 // Dials that time out must leave the poller and all other connections alone.
 func TestDialTimeoutLeavesOtherConnectionsAlone(t *testing.T) {
-	s := serve(t, 100, lim, newEcho)
+	s := serve(t, 100, testLimits, newEcho)
 	exchange(t, s.Addr().String())
 	addr := blackhole(t)
 	var wg sync.WaitGroup
 	for range 20 {
 		wg.Go(func() {
 			for range 3 {
-				if c, err := Dial(addr, 20*time.Millisecond, lim, NewBudget(1<<20), newEcho); err == nil {
+				if c, err := Dial(addr, 20*time.Millisecond, testLimits, NewBudget(1<<20), newEcho); err == nil {
 					c.Close()
 					t.Error("connected to nowhere")
 				}
@@ -67,7 +67,7 @@
 	t.Cleanup(func() { ln.Close() })
 	for range 20 {
 		ended := make(chan bool)
-		c, err := Dial(ln.Addr().String(), 10*time.Second, lim, NewBudget(1<<20), func(*Conn) Handler { return ender{ended} })
+		c, err := Dial(ln.Addr().String(), 10*time.Second, testLimits, NewBudget(1<<20), func(*Conn) Handler { return closeReporter{ended} })
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -84,16 +84,16 @@
 	}
 }
 
-// ender is a handler that discards what comes and reports the end.
-type ender struct{ ended chan bool }
+// closeReporter is a handler that discards what comes and reports the end.
+type closeReporter struct{ ended chan bool }
 
-func (e ender) Consume(buf []byte) (int, int, error) { return len(buf), 0, nil }
-func (e ender) Closed()                              { close(e.ended) }
+func (e closeReporter) Consume(buf []byte) (int, int, error) { return len(buf), 0, nil }
+func (e closeReporter) Closed()                              { close(e.ended) }
 
 // Small writes go out at once, on both sides: what the system held back would be lost with a reset.
 func TestNoDelayIsSet(t *testing.T) {
-	s, _, g := gatedPair(t, lim)
-	dialed, err := Dial(s.Addr().String(), 10*time.Second, lim, NewBudget(1<<20), newEcho)
+	s, _, g := newGatedPair(t, testLimits)
+	dialed, err := Dial(s.Addr().String(), 10*time.Second, testLimits, NewBudget(1<<20), newEcho)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/netio/close.go
+++ b/internal/netio/close.go
@@ -9,23 +9,23 @@
 	"hillknot/internal/clock"
 )
 
-// The ways in which a connection is closed from our side, and what follows from its end.
+// This file holds the ways in which this side closes a connection, and the cleanup after the transport has closed.
 
-// Close closes the connection at once. Input that has not been read resets it.
+// Close closes the connection immediately. If input is still unread, the peer sees a reset.
 func (c *Conn) Close() {
 	c.mu.Lock()
-	c.state = c.state.after(stepShut)
+	c.state = c.state.after(stepClose)
 	c.mu.Unlock()
-	_ = c.transport.Close() // what can fail here is a connection that is closed already
+	_ = c.transport.Close() // fails only if the connection is already closed
 }
 
-// CloseAfterReplies closes the connection once its pending replies are sent: no more input is handed on, and what
-// was handed on is answered. Where no reply is pending, it is CloseAfterWrites.
+// CloseAfterReplies closes the connection once its pending replies are sent: the handler gets no more input, and answers
+// the input that it already has. If no reply is pending, CloseAfterReplies does the same as CloseAfterWrites.
 func (c *Conn) CloseAfterReplies(reason CloseReason) {
-	c.traceClose(reason)
+	c.logClose(reason)
 	c.mu.Lock()
 	wait := c.delivering || c.hasPendingReplies()
-	step := stepShut
+	step := stepClose
 	if wait {
 		step = stepAwaitReplies
 	}
@@ -36,7 +36,7 @@
 	}
 }
 
-// flushIfAnswered goes on with CloseAfterReplies once no reply is pending and no input is being handed on.
+// flushIfAnswered continues CloseAfterReplies once no reply is pending and the handler is not consuming input.
 func (c *Conn) flushIfAnswered() {
 	c.mu.Lock()
 	answered := c.state == stateAwaitingReplies && !c.delivering && !c.hasPendingReplies()
@@ -46,8 +46,8 @@
 	}
 }
 
-// CloseAfterWrites closes the connection once all that was sent is written. From now on, no input is handed on and
-// nothing can be sent.
+// CloseAfterWrites closes the connection once all queued messages are written. From the time of the call, the handler
+// gets no more input and nothing more can be sent.
 func (c *Conn) CloseAfterWrites() {
 	c.mu.Lock()
 	c.state = c.state.after(stepFlush)
@@ -59,54 +59,55 @@
 	}
 }
 
-// SendAndClose sends a message and closes the connection once all is written.
+// SendAndClose sends a message and closes the connection once all queued messages are written.
 func (c *Conn) SendAndClose(b []byte) {
 	if err := c.Send(b); err != nil {
-		return // closed, or about to be
+		return // already closed or closing
 	}
 	c.CloseAfterWrites()
 }
 
-// CloseWhenIdle closes the connection once what was sent is written, unless by then a reply is pending or input has
-// come. It then stays open until CloseWhenIdle is called again.
+// CloseWhenIdle closes the connection once all queued messages are written, unless by then a reply is pending or input
+// has arrived. In that case the connection stays open until CloseWhenIdle is called again.
 func (c *Conn) CloseWhenIdle() {
 	c.mu.Lock()
-	c.retireWhenIdle = true
+	c.idleCloseRequested = true
 	c.mu.Unlock()
-	c.retireIfRequested()
+	c.closeIdleIfRequested()
 }
 
-// retireIfRequested does what CloseWhenIdle requests, once nothing is being written or handed on.
-func (c *Conn) retireIfRequested() {
+// closeIdleIfRequested handles a call of CloseWhenIdle, once no message is being written and the handler is not consuming
+// input.
+func (c *Conn) closeIdleIfRequested() {
 	c.mu.Lock()
-	now := c.retireWhenIdle && !c.queue.writing && !c.delivering
-	c.retireWhenIdle = c.retireWhenIdle && !now
+	now := c.idleCloseRequested && !c.queue.writing && !c.delivering
+	c.idleCloseRequested = c.idleCloseRequested && !now
 	c.mu.Unlock()
 	if now {
-		c.retire(closeDraining, keepPartial)
+		c.closeIfIdle(closeDraining, keepPartial)
 	}
 }
 
-// retire closes the connection if it is idle.
-func (c *Conn) retire(reason CloseReason, partial partialMessage) {
-	if c.shutIfIdle(partial) {
-		c.traceClose(reason)
+// closeIfIdle closes the connection if it is idle.
+func (c *Conn) closeIfIdle(reason CloseReason, partial partialPolicy) {
+	if c.markClosingIfIdle(partial) {
+		c.logClose(reason)
 		c.lingerClose()
 	}
 }
 
-// partialMessage says whether a connection that is in the middle of a message counts as idle.
-type partialMessage uint8
+// partialPolicy determines whether a connection counts as idle while an incoming message is incomplete.
+type partialPolicy uint8
 
 const (
-	keepPartial partialMessage = iota // it is not idle
-	dropPartial                       // it is idle, and the message is lost
+	keepPartial partialPolicy = iota // the connection is not idle
+	dropPartial                      // the connection is idle, and the incomplete message is lost
 )
 
-// shutIfIdle shuts a connection on which no reply is pending, nothing waits to be written and no input has come,
-// and says whether it did. It is one step: a request that was handed on before is answered, and one that comes
-// later crosses our close and is handed to nobody.
-func (c *Conn) shutIfIdle(partial partialMessage) bool {
+// markClosingIfIdle moves the connection to stateClosing if no reply is pending, nothing waits to be written and no input
+// has arrived (see partialPolicy). It reports whether it did. The check and the change are atomic: a request that the
+// handler got before is answered, and a request that arrives later is discarded.
+func (c *Conn) markClosingIfIdle(partial partialPolicy) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if !c.state.acceptsInput() || c.delivering || c.queue.bytes > 0 || c.hasPendingReplies() {
@@ -115,35 +116,35 @@
 	if partial == keepPartial && (c.input.isPartial() || c.HasUnreadInput()) {
 		return false
 	}
-	c.state = c.state.after(stepShut)
+	c.state = c.state.after(stepClose)
 	return true
 }
 
-// hasUnacknowledgedOutput says whether the peer has yet to take some of what was written within the write time-out. To close
-// the connection could lose it: input that crosses the close resets the connection, and what the system still holds goes
-// with it.
+// hasUnacknowledgedOutput reports whether the socket's send buffer still holds bytes for the peer, on a connection that
+// was active within the write timeout. Closing the connection could lose these bytes: input that arrives during the close
+// resets the connection, and the system then discards what it has not delivered.
 func (c *Conn) hasUnacknowledgedOutput() bool {
 	sinceWritten := clock.Now() - time.Duration(c.lastActive.Load())
 	return sinceWritten < c.limits.WriteTimeout && c.writeProgress().queued > 0
 }
 
-// isEnding says whether the connection is being closed from our side.
+// isEnding reports whether this side is closing the connection.
 func (c *Conn) isEnding() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return !c.state.acceptsInput()
 }
 
-// lingerMost is how many bytes of input are discarded from a peer that sends on after our end, before it is cut
-// off. pendingMost is that while replies to it are pending.
+// maxDiscard is how many bytes of input are discarded from a peer that keeps sending after this side has stopped reading,
+// before the connection is closed. maxDiscardWithPendingReplies applies instead while replies to the peer are pending.
 const (
-	lingerMost  = 256 << 10
-	pendingMost = 8 << 20
+	maxDiscard                   = 256 << 10
+	maxDiscardWithPendingReplies = 8 << 20
 )
 
-// lingerClose ends our side of a connection that is shut. Input is discarded until the peer has ended its own side,
-// or the linger time is over: a close over unread input would reset the connection, and the peer could lose what
-// was written last.
+// lingerClose shuts down the write side of a closing connection. Input is discarded until the peer has closed its own
+// side or the linger timeout expires: a close with unread input would reset the connection, and the peer could lose the
+// last bytes written.
 func (c *Conn) lingerClose() {
 	c.notifyClosed()
 	c.lingerOnce.Do(func() {
@@ -155,7 +156,7 @@
 	})
 }
 
-// shutdownWrites tells the peer that nothing more comes.
+// shutdownWrites sends the end of the stream to the peer. It reports whether it could.
 func (c *Conn) shutdownWrites() bool {
 	c.flushMu.Lock()
 	defer c.flushMu.Unlock()
@@ -163,14 +164,14 @@
 	return ok && !c.buffersFreed && unix.Shutdown(fd, unix.SHUT_WR) == nil
 }
 
-// notifyClosed tells the handler that no more input is handed on.
+// notifyClosed calls Handler.Closed, once.
 func (c *Conn) notifyClosed() { c.notifyOnce.Do(c.handler.Closed) }
 
-// transportClosed is netpoll's call before it frees its buffers. A write to a buffer that is gone panics in
-// netpoll, and a peer may close the connection at any moment of a write: hence flushMu.
+// transportClosed is netpoll's callback before it frees its buffers. Writing to a freed buffer panics in netpoll, and a
+// peer may close the connection at any time during a write, so flushMu serializes the two.
 func (c *Conn) transportClosed(netpoll.Connection) error {
 	c.closeOnce.Do(func() {
-		c.flushMu.Lock() // a write that waits for room has been woken by now
+		c.flushMu.Lock() // does not block for long: a write that waits for buffer space has already been woken
 		c.buffersFreed = true
 		c.flushMu.Unlock()
 		c.mu.Lock()
@@ -184,7 +185,7 @@
 	return nil
 }
 
-// dropQueue forgets what waits to be written. The caller holds c.mu.
+// dropQueue discards all queued messages. The caller holds c.mu.
 func (c *Conn) dropQueue() {
 	c.budget.add(-c.queue.bytes)
 	c.queue.messages, c.queue.bytes = nil, 0
--- a/internal/netio/close_test.go
+++ b/internal/netio/close_test.go
@@ -14,7 +14,7 @@
 // that is read after the close would be forwarded, and its reply lost.
 func TestNoInputIsHandedOnAfterClose(t *testing.T) {
 	for name, end := range map[string]func(*Conn){"at once": (*Conn).Close, "behind what was sent": (*Conn).CloseAfterWrites} {
-		s, nc, g := gatedPair(t, lingering())
+		s, nc, g := newGatedPair(t, lingeringLimits())
 		write(t, nc, "one\n")
 		<-g.received
 		write(t, nc, "two\n")
@@ -38,11 +38,11 @@
 func TestNoIdleCloseWhileInputIsHandled(t *testing.T) {
 	for name, retire := range map[string]func(*Server, *Conn){
 		"behind an answer": func(_ *Server, c *Conn) { c.CloseWhenIdle() },
-		"idle":             func(_ *Server, c *Conn) { c.retire(closeIdleTimeout, keepPartial) },
-		"half":             func(_ *Server, c *Conn) { c.retire(closeIdleTimeout, dropPartial) },
+		"idle":             func(_ *Server, c *Conn) { c.closeIfIdle(closeIdleTimeout, keepPartial) },
+		"half":             func(_ *Server, c *Conn) { c.closeIfIdle(closeIdleTimeout, dropPartial) },
 		"for a new one":    func(s *Server, _ *Conn) { s.SetMaxConns(0) },
 	} {
-		s, nc, g := gatedPair(t, lingering())
+		s, nc, g := newGatedPair(t, lingeringLimits())
 		write(t, nc, "one\n")
 		<-g.received
 		retire(s, g.c)
@@ -59,7 +59,7 @@
 
 // A reply that a client has yet to read is not lost as the connection closes while the client sends on.
 func TestLingeringCloseKeepsLastReply(t *testing.T) {
-	s, nc, g := gatedPair(t, lingering())
+	s, nc, g := newGatedPair(t, lingeringLimits())
 	write(t, nc, "one\n")
 	<-g.received
 	g.c.AddPendingReplies(1)
@@ -85,10 +85,10 @@
 
 // A peer that goes on and on after our end is cut off by bytes, and one that does nothing by time.
 func TestLingeringCloseIsBounded(t *testing.T) {
-	short, long := lingering(), lingering()
+	short, long := lingeringLimits(), lingeringLimits()
 	short.LingerTimeout, long.LingerTimeout = 50*time.Millisecond, time.Minute
 	for name, l := range map[string]config.ConnLimits{"sends": long, "rests": short} {
-		s, nc, g := gatedPair(t, l)
+		s, nc, g := newGatedPair(t, l)
 		g.c.CloseAfterWrites()
 		for end := time.Now().Add(20 * time.Second); s.OpenConns() > 0; time.Sleep(time.Millisecond) {
 			if name == "sends" {
@@ -105,7 +105,7 @@
 // it. More than the socket takes at once was lost with the connection.
 func TestSendBeforeTheConnectionIsSetUp(t *testing.T) {
 	greeting := strings.Repeat("x", 8<<20)
-	limits := lingering()
+	limits := lingeringLimits()
 	limits.MaxPendingBytes = 16 << 20
 	for range 50 {
 		s := serveWithBudget(t, 10, limits, NewBudget(1<<25), func(c *Conn) Handler {
--- a/internal/netio/closereason.go
+++ b/internal/netio/closereason.go
@@ -7,10 +7,10 @@
 	"hillknot/internal/logging"
 )
 
-// CloseReason says why a connection is closed from our side. It is logged at the level debug.
+// CloseReason is the reason why this side closes a connection. It is logged at level debug.
 type CloseReason string
 
-// The reasons for which a handler, or a failed read, closes a connection.
+// Reasons for a handler or a failed read to close a connection.
 const (
 	CloseMalformedInput     CloseReason = "malformed input"
 	CloseInputEnded         CloseReason = "input ended, timed out or over the byte budget"
@@ -18,7 +18,7 @@
 	CloseTooManyBadRequests CloseReason = "too many bad requests"
 )
 
-// The reasons for which a server closes a connection.
+// Reasons for a server to close a connection.
 const (
 	closeDraining    CloseReason = "draining"
 	closeIdleTimeout CloseReason = "idle timeout"
@@ -27,13 +27,13 @@
 	closeShutdown    CloseReason = "server shutting down"
 )
 
-// The reasons for which any connection is closed.
+// Reasons that apply to accepted and dialed connections.
 const (
 	closeWriteTimeout CloseReason = "peer reads nothing of what is sent"
 )
 
-// traceClose logs why a connection is closed.
-func (c *Conn) traceClose(reason CloseReason) {
+// logClose logs the reason why the connection is closed, at level debug.
+func (c *Conn) logClose(reason CloseReason) {
 	if log.Enabled(context.Background(), slog.LevelDebug) {
 		log.Debug("connection closing", logging.KeyRemote, c.transport.RemoteAddr(), logging.KeyReason, reason)
 	}
--- a/internal/netio/dial.go
+++ b/internal/netio/dial.go
@@ -9,8 +9,8 @@
 	"hillknot/internal/config"
 )
 
-// Dial connects to an address with a port, or to the path of a Unix socket, and hands what comes in to the handler
-// that newHandler returns. The caller closes the connection.
+// Dial connects to an address with a port, or to the path of a Unix socket, and passes input to the handler that
+// newHandler returns. The caller closes the connection.
 func Dial(
 	addr string, timeout time.Duration, limits config.ConnLimits, budget *Budget, newHandler func(*Conn) Handler,
 ) (*Conn, error) {
@@ -29,7 +29,7 @@
 		c.Close()
 		return nil, fmt.Errorf("dial: %w", err)
 	}
-	if !transport.IsActive() { // it closed before the callbacks were there, and netpoll leaves the rest to us
+	if !transport.IsActive() { // closed before the callbacks were set: netpoll leaves the cleanup to the caller
 		c.Close()
 	}
 	return c, nil
--- a/internal/netio/evict.go
+++ b/internal/netio/evict.go
@@ -8,171 +8,173 @@
 	"hillknot/internal/clock"
 )
 
-// Eviction: which connection is closed for a new one where all places are taken. It guards against peers that
-// connect by the thousand and hold on, which would keep all others out.
+// This file holds eviction: when all slots are taken, a connection is closed to make room for a new one. Without
+// eviction, peers that open thousands of connections and keep them would lock out all other peers.
 
-// places counts the connections of a server against their limit.
-type places struct {
+// connSlots counts the connections of a server against their limit.
+type connSlots struct {
 	max          atomic.Int64
 	open         atomic.Int64
-	evicted      atomic.Int64 // of these, those that were evicted and have yet to close
-	crowdedSince atomic.Int64 // reading of package clock since when new connections wait for a place; 0: none waits
+	evicted      atomic.Int64 // open connections that were evicted and have not closed yet
+	holdOffSince atomic.Int64 // reading of package clock when new connections began to wait for a slot; 0: none waits
 }
 
-// inUse is how many connections are open without those that were evicted.
-func (p *places) inUse() int64 { return p.open.Load() - p.evicted.Load() }
+// inUse returns the number of open connections that were not evicted.
+func (s *connSlots) inUse() int64 { return s.open.Load() - s.evicted.Load() }
 
-// hardLimit is how many connections there may be with those that were evicted and have yet to close. They close in
-// goroutines of their own, for which some places more are kept.
-func (p *places) hardLimit() int64 {
-	most := p.max.Load()
-	return most + most/8 + extraPlaces
+// hardLimit returns the maximum number of open connections, including those that were evicted and have not closed yet.
+// Evicted connections close in goroutines of their own, so some slots above the limit are reserved for them.
+func (s *connSlots) hardLimit() int64 {
+	limit := s.max.Load()
+	return limit + limit/8 + extraSlots
 }
 
-const extraPlaces = 4
+// extraSlots is the minimum number of slots above the limit.
+const extraSlots = 4
 
-// SetMaxConns changes how many connections may be open. Of those that are over it, the silent and the idle ones
-// close.
+// SetMaxConns changes how many connections may be open. If more are open, it closes silent and idle connections.
 func (s *Server) SetMaxConns(n int) {
-	s.places.max.Store(int64(n))
-	for s.places.inUse() > int64(n) && s.evict(rankIdle) == evictionDone {
+	s.slots.max.Store(int64(n))
+	for s.slots.inUse() > int64(n) && s.evict(rankIdle) == evictionDone {
 	}
 }
 
-// takePlace counts a new connection, evicting another where all places are taken. It says whether there was a
-// place.
-func (s *Server) takePlace() bool {
-	most, open := s.places.max.Load(), s.places.open.Add(1)
-	if open > s.places.hardLimit() || open-s.places.evicted.Load() > most && s.evict(rankReceiving) != evictionDone {
-		s.places.open.Add(-1)
+// acquireSlot counts a new connection, and evicts another one if all slots are taken. It reports whether a slot was
+// available.
+func (s *Server) acquireSlot() bool {
+	limit, open := s.slots.max.Load(), s.slots.open.Add(1)
+	if open > s.slots.hardLimit() || open-s.slots.evicted.Load() > limit && s.evict(rankReceiving) != evictionDone {
+		s.slots.open.Add(-1)
 		return false
 	}
 	return true
 }
 
-// freePlace counts a connection that has closed.
-func (s *Server) freePlace(c *Conn) {
-	s.places.open.Add(-1)
+// releaseSlot stops counting a connection that has closed.
+func (s *Server) releaseSlot(c *Conn) {
+	s.slots.open.Add(-1)
 	if c.evicted.Swap(true) {
-		s.places.evicted.Add(-1)
+		s.slots.evicted.Add(-1)
 	}
 }
 
-// maxHoldOff bounds how long new connections wait in the queue of the socket for places: the poller turns all that
-// time.
+// maxHoldOff is the longest time for which new connections wait in the queue of the socket for a slot. The poller spins
+// during that time.
 const maxHoldOff = 50 * time.Millisecond
 
-// holdOffNew says whether new connections are to wait in the queue of the socket for a place. It evicts a
-// connection where all places are taken.
-func (s *Server) holdOffNew() bool {
-	waits := s.mustWaitForPlace()
+// shouldHoldOff reports whether new connections should wait in the queue of the socket for a slot. It evicts a connection
+// if all slots are taken.
+func (s *Server) shouldHoldOff() bool {
+	mustWait := s.mustWaitForSlot()
 	now := clock.Now()
-	if !waits {
-		s.places.crowdedSince.Store(0)
+	if !mustWait {
+		s.slots.holdOffSince.Store(0)
 		return false
 	}
-	s.places.crowdedSince.CompareAndSwap(0, int64(now))
-	return now-time.Duration(s.places.crowdedSince.Load()) < maxHoldOff
+	s.slots.holdOffSince.CompareAndSwap(0, int64(now))
+	return now-time.Duration(s.slots.holdOffSince.Load()) < maxHoldOff
 }
 
-// mustWaitForPlace says whether a place is about to become free: connections are about to close, or could be
-// evicted but for the input that they have just sent, which the poller reads next.
-func (s *Server) mustWaitForPlace() bool {
-	open, evicted := s.places.open.Load(), s.places.evicted.Load()
+// mustWaitForSlot reports whether new connections have to wait because no slot is free but one is about to be: evicted
+// connections are closing, or connections could be evicted except that their peers have just sent input, which the poller
+// reads next.
+func (s *Server) mustWaitForSlot() bool {
+	open, evicted := s.slots.open.Load(), s.slots.evicted.Load()
 	switch {
-	case evicted > 0 && open >= s.places.hardLimit():
+	case evicted > 0 && open >= s.slots.hardLimit():
 		return true
-	case open-evicted >= s.places.max.Load():
-		return s.evict(rankReceiving) == evictionLater
+	case open-evicted >= s.slots.max.Load():
+		return s.evict(rankReceiving) == evictionDeferred
 	}
 	return false
 }
 
-// evictionRank orders connections without pending replies: those of a lower rank are evicted first.
+// evictionRank orders connections without pending replies. Those of the lowest rank are evicted first.
 type evictionRank uint8
 
 const (
-	rankEnding    evictionRank = iota // our side has ended; the peer has yet to
-	rankSilent                        // the peer has sent nothing for some time since it connected
-	rankIdle                          // it is between two messages
-	rankStalled                       // it has stopped in the middle of a message, as a slow writer does too
-	rankReceiving                     // it is in the middle of a message, and still sending
+	rankEnding    evictionRank = iota // this side has closed, the peer has not yet
+	rankSilent                        // the peer has sent no message since it connected some time ago
+	rankIdle                          // the peer is between two messages
+	rankStalled                       // the peer has stopped in the middle of a message, as a slow writer also may
+	rankReceiving                     // the peer is in the middle of a message and still sending
 )
 
-// partial says what eviction does about a message that is not complete.
-func (r evictionRank) partial() partialMessage {
+// policyForPartial returns how eviction treats an incomplete message.
+func (r evictionRank) policyForPartial() partialPolicy {
 	if r >= rankStalled {
 		return dropPartial
 	}
 	return keepPartial
 }
 
-// evictionRank ranks a connection on which nothing has moved for a time; pause is how long peers may be silent.
-func (c *Conn) evictionRank(idle, pause time.Duration) evictionRank {
+// evictionRank returns the rank of a connection that has been idle for the given time. A peer that has been idle for longer
+// than maxSilence counts as silent or stalled.
+func (c *Conn) evictionRank(idle, maxSilence time.Duration) evictionRank {
 	switch {
 	case c.isEnding():
 		return rankEnding
-	case c.input.isPartial() && idle <= pause:
+	case c.input.isPartial() && idle <= maxSilence:
 		return rankReceiving
 	case c.input.isPartial():
 		return rankStalled
-	case !c.input.consumedOnce.Load() && idle > pause:
+	case !c.input.consumedOnce.Load() && idle > maxSilence:
 		return rankSilent
 	}
 	return rankIdle
 }
 
-// evictionResult is what came of an attempt to evict a connection.
+// evictionResult is the result of an attempt to evict a connection.
 type evictionResult uint8
 
 const (
-	evictionNone  evictionResult = iota // all connections have pending replies, or are of a higher rank
-	evictionLater                       // those that could be evicted have just sent something, or take an answer
-	evictionDone                        // there is a place, or is about to be
+	evictionNone     evictionResult = iota // all connections have pending replies or a higher rank
+	evictionDeferred                       // all candidates have just sent input or are still receiving a reply
+	evictionDone                           // a slot is free or is about to be
 )
 
-// maxEvictionAttempts is how many connections are asked to close, at most.
+// maxEvictionAttempts is the maximum number of connections that one call of evict tries.
 const maxEvictionAttempts = 8
 
-// evict closes a connection without pending replies: of the lowest rank, up to highest, the one on which nothing
-// has moved for longest.
+// evict closes one connection without pending replies: among those of the lowest rank, the one that has been idle for the
+// longest time. It closes none of a rank above highest.
 func (s *Server) evict(highest evictionRank) evictionResult {
 	var busy []*Conn
 	for len(busy) < maxEvictionAttempts {
 		c, rank := s.evictionCandidate(highest, busy)
 		switch {
 		case c == nil && len(busy) > 0:
-			return evictionLater
+			return evictionDeferred
 		case c == nil:
 			return evictionNone
-		case c.hasUnacknowledgedOutput() || rank != rankEnding && !c.shutIfIdle(rank.partial()):
-			busy = append(busy, c) // the peer takes an answer, or something has come, and is about to be read
+		case c.hasUnacknowledgedOutput() || rank != rankEnding && !c.markClosingIfIdle(rank.policyForPartial()):
+			busy = append(busy, c) // the peer is still receiving a reply, or input has arrived that will be read next
 			continue
 		}
-		if !c.evicted.Swap(true) { // else it has closed by itself, or another call was quicker
-			s.places.evicted.Add(1)
-			c.traceClose(closeEvicted)
+		if !c.evicted.Swap(true) { // otherwise the connection has closed, or a concurrent call evicted it
+			s.slots.evicted.Add(1)
+			c.logClose(closeEvicted)
 			c.Close()
 		}
 		return evictionDone
 	}
-	return evictionLater
+	return evictionDeferred
 }
 
-// evictionCandidate returns the connection to evict first, of those up to the highest rank that are not excluded,
-// and its rank.
+// evictionCandidate returns the connection to evict next and its rank. It skips excluded connections and those of a rank
+// above highest, and returns nil if no connection is left.
 func (s *Server) evictionCandidate(highest evictionRank, excluded []*Conn) (candidate *Conn, lowest evictionRank) {
-	var longest time.Duration
+	var longestIdle time.Duration
 	lowest = highest + 1
-	now, pause := clock.Now(), s.limits.SilentTimeout/8
+	now, maxSilence := clock.Now(), s.limits.SilentTimeout/8
 	s.forEachConn(func(c *Conn) bool {
 		idle, ok := c.idleFor(now)
 		if !ok || c.evicted.Load() || slices.Contains(excluded, c) {
 			return true
 		}
-		rank := c.evictionRank(idle, pause)
-		if rank < lowest || rank == lowest && idle > longest {
-			candidate, longest, lowest = c, idle, rank
+		rank := c.evictionRank(idle, maxSilence)
+		if rank < lowest || rank == lowest && idle > longestIdle {
+			candidate, longestIdle, lowest = c, idle, rank
 		}
 		return true
 	})
--- a/internal/netio/evict_test.go
+++ b/internal/netio/evict_test.go
@@ -14,7 +14,7 @@
 // reply.
 func TestEvictionMakesRoomForNewPeers(t *testing.T) {
 	accepted := make(chan *Conn, 100)
-	s := serve(t, 8, lim, func(c *Conn) Handler { accepted <- c; return echo{c} })
+	s := serve(t, 8, testLimits, func(c *Conn) Handler { accepted <- c; return echo{c} })
 	owed := dial(t, s.Addr().String())
 	(<-accepted).AddPendingReplies(1)
 	for range 100 {
@@ -22,17 +22,17 @@
 		<-accepted
 	}
 	exchange(t, s.Addr().String())
-	echoed(t, owed)
+	expectEcho(t, owed)
 }
 
 // A client that takes its time to write a request keeps its place while a crowd connects, says nothing or idles;
 // one that has stopped half way gives way last.
 func TestSlowWriterIsEvictedLast(t *testing.T) {
-	short := lim
+	short := testLimits
 	short.SilentTimeout = time.Second // silent for an eighth of it gives way
 	s := serve(t, 8, short, newLines)
 	slow, idle := dial(t, s.Addr().String()), dial(t, s.Addr().String())
-	echoed(t, idle)
+	expectEcho(t, idle)
 	if _, err := slow.Write([]byte("h")); err != nil {
 		t.Fatal(err)
 	}
@@ -53,12 +53,12 @@
 // Idle connections over a lower limit close; those with a pending reply and those that are writing stay.
 func TestSetMaxConnsClosesIdleConnections(t *testing.T) {
 	conns := make(chan *Conn, 10)
-	s := serve(t, 10, lim, func(c *Conn) Handler { conns <- c; return newLines(c) })
+	s := serve(t, 10, testLimits, func(c *Conn) Handler { conns <- c; return newLines(c) })
 	owed, half := dial(t, s.Addr().String()), dial(t, s.Addr().String())
 	(<-conns).AddPendingReplies(1)
 	half.Write([]byte("h"))
 	for range 6 {
-		echoed(t, dial(t, s.Addr().String()))
+		expectEcho(t, dial(t, s.Addr().String()))
 	}
 	for c := <-conns; c.input.partialSince.Load() == 0; time.Sleep(time.Millisecond) { // until the half message has come in
 	}
@@ -69,7 +69,7 @@
 			t.Fatalf("%d connections", s.OpenConns())
 		}
 	}
-	echoed(t, owed)
+	expectEcho(t, owed)
 	half.Write([]byte("i\n"))
 	if n, err := half.Read(make([]byte, 3)); n == 0 {
 		t.Errorf("the one that was writing: %v", err)
@@ -79,7 +79,7 @@
 // A connection whose peer has yet to take an answer gives way to no other: a close would lose the answer if the peer sends
 // something just then. It does give way once the peer has taken nothing for the write time-out.
 func TestAnswerUnderWayIsNotLostToEviction(t *testing.T) {
-	limits := lingering()
+	limits := lingeringLimits()
 	limits.WriteTimeout = time.Second
 	answer := strings.Repeat("x", 600_000) // more than the peer's side takes before it reads
 	made := make(chan *Conn, 10)
--- a/internal/netio/helpers_test.go
+++ b/internal/netio/helpers_test.go
@@ -9,8 +9,8 @@
 	"hillknot/internal/config"
 )
 
-// lim are the limits of most tests.
-var lim = config.ConnLimits{MaxPendingBytes: 1 << 20, ReadTimeout: 10 * time.Second, WriteTimeout: 10 * time.Second,
+// testLimits are the limits of most tests.
+var testLimits = config.ConnLimits{MaxPendingBytes: 1 << 20, ReadTimeout: 10 * time.Second, WriteTimeout: 10 * time.Second,
 	IdleTimeout: time.Minute, SilentTimeout: time.Minute}
 
 // echo is a handler that sends back what comes.
@@ -56,11 +56,11 @@
 // exchange connects, and sends a line and reads its echo.
 func exchange(t *testing.T, addr string) {
 	t.Helper()
-	echoed(t, dial(t, addr))
+	expectEcho(t, dial(t, addr))
 }
 
-// echoed sends a line and reads its echo.
-func echoed(t *testing.T, c net.Conn) {
+// expectEcho sends a line and reads its echo.
+func expectEcho(t *testing.T, c net.Conn) {
 	t.Helper()
 	buf := make([]byte, 3)
 	if _, err := c.Write([]byte("hi\n")); err != nil {
@@ -92,15 +92,15 @@
 	return l.echo.Consume(buf)
 }
 
-// gated is a handler that consumes lines, each when the test lets it, and records what it was handed.
-type gated struct {
+// gatedHandler is a handler that consumes lines, each when the test lets it, and records what it was handed.
+type gatedHandler struct {
 	c        *Conn
 	received chan string
 	release  chan bool
 	closed   chan bool
 }
 
-func (g *gated) Consume(buf []byte) (int, int, error) {
+func (g *gatedHandler) Consume(buf []byte) (int, int, error) {
 	if buf[len(buf)-1] != '\n' {
 		return 0, 0, nil
 	}
@@ -109,14 +109,14 @@
 	return len(buf), 0, nil
 }
 
-func (g *gated) Closed() { close(g.closed) }
+func (g *gatedHandler) Closed() { close(g.closed) }
 
-// gatedPair starts a server with one connection of a client, and returns the two ends of it.
-func gatedPair(t *testing.T, limits config.ConnLimits) (*Server, net.Conn, *gated) {
+// newGatedPair starts a server with one connection of a client, and returns the two ends of it.
+func newGatedPair(t *testing.T, limits config.ConnLimits) (*Server, net.Conn, *gatedHandler) {
 	t.Helper()
-	made := make(chan *gated, 1)
+	made := make(chan *gatedHandler, 1)
 	s := serveWithBudget(t, 100, limits, NewBudget(1<<25), func(c *Conn) Handler {
-		g := &gated{c: c, received: make(chan string, 10), release: make(chan bool), closed: make(chan bool)}
+		g := &gatedHandler{c: c, received: make(chan string, 10), release: make(chan bool), closed: make(chan bool)}
 		made <- g
 		return g
 	})
@@ -127,9 +127,9 @@
 	return s, nc, g
 }
 
-// lingering returns limits with a lingering close.
-func lingering() config.ConnLimits {
-	l := lim
+// lingeringLimits returns limits with a lingering close.
+func lingeringLimits() config.ConnLimits {
+	l := testLimits
 	l.LingerTimeout = 10 * time.Second
 	return l
 }
--- a/internal/netio/read.go
+++ b/internal/netio/read.go
@@ -10,29 +10,28 @@
 	"hillknot/internal/clock"
 )
 
-// inputProgress is how far the input of a connection has come.
+// inputProgress records how much input a connection has received and consumed.
 type inputProgress struct {
-	consumedOnce atomic.Bool  // the handler has consumed something
-	partialSince atomic.Int64 // reading of package clock when the message began that is not complete yet; 0: there is none
+	consumedOnce atomic.Bool  // the handler has consumed at least one byte
+	partialSince atomic.Int64 // reading of package clock when the incomplete message began; 0: no message is incomplete
 	unconsumed   int          // bytes that the handler has seen and left for its next call; Conn.mu guards it
-	discarded    int          // bytes that came once input was no longer handed on; only read uses it
+	discarded    int          // bytes that arrived after this side began to close; only the goroutine of Conn.read uses it
 }
 
-// isPartial says whether a message has begun that is not complete yet.
+// isPartial reports whether an incoming message is incomplete.
 func (p *inputProgress) isPartial() bool { return p.partialSince.Load() > 0 }
 
-// read hands input to the handler until that has consumed all of it, and waits, for a bounded time, for the rest of
-// a message that is not complete. Netpoll calls it in a goroutine of its own while there is input; calls come one
-// after the other.
+// read passes input to the handler until the handler has consumed all of it, and waits for a bounded time for the rest of
+// an incomplete message. Netpoll calls read in a separate goroutine while there is input; calls are never concurrent.
 func (c *Conn) read(_ context.Context, transport netpoll.Connection) error {
 	reader, needed := transport.Reader(), 1
 	for needed > 0 {
 		buf, err := c.peek(reader, max(needed, reader.Len()))
-		if err != nil { // closed, over the budget, or the rest did not come in time
+		if err != nil { // closed, over the budget, or the rest did not arrive in time
 			c.CloseAfterReplies(CloseInputEnded)
 			return nil
 		}
-		if !c.beginDelivery() { // it crossed our close
+		if !c.beginDelivery() { // the input arrived after this side began to close
 			c.discard(reader, len(buf))
 			return nil
 		}
@@ -41,8 +40,8 @@
 	return nil
 }
 
-// deliver has the handler consume input, and then takes the steps towards a close that had to wait for it. It
-// returns how many bytes are to be there for the next call, or 0 where there is nothing to wait for.
+// deliver lets the handler consume input, and then continues a close that had to wait for the handler. It returns how
+// many bytes must be available for the next call, or 0 if there is nothing to wait for.
 func (c *Conn) deliver(reader netpoll.Reader, buf []byte) (next int) {
 	c.lastActive.Store(int64(clock.Now()))
 	used, needed, err := c.handler.Consume(buf)
@@ -60,19 +59,19 @@
 		c.input.consumedOnce.Store(true)
 		_ = reader.Release() // fails only after a close, which the next Peek reports
 	}
-	c.retireIfRequested()
+	c.closeIdleIfRequested()
 	if remaining == 0 && needed <= 1 && reader.Len() == 0 {
 		_ = c.transport.SetReadTimeout(c.limits.ReadTimeout)
 		return 0
 	}
-	if c.limits.MessageTimeout > 0 { // a peer that sends byte by byte must not hold a message open for good
+	if c.limits.MessageTimeout > 0 { // a peer that sends single bytes must not keep a message incomplete forever
 		timeLeft := messageBegan + c.limits.MessageTimeout - clock.Now()
 		_ = c.transport.SetReadTimeout(max(min(c.limits.ReadTimeout, timeLeft), time.Millisecond))
 	}
 	return max(needed, remaining+1)
 }
 
-// failInput closes a connection whose input can't be used. What is pending is answered first.
+// failInput closes a connection whose input is malformed, once the pending replies are sent.
 func (c *Conn) failInput() {
 	c.CloseAfterReplies(CloseMalformedInput)
 	if h, ok := c.handler.(InputErrorHandler); ok {
@@ -80,20 +79,20 @@
 	}
 }
 
-// discard throws away input that is handed to nobody. A peer that sends on and on is cut off, but not soon while
-// replies to it are pending: it is not to lose them as long as that can be helped.
+// discard drops n bytes of input that arrived after this side began to close. A peer that keeps sending is disconnected
+// after maxDiscard bytes. The limit is higher while replies to the peer are pending, so that they are rarely lost.
 func (c *Conn) discard(reader netpoll.Reader, n int) {
-	most := lingerMost
+	limit := maxDiscard
 	if c.hasPendingReplies() {
-		most = pendingMost
+		limit = maxDiscardWithPendingReplies
 	}
 	c.input.discarded += n
-	if reader.Skip(n) != nil || reader.Release() != nil || c.input.discarded > most {
+	if reader.Skip(n) != nil || reader.Release() != nil || c.input.discarded > limit {
 		c.Close()
 	}
 }
 
-// beginDelivery says whether input may be handed on. The connection is not idle then until endDelivery.
+// beginDelivery reports whether the handler may get input. If so, the connection does not count as idle until endDelivery.
 func (c *Conn) beginDelivery() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -101,8 +100,9 @@
 	return c.delivering
 }
 
-// endDelivery records what the handler made of its input: how many bytes it used, how many remain, and how many it
-// needs for its next call. It returns when the message began that is not complete yet, or 0.
+// endDelivery records the result of Handler.Consume: how many bytes the handler used, how many remain, and how many it
+// needs for its next call. It returns when the incomplete message began as a reading of package clock, or 0 if no message
+// is incomplete.
 func (c *Conn) endDelivery(used, remaining, needed int) (messageBegan time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -116,8 +116,8 @@
 	return time.Duration(c.input.partialSince.Load())
 }
 
-// peek waits for n bytes, which count against the budget meanwhile. The read time-out starts anew with each
-// arrival, so that a long message may take its time, but not one whose sender has stopped.
+// peek waits for n bytes and returns them. While it waits, the bytes count against the budget. The read timeout restarts
+// whenever bytes arrive, so a long message may take longer than the timeout, unless its sender stops.
 func (c *Conn) peek(reader netpoll.Reader, n int) ([]byte, error) {
 	if n > reader.Len() {
 		if !c.budget.take(n) {
--- a/internal/netio/server.go
+++ b/internal/netio/server.go
@@ -15,31 +15,31 @@
 	"hillknot/internal/config"
 )
 
-// Server accepts connections on one listener. Its life: Listen or ListenInherited, Serve, then, where replies are
-// to be sent first, Shutdown, and at last Close.
+// Server accepts connections on one listener. Listen or ListenInherited creates it and Serve runs it. Close ends it;
+// Shutdown may be called before Close so that pending replies are sent first.
 type Server struct {
 	listener   *pausableListener
 	limits     config.ConnLimits
 	budget     *Budget
 	newHandler func(*Conn) Handler
 
-	conns  sync.Map // the connections that are open, by *Conn
-	places places
+	conns sync.Map // open connections: keys are *Conn, values are nil
+	slots connSlots
 
 	mu      sync.Mutex // guards state and loop
 	state   serverState
-	loop    netpoll.EventLoop // the latest; each pause of the listener ends one
-	closing chan struct{}     // closed by Close: the sweeper is to end
-	served  chan struct{}     // closed as Serve returns
+	loop    netpoll.EventLoop // current event loop; each pause of the listener replaces it
+	closing chan struct{}     // closed by Close, to end the sweeper and the pause of Serve
+	served  chan struct{}     // closed when Serve returns
 	sweeper sync.WaitGroup
 
-	// IdleTimeouts, if set before Serve, returns how long connections without pending replies may stay at present:
-	// those on which nothing moves, and those that are in the middle of a message. Server calls it several times a
-	// second.
+	// IdleTimeouts, if set before Serve, returns the current timeouts for connections without pending replies: idle for
+	// those that neither receive nor write, and partialMessage for those whose incoming message is incomplete. Server
+	// calls it at each sweep, several times a second with the default limits.
 	IdleTimeouts func() (idle, partialMessage time.Duration)
 }
 
-// serverState is the life of a server.
+// serverState is the stage in the life cycle of a server.
 type serverState uint8
 
 const (
@@ -48,11 +48,13 @@
 	serverClosed                       // Close was called
 )
 
-// connKey is the key of a connection in its netpoll context. It is absent from the context of one that is rejected.
+// connKey is the key of a *Conn in the netpoll context of its connection. The context of a rejected connection has no
+// such key.
 type connKey struct{}
 
-// Listen opens a listener on an address with a port, or on a path. At most maxConns connections are open at a time:
-// a new one takes the place of one that has no pending replies, and is closed at once where there is none.
+// Listen opens a listener on an address with a port, or on the path of a Unix socket. At most maxConns connections are
+// open at a time: beyond that, a new connection replaces one without pending replies, and is closed immediately if there
+// is none.
 func Listen(
 	addr string, maxConns int, limits config.ConnLimits, budget *Budget, newHandler func(*Conn) Handler,
 ) (*Server, error) {
@@ -63,12 +65,12 @@
 	return newServer(ln, maxConns, limits, budget, newHandler)
 }
 
-// ListenInherited is Listen on a socket that this process was started with and that listens already. Other
-// processes may have it too: it is closed here, but never shut down.
+// ListenInherited is like Listen, but uses a listening socket that this process inherited as descriptor fd. Other
+// processes may share the socket, so it is closed in this process but never shut down.
 func ListenInherited(
 	fd, maxConns int, limits config.ConnLimits, budget *Budget, newHandler func(*Conn) Handler,
 ) (*Server, error) {
-	ln, err := inherited(fd)
+	ln, err := inheritedListener(fd)
 	if err != nil {
 		return nil, fmt.Errorf("descriptor %d: %w", fd, err)
 	}
@@ -85,8 +87,8 @@
 	}
 	s := &Server{listener: listener, limits: limits, budget: budget, newHandler: newHandler,
 		closing: make(chan struct{}), served: make(chan struct{})}
-	listener.holdOff = s.holdOffNew
-	listener.exhausted = func() { s.evict(rankIdle) }
+	listener.holdOff = s.shouldHoldOff
+	listener.onResourcesExhausted = func() { s.evict(rankIdle) }
 	s.SetMaxConns(maxConns)
 	if s.loop, err = s.newLoop(); err != nil {
 		_ = ln.Close()
@@ -99,20 +101,20 @@
 	return netpoll.NewEventLoop(s.onRequest, netpoll.WithOnPrepare(s.onPrepare), netpoll.WithOnConnect(s.onConnect))
 }
 
-// Addr is the address that the server listens on.
+// Addr returns the address that the server listens on.
 func (s *Server) Addr() net.Addr { return s.listener.Addr() }
 
-// OpenConns is how many connections are open.
-func (s *Server) OpenConns() int { return int(s.places.open.Load()) }
+// OpenConns returns the number of open connections, including evicted ones that have not closed yet.
+func (s *Server) OpenConns() int { return int(s.slots.open.Load()) }
 
-// StopAccepting leaves new connections to others who have the same socket. Those that are open stay, though Serve
-// may return.
+// StopAccepting leaves new connections to other processes that share the socket. Open connections stay open, even though
+// Serve may return.
 func (s *Server) StopAccepting() { s.listener.state.stop() }
 
-// Serve accepts connections until Close or StopAccepting. It is called once.
+// Serve accepts connections until Close or StopAccepting is called. It must be called only once.
 func (s *Server) Serve() error {
 	if !s.startServing() {
-		return s.listener.Close() // Close leaves this to Serve, which owns the listener once it is called
+		return s.listener.Close() // Server.Close leaves the listener to Serve
 	}
 	defer close(s.served)
 	for {
@@ -120,7 +122,7 @@
 		if err == nil || s.listener.state.load() == acceptStopped {
 			return nil
 		}
-		if isLackOfResources(err) { // the poller has not taken the listener
+		if isLackOfResources(err) { // the poller could not register the listener
 			s.listener.pause(err)
 		}
 		if s.listener.state.load() != acceptPaused {
@@ -132,15 +134,15 @@
 	}
 }
 
-// isLackOfResources says, of an error of epoll_ctl(2), that the machine lacks something for the time being.
+// isLackOfResources reports whether an error of epoll_ctl(2) means that the machine temporarily lacks resources.
 func isLackOfResources(err error) bool {
 	return errors.Is(err, syscall.ENOMEM) || errors.Is(err, syscall.ENOSPC)
 }
 
-// resumeAfterPause waits until the pause of the listener is over, and makes the loop that is to serve it then. It
-// returns false where the server closes or no longer accepts.
+// resumeAfterPause waits until the pause of the listener is over, and creates the event loop that serves it from then on.
+// It returns false if the server is closing or has stopped accepting, or if the event loop can't be created.
 func (s *Server) resumeAfterPause() (bool, error) {
-	pause := time.NewTimer(s.listener.pauseLength())
+	pause := time.NewTimer(s.listener.pauseDuration())
 	defer pause.Stop()
 	select {
 	case <-s.closing:
@@ -166,7 +168,7 @@
 	return s.loop
 }
 
-// startServing starts the sweeper, unless Close was called before.
+// startServing starts the sweeper and returns true, or returns false if Close was already called.
 func (s *Server) startServing() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -178,23 +180,24 @@
 	return true
 }
 
-// Shutdown stops accepting and closes what is open: what was read is answered, what was sent is written, and input
-// that comes now is discarded. It returns once the peers have closed their side too, or at the deadline, a reading
-// of package clock. Close is to follow.
+// Shutdown stops accepting and closes the open connections gracefully: requests that were read are answered, queued
+// messages are written, and input that arrives from now on is discarded. It returns once the peers have closed their
+// sides too, or at the deadline, which is a reading of package clock. The caller must call Close afterwards.
 func (s *Server) Shutdown(deadline time.Duration) {
 	s.listener.state.stop()
-	for s.places.open.Load() > 0 && clock.Now() < deadline {
+	for s.slots.open.Load() > 0 && clock.Now() < deadline {
 		s.forEachConn(func(c *Conn) bool { c.CloseAfterReplies(closeShutdown); return true })
 		time.Sleep(shutdownPollInterval)
 	}
 }
 
-// shutdownPollInterval is how often Shutdown looks whether all connections have closed.
+// shutdownPollInterval is how often Shutdown checks whether all connections have closed.
 const shutdownPollInterval = 2 * time.Millisecond
 
-// Close stops accepting and closes what is open at once. It returns after Serve has, and is called once.
+// Close stops accepting and closes all open connections immediately. If Serve was called, Close waits until Serve has
+// returned. It must be called only once.
 func (s *Server) Close() {
-	s.listener.state.stop() // also where Serve begins in this moment
+	s.listener.state.stop() // also takes effect if Serve is just starting
 	s.mu.Lock()
 	wasServing := s.state == serverServing
 	s.state = serverClosed
@@ -208,8 +211,7 @@
 	}
 }
 
-// loopStopTimeout is how long netpoll may take to close connections that are in use. Those that it leaves open,
-// Close closes.
+// loopStopTimeout is how long netpoll may take to close connections that are in use. Close closes the remaining ones.
 const loopStopTimeout = time.Millisecond
 
 func (s *Server) stopLoop() {
@@ -218,8 +220,8 @@
 	_ = s.currentLoop().Shutdown(ctx)
 }
 
-// awaitServe waits until Serve has returned. The loop is stopped again meanwhile: a stop is lost on a loop that is
-// just about to begin.
+// awaitServe waits until Serve has returned. In the meantime it stops the event loop repeatedly, because a stop has no
+// effect on a loop that is just about to start.
 func (s *Server) awaitServe() {
 	ticker := time.NewTicker(loopStopTimeout)
 	defer ticker.Stop()
@@ -233,32 +235,33 @@
 	}
 }
 
-// forEachConn calls f for the connections that are open until f returns false.
+// forEachConn calls f for each open connection until f returns false.
 func (s *Server) forEachConn(f func(*Conn) bool) {
 	s.conns.Range(func(key, _ any) bool { return f(key.(*Conn)) })
 }
 
-// onPrepare is netpoll's call for a new connection that is not registered yet. It finds a place for it.
+// onPrepare is netpoll's callback for a new connection that is not registered yet. It acquires a slot for the connection
+// and creates its Conn.
 func (s *Server) onPrepare(transport netpoll.Connection) context.Context {
-	if !s.takePlace() {
-		return context.Background() // onConnect closes it: here netpoll has yet to set it up
+	if !s.acquireSlot() {
+		return context.Background() // onConnect closes the connection: netpoll has not set it up yet
 	}
 	c := newConn(transport, s.limits, s.budget)
 	c.handler = s.newHandler(c)
 	s.conns.Store(c, nil)
-	_ = transport.AddCloseCallback(func(transport netpoll.Connection) error { // fails on nil only
-		s.freePlace(c)
+	_ = transport.AddCloseCallback(func(transport netpoll.Connection) error { // fails only for a nil callback
+		s.releaseSlot(c)
 		s.conns.Delete(c)
 		return c.transportClosed(transport)
 	})
 	return context.WithValue(context.Background(), connKey{}, c)
 }
 
-// onConnect is netpoll's call for a new connection that can be used.
+// onConnect is netpoll's callback for a new connection that is ready for use. It closes rejected connections.
 func (s *Server) onConnect(ctx context.Context, transport netpoll.Connection) context.Context {
 	c, ok := ctx.Value(connKey{}).(*Conn)
 	if !ok {
-		_ = transport.Close() // the close tells the peer that it is rejected
+		_ = transport.Close() // the peer sees its rejection as a close
 		return ctx
 	}
 	c.open()
@@ -268,7 +271,7 @@
 	return ctx
 }
 
-// onRequest is netpoll's call for input.
+// onRequest is netpoll's callback for input.
 func (s *Server) onRequest(ctx context.Context, transport netpoll.Connection) error {
 	c, ok := ctx.Value(connKey{}).(*Conn)
 	if !ok {
--- a/internal/netio/shutdown_test.go
+++ b/internal/netio/shutdown_test.go
@@ -11,7 +11,7 @@
 // Shutdown writes what was sent, also to a peer that reads late, closes the other connections, and returns as soon
 // as all peers have closed.
 func TestShutdownFlushesAndWaitsForPeers(t *testing.T) {
-	s, nc, g := gatedPair(t, lingering())
+	s, nc, g := newGatedPair(t, lingeringLimits())
 	rests := dial(t, s.Addr().String())
 	write(t, nc, "one\n")
 	<-g.received
@@ -37,14 +37,14 @@
 // Shutdown lets requests be answered that were read before, also where the reply is given only after Shutdown
 // began, as by a busy core. The connection was once cut off, and the request lost.
 func TestShutdownAnswersWhatWasRead(t *testing.T) {
-	s, nc, g := gatedPair(t, lingering())
+	s, nc, g := newGatedPair(t, lingeringLimits())
 	g.c.AddPendingReplies(1)
 	write(t, nc, "one\n")
 	<-g.received
 	g.release <- true
 	done := make(chan bool)
 	go func() { s.Shutdown(clock.Now() + 20*time.Second); close(done) }()
-	time.Sleep(50 * time.Millisecond) // it has looked many times
+	time.Sleep(50 * time.Millisecond) // it has hasLatest many times
 	if err := g.c.Send([]byte("answer")); err != nil {
 		t.Errorf("the answer can't be sent: %v", err)
 	}
--- a/internal/netio/sockets.go
+++ b/internal/netio/sockets.go
@@ -9,7 +9,7 @@
 	"syscall"
 )
 
-// listen opens a listener on an address with a port, or on a path.
+// listen opens a listener on an address with a port, or on the path of a Unix socket.
 func listen(addr string) (net.Listener, error) {
 	if network(addr) == "unix" {
 		return listenUnix(addr)
@@ -17,7 +17,7 @@
 	return net.Listen("tcp", addr)
 }
 
-// network is "unix" for a path and "tcp" for an address with a port.
+// network returns "unix" for an absolute path and "tcp" for an address with a port.
 func network(addr string) string {
 	if filepath.IsAbs(addr) {
 		return "unix"
@@ -25,11 +25,11 @@
 	return "tcp"
 }
 
-// listenUnix takes the place of whoever listened on the path before, in one step: the path is never missing. It
-// stays when the listener closes: by then it may be another's.
+// listenUnix listens on a path, and atomically replaces the socket file of an earlier listener, so that the path always
+// exists. It does not remove the file when the listener closes, because the file may by then belong to another listener.
 func listenUnix(path string) (net.Listener, error) {
 	temporary := path + "." + strconv.Itoa(os.Getpid())
-	_ = os.Remove(temporary) // of a process that had our id and died
+	_ = os.Remove(temporary) // left by a process with the same id that died
 	ln, err := net.ListenUnix("unix", &net.UnixAddr{Name: temporary, Net: "unix"})
 	if err != nil {
 		return nil, err
@@ -42,17 +42,17 @@
 	return ln, nil
 }
 
-// inherited returns the listener on a descriptor that this process was started with.
-func inherited(fd int) (net.Listener, error) {
+// inheritedListener returns a listener on a descriptor that this process inherited.
+func inheritedListener(fd int) (net.Listener, error) {
 	f := os.NewFile(uintptr(fd), "inherited listener")
 	if f == nil {
 		return nil, os.ErrInvalid
 	}
-	defer f.Close() // the listener has a descriptor of its own
+	defer f.Close() // the listener uses a duplicate of the descriptor
 	return net.FileListener(f)
 }
 
-// peerAddr is the address of a peer as package net has it.
+// peerAddr converts the address of a peer to a net.Addr.
 func peerAddr(sa syscall.Sockaddr) net.Addr {
 	switch sa := sa.(type) {
 	case *syscall.SockaddrInet4:
--- a/internal/netio/state.go
+++ b/internal/netio/state.go
@@ -1,31 +1,32 @@
 package netio
 
-// connState is what a connection still does: whether its input reaches the handler, whether the handler may send,
-// and what is to happen before it ends. Conn.mu guards it.
+// connState is the state of a connection on this side: whether its input reaches the handler, whether the handler may
+// send, and what has to happen before the connection closes. Conn.mu guards it.
 //
-// That the transport has closed is not a state: the peer may close it in any of them. See sendQueue.closed.
+// There is no state for a closed transport, because the peer may close it in any state. See sendQueue.closed.
 type connState uint8
 
 const (
 	// stateOpen: input reaches the handler, and the handler may send.
 	stateOpen connState = iota
-	// stateAwaitingReplies: input is discarded. The handler may send the replies that are pending; after the last
-	// of them the connection flushes.
+	// stateAwaitingReplies: input is discarded. The handler may send the pending replies; after the last one the
+	// connection flushes.
 	stateAwaitingReplies
-	// stateFlushing: input is discarded, and nothing more may be sent. What is queued is written, then the
+	// stateFlushing: input is discarded, and nothing more may be sent. The queued messages are written, then the
 	// connection lingers.
 	stateFlushing
-	// stateShut: input is discarded, and nothing more may be sent. Whoever shut the connection closes it.
-	stateShut
+	// stateClosing: input is discarded, and nothing more may be sent. The caller that set this state closes the
+	// connection.
+	stateClosing
 )
 
-// closeStep is a step on the way of a connection to its end.
+// closeStep is a step in closing a connection.
 type closeStep uint8
 
 const (
 	stepAwaitReplies closeStep = iota // CloseAfterReplies, while replies are pending
 	stepFlush                         // CloseAfterWrites
-	stepShut                          // Close, the end of an idle connection, and CloseAfterReplies on its way to a flush
+	stepClose                         // Close, the closing of an idle connection, and CloseAfterReplies before it flushes
 )
 
 // after returns the state that follows a step.
@@ -35,14 +36,14 @@
 		return stateFlushing
 	case step == stepAwaitReplies && s != stateFlushing:
 		return stateAwaitingReplies
-	case step == stepShut && s == stateOpen:
-		return stateShut
+	case step == stepClose && s == stateOpen:
+		return stateClosing
 	}
 	return s
 }
 
-// acceptsInput says whether what comes in reaches the handler.
+// acceptsInput reports whether input reaches the handler.
 func (s connState) acceptsInput() bool { return s == stateOpen }
 
-// acceptsSends says whether the handler may send.
+// acceptsSends reports whether the handler may send.
 func (s connState) acceptsSends() bool { return s == stateOpen || s == stateAwaitingReplies }
--- a/internal/netio/state_test.go
+++ b/internal/netio/state_test.go
@@ -10,16 +10,16 @@
 	}{
 		{stateOpen, stepAwaitReplies, stateAwaitingReplies},
 		{stateOpen, stepFlush, stateFlushing},
-		{stateOpen, stepShut, stateShut},
+		{stateOpen, stepClose, stateClosing},
 		{stateAwaitingReplies, stepAwaitReplies, stateAwaitingReplies},
 		{stateAwaitingReplies, stepFlush, stateFlushing},
-		{stateAwaitingReplies, stepShut, stateAwaitingReplies},
+		{stateAwaitingReplies, stepClose, stateAwaitingReplies},
 		{stateFlushing, stepAwaitReplies, stateFlushing},
 		{stateFlushing, stepFlush, stateFlushing},
-		{stateFlushing, stepShut, stateFlushing},
-		{stateShut, stepAwaitReplies, stateAwaitingReplies},
-		{stateShut, stepFlush, stateFlushing},
-		{stateShut, stepShut, stateShut},
+		{stateFlushing, stepClose, stateFlushing},
+		{stateClosing, stepAwaitReplies, stateAwaitingReplies},
+		{stateClosing, stepFlush, stateFlushing},
+		{stateClosing, stepClose, stateClosing},
 	} {
 		if got := c.from.after(c.step); got != c.want {
 			t.Errorf("state %d after step %d: %d, want %d", c.from, c.step, got, c.want)
@@ -49,7 +49,7 @@
 // Close waits for Serve, also where it comes as Serve begins.
 func TestCloseWaitsForServe(t *testing.T) {
 	for range 200 {
-		s, err := Listen("127.0.0.1:0", 10, lim, NewBudget(1<<20), newEcho)
+		s, err := Listen("127.0.0.1:0", 10, testLimits, NewBudget(1<<20), newEcho)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/netio/sweep.go
+++ b/internal/netio/sweep.go
@@ -6,9 +6,9 @@
 	"hillknot/internal/clock"
 )
 
-// Idle time-outs of connections that were accepted.
+// This file holds the idle timeouts of accepted connections.
 
-// sweepsPerTimeout is how often connections are looked at within the shorter of their time-outs.
+// sweepsPerTimeout is how often connections are checked within the shorter of their timeouts.
 const sweepsPerTimeout = 8
 
 // sweep closes connections that have timed out, until the server closes.
@@ -28,28 +28,29 @@
 // closeTimedOut closes the connections that have timed out.
 func (s *Server) closeTimedOut() {
 	now := clock.Now()
-	idleMost, partialMost := s.limits.IdleTimeout, s.limits.IdleTimeout
+	maxIdle, maxPartial := s.limits.IdleTimeout, s.limits.IdleTimeout
 	if s.IdleTimeouts != nil {
-		idleMost, partialMost = s.IdleTimeouts()
+		maxIdle, maxPartial = s.IdleTimeouts()
 	}
 	s.forEachConn(func(c *Conn) bool {
-		c.closeIfTimedOut(now, idleMost, partialMost)
+		c.closeIfTimedOut(now, maxIdle, maxPartial)
 		return true
 	})
 }
 
-// closeIfTimedOut closes a connection without pending replies if its message is incomplete for too long, if nothing
-// has moved for the idle time-out, or if the peer has said nothing for the shorter time that a new one has: a peer
-// that vanished says nothing, and others connect and stay for good.
-func (c *Conn) closeIfTimedOut(now, idleMost, partialMost time.Duration) {
+// closeIfTimedOut closes a connection without pending replies in three cases: its incoming message has been incomplete for
+// longer than maxPartial, the connection has been idle for longer than maxIdle, or it has been idle for longer than
+// limits.SilentTimeout and the handler has never consumed input. The last timeout is shorter: it applies to peers that
+// connected and then vanished or never send anything.
+func (c *Conn) closeIfTimedOut(now, maxIdle, maxPartial time.Duration) {
 	idle, ok := c.idleFor(now)
 	if began := time.Duration(c.input.partialSince.Load()); began > 0 {
-		if ok && now-began > partialMost {
-			c.retire(closeReadTimeout, dropPartial)
+		if ok && now-began > maxPartial {
+			c.closeIfIdle(closeReadTimeout, dropPartial)
 		}
 		return
 	}
-	if ok && (idle > idleMost || idle > c.limits.SilentTimeout && !c.input.consumedOnce.Load()) {
-		c.retire(closeIdleTimeout, keepPartial)
+	if ok && (idle > maxIdle || idle > c.limits.SilentTimeout && !c.input.consumedOnce.Load()) {
+		c.closeIfIdle(closeIdleTimeout, keepPartial)
 	}
 }
--- a/internal/netio/sweep_test.go
+++ b/internal/netio/sweep_test.go
@@ -8,7 +8,7 @@
 // A new peer that sends nothing is cut off soon, one that has sent a request stays until it is idle, and one that
 // sends byte by byte can't hold a message open.
 func TestSilentAndSlowPeersTimeOut(t *testing.T) {
-	short := lim
+	short := testLimits
 	short.SilentTimeout, short.MessageTimeout = 50*time.Millisecond, 50*time.Millisecond
 	s := serve(t, 100, short, newLines)
 	spoke, slow := dial(t, s.Addr().String()), dial(t, s.Addr().String())
@@ -25,5 +25,5 @@
 	if _, err := spoke.Read(make([]byte, 3)); err != nil {
 		t.Errorf("answer: %v", err)
 	}
-	echoed(t, spoke)
+	expectEcho(t, spoke)
 }
--- a/internal/netio/unread.go
+++ b/internal/netio/unread.go
@@ -2,8 +2,9 @@
 
 import "golang.org/x/sys/unix"
 
-// HasUnreadInput says whether a connection has input, or its peer's end, that has not been handed on, or one waits
-// to be accepted. It may be called from any goroutine. Where the system does not say, there is none.
+// HasUnreadInput reports whether any connection has input or a close of its peer that the handler has not seen yet, or
+// whether a connection is waiting to be accepted. It may be called from any goroutine. If the system cannot report unread
+// input, none is assumed.
 func (s *Server) HasUnreadInput() bool {
 	var sockets []unix.PollFd
 	if s.listener.state.load() == accepting {
@@ -25,11 +26,11 @@
 	if buffered || len(sockets) == 0 {
 		return buffered
 	}
-	ready, err := unix.Poll(sockets, 0) // a time-out of 0: it does not wait
+	ready, err := unix.Poll(sockets, 0) // a timeout of 0 does not wait
 	return err == nil && ready > 0
 }
 
-// hasBufferedInput says whether bytes were read from the socket that the handler has not seen yet.
+// hasBufferedInput reports whether bytes were read from the socket that the handler has not seen yet, or is consuming now.
 func (c *Conn) hasBufferedInput() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/netio/write.go
+++ b/internal/netio/write.go
@@ -8,16 +8,18 @@
 	"hillknot/internal/clock"
 )
 
-// maxSmallMessage is the length up to which a message is sent whatever the budget says, so that an error can be
-// sent in place of a long reply.
+// maxSmallMessage is the length in bytes up to which a message is sent even if it exceeds the budget, so that an error can
+// be sent in place of a long reply.
 const maxSmallMessage = 256
 
-// maxBatch is how many bytes are written at a time, or a single message.
+// maxBatch is the maximum number of bytes that are written at a time. A longer message is written by itself.
 const maxBatch = 256 << 10
 
-// Send queues a message, which it keeps, to be written after those that were sent before. It never blocks. A peer
-// that reads too slowly is cut off once too much waits for it: ErrClosed. Where too much waits for all peers
-// together, nothing is queued and the connection stays open: ErrBudgetExceeded.
+// Send queues a message to be written after those that were sent before. It keeps b and never blocks.
+//
+// If too many bytes are already queued for the peer, which reads too slowly, Send closes the connection and returns
+// ErrClosed. If the message exceeds the shared budget, Send queues nothing, leaves the connection open and returns
+// ErrBudgetExceeded.
 func (c *Conn) Send(b []byte) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -25,7 +27,7 @@
 		return ErrClosed
 	}
 	if c.queue.bytes > 0 && c.queue.bytes+len(b) > c.limits.MaxPendingBytes {
-		go c.Close() // not from here: closing calls back and takes the lock
+		go c.Close() // in a goroutine, because closing calls back and locks c.mu
 		return ErrClosed
 	}
 	if !c.budget.take(len(b)) {
@@ -39,7 +41,8 @@
 	return nil
 }
 
-// startWriting has what is queued written, unless that is going on or has to wait. The caller holds c.mu.
+// startWriting starts a goroutine that writes the queued messages, unless one is running, the transport can't be written to
+// yet or the queue is empty. The caller holds c.mu.
 func (c *Conn) startWriting() {
 	if c.queue.writing || !c.queue.opened || len(c.queue.messages) == 0 {
 		return
@@ -48,17 +51,16 @@
 	go c.writeQueued()
 }
 
-// writeQueued writes what is queued until nothing is left or the transport has closed. Send starts it where no
-// other runs.
+// writeQueued writes queued messages until none is left or the transport has closed. At most one goroutine runs it.
 func (c *Conn) writeQueued() {
-	_ = c.transport.SetWriteTimeout(maxWriteTimeouts * c.limits.WriteTimeout) // the watch has the shorter one
+	_ = c.transport.SetWriteTimeout(maxWriteTimeoutsPerWrite * c.limits.WriteTimeout) // writeWatch applies WriteTimeout
 	for {
 		batch, size, linger := c.nextBatch()
 		if linger {
 			c.lingerClose()
 		}
 		if len(batch) == 0 {
-			c.retireIfRequested()
+			c.closeIdleIfRequested()
 			return
 		}
 		if err := c.flushWatched(batch); err != nil {
@@ -72,7 +74,7 @@
 	}
 }
 
-// flushWatched is flush for a peer that may take its time, as long as it reads on.
+// flushWatched is like flush, but lets a slow peer take longer than the write timeout as long as it keeps reading.
 func (c *Conn) flushWatched(batch [][]byte) error {
 	if c.limits.WriteTimeout > 0 {
 		defer c.watchWrite().end()
@@ -80,9 +82,9 @@
 	return c.flush(batch...)
 }
 
-// nextBatch takes messages off the queue, as many as are written at a time: a slow reader that reads on must not run
-// into the bound of one write with all that waits. It returns none where the writer is to end, and then says whether the
-// connection, which is flushed by that, is to linger.
+// nextBatch takes the messages for the next write off the queue. It limits their size, because a slow peer that keeps
+// reading must not exceed the time limit of a single write with the whole queue. An empty batch means that the writer
+// must end; linger then reports whether the connection, which is now flushed, must linger.
 func (c *Conn) nextBatch() (batch [][]byte, size int, linger bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -102,7 +104,7 @@
 	return nil, 0, c.state == stateFlushing
 }
 
-// flush hands messages to the socket and waits until it has taken them.
+// flush writes messages to the socket and waits until the socket's send buffer has taken them.
 func (c *Conn) flush(messages ...[]byte) error {
 	c.flushMu.Lock()
 	defer c.flushMu.Unlock()
@@ -119,9 +121,9 @@
 	return writer.Flush()
 }
 
-// WriteSync writes before it returns. It blocks only while the socket's buffer is full, and for the write time-out
-// at most, also where the peer reads on slowly: its caller has others to serve. After an error the connection is of no
-// more use. It may not be mixed with Send.
+// WriteSync writes a message before it returns. It blocks only while the socket's send buffer is full, and at most for the
+// write timeout even if the peer keeps reading slowly, because its caller has other connections to serve. An error closes
+// the connection. WriteSync must not be used on a connection on which Send is used.
 func (c *Conn) WriteSync(b []byte) error {
 	if err := c.flush(b); err != nil {
 		c.Close()
@@ -130,16 +132,17 @@
 	return nil
 }
 
-// IsIncompleteWrite says, of an error of WriteSync, that the peer surely does not get the whole message: the
-// connection was closed before, or the system refused a part of it.
+// IsIncompleteWrite reports whether an error of WriteSync proves that the peer does not get the whole message: the
+// connection was closed before, or the system rejected a part of the message.
 //
-// Netpoll returns an error of the system only from its own first write, or as it registers for room for the rest;
-// it then hands the part that it still holds to the system no more. Its own errors, of a time-out or a close while
-// the rest waited for room, may have come as the last of the bytes went.
+// Netpoll returns a system error only from its own first write, or when it registers to be notified of free buffer space
+// for the rest; in both cases it no longer passes the part that it still holds to the system. Its own errors, for a timeout
+// or a close while the rest waited for buffer space, do not prove that: the last bytes may have been written at the same
+// moment.
 func IsIncompleteWrite(err error) bool {
 	var errno syscall.Errno
-	return errors.Is(err, ErrClosed) || errors.As(err, &errno) && errno < netpollErrors
+	return errors.Is(err, ErrClosed) || errors.As(err, &errno) && errno < firstNetpollErrno
 }
 
-// netpollErrors is the least number of the errors that netpoll makes up; those of the system are below.
-const netpollErrors = 0x100
+// firstNetpollErrno is the lowest error number that netpoll defines itself. Error numbers of the system are lower.
+const firstNetpollErrno = 0x100
--- a/internal/netio/write_test.go
+++ b/internal/netio/write_test.go
@@ -35,7 +35,7 @@
 func TestSlowReaderGetsAllAndStalledReaderIsCutOff(t *testing.T) {
 	const segments = slowReaderMessages * slowReaderMessageSize / segmentSize
 	synctest.Test(t, func(t *testing.T) {
-		short := lim
+		short := testLimits
 		short.WriteTimeout, short.MaxPendingBytes = 600*time.Millisecond, 16<<20
 		budget := NewBudget(1 << 25)
 		slow, stopped := newStagedTransport(t, short, budget), newStagedTransport(t, short, budget)
@@ -70,12 +70,12 @@
 
 // The same on sockets, where only the reader that has stopped has a short time-out.
 func TestStalledReaderIsCutOffOnSockets(t *testing.T) {
-	short := lim
+	short := testLimits
 	short.WriteTimeout, short.MaxPendingBytes = 600*time.Millisecond, 16<<20
-	long := lim
+	long := testLimits
 	long.MaxPendingBytes = short.MaxPendingBytes
-	fill := func(limits config.ConnLimits) (net.Conn, *gated) {
-		_, nc, g := gatedPair(t, limits)
+	fill := func(limits config.ConnLimits) (net.Conn, *gatedHandler) {
+		_, nc, g := newGatedPair(t, limits)
 		if err := nc.(*net.TCPConn).SetReadBuffer(64 << 10); err != nil {
 			t.Fatal(err)
 		}
@@ -116,7 +116,7 @@
 // The system reports room in a socket only once a third of its send buffer is free, some 1.4 MB of a buffer that has
 // grown to 4 MB. The write that waits for room once ran into its time-out before that.
 func TestReaderThatNeverStopsIsNotCutOff(t *testing.T) {
-	limits := lim
+	limits := testLimits
 	limits.WriteTimeout, limits.MaxPendingBytes = 2*time.Second, 16<<20
 	conns := make(chan *Conn, 1)
 	s := serveWithBudget(t, 10, limits, NewBudget(1<<25), func(c *Conn) Handler { conns <- c; return echo{c} })
--- a/internal/netio/writewatch.go
+++ b/internal/netio/writewatch.go
@@ -7,20 +7,20 @@
 	"golang.org/x/sys/unix"
 )
 
-// looksPerWriteTimeout is how often a write that waits for room is looked at within the write time-out.
-const looksPerWriteTimeout = 8
+// checksPerWriteTimeout is how often a write that waits for buffer space is checked within the write timeout.
+const checksPerWriteTimeout = 8
 
-// maxWriteTimeouts bounds a write whose peer reads on, however slowly: it may wait for so many write time-outs.
-const maxWriteTimeouts = 8
+// maxWriteTimeoutsPerWrite is the time limit of a write whose peer keeps reading, however slowly, in write timeouts.
+const maxWriteTimeoutsPerWrite = 8
 
-// writeProgress is how far the bytes have come that the system has taken for a peer. It changes whenever the peer's
-// side takes some.
+// writeProgress is the system's progress in delivering written bytes to a peer. It changes whenever the peer's side
+// takes some of them.
 type writeProgress struct {
-	acknowledged uint64 // by a peer over TCP
-	queued       int    // in the socket
+	acknowledged uint64 // bytes that a TCP peer has acknowledged
+	queued       int    // bytes in the socket's send buffer
 }
 
-// writeProgress asks the system. What it does not say is 0.
+// writeProgress asks the system for the progress. Values that the system does not report are 0.
 func (c *Conn) writeProgress() (progress writeProgress) {
 	fd, ok := c.socket()
 	if !ok {
@@ -35,34 +35,34 @@
 	return progress
 }
 
-// writeWatch closes a connection whose peer takes nothing for the write time-out while a write waits for room. The
-// system reports room only once a third of the send buffer is free, which says nothing of a peer that reads on slowly:
-// the watch asks how far the bytes have come.
+// writeWatch closes a connection if its peer takes no bytes for the write timeout while a write waits for buffer space.
+// The system reports free space only once a third of the send buffer is free, which does not show whether a slow peer
+// still reads, so writeWatch checks writeProgress instead.
 type writeWatch struct {
 	conn *Conn
 
-	mu        sync.Mutex
-	timer     *time.Timer
-	ended     bool
-	looked    bool          // latest is valid
-	latest    writeProgress // at the latest look
-	idleLooks int           // in a row that showed no progress
+	mu                    sync.Mutex
+	timer                 *time.Timer
+	ended                 bool
+	hasLatest             bool          // latest is valid
+	latest                writeProgress // at the latest check
+	checksWithoutProgress int           // consecutive checks without progress
 }
 
-// watchWrite watches a write until end is called.
+// watchWrite starts watching a write. The caller calls end when the write returns.
 func (c *Conn) watchWrite() *writeWatch {
 	w := &writeWatch{conn: c}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.timer = time.AfterFunc(w.interval(), w.look)
+	w.timer = time.AfterFunc(w.interval(), w.check)
 	return w
 }
 
 func (w *writeWatch) interval() time.Duration {
-	return w.conn.limits.WriteTimeout / looksPerWriteTimeout
+	return w.conn.limits.WriteTimeout / checksPerWriteTimeout
 }
 
-// end says that the write is over.
+// end stops watching, after the write has returned.
 func (w *writeWatch) end() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -70,16 +70,16 @@
 	w.timer.Stop()
 }
 
-// look closes the connection if the peer has taken nothing for too long. Looks count, and not the clock: while the
-// process itself stood still, nobody looked.
-func (w *writeWatch) look() {
+// check closes the connection if the peer has taken nothing for the write timeout. The time is counted in checks rather
+// than measured by the clock, so that time during which this process was suspended does not count.
+func (w *writeWatch) check() {
 	if w.stalled() {
-		w.conn.traceClose(closeWriteTimeout)
+		w.conn.logClose(closeWriteTimeout)
 		w.conn.Close()
 	}
 }
 
-// stalled looks once, and says whether that is the last look that the peer has had.
+// stalled makes one check, and reports whether the peer has shown no progress in checksPerWriteTimeout consecutive checks.
 func (w *writeWatch) stalled() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -87,12 +87,12 @@
 		return false
 	}
 	progress := w.conn.writeProgress()
-	w.idleLooks++
-	if w.looked && progress != w.latest {
-		w.idleLooks = 0
+	w.checksWithoutProgress++
+	if w.hasLatest && progress != w.latest {
+		w.checksWithoutProgress = 0
 	}
-	w.looked, w.latest = true, progress
-	w.ended = w.idleLooks >= looksPerWriteTimeout
+	w.hasLatest, w.latest = true, progress
+	w.ended = w.checksWithoutProgress >= checksPerWriteTimeout
 	if !w.ended {
 		w.timer.Reset(w.interval())
 	}
--- a/internal/netio/writewatch_test.go
+++ b/internal/netio/writewatch_test.go
@@ -11,7 +11,7 @@
 // A reader over a Unix socket, as the other process of a hot restart, is held to the same rule as one over TCP: it is cut off
 // when it reads nothing for the write time-out, and not when it reads slowly.
 func TestSlowReaderOverUnixSocket(t *testing.T) {
-	limits := lim
+	limits := testLimits
 	limits.WriteTimeout, limits.MaxPendingBytes = time.Second, 16<<20
 	conns := make(chan *Conn, 2)
 	path := filepath.Join(t.TempDir(), "s")
@@ -58,12 +58,12 @@
 // A write whose peer reads on has a bound all the same: the transport ends it after so many write time-outs.
 func TestWriteHasABound(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		peer := newStagedTransport(t, lim, NewBudget(1<<20))
+		peer := newStagedTransport(t, testLimits, NewBudget(1<<20))
 		if err := peer.conn.Send([]byte("x")); err != nil {
 			t.Fatal(err)
 		}
 		synctest.Wait()
-		if want := maxWriteTimeouts * lim.WriteTimeout; peer.writeTimeout != want {
+		if want := maxWriteTimeoutsPerWrite * testLimits.WriteTimeout; peer.writeTimeout != want {
 			t.Errorf("a write may take %v, want %v", peer.writeTimeout, want)
 		}
 	})
