--- a/internal/netio/accept_test.go
+++ b/internal/netio/accept_test.go
@@ -8,12 +8,13 @@
 	"time"
 )
 
-// acceptErrors are the errors that accept(2) documents, but for those of a wrong call.
+// acceptErrors are the errors that accept(2) documents, except those for invalid arguments.
 var acceptErrors = []syscall.Errno{syscall.EAGAIN, syscall.EINTR, syscall.ECONNABORTED, syscall.EMFILE, syscall.ENFILE,
 	syscall.ENOBUFS, syscall.ENOMEM, syscall.EPROTO, syscall.EPERM, syscall.ENETDOWN, syscall.ENOPROTOOPT, syscall.EHOSTDOWN, syscall.ENONET,
 	syscall.EHOSTUNREACH, syscall.EOPNOTSUPP, syscall.ENETUNREACH, syscall.ETIMEDOUT, syscall.ENOSR, syscall.EIO}
 
-// failAcceptFor has accept calls fail for a while, counts them, and then lets them through.
+// failAcceptFor makes all calls of accept fail with errno for the given span of time. It counts the calls, also those
+// after that span.
 func failAcceptFor(s *Server, errno syscall.Errno, span time.Duration) (calls *atomic.Int64) {
 	calls = &atomic.Int64{}
 	end := time.Now().Add(span)
@@ -27,10 +28,10 @@
 	return calls
 }
 
-// However accept fails, and for however long: open connections are served meanwhile, the poller does not spin, and
-// peers that wait to be accepted are served once accept succeeds again.
+// While accept fails with any error, open connections are served and the poller does not spin. Peers that wait to be
+// accepted are served once accept succeeds again.
 func TestServesThroughAcceptErrors(t *testing.T) {
-	const span, most = 400 * time.Millisecond, 100 // calls
+	const span, maxCalls = 400 * time.Millisecond, 100 // calls
 	for _, errno := range acceptErrors {
 		t.Run(errno.Error(), func(t *testing.T) {
 			t.Parallel()
@@ -44,15 +45,15 @@
 			for range 3 {
 				expectEcho(t, dial(t, s.Addr().String()))
 			}
-			if n := calls.Load(); n > most {
-				t.Errorf("%d calls in %v, want at most %d", n, span, most)
+			if n := calls.Load(); n > maxCalls {
+				t.Errorf("%d calls in %v, want at most %d", n, span, maxCalls)
 			}
 		})
 	}
 }
 
-// Two servers on one socket, as two processes that inherited it: one stops accepting, and what it had goes on. New
-// connections come to the other, and none is rejected.
+// Two servers share one socket, like two processes that inherited it. When one of them stops accepting, its open
+// connections are still served. New connections go to the other server, and none is rejected.
 func TestInheritedListenerIsShared(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -68,22 +69,22 @@
 	}
 	t.Cleanup(servers[1].Close)
 	go servers[0].Serve()
-	old := dial(t, ln.Addr().String())
-	expectEcho(t, old)
+	existing := dial(t, ln.Addr().String())
+	expectEcho(t, existing)
 	go servers[1].Serve()
 	servers[0].StopAccepting()
 	for range 20 {
 		exchange(t, ln.Addr().String())
 	}
 	if n := servers[0].OpenConns(); n != 1 {
-		t.Errorf("%d connections at the one that stopped", n)
+		t.Errorf("%d connections open at the server that stopped accepting, want 1", n)
 	}
-	expectEcho(t, old)
+	expectEcho(t, existing)
 	servers[0].Close()
 	exchange(t, ln.Addr().String())
 }
 
-// dup returns a descriptor of a listener, as a process inherits one.
+// dup returns a duplicate of a listener's descriptor, as a process would inherit it.
 func dup(t *testing.T, ln net.Listener) int {
 	t.Helper()
 	raw, err := ln.(*net.TCPListener).SyscallConn()
@@ -99,6 +100,6 @@
 
 func TestListenInheritedRejectsClosedDescriptor(t *testing.T) {
 	if _, err := ListenInherited(1<<20, 1, testLimits, NewBudget(1), newEcho); err == nil {
-		t.Error("a descriptor that is not open was taken")
+		t.Error("ListenInherited accepted a descriptor that is not open")
 	}
 }
--- a/internal/netio/acceptpause_test.go
+++ b/internal/netio/acceptpause_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// failingServer starts a server whose accept fails until the returned function is called.
+// failingServer returns a server whose accept fails with errno until succeed is called. The caller calls Serve.
 func failingServer(t *testing.T, errno syscall.Errno) (s *Server, succeed func()) {
 	t.Helper()
 	s, err := Listen("127.0.0.1:0", 100, testLimits, NewBudget(1<<20), newEcho)
@@ -26,9 +26,9 @@
 	return s, func() { close(end) }
 }
 
-// A server that closes while its accept is paused, at whatever moment, leaves the next listener of the process alone, which
-// gets the same descriptor: it takes connections, whether it served before the pause would have been over or after. The pause
-// once went on behind the close, and took the other listener off the poller or its connections away.
+// A server that closes at any moment while its listener is paused does not affect the next listener of the process, which
+// gets the same descriptor. That listener accepts connections whether it starts serving before or after the pause would have
+// ended. Earlier, the pause continued after the close, and removed the other listener from the poller or took its connections.
 func TestCloseWhilePausedLeavesOtherListenersAlone(t *testing.T) {
 	const moments, step = 24, 3 * time.Millisecond
 	var others []*Server
@@ -48,7 +48,7 @@
 		}
 		t.Cleanup(other.Close)
 		if moment%2 == 0 {
-			time.Sleep(2 * maxPause) // the pause would have ended before it serves
+			time.Sleep(2 * maxPause) // the pause would have ended before the other listener serves
 		}
 		go other.Serve()
 		exchange(t, other.Addr().String())
@@ -66,15 +66,15 @@
 			t.Fatal(err)
 		}
 		if _, err := nc.Read(make([]byte, 3)); err != nil {
-			t.Errorf("the listener after moment %d takes no connections: %v", moment, err)
+			t.Errorf("the listener after moment %d accepts no connections: %v", moment, err)
 		}
 	}
 }
 
-// Open connections are served at once through each pause, and not only through the first. From the second one on the poller
-// itself once waited until the pause was over.
-func TestSecondPauseDoesNotHoldUpThePoller(t *testing.T) {
-	const pauses, span, least = 3, 300 * time.Millisecond, 15
+// Open connections are served without delay during each pause, not only during the first one. Earlier, from the second
+// pause on, the poller itself waited until the pause was over.
+func TestConsecutivePausesDoNotBlockPoller(t *testing.T) {
+	const pauses, span, minExchanges = 3, 300 * time.Millisecond, 15
 	s, err := Listen("127.0.0.1:0", 100, testLimits, NewBudget(1<<20), newEcho)
 	if err != nil {
 		t.Fatal(err)
@@ -102,14 +102,14 @@
 		}
 		<-failing
 		expectEcho(t, waiting)
-		if exchanges < least {
-			t.Errorf("pause %d: %d exchanges on an open connection in %v, want at least %d", pause, exchanges, span, least)
+		if exchanges < minExchanges {
+			t.Errorf("pause %d: %d exchanges on an open connection in %v, want at least %d", pause, exchanges, span, minExchanges)
 		}
 	}
 }
 
-// A server that stops accepting after a pause does not turn the poller while connections wait for another process on the same
-// socket.
+// A server that stops accepting after a pause does not make the poller spin while connections wait for another process on
+// the same socket.
 func TestStopAfterPauseLeavesThePollerIdle(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -128,17 +128,17 @@
 		t.Fatal("accept was not paused")
 	}
 	s.StopAccepting()
-	dial(t, ln.Addr().String()) // nobody takes it
+	dial(t, ln.Addr().String()) // stays in the queue of the socket
 	time.Sleep(50 * time.Millisecond)
 	const span = 300 * time.Millisecond
 	before := cpuTime(t)
 	time.Sleep(span)
 	if used := cpuTime(t) - before; used > span/3 {
-		t.Errorf("%v of processor time in %v with nothing to do", used, span)
+		t.Errorf("used %v of CPU time in %v without any work", used, span)
 	}
 }
 
-// cpuTime returns what this process has used.
+// cpuTime returns the CPU time that this process has used, in user and system mode together.
 func cpuTime(t *testing.T) time.Duration {
 	t.Helper()
 	var usage syscall.Rusage
--- a/internal/netio/bench_test.go
+++ b/internal/netio/bench_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// BenchmarkEcho measures one message in and one out on a connection that was accepted.
+// BenchmarkEcho measures the round trip of one message and its echo on an accepted connection.
 func BenchmarkEcho(b *testing.B) {
 	s, err := Listen("127.0.0.1:0", 10, testLimits, NewBudget(1<<20), newEcho)
 	if err != nil {
--- a/internal/netio/client_test.go
+++ b/internal/netio/client_test.go
@@ -10,7 +10,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// blackhole returns an address where new connections never come up, as on a machine that vanished.
+// blackhole returns an address to which connections are never established, as if the machine had vanished.
 func blackhole(t *testing.T) string {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
@@ -29,7 +29,7 @@
 		t.Fatal(err)
 	}
 	addr := (&net.TCPAddr{IP: net.IP{127, 0, 0, 1}, Port: sa.(*syscall.SockaddrInet4).Port}).String()
-	for range 3 { // fills the queue of those who wait to be accepted
+	for range 3 { // fills the queue of connections that wait to be accepted
 		if c, err := net.DialTimeout("tcp", addr, 100*time.Millisecond); err == nil {
 			t.Cleanup(func() { c.Close() })
 		}
@@ -37,7 +37,7 @@
 	return addr
 }
 
-// Dials that time out must leave the poller and all other connections alone.
+// Dials that time out do not affect the poller or other connections.
 func TestDialTimeoutLeavesOtherConnectionsAlone(t *testing.T) {
 	s := serve(t, 100, testLimits, newEcho)
 	exchange(t, s.Addr().String())
@@ -48,7 +48,7 @@
 			for range 3 {
 				if c, err := Dial(addr, 20*time.Millisecond, testLimits, NewBudget(1<<20), newEcho); err == nil {
 					c.Close()
-					t.Error("connected to nowhere")
+					t.Error("the dial succeeded, want a timeout")
 				}
 			}
 		})
@@ -57,8 +57,8 @@
 	exchange(t, s.Addr().String())
 }
 
-// A write to a connection that the peer has just ended is an error. It once panicked in netpoll, which frees
-// its buffers as the connection ends.
+// A write to a connection that the peer has just closed returns an error. Earlier it panicked in netpoll, which frees its
+// buffers when the connection closes.
 func TestWriteAfterPeerClosedFails(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -79,18 +79,19 @@
 		<-ended
 		time.Sleep(time.Millisecond)
 		if err := c.WriteSync([]byte("x")); err == nil {
-			t.Error("written to a connection that has ended")
+			t.Error("the write to a closed connection succeeded")
 		}
 	}
 }
 
-// closeReporter is a handler that discards what comes and reports the end.
+// closeReporter is a handler that discards its input, and closes a channel when it is closed.
 type closeReporter struct{ ended chan bool }
 
 func (e closeReporter) Consume(buf []byte) (int, int, error) { return len(buf), 0, nil }
 func (e closeReporter) Closed()                              { close(e.ended) }
 
-// Small writes go out at once, on both sides: what the system held back would be lost with a reset.
+// Small writes are sent without delay on both sides: bytes that the system holds back would be lost if the connection is
+// reset.
 func TestNoDelayIsSet(t *testing.T) {
 	s, _, g := newGatedPair(t, testLimits)
 	dialed, err := Dial(s.Addr().String(), 10*time.Second, testLimits, NewBudget(1<<20), newEcho)
@@ -101,7 +102,7 @@
 	for name, c := range map[string]*Conn{"accepted": g.c, "dialed": dialed} {
 		on, err := unix.GetsockoptInt(c.transport.(interface{ Fd() int }).Fd(), unix.IPPROTO_TCP, unix.TCP_NODELAY)
 		if err != nil || on != 1 {
-			t.Errorf("%s: TCP_NODELAY %d, %v", name, on, err)
+			t.Errorf("%s: TCP_NODELAY is %d, error %v; want 1", name, on, err)
 		}
 	}
 }
--- a/internal/netio/close_test.go
+++ b/internal/netio/close_test.go
@@ -10,15 +10,15 @@
 	"hillknot/internal/config"
 )
 
-// What comes once a connection was closed is handed to nobody, also if it was in the read buffer by then: a request
-// that is read after the close would be forwarded, and its reply lost.
+// Input that arrives before a close and was not consumed yet, in the read buffer or the socket, does not reach the
+// handler after the close. Otherwise the request would be forwarded and its reply lost.
 func TestNoInputIsHandedOnAfterClose(t *testing.T) {
-	for name, end := range map[string]func(*Conn){"at once": (*Conn).Close, "behind what was sent": (*Conn).CloseAfterWrites} {
+	for name, end := range map[string]func(*Conn){"Close": (*Conn).Close, "CloseAfterWrites": (*Conn).CloseAfterWrites} {
 		s, nc, g := newGatedPair(t, lingeringLimits())
 		write(t, nc, "one\n")
 		<-g.received
 		write(t, nc, "two\n")
-		for !g.c.HasUnreadInput() { // until it has come
+		for !g.c.HasUnreadInput() { // until the second line has arrived
 			time.Sleep(time.Millisecond)
 		}
 		end(g.c)
@@ -28,24 +28,24 @@
 			time.Sleep(time.Millisecond)
 		}
 		if len(g.received) > 0 {
-			t.Errorf("%s: handed on %q after the close", name, <-g.received)
+			t.Errorf("%s: the handler got %q after the close", name, <-g.received)
 			g.release <- true
 		}
 	}
 }
 
-// A connection whose handler is consuming input is not idle, even if no reply is pending.
+// A connection whose handler is consuming input does not count as idle, even if no reply is pending.
 func TestNoIdleCloseWhileInputIsHandled(t *testing.T) {
-	for name, retire := range map[string]func(*Server, *Conn){
-		"behind an answer": func(_ *Server, c *Conn) { c.CloseWhenIdle() },
-		"idle":             func(_ *Server, c *Conn) { c.closeIfIdle(closeIdleTimeout, keepPartial) },
-		"half":             func(_ *Server, c *Conn) { c.closeIfIdle(closeIdleTimeout, dropPartial) },
-		"for a new one":    func(s *Server, _ *Conn) { s.SetMaxConns(0) },
+	for name, closeIdle := range map[string]func(*Server, *Conn){
+		"CloseWhenIdle":                func(_ *Server, c *Conn) { c.CloseWhenIdle() },
+		"idle timeout":                 func(_ *Server, c *Conn) { c.closeIfIdle(closeIdleTimeout, keepPartial) },
+		"timeout of a partial message": func(_ *Server, c *Conn) { c.closeIfIdle(closeIdleTimeout, dropPartial) },
+		"eviction":                     func(s *Server, _ *Conn) { s.SetMaxConns(0) },
 	} {
 		s, nc, g := newGatedPair(t, lingeringLimits())
 		write(t, nc, "one\n")
 		<-g.received
-		retire(s, g.c)
+		closeIdle(s, g.c)
 		g.c.AddPendingReplies(1)
 		g.release <- true
 		if err := g.c.Send([]byte("answer\n")); err != nil {
@@ -57,7 +57,7 @@
 	}
 }
 
-// A reply that a client has yet to read is not lost as the connection closes while the client sends on.
+// A reply that the client has not read yet is not lost when the connection closes while the client keeps sending.
 func TestLingeringCloseKeepsLastReply(t *testing.T) {
 	s, nc, g := newGatedPair(t, lingeringLimits())
 	write(t, nc, "one\n")
@@ -71,28 +71,29 @@
 	g.c.CloseAfterWrites()
 	<-g.closed
 	for range 20 {
-		write(t, nc, "more\n") // fails once the connection is reset
+		write(t, nc, "more\n") // would fail after a reset of the connection
 		time.Sleep(time.Millisecond)
 	}
 	expectThenEnd(t, nc, "answer\n")
 	nc.Close()
 	for end := time.Now().Add(20 * time.Second); s.OpenConns() > 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("the connection stays")
+			t.Fatal("the connection is still open")
 		}
 	}
 }
 
-// A peer that goes on and on after our end is cut off by bytes, and one that does nothing by time.
+// After this side has closed, a peer that keeps sending is disconnected after a number of bytes, and a peer that does
+// nothing is disconnected after a timeout.
 func TestLingeringCloseIsBounded(t *testing.T) {
 	short, long := lingeringLimits(), lingeringLimits()
 	short.LingerTimeout, long.LingerTimeout = 50*time.Millisecond, time.Minute
-	for name, l := range map[string]config.ConnLimits{"sends": long, "rests": short} {
+	for name, l := range map[string]config.ConnLimits{"sending peer": long, "inactive peer": short} {
 		s, nc, g := newGatedPair(t, l)
 		g.c.CloseAfterWrites()
 		for end := time.Now().Add(20 * time.Second); s.OpenConns() > 0; time.Sleep(time.Millisecond) {
-			if name == "sends" {
-				_, _ = nc.Write(make([]byte, 4096)) // fails in the end
+			if name == "sending peer" {
+				_, _ = nc.Write(make([]byte, 4096)) // fails once the connection is closed
 			}
 			if time.Now().After(end) {
 				t.Fatalf("%s: still open", name)
@@ -101,9 +102,9 @@
 	}
 }
 
-// What a handler sends as it is made, before netpoll can write to the connection, is written once it can, and a close waits for
-// it. More than the socket takes at once was lost with the connection.
-func TestSendBeforeTheConnectionIsSetUp(t *testing.T) {
+// Messages that are sent while the handler is created, before netpoll can write to the connection, are written once it can,
+// and a close waits for that. Earlier, bytes beyond what the socket takes at once were lost with the connection.
+func TestSendBeforeConnectionIsSetUpIsWritten(t *testing.T) {
 	greeting := strings.Repeat("x", 8<<20)
 	limits := lingeringLimits()
 	limits.MaxPendingBytes = 16 << 20
--- a/internal/netio/helpers_test.go
+++ b/internal/netio/helpers_test.go
@@ -9,11 +9,11 @@
 	"hillknot/internal/config"
 )
 
-// testLimits are the limits of most tests.
+// testLimits holds the limits that most tests use.
 var testLimits = config.ConnLimits{MaxPendingBytes: 1 << 20, ReadTimeout: 10 * time.Second, WriteTimeout: 10 * time.Second,
 	IdleTimeout: time.Minute, SilentTimeout: time.Minute}
 
-// echo is a handler that sends back what comes.
+// echo is a handler that sends its input back.
 type echo struct{ c *Conn }
 
 func (e echo) Consume(buf []byte) (int, int, error) {
@@ -23,13 +23,13 @@
 
 func newEcho(c *Conn) Handler { return echo{c} }
 
-// serve starts a server on loopback, which closes as the test ends.
+// serve starts a server on the loopback interface. The server is closed when the test ends.
 func serve(t *testing.T, maxConns int, limits config.ConnLimits, newHandler func(*Conn) Handler) *Server {
 	t.Helper()
 	return serveWithBudget(t, maxConns, limits, NewBudget(1<<20), newHandler)
 }
 
-// serveWithBudget is serve for tests that queue more than a megabyte.
+// serveWithBudget is like serve, for tests that queue more than a megabyte.
 func serveWithBudget(t *testing.T, maxConns int, limits config.ConnLimits, budget *Budget, newHandler func(*Conn) Handler) *Server {
 	t.Helper()
 	s, err := Listen("127.0.0.1:0", maxConns, limits, budget, newHandler)
@@ -53,13 +53,13 @@
 	return c
 }
 
-// exchange connects, and sends a line and reads its echo.
+// exchange connects to a server, sends a line and reads its echo.
 func exchange(t *testing.T, addr string) {
 	t.Helper()
 	expectEcho(t, dial(t, addr))
 }
 
-// expectEcho sends a line and reads its echo.
+// expectEcho sends a line on an open connection and reads its echo.
 func expectEcho(t *testing.T, c net.Conn) {
 	t.Helper()
 	buf := make([]byte, 3)
@@ -71,16 +71,17 @@
 	}
 }
 
-// expectClosed waits until the server closes the connection.
+// expectClosed waits until the server closes the connection. The test fails if the server sends something instead or if
+// the connection's deadline expires.
 func expectClosed(t *testing.T, c net.Conn) {
 	t.Helper()
 	_, err := c.Read(make([]byte, 1))
 	if e, timeout := err.(net.Error); err == nil || timeout && e.Timeout() {
-		t.Errorf("still open: %v", err)
+		t.Errorf("the connection is still open: %v", err)
 	}
 }
 
-// lines is an echo of complete lines.
+// lines is a handler that sends back complete lines only.
 type lines struct{ echo }
 
 func newLines(c *Conn) Handler { return lines{echo{c}} }
@@ -92,7 +93,8 @@
 	return l.echo.Consume(buf)
 }
 
-// gatedHandler is a handler that consumes lines, each when the test lets it, and records what it was handed.
+// gatedHandler is a handler that consumes complete lines. It reports each input on received and waits for release before
+// it consumes the input.
 type gatedHandler struct {
 	c        *Conn
 	received chan string
@@ -111,7 +113,8 @@
 
 func (g *gatedHandler) Closed() { close(g.closed) }
 
-// newGatedPair starts a server with one connection of a client, and returns the two ends of it.
+// newGatedPair starts a server with one connection of a client. It returns the server, the client's end of the connection
+// and the handler at the server's end.
 func newGatedPair(t *testing.T, limits config.ConnLimits) (*Server, net.Conn, *gatedHandler) {
 	t.Helper()
 	made := make(chan *gatedHandler, 1)
@@ -121,20 +124,21 @@
 		return g
 	})
 	nc, g := dial(t, s.Addr().String()), <-made
-	for ok := false; !ok; _, ok = s.conns.Load(g.c) { // until it is set up
+	for ok := false; !ok; _, ok = s.conns.Load(g.c) { // until the server has stored the connection
 		time.Sleep(time.Millisecond)
 	}
 	return s, nc, g
 }
 
-// lingeringLimits returns limits with a lingering close.
+// lingeringLimits returns testLimits with a linger timeout.
 func lingeringLimits() config.ConnLimits {
 	l := testLimits
 	l.LingerTimeout = 10 * time.Second
 	return l
 }
 
-// expectThenEnd reads what the peer has sent up to its end, which must be no reset.
+// expectThenEnd reads everything that the peer sends until it closes the connection. A reset instead of a close fails the
+// test.
 func expectThenEnd(t *testing.T, nc net.Conn, want string) {
 	t.Helper()
 	if got, err := io.ReadAll(nc); err != nil || string(got) != want {
--- a/internal/netio/server.go
+++ b/internal/netio/server.go
@@ -114,7 +114,7 @@
 // Serve accepts connections until Close or StopAccepting is called. It must be called only once.
 func (s *Server) Serve() error {
 	if !s.startServing() {
-		return s.listener.Close() // Server.Close leaves the listener to Serve
+		return s.listener.Close() // Serve owns the listener once it is called; Server.Close leaves the listener to it
 	}
 	defer close(s.served)
 	for {
--- a/internal/netio/stagedtransport_test.go
+++ b/internal/netio/stagedtransport_test.go
@@ -10,27 +10,27 @@
 	"hillknot/internal/config"
 )
 
-// segmentSize and segmentsInFlight are what a stagedTransport writes at a time, and what it takes from its writer
-// before its peer reads.
+// segmentSize is how many bytes a stagedTransport writes at a time. segmentsInFlight is how many segments it accepts from
+// its writer before its peer reads.
 const (
 	segmentSize      = 60_000
 	segmentsInFlight = 4
 )
 
-// stagedTransport is the transport of a Conn as netpoll has it, without a socket: a flush waits for the peer to make
-// room, and for the write time-out at most. The peer is the test, which receives from segments. What it does not
-// define, no test may use.
+// stagedTransport simulates netpoll's transport of a Conn without a socket: a flush waits until the peer has read enough,
+// and at most for the write timeout. The test plays the peer and receives from segments. Tests must not use methods that
+// stagedTransport does not define itself.
 type stagedTransport struct {
 	netpoll.Connection
 	conn         *Conn
 	writeTimeout time.Duration
-	segments     chan struct{} // each is segmentSize bytes on their way to the peer
+	segments     chan struct{} // each value is segmentSize bytes in flight to the peer
 	closeOnce    sync.Once
 	closed       chan struct{}
-	closedAt     time.Time // valid once closed is
+	closedAt     time.Time // valid once the channel closed is closed
 }
 
-// newStagedTransport returns a transport, and in it the Conn on it. It closes as the test ends.
+// newStagedTransport returns a transport with a Conn on it. Both are closed when the test ends.
 func newStagedTransport(t *testing.T, limits config.ConnLimits, budget *Budget) *stagedTransport {
 	t.Helper()
 	s := &stagedTransport{segments: make(chan struct{}, segmentsInFlight), closed: make(chan struct{})}
@@ -81,7 +81,7 @@
 }
 
 func (w *stagedWriter) Flush() error {
-	var timeout <-chan time.Time // none where it is 0, as with netpoll
+	var timeout <-chan time.Time // nil for a write timeout of 0, which means none, as with netpoll
 	if w.transport.writeTimeout > 0 {
 		timeout = time.After(w.transport.writeTimeout)
 	}
--- a/internal/netio/state_test.go
+++ b/internal/netio/state_test.go
@@ -27,7 +27,7 @@
 	}
 }
 
-// A stop is never lost, and only the end of a pause ends it.
+// The state acceptStopped is final, and a paused listener accepts again only when it is resumed.
 func TestAcceptStateTransitions(t *testing.T) {
 	for _, c := range []struct{ from, stopped, paused, resumed acceptState }{
 		{accepting, acceptStopped, acceptPaused, accepting},
@@ -46,7 +46,7 @@
 	}
 }
 
-// Close waits for Serve, also where it comes as Serve begins.
+// Close waits until Serve has returned, also if it is called while Serve is just starting.
 func TestCloseWaitsForServe(t *testing.T) {
 	for range 200 {
 		s, err := Listen("127.0.0.1:0", 10, testLimits, NewBudget(1<<20), newEcho)
--- a/internal/netio/writewatch_test.go
+++ b/internal/netio/writewatch_test.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-// A reader over a Unix socket, as the other process of a hot restart, is held to the same rule as one over TCP: it is cut off
-// when it reads nothing for the write time-out, and not when it reads slowly.
-func TestSlowReaderOverUnixSocket(t *testing.T) {
+// A reader over a Unix socket, such as the other process of a hot restart, is treated like one over TCP: it is disconnected
+// when it reads nothing for the write timeout, and not when it reads slowly.
+func TestStalledReaderIsCutOffOnUnixSocket(t *testing.T) {
 	limits := testLimits
 	limits.WriteTimeout, limits.MaxPendingBytes = time.Second, 16<<20
 	conns := make(chan *Conn, 2)
@@ -31,9 +31,9 @@
 		return nc, <-conns
 	}
 	slow, toSlow := connect()
-	stopped, toStopped := connect()
+	stalled, toStalled := connect()
 	sendAll(t, toSlow)
-	sendAll(t, toStopped)
+	sendAll(t, toStalled)
 	const total = slowReaderMessages * slowReaderMessageSize
 	start, got, buf := time.Now(), 0, make([]byte, 8<<10)
 	for got < total {
@@ -46,17 +46,17 @@
 			time.Sleep(limits.WriteTimeout / 10)
 		}
 	}
-	for toStopped.transport.IsActive() && time.Since(start) < 10*time.Second {
+	for toStalled.transport.IsActive() && time.Since(start) < 10*time.Second {
 		time.Sleep(time.Millisecond)
 	}
-	if toStopped.transport.IsActive() {
-		t.Error("the one that stopped is still open")
+	if toStalled.transport.IsActive() {
+		t.Error("the connection of the stalled reader is still open")
 	}
-	stopped.Close()
+	stalled.Close()
 }
 
-// A write whose peer reads on has a bound all the same: the transport ends it after so many write time-outs.
-func TestWriteHasABound(t *testing.T) {
+// A write has a time limit even if its peer keeps reading: the transport ends it after maxWriteTimeoutsPerWrite write timeouts.
+func TestTransportGetsMaximumWriteTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		peer := newStagedTransport(t, testLimits, NewBudget(1<<20))
 		if err := peer.conn.Send([]byte("x")); err != nil {
@@ -64,7 +64,7 @@
 		}
 		synctest.Wait()
 		if want := maxWriteTimeoutsPerWrite * testLimits.WriteTimeout; peer.writeTimeout != want {
-			t.Errorf("a write may take %v, want %v", peer.writeTimeout, want)
+			t.Errorf("the time limit of a write is %v, want %v", peer.writeTimeout, want)
 		}
 	})
 }
