--- a/internal/upstream/client.go
+++ b/internal/upstream/client.go
@@ -1,6 +1,6 @@
-// Package upstream carries attempts to endpoints (page caches): one request and one response for each attempt, over a
-// small pool of connections to each endpoint. The protocol is the operators': the request ASK, its cancellation QUIT,
-// and a response of one line and a body.
+// Package upstream sends attempts to endpoints (page caches), with one request and one response for each attempt, over a
+// small pool of connections to each endpoint. The protocol is defined by the operators: the request ASK, its cancellation
+// QUIT, and a response that consists of a line and a body.
 package upstream
 
 import (
@@ -16,8 +16,8 @@
 
 var log = logging.For("upstream")
 
-// Core is the part of core.Core that the client reports to. The client calls Post from any goroutine, and all other
-// methods on the core's.
+// Core is the part of core.Core that the client uses. The client calls Post from any goroutine, and all other methods from
+// the core's goroutine.
 type Core interface {
 	Post(f func())
 	Permit(a *core.Attempt) (balancer.Status, balancer.Detail)
@@ -26,7 +26,7 @@
 	AttemptWritten(a *core.Attempt)
 }
 
-// Client implements core.Upstream. All its methods belong to the core's goroutine.
+// Client implements core.Upstream. Its methods must be called from the core's goroutine.
 type Client struct {
 	core      Core
 	limits    config.Limits
@@ -35,10 +35,10 @@
 	dialer    dialFunc
 	pools     map[*core.Endpoint]*pool
 	inFlight  map[*core.Attempt]*connection // attempts that were written and have no response yet
-	connCount int                           // connections that are open or being dialed, to all endpoints
+	connCount int                           // connections to all endpoints that are open or being dialed
 }
 
-// New returns a client. The budget bounds the bytes of responses that are incomplete; now reads the core's clock.
+// New returns a client. The budget bounds the bytes of incomplete responses, and now reads the core's clock.
 func New(c Core, limits config.Limits, budget *netio.Budget, now func() time.Duration) *Client {
 	return &Client{
 		core:     c,
@@ -51,11 +51,11 @@
 	}
 }
 
-// Send writes the attempt, at once or when a connection is open.
+// Send writes the attempt immediately, or once a connection is open.
 func (cl *Client) Send(a *core.Attempt) {
 	p := cl.pool(a.Endpoint)
 	cl.closeExpired(p)
-	if p.abandoned.has(a.Request.Txn) { // see recentRequests: the attempt goes to another endpoint
+	if p.abandoned.contains(a.Request.Txn) { // see recentRequests: the core must choose another endpoint
 		cl.complete(a, balancer.Rejected)
 		return
 	}
@@ -67,14 +67,14 @@
 		cl.dial(p)
 	case c != nil:
 		cl.write(c, a)
-	case p.dialing > 0: // it shares the connections that come up
+	case p.dialing > 0: // the attempt shares the connections that are being dialed
 		p.waiting = append(p.waiting, a)
-	default: // this router has no more connections, which is not the endpoint's fault
+	default: // the limit of this router is reached, which is not the endpoint's fault
 		cl.complete(a, balancer.Rejected)
 	}
 }
 
-// pool returns the pool of an endpoint, which it opens if need be.
+// pool returns the pool of an endpoint, and creates it if there is none.
 func (cl *Client) pool(e *core.Endpoint) *pool {
 	p := cl.pools[e]
 	if p == nil {
@@ -84,15 +84,16 @@
 	return p
 }
 
-// complete ends an attempt that has no response.
+// complete ends an attempt that has no response, and reports its status to the core.
 func (cl *Client) complete(a *core.Attempt, status balancer.Status) {
 	cl.core.CompleteAttempt(a, core.AttemptResult{Status: status})
 }
 
-// ensureCapacity returns whether a connection for an attempt may be dialed. Where there is none that the attempt could
-// go out on (picked is nil), the one that has been idle for longest, to any endpoint, is closed for it if need be.
+// ensureCapacity reports whether a connection may be dialed for an attempt. picked is the open connection that can carry the
+// attempt, or nil. If it is nil and the limit of connections is reached, ensureCapacity closes the connection, to any
+// endpoint, that has been idle for the longest time.
 func (cl *Client) ensureCapacity(p *pool, a *core.Attempt, picked *connection) bool {
-	if p.usable()+p.dialing >= cl.limits.ConnsPerEndpoint && (picked != nil || !p.anyMayGetDuplicateFor(a)) {
+	if p.usableCount()+p.dialing >= cl.limits.ConnsPerEndpoint && (picked != nil || !p.anyMayGetDuplicateFor(a)) {
 		return false
 	}
 	if picked == nil && cl.connCount >= cl.limits.UpstreamConns {
@@ -101,22 +102,22 @@
 	return cl.connCount < cl.limits.UpstreamConns
 }
 
-// closeLongestIdle closes the connection that has been idle for longest, to any endpoint.
+// closeLongestIdle closes the connection, to any endpoint, that has been idle for the longest time.
 func (cl *Client) closeLongestIdle() {
-	var longest *connection
+	var longestIdle *connection
 	for _, p := range cl.pools {
 		for _, c := range p.conns {
-			if len(c.inFlight) == 0 && (longest == nil || c.idleSince < longest.idleSince) {
-				longest = c
+			if len(c.inFlight) == 0 && (longestIdle == nil || c.idleSince < longestIdle.idleSince) {
+				longestIdle = c
 			}
 		}
 	}
-	if longest != nil {
-		longest.close()
+	if longestIdle != nil {
+		longestIdle.close()
 	}
 }
 
-// closeExpired closes connections that were idle for long, before the endpoint does.
+// closeExpired closes connections of a pool that have been idle for a long time, before the endpoint closes them.
 func (cl *Client) closeExpired(p *pool) {
 	for _, c := range slices.Clone(p.conns) {
 		idle := cl.now() - c.idleSince
@@ -126,8 +127,7 @@
 	}
 }
 
-// HasUnreadInput returns whether a connection on which a response is awaited has received bytes that are not handed on
-// yet.
+// HasUnreadInput reports whether any connection that awaits a response has received bytes that were not consumed yet.
 func (cl *Client) HasUnreadInput() bool {
 	for _, c := range cl.inFlight {
 		if c.transport.HasUnreadInput() {
@@ -137,7 +137,7 @@
 	return false
 }
 
-// SetMaxConnections changes how many connections there may be to all endpoints, and closes idle ones over that.
+// SetMaxConnections changes the limit of connections to all endpoints together, and closes idle connections above it.
 func (cl *Client) SetMaxConnections(limit int) {
 	cl.limits.UpstreamConns = limit
 	for _, p := range cl.pools {
@@ -149,17 +149,17 @@
 	}
 }
 
-// write sends the request of an attempt, unless it may no longer be sent by now.
+// write sends the request of an attempt on a connection, unless the core no longer permits it.
 func (cl *Client) write(c *connection, a *core.Attempt) {
 	if status, detail := cl.core.Permit(a); status != balancer.OK {
 		cl.core.CompleteAttempt(a, core.AttemptResult{Status: status, Detail: detail})
 		return
 	}
-	if !cl.core.AcquireSendPermission(a) { // another router must know of it first; the core sends it again then
+	if !cl.core.AcquireSendPermission(a) { // another router must know of the attempt first; then the core sends it again
 		return
 	}
 	err := c.transport.WriteSync(appendRequest(nil, a))
-	if netio.IsIncompleteWrite(err) { // the endpoint has not got it as a whole, so it can't run
+	if netio.IsIncompleteWrite(err) { // the endpoint did not get the whole request, so the request can't run
 		c.fail()
 		cl.resend(a)
 		return
@@ -172,11 +172,11 @@
 	cl.core.AttemptWritten(a)
 }
 
-// maxBrokenConns is how many connections may break under an attempt that was not written as a whole.
+// maxBrokenConns is how many connections may break while one attempt is being written, before the attempt fails.
 const maxBrokenConns = 3
 
-// resend sends an attempt whose connection broke before it was written as a whole. Connections that were idle, or have
-// just come up, are reset now and then; an endpoint that does so each time is not there.
+// resend sends an attempt again whose connection broke before the request was written completely. Idle and new connections
+// are occasionally reset, but an endpoint whose connections always break counts as unreachable.
 func (cl *Client) resend(a *core.Attempt) {
 	status, detail := cl.core.Permit(a)
 	a.BrokenConns++
@@ -190,8 +190,8 @@
 	cl.Send(a)
 }
 
-// Cancel gives an attempt up. Its connection stays open: a close would give up all other attempts on it, and many at
-// once would have to be opened again in the moment of a fault.
+// Cancel cancels an attempt. Its connection stays open, because a close would end all other attempts on it, and during a
+// failure many connections would have to be dialed again at the same time.
 func (cl *Client) Cancel(a *core.Attempt) {
 	c := cl.inFlight[a]
 	if c == nil {
@@ -203,8 +203,8 @@
 	c.cancel(a)
 }
 
-// CloseEndpoint closes the connections to an endpoint that is removed, or at whose address another process runs now.
-// Those that await responses are closed after the last one.
+// CloseEndpoint closes the connections to an endpoint that was removed or whose address now belongs to another process.
+// Connections that await responses are closed after the last response.
 func (cl *Client) CloseEndpoint(e *core.Endpoint) {
 	p := cl.pools[e]
 	if p == nil {
@@ -218,7 +218,7 @@
 			c.close()
 		}
 	}
-	for a := p.nextWaiting(); a != nil; a = p.nextWaiting() {
+	for a := p.popWaiting(); a != nil; a = p.popWaiting() {
 		cl.complete(a, balancer.ConnectFailed)
 	}
 }
--- a/internal/upstream/client_test.go
+++ b/internal/upstream/client_test.go
@@ -7,14 +7,14 @@
 	"hillknot/balancer"
 )
 
-func TestSendAndRespond(t *testing.T) {
+func TestResponseCompletesAttempt(t *testing.T) {
 	h := newHarness(t)
 	h.send("t1")
 	nc, r := h.accept()
 	h.expectLine(r, "ASK t1 kind=c,obj=0a,seg=0,")
-	h.do(func() {}) // the write is over
+	h.do(func() {}) // waits until the write is complete
 	if n := h.written.Load(); n != 1 {
-		t.Errorf("%d attempts counted as written", n)
+		t.Errorf("%d attempts reported as written, want 1", n)
 	}
 	fmt.Fprint(nc, "t1 DONE res=cached 5\r\nhe")
 	fmt.Fprint(nc, "llo\r\n")
@@ -23,9 +23,9 @@
 	}
 }
 
-// A cancellation is written before the next attempt is sent, and the connection stays in use. A response that crossed
-// the cancellation is ignored. The same request is not sent to this endpoint again: on another connection it could be
-// read before the cancellation, and the endpoint would hold two copies (seen on join+mass); it is rejected.
+// A cancellation is written before the next attempt, and the connection stays in use. A response that crosses the
+// cancellation is ignored. A new attempt of the same request at this endpoint is rejected: on another connection the
+// endpoint could read it before the cancellation, and would hold two copies, as happened in the scenario join+mass.
 func TestCancelIsWrittenBeforeNextAttempt(t *testing.T) {
 	h := newHarness(t)
 	a := h.send("t1")
@@ -39,16 +39,16 @@
 	h.expectResult(balancer.Rejected)
 	h.send("t3")
 	_, other := h.accept()
-	h.expectLine(other, "ASK t3 ") // t1 was not written before it, on this connection or another
+	h.expectLine(other, "ASK t3 ") // t1 was not written before t3 on any connection
 	fmt.Fprint(nc, "t1 DONE - 0\r\n\r\nt2 WAIT - 0\r\n\r\n")
 	h.expectResult(balancer.Rejected)
 	if len(h.results) != 0 {
-		t.Error("a response that crossed the cancellation ended an attempt")
+		t.Error("a response that crossed the cancellation completed an attempt")
 	}
 }
 
-// What was in flight on a connection that closed is not sent to the same endpoint again: the close, like a
-// cancellation, may be read after a request on another connection.
+// A request that was in flight on a connection that closed is not sent to the same endpoint again: the endpoint may read
+// the close, like a cancellation, after a request on another connection.
 func TestRequestIsNotSentAgainAfterClose(t *testing.T) {
 	h := newHarness(t)
 	h.send("t1")
@@ -63,9 +63,9 @@
 	h.expectLine(other, "ASK t2 ")
 }
 
-// What was in flight on a connection that breaks, or brings garbage, may have run; a refused one proves that nothing
-// ran.
-func TestBrokenConnection(t *testing.T) {
+// An attempt in flight on a connection that breaks or receives a malformed response may have run. A refused connection
+// proves that the attempt did not run.
+func TestBrokenConnectionResetsAttempt(t *testing.T) {
 	h := newHarness(t)
 	h.send("t1")
 	nc, r := h.accept()
@@ -82,14 +82,15 @@
 	h.expectResult(balancer.ConnectFailed)
 }
 
-// What may no longer be sent when the connection comes up, as the endpoint is draining by then, is not written.
+// An attempt that is no longer permitted when its connection opens, for example because the endpoint is draining by then,
+// is not written.
 func TestAttemptNoLongerPermittedIsNotWritten(t *testing.T) {
 	h := newHarness(t)
 	h.do(func() { h.permit = balancer.ConnectFailed })
 	h.send("t1")
 	h.expectResult(balancer.ConnectFailed)
 	if n := h.written.Load(); n != 0 {
-		t.Errorf("%d attempts counted as written", n)
+		t.Errorf("%d attempts reported as written, want none", n)
 	}
 	h.do(func() { h.permit = balancer.OK })
 	h.send("t2")
@@ -97,8 +98,9 @@
 	h.expectLine(r, "ASK t2 ")
 }
 
-// A new endpoint may have the address of one that is removed: nothing is sent over the old connections.
-func TestCloseEndpoint(t *testing.T) {
+// A new endpoint may have the address of a removed one, so new attempts are not sent over the old connections. Attempts in
+// flight on these still get their responses.
+func TestCloseEndpointSendsNothingOverOldConnections(t *testing.T) {
 	h := newHarness(t)
 	h.send("t1")
 	nc, r := h.accept()
--- a/internal/upstream/connection.go
+++ b/internal/upstream/connection.go
@@ -8,46 +8,47 @@
 	"hillknot/internal/netio"
 )
 
-// connection is one connection to an endpoint. It carries one attempt at a time as long as the pool may grow, so that a
-// long response keeps no other attempt waiting. It implements netio.Handler; its other methods belong to the core's
-// goroutine.
+// connection is one connection to an endpoint. As long as the pool may grow, it carries one attempt at a time, so that a
+// long response does not delay other attempts. It implements netio.Handler; its other methods must be called from the
+// core's goroutine.
 type connection struct {
 	client    *Client
 	pool      *pool
 	transport *netio.Conn
 	inFlight  map[string]*core.Attempt // by txn
-	draining  bool                     // it carries no new attempts, and closes after the last response
+	draining  bool                     // the connection carries no new attempts, and closes after the last response
 
-	idleSince     time.Duration  // while nothing is in flight
-	awaitingSince time.Duration  // a response is awaited since then, or since the latest one came
-	unserved      recentRequests // requests that got a response here, and were not served
+	idleSince     time.Duration  // reading of the core's clock; valid while nothing is in flight
+	awaitingSince time.Duration  // reading of the core's clock at the first write after an idle time, or at the latest response
+	unserved      recentRequests // requests whose response on this connection said that they were not served
 }
 
-// attach completes a connection that is being dialed.
+// attach sets the transport of a connection that is being dialed, and returns the connection as its handler.
 func (c *connection) attach(transport *netio.Conn) netio.Handler {
 	c.transport = transport
 	return c
 }
 
-// silent returns whether a response is awaited and none has come for long, as on a connection that was cut off without
-// a sign: others to the same endpoint may be healthy.
-func (c *connection) silent() bool {
+// isSilent reports whether a response is awaited and none has arrived for longer than limits.UpstreamSilence, as on a
+// connection that was lost without a close. Other connections to the same endpoint may be healthy.
+func (c *connection) isSilent() bool {
 	return len(c.inFlight) > 0 && c.client.now()-c.awaitingSince > c.client.limits.UpstreamSilence
 }
 
-// mayGetDuplicateFor returns whether a duplicate of an earlier response on this connection could be taken for the
-// response to an attempt. It could prove that the attempt never ran, which would then run again: the attempt must go
-// out on another connection.
+// mayGetDuplicateFor reports whether a duplicate of an earlier response on this connection could be mistaken for the
+// response to an attempt. The duplicate could wrongly prove that an order never ran, and the order would then run again, so
+// such an attempt must be sent on another connection.
 func (c *connection) mayGetDuplicateFor(a *core.Attempt) bool {
-	return a.NonIdempotent && c.unserved.has(a.Request.Txn)
+	return a.NonIdempotent && c.unserved.contains(a.Request.Txn)
 }
 
-// canCarry returns whether an attempt may go out on the connection.
+// canCarry reports whether an attempt may be sent on the connection.
 func (c *connection) canCarry(a *core.Attempt) bool {
-	return !c.draining && !c.silent() && c.inFlight[a.Request.Txn] == nil && !c.mayGetDuplicateFor(a)
+	return !c.draining && !c.isSilent() && c.inFlight[a.Request.Txn] == nil && !c.mayGetDuplicateFor(a)
 }
 
-// preferredTo returns whether the connection has fewer attempts in flight, or was used later.
+// preferredTo reports whether the connection has fewer attempts in flight than the other one, or as many and was used more
+// recently.
 func (c *connection) preferredTo(other *connection) bool {
 	if len(c.inFlight) != len(other.inFlight) {
 		return len(c.inFlight) < len(other.inFlight)
@@ -55,7 +56,7 @@
 	return c.idleSince > other.idleSince
 }
 
-// add notes that an attempt was written.
+// add records that an attempt was written on the connection.
 func (c *connection) add(a *core.Attempt) {
 	if len(c.inFlight) == 0 {
 		c.awaitingSince = c.client.now()
@@ -64,17 +65,17 @@
 	c.client.inFlight[a] = c
 }
 
-// remove notes that an attempt has ended.
+// remove records that an attempt on the connection has ended.
 func (c *connection) remove(a *core.Attempt) {
 	delete(c.inFlight, a.Request.Txn)
 	delete(c.client.inFlight, a)
 }
 
-// becomeIdle gives the connection to the attempts that wait, as long as nothing is in flight on it.
+// becomeIdle records that the connection is idle, and writes waiting attempts on it until one is in flight.
 func (c *connection) becomeIdle() {
 	c.idleSince = c.client.now()
 	for !c.draining && len(c.inFlight) == 0 {
-		a := c.pool.nextWaitingFor(c)
+		a := c.pool.popWaitingFor(c)
 		if a == nil {
 			return
 		}
@@ -82,9 +83,9 @@
 	}
 }
 
-// cancel gives up an attempt that was written.
+// cancel cancels an attempt that was written on the connection.
 func (c *connection) cancel(a *core.Attempt) {
-	if c.silent() {
+	if c.isSilent() {
 		c.draining = true
 	}
 	c.idleSince = c.client.now()
@@ -103,7 +104,7 @@
 	}
 }
 
-// abandon notes that a request may still run at the endpoint.
+// abandon records that a request may still run at the endpoint.
 func (c *connection) abandon(txn string) {
 	c.pool.abandoned.add(txn, c.client.now(), c.client.limits.LongestDeadline)
 }
@@ -112,7 +113,7 @@
 	return c.transport.WriteSync(appendCancel(nil, txn))
 }
 
-// close closes the connection and takes it out of its pool.
+// close closes the connection and removes it from its pool.
 func (c *connection) close() {
 	c.transport.Close()
 	if c.pool.remove(c) {
@@ -120,7 +121,8 @@
 	}
 }
 
-// fail closes a connection that is of no more use, and ends what is in flight on it: that may have run.
+// fail closes a connection that can no longer be used, and completes the attempts in flight on it with balancer.Reset,
+// because they may have run.
 func (c *connection) fail() {
 	c.draining = true
 	c.close()
@@ -144,15 +146,15 @@
 		}
 		used += progress.consumed
 		txn := string(r.txn)
-		c.client.core.Post(func() { c.responded(txn, result) })
+		c.client.core.Post(func() { c.handleResponse(txn, result) })
 	}
 }
 
 // Closed implements netio.Handler.
 func (c *connection) Closed() { c.client.core.Post(c.fail) }
 
-// responded ends an attempt with its response. One that crossed a cancellation is ignored.
-func (c *connection) responded(txn string, result core.AttemptResult) {
+// handleResponse completes an attempt with its response. It ignores the response to a cancelled attempt.
+func (c *connection) handleResponse(txn string, result core.AttemptResult) {
 	c.awaitingSince = c.client.now()
 	a := c.inFlight[txn]
 	if a == nil {
@@ -160,13 +162,13 @@
 	}
 	c.remove(a)
 	if result.Status != balancer.OK {
-		if err := c.noteUnserved(txn); err != nil {
+		if err := c.recordUnserved(txn); err != nil {
 			c.client.core.CompleteAttempt(a, result)
 			c.fail()
 			return
 		}
 	}
-	if confirmsOtherCopy(a, &result) { // the response was garbled on its way
+	if confirmsOtherCopy(a, &result) { // the response was corrupted in transit
 		c.client.complete(a, balancer.Reset)
 		c.fail()
 		return
@@ -181,15 +183,15 @@
 	}
 }
 
-// confirmsOtherCopy returns whether a response confirms a copy that the client does not have.
+// confirmsOtherCopy reports whether a response confirms a copy that the client does not have.
 func confirmsOtherCopy(a *core.Attempt, result *core.AttemptResult) bool {
 	return result.NotModified && (a.Request.ETag == "" || result.ETag != a.Request.ETag)
 }
 
-// noteUnserved notes that a request was not served. Where it was not before either, the response may be the earlier one
-// once more: the attempt is cancelled before another is sent.
-func (c *connection) noteUnserved(txn string) error {
-	if c.unserved.has(txn) {
+// recordUnserved records that a request was not served. If the same request was already unserved before, the response may
+// be a duplicate of the earlier one, so the attempt is cancelled before another one is sent.
+func (c *connection) recordUnserved(txn string) error {
+	if c.unserved.contains(txn) {
 		c.abandon(txn)
 		if err := c.writeCancel(txn); err != nil {
 			return err
--- a/internal/upstream/connection_test.go
+++ b/internal/upstream/connection_test.go
@@ -12,10 +12,10 @@
 	"hillknot/internal/netio"
 )
 
-// A response may come twice, the second time late. A request that was rejected, and is sent to the same endpoint again,
-// is not ended by the duplicate: an order goes out on another connection, and what is idempotent is cancelled before
-// its result counts.
-func TestDuplicateResponse(t *testing.T) {
+// A response may arrive twice, the second time late. If a request was rejected and is sent to the same endpoint again, the
+// duplicate does not complete the new attempt: an order is sent on another connection, and an idempotent request is
+// cancelled before its result counts.
+func TestDuplicateResponseCompletesNoLaterAttempt(t *testing.T) {
 	h := newHarness(t)
 	sendOrder := func(txn string) {
 		a := h.attempt(txn)
@@ -32,32 +32,32 @@
 	h.expectLine(second, "ASK t1 ")
 	fmt.Fprint(nc, "t1 WAIT - 0\r\n\r\n")
 	h.send("t2")
-	h.expectLine(r, "ASK t2 ") // the response before it has been read
+	h.expectLine(r, "ASK t2 ") // the client has read the duplicate before it writes t2
 	fmt.Fprint(nc, "t2 LACK - 0\r\n\r\n")
 	h.expectResult(balancer.Miss)
 	if len(h.results) != 0 {
-		t.Errorf("the duplicate ended the attempt: %+v", <-h.results)
+		t.Errorf("the duplicate completed the attempt: %+v", <-h.results)
 	}
 	fmt.Fprint(again, "t1 DONE - 0\r\n\r\n")
 	h.expectResult(balancer.OK)
 	h.send("t2")
 	h.expectLine(r, "ASK t2 ")
-	fmt.Fprint(nc, "t2 LACK - 0\r\n\r\n") // of the first, or of this
+	fmt.Fprint(nc, "t2 LACK - 0\r\n\r\n") // may be a duplicate for the first attempt or the response to the second one
 	h.expectResult(balancer.Miss)
 	h.expectLine(r, "QUIT t2")
 	h.send("t2")
 	h.expectResult(balancer.Rejected)
 }
 
-// A reset of an idle connection proves that what is sent next has not run: it goes out again on a new one.
-func TestResetOfIdleConnection(t *testing.T) {
+// If an idle connection was reset, an attempt that is sent on it next has not run, and is sent again on a new connection.
+func TestAttemptIsResentAfterResetOfIdleConnection(t *testing.T) {
 	h := newHarness(t)
 	h.send("t1")
 	nc, r := h.accept()
 	h.expectLine(r, "ASK t1 ")
 	fmt.Fprint(nc, "t1 WAIT - 0\r\n\r\n")
 	h.expectResult(balancer.Rejected)
-	h.do(func() { // the client has yet to be told of the reset as it sends
+	h.do(func() { // the client does not know of the reset yet when it sends
 		nc.(*net.TCPConn).SetLinger(0)
 		nc.Close()
 		for c := h.client.pools[h.endpoint].conns[0]; c.transport.WriteSync([]byte("\r\n")) == nil; {
@@ -68,13 +68,13 @@
 	_, r = h.accept()
 	h.expectLine(r, "ASK t2 ")
 	if len(h.results) != 0 {
-		t.Errorf("ended with %+v", <-h.results)
+		t.Errorf("the attempt completed with %+v, want it to be in flight", <-h.results)
 	}
 }
 
-// A connection that breaks as it comes up leaves no trace. It once kept its place in the pool: after four of these the
-// endpoint could not be reached any more.
-func TestConnectionBreaksAsItOpens(t *testing.T) {
+// A connection that breaks while it opens is not kept in the pool. Earlier, it still counted against the limit of the pool,
+// so that after four such connections the endpoint was unreachable.
+func TestConnectionThatBreaksAsItOpensLeavesPool(t *testing.T) {
 	h := newHarness(t)
 	p := &pool{address: h.endpoint.Addr, dialing: 1}
 	c := &connection{client: h.client, pool: p, inFlight: map[string]*core.Attempt{}}
@@ -84,15 +84,15 @@
 	h.do(func() {
 		h.client.pools[h.endpoint], h.client.connCount = p, 1
 		c.fail()
-		h.client.dialed(p, c, nil)
+		h.client.finishDial(p, c, nil)
 		if len(p.conns) != 0 || p.dialing != 0 || h.client.connCount != 0 {
 			t.Errorf("%d connections, %d being dialed, %d in all; want none", len(p.conns), p.dialing, h.client.connCount)
 		}
 	})
 }
 
-// The connection to an endpoint that is removed is closed with the last attempt on it, however that ends.
-func TestCancelAtClosedEndpoint(t *testing.T) {
+// The connection to a removed endpoint is closed when the last attempt on it ends, also if that attempt is cancelled.
+func TestCancelOfLastAttemptClosesConnectionToClosedEndpoint(t *testing.T) {
 	h := newHarness(t)
 	a := h.send("t1")
 	_, r := h.accept()
@@ -104,9 +104,9 @@
 	}
 }
 
-// A response that stops short ends its connection soon: all attempts on it would wait for nothing. One that goes on,
-// however slowly, is waited for.
-func TestTruncatedResponse(t *testing.T) {
+// A connection is closed soon if a response on it stops before its end, because all attempts on it would wait in vain. A
+// response that keeps arriving is awaited, however slowly it arrives.
+func TestTruncatedResponseResetsAttempt(t *testing.T) {
 	h := newHarness(t)
 	h.client.limits.Upstream.ReadTimeout = time.Second
 	h.send("t1")
@@ -125,15 +125,15 @@
 	h.expectResult(balancer.Reset)
 }
 
-// A connection may be cut off without a sign while the endpoint is healthy. One on which a response is awaited and none
-// comes carries no new attempts, and is closed once its attempts are cancelled; it once stayed in use and took a share
-// of all requests.
-func TestSilentConnection(t *testing.T) {
+// A connection may be lost without a close while the endpoint is healthy. A connection on which an awaited response does not
+// arrive carries no new attempts, and is closed after its attempts are cancelled. Earlier, it stayed in use and carried a
+// share of all requests.
+func TestSilentConnectionCarriesNoNewAttempts(t *testing.T) {
 	h := newHarness(t)
 	a := h.send("t1")
 	_, silent := h.accept()
 	h.expectLine(silent, "ASK t1 ")
-	h.do(func() {}) // the write is over
+	h.do(func() {}) // waits until the write is complete
 	h.now.Store(int64(2 * time.Second))
 	h.send("t2")
 	nc, r := h.accept()
--- a/internal/upstream/decode.go
+++ b/internal/upstream/decode.go
@@ -12,55 +12,56 @@
 
 var (
 	errMalformedResponse = errors.New("malformed response")
-	errResponseTooLong   = errors.New("response over the limit")
+	errResponseTooLong   = errors.New("response line or body too long")
 )
 
 const (
 	crlf = "\r\n"
 
-	maxBodySizeBits = 31  // of the size of a body
-	maxSourceWait   = 1e9 // milliseconds that are credible
+	maxBodySizeBits = 31  // bits in which the size of a body must fit
+	maxSourceWait   = 1e9 // milliseconds; longer waits are not credible
 )
 
-// response is one response. Its slices are of the buffer that it was read from.
+// response is one parsed response. Its slices point into the buffer that it was read from.
 type response struct {
 	txn, status, fields, body []byte
 }
 
-// progress is how far the parser came: it consumed a complete response, or needs the buffer to hold so many bytes, if
-// that is known (0: any more).
-type progress struct{ consumed, needed int }
+// parseProgress is the progress of the parser in bytes: consumed is the length of a complete response, and needed is how
+// many bytes the buffer must hold for one that is incomplete (0: unknown, any number more than now).
+type parseProgress struct{ consumed, needed int }
 
-// parseResponse reads the response at the start of buf. Nothing is consumed where it is not complete yet.
-func parseResponse(buf []byte, maxLine, maxBody int) (response, progress, error) {
+// parseResponse parses the response at the start of buf. It consumes nothing if the response is incomplete. It returns an
+// error if the response is malformed, or if its line or body is longer than maxLine or maxBody bytes.
+func parseResponse(buf []byte, maxLine, maxBody int) (response, parseProgress, error) {
 	end := bytes.IndexByte(buf, '\n')
 	if end < 0 || end > maxLine {
 		if len(buf) > maxLine {
-			return response{}, progress{}, errResponseTooLong
+			return response{}, parseProgress{}, errResponseTooLong
 		}
-		return response{}, progress{}, nil
+		return response{}, parseProgress{}, nil
 	}
 	r, size, err := parseLine(buf[:end])
 	if err != nil {
-		return response{}, progress{}, err
+		return response{}, parseProgress{}, err
 	}
 	if size > maxBody {
-		return response{}, progress{}, errResponseTooLong
+		return response{}, parseProgress{}, errResponseTooLong
 	}
 	body := buf[end+1:]
 	length := end + 1 + size + len(crlf)
 	if len(buf) < length {
-		return response{}, progress{needed: length}, nil
+		return response{}, parseProgress{needed: length}, nil
 	}
 	if string(body[size:size+len(crlf)]) != crlf {
-		return response{}, progress{}, errMalformedResponse
+		return response{}, parseProgress{}, errMalformedResponse
 	}
 	r.body = body[:size:size]
-	return r, progress{consumed: length}, nil
+	return r, parseProgress{consumed: length}, nil
 }
 
-// parseLine reads the first line of a response, "txn status fields size" with one space between, and returns the size
-// of the body beside it.
+// parseLine parses the first line of a response, which is "txn status fields size" separated by single spaces. It returns
+// the response without its body, and the size of the body in bytes.
 func parseLine(line []byte) (response, int, error) {
 	line, ok := bytes.CutSuffix(line, []byte("\r"))
 	if !ok {
@@ -82,7 +83,7 @@
 	return response{txn: words[0], status: words[1], fields: words[2]}, int(size), nil
 }
 
-// field returns the value of a field, or nil.
+// field returns the value of a field, or nil if the response does not have it.
 func (r *response) field(name string) []byte {
 	for rest, more := r.fields, true; more; {
 		var field []byte
@@ -94,10 +95,10 @@
 	return nil
 }
 
-// statusNotModified is the status of a response that confirms the copy which the client has.
+// statusNotModified is the status word of a response that confirms the copy that the client has.
 const statusNotModified = "KEEP"
 
-// statuses are the results of attempts, by the status of the response. Each status has exactly one meaning in the
+// statuses maps the status word of a response to the status of the attempt. Each status word has exactly one meaning in the
 // module.
 var statuses = map[string]balancer.Status{
 	"DONE":            balancer.OK,
@@ -108,7 +109,8 @@
 	"PAST":            balancer.NotSent,
 }
 
-// details tell how the endpoint came to its response, by the word of the field "res".
+// details maps the word of the field "res" to the detail of the attempt's status, which says how the endpoint obtained its
+// response.
 var details = map[string]balancer.Detail{
 	"cached":       balancer.Hit,
 	"fetched":      balancer.Filled,
@@ -122,7 +124,8 @@
 	"root_failed":  balancer.OriginFailed,
 }
 
-// result turns a response into the result of an attempt. The body is copied: it outlives the read buffer.
+// result converts a response to the result of an attempt. It copies the body, because the result outlives the read buffer.
+// It returns an error if the status word is unknown.
 func (r *response) result() (core.AttemptResult, error) {
 	status, ok := statuses[string(r.status)]
 	if !ok {
@@ -143,7 +146,7 @@
 	return result, nil
 }
 
-// sourceWait is how long the endpoint waited for its source; 0 where it does not tell, or nothing credible.
+// sourceWait returns how long the endpoint waited for its source, or 0 if the response does not contain a credible time.
 func (r *response) sourceWait() time.Duration {
 	millis, err := strconv.ParseFloat(string(r.field("took")), 64)
 	if err != nil || !(millis > 0 && millis < maxSourceWait) {
--- a/internal/upstream/decode_test.go
+++ b/internal/upstream/decode_test.go
@@ -25,13 +25,13 @@
 	for _, text := range []string{"a DONE - 301\r\n", "a DONE - -1\r\n", "a DONE 3\r\n", "a DONE - 1 \r\n", "a  - 1\r\n",
 		"a DONE - 1\nx\r\n", "a DONE - 1\r\nxyz"} {
 		if _, progress, err := parseResponse([]byte(text), 100, 300); err == nil {
-			t.Errorf("%q: used %d, want an error", text, progress.consumed)
+			t.Errorf("%q: consumed %d bytes, want an error", text, progress.consumed)
 		}
 	}
 }
 
-// Each status has one meaning; one that is not known makes the response malformed.
-func TestResult(t *testing.T) {
+// Each status word has one meaning. A response with an unknown status word is malformed.
+func TestResultOfEachStatus(t *testing.T) {
 	for text, want := range map[string]core.AttemptResult{
 		"a DONE res=past_fresh,took=1.5,version=x 2\r\nhi\r\n": {Status: balancer.OK, Detail: balancer.Stale,
 			SourceWait: 1500 * time.Microsecond, Body: []byte("hi")},
@@ -51,6 +51,6 @@
 	}
 	unknown := response{status: []byte("FIT")}
 	if _, err := unknown.result(); err == nil {
-		t.Error("an unknown status was accepted")
+		t.Error("a response with an unknown status was accepted")
 	}
 }
--- a/internal/upstream/dial_test.go
+++ b/internal/upstream/dial_test.go
@@ -12,8 +12,8 @@
 	"hillknot/internal/netio"
 )
 
-// connectErrors are the errors that connect(2) and socket(2) document, but for those of a wrong call, and whose fault
-// each is: the endpoint can't be reached, or this process or machine lacks something.
+// connectErrors maps the errors that connect(2) and socket(2) document, except those for invalid arguments, to the status
+// of the attempt: ConnectFailed if the endpoint can't be reached, and Rejected if this process or machine is the cause.
 var connectErrors = map[syscall.Errno]balancer.Status{
 	syscall.ECONNREFUSED:  balancer.ConnectFailed,
 	syscall.ETIMEDOUT:     balancer.ConnectFailed,
@@ -34,7 +34,7 @@
 	syscall.EINTR:         balancer.Rejected,
 }
 
-// failDials has dials fail with an error, and returns how many there were so far.
+// failDials makes all dials fail with an error, and returns a counter of the dials.
 func (h *harness) failDials(err error) *atomic.Int64 {
 	h.t.Helper()
 	dials := &atomic.Int64{}
@@ -46,8 +46,8 @@
 	return dials
 }
 
-// settledConnCount returns how many connections are counted once no dial is open any more, or at a deadline: a dial whose
-// attempt was given up ends some time after it.
+// settledConnCount waits until the client counts no connections any more, or until the deadline, and returns how many it
+// counts then. It has to wait because a dial ends some time after its attempt was cancelled.
 func (h *harness) settledConnCount(deadline <-chan time.Time) (count int) {
 	for {
 		h.do(func() { count = h.client.connCount })
@@ -63,18 +63,19 @@
 	}
 }
 
-// A connection that does not come up ends the attempt that waits for it, once, as never run; the endpoint is blamed for
-// that only where it may be the cause. In each state of the request, and without a second dial for it.
-func TestDialFails(t *testing.T) {
+// A dial that fails completes the attempt that waits for it once, with a status that says that the attempt never ran. The
+// status blames the endpoint only if the endpoint may be the cause. There is no second dial for the attempt. The test
+// covers an attempt that waits, one that is cancelled and one that is no longer permitted.
+func TestDialFailureCompletesWaitingAttempt(t *testing.T) {
 	for errno, want := range connectErrors {
 		h := newHarness(t)
 		dials := h.failDials(errno)
 		h.send("waits")
 		if e := <-h.results; e.Status != want || !e.Status.NeverRan() {
-			t.Errorf("%v: ended with %d, want %d", errno, e.Status, want)
+			t.Errorf("%v: the attempt completed with status %d, want %d", errno, e.Status, want)
 		}
-		given := h.send("given up")
-		h.do(func() { h.client.Cancel(given) }) // its connection is still to fail, or has failed
+		cancelled := h.send("given up")
+		h.do(func() { h.client.Cancel(cancelled) }) // its dial may or may not have failed by now
 		h.do(func() { h.permit = balancer.NotSent })
 		h.send("too late")
 		deadline := time.After(20 * time.Second)
@@ -82,14 +83,14 @@
 			select {
 			case <-h.results:
 			case <-deadline:
-				t.Fatalf("%v: an attempt does not end", errno)
+				t.Fatalf("%v: no attempt completed before the deadline", errno)
 			}
 		}
 		if n := h.settledConnCount(deadline); n != 0 {
-			t.Errorf("%v: %d connections stay counted, and there are none", errno, n)
+			t.Errorf("%v: the client counts %d connections, want none", errno, n)
 		}
 		if n := dials.Load(); n > 3 {
-			t.Errorf("%v: %d dials for three attempts", errno, n)
+			t.Errorf("%v: %d dials for three attempts, want at most 3", errno, n)
 		}
 	}
 }
--- a/internal/upstream/encode.go
+++ b/internal/upstream/encode.go
@@ -7,7 +7,7 @@
 	"hillknot/internal/core"
 )
 
-// appendRequest appends the request of an attempt. Times are sent in whole milliseconds, rounded down, and at least 1.
+// appendRequest appends the request of an attempt to b. Times are sent in whole milliseconds, rounded down and at least 1.
 func appendRequest(b []byte, a *core.Attempt) []byte {
 	request, decision := a.Request, a.Decision
 	b = append(append(b, "ASK "...), request.Txn...)
@@ -21,7 +21,7 @@
 	if decision.CachePriority > 0 {
 		b = strconv.AppendInt(append(b, ",retain="...), int64(decision.CachePriority), 10)
 	}
-	if decision.MaxAge > 0 { // 0 would ask for the freshness time of the class
+	if decision.MaxAge > 0 { // on the wire, 0 would request the freshness time of the class
 		b = strconv.AppendInt(append(b, ",newer="...), max(decision.MaxAge.Milliseconds(), 1), 10)
 	}
 	b = appendHandling(b, &decision)
@@ -36,7 +36,8 @@
 	return append(b, "\r\n"...)
 }
 
-// appendHandling appends the field of the ways in which the endpoint may handle the request, if there are any.
+// appendHandling appends the field "handle", which lists the special ways in which the endpoint may handle the request, if
+// there are any.
 func appendHandling(b []byte, decision *balancer.SendAttempt) []byte {
 	separator := ",handle="
 	for _, handling := range [...]struct {
@@ -55,7 +56,7 @@
 	return b
 }
 
-// appendCancel appends the cancellation of a request.
+// appendCancel appends the cancellation of a request to b.
 func appendCancel(b []byte, txn string) []byte {
 	return append(append(append(b, "QUIT "...), txn...), "\r\n"...)
 }
--- a/internal/upstream/encode_test.go
+++ b/internal/upstream/encode_test.go
@@ -8,7 +8,8 @@
 	"hillknot/internal/core"
 )
 
-// The age of 0 ms would ask for the freshness time of the class, and so accept a purged copy.
+// A maximum age below 1 ms is sent as 1 ms, because an age of 0 would request the freshness time of the class and so accept
+// a purged copy.
 func TestAppendRequest(t *testing.T) {
 	a := &core.Attempt{
 		Request: &core.Request{
--- a/internal/upstream/golden_test.go
+++ b/internal/upstream/golden_test.go
@@ -10,11 +10,11 @@
 	"hillknot/internal/testutil/golden"
 )
 
-// Page caches are the operators', and their form does not change with this code. The files of testdata/golden were
+// Page caches belong to the operators, so their protocol does not change with this code. The files in testdata/golden were
 // written at commit 86ccf0f.
 //
-// What reaches the bytes: no name of a type or field, but the texts of appendRequest and appendCancel and the keys of
-// statuses, details, response.result and response.sourceWait.
+// The bytes do not depend on names of types or fields. They depend on the texts in appendRequest and appendCancel, and on
+// the keys in statuses, details, response.result and response.sourceWait.
 func TestGoldenRequests(t *testing.T) {
 	a := &core.Attempt{
 		Request: &core.Request{
@@ -25,12 +25,12 @@
 		Decision: balancer.SendAttempt{CachePriority: 2, MaxAge: 1500 * time.Millisecond, Coalesce: true, CachedOnly: true, Revalidate: true},
 	}
 	golden.Same(t, "ask.hex", appendRequest(nil, a))
-	least := &core.Attempt{Request: &core.Request{Txn: "t", Class: "page", ObjectText: "0a", PartText: "0"}}
-	golden.Same(t, "ask-least.hex", appendRequest(nil, least))
+	minimal := &core.Attempt{Request: &core.Request{Txn: "t", Class: "page", ObjectText: "0a", PartText: "0"}}
+	golden.Same(t, "ask-least.hex", appendRequest(nil, minimal))
 	golden.Same(t, "quit.hex", appendCancel(nil, "00000000000000a1"))
 }
 
-// All statuses and details of responses, one after the other in one file.
+// The file answers.hex holds responses with all status words and details, one after the other.
 func TestGoldenResponses(t *testing.T) {
 	want := []core.AttemptResult{
 		{Status: balancer.OK, Detail: balancer.Hit, SourceWait: 1500 * time.Microsecond, Body: []byte("hi")},
@@ -52,11 +52,11 @@
 			t.Fatalf("%q: %d bytes, %v", rest, n, err)
 		}
 		if got, err := r.result(); err != nil || !reflect.DeepEqual(got, want[0]) || string(r.txn) != "a1" {
-			t.Errorf("%q read as %+v, %v; want %+v", rest[:n], got, err, want[0])
+			t.Errorf("%q: parsed as %+v, %v; want %+v", rest[:n], got, err, want[0])
 		}
 		rest = rest[n:]
 	}
 	if len(want) > 0 {
-		t.Errorf("no response for %+v", want)
+		t.Errorf("the file has no responses for %+v", want)
 	}
 }
--- a/internal/upstream/harness_test.go
+++ b/internal/upstream/harness_test.go
@@ -14,16 +14,16 @@
 	"hillknot/internal/netio"
 )
 
-// harness is a client with a core that only records results, and an endpoint that the test plays.
+// harness is a client with a fake core, which only records results, and an endpoint that the test plays.
 type harness struct {
 	t        *testing.T
 	client   *Client
 	endpoint *core.Endpoint
 	listener net.Listener // of the endpoint
 
-	posts   chan func() // to the goroutine that stands for the core's
+	posts   chan func() // functions that the fake core's goroutine runs
 	results chan core.AttemptResult
-	permit  balancer.Status // what Permit returns; belongs to that goroutine
+	permit  balancer.Status // returned by Permit; only the fake core's goroutine uses it
 	now     atomic.Int64    // reading of the core's clock
 	written atomic.Int64    // attempts that were reported as written
 }
@@ -90,7 +90,7 @@
 	}
 }
 
-// do runs f where the core's goroutine would.
+// do runs f on the fake core's goroutine, and returns after f has returned.
 func (h *harness) do(f func()) {
 	done := make(chan struct{})
 	h.Post(func() { f(); close(done) })
@@ -121,7 +121,7 @@
 	return conn, bufio.NewReader(conn)
 }
 
-// expectLine reads the next line that is not empty.
+// expectLine reads the next line that is not empty, which must start with the prefix.
 func (h *harness) expectLine(r *bufio.Reader, prefix string) {
 	h.t.Helper()
 	for {
@@ -138,7 +138,7 @@
 	}
 }
 
-// expectResult waits until an attempt ends.
+// expectResult waits until an attempt completes, and returns its result, which must have the status want.
 func (h *harness) expectResult(want balancer.Status) core.AttemptResult {
 	h.t.Helper()
 	select {
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -7,19 +7,19 @@
 	"hillknot/internal/core"
 )
 
-// pool holds the connections to one endpoint. Attempts wait only while dials are under way.
+// pool holds the connections to one endpoint. Attempts wait only while connections are being dialed.
 type pool struct {
 	address   string
 	conns     []*connection
 	dialing   int // connections that are being dialed
 	waiting   []*core.Attempt
-	closed    bool           // the endpoint is removed: what still comes up is closed
-	abandoned recentRequests // requests that were cancelled here, or whose connection closed
+	closed    bool           // CloseEndpoint was called; connections that are still being dialed are closed once they open
+	abandoned recentRequests // requests that were cancelled at this endpoint, or whose connection closed
 }
 
-// pick returns the connection with the fewest attempts in flight, of those that can carry this one; nil if there is
-// none. Of idle ones it is the one that was used last, as the endpoint may have just closed one that has been idle for
-// long.
+// pick returns the connection with the fewest attempts in flight among those that can carry the attempt, or nil if there is
+// none. Among idle connections it picks the most recently used one, because the endpoint may have just closed one that has
+// been idle for a long time.
 func (p *pool) pick(a *core.Attempt) *connection {
 	var best *connection
 	for _, c := range p.conns {
@@ -30,54 +30,55 @@
 	return best
 }
 
-// anyMayGetDuplicateFor returns whether there is a connection on which a duplicate response could be taken for that to
-// an attempt.
+// anyMayGetDuplicateFor reports whether there is a connection on which a duplicate response could be mistaken for the
+// response to an attempt.
 func (p *pool) anyMayGetDuplicateFor(a *core.Attempt) bool {
 	return slices.ContainsFunc(p.conns, func(c *connection) bool { return c.mayGetDuplicateFor(a) })
 }
 
-// usable is how many connections carry new attempts.
-func (p *pool) usable() int {
+// usableCount returns how many connections carry new attempts.
+func (p *pool) usableCount() int {
 	count := 0
 	for _, c := range p.conns {
-		if !c.draining && !c.silent() {
+		if !c.draining && !c.isSilent() {
 			count++
 		}
 	}
 	return count
 }
 
-// nextWaiting takes the first attempt that waits; nil if there is none.
-func (p *pool) nextWaiting() *core.Attempt {
+// popWaiting removes and returns the first waiting attempt, or returns nil if there is none.
+func (p *pool) popWaiting() *core.Attempt {
 	if len(p.waiting) == 0 {
 		return nil
 	}
-	return p.takeWaiting(0)
+	return p.takeWaitingAt(0)
 }
 
-// nextWaitingFor takes the first attempt that waits and may go out on a connection; nil if there is none.
-func (p *pool) nextWaitingFor(c *connection) *core.Attempt {
+// popWaitingFor removes and returns the first waiting attempt that may be sent on a connection, or returns nil if there is
+// none.
+func (p *pool) popWaitingFor(c *connection) *core.Attempt {
 	i := slices.IndexFunc(p.waiting, func(a *core.Attempt) bool { return !c.mayGetDuplicateFor(a) })
 	if i < 0 {
 		return nil
 	}
-	return p.takeWaiting(i)
+	return p.takeWaitingAt(i)
 }
 
-func (p *pool) takeWaiting(i int) *core.Attempt {
+func (p *pool) takeWaitingAt(i int) *core.Attempt {
 	a := p.waiting[i]
 	p.waiting = slices.Delete(p.waiting, i, i+1)
 	return a
 }
 
-// removeWaiting forgets an attempt that may wait.
+// removeWaiting removes an attempt from the waiting ones, if it is among them.
 func (p *pool) removeWaiting(a *core.Attempt) {
 	if i := slices.Index(p.waiting, a); i >= 0 {
-		p.takeWaiting(i)
+		p.takeWaitingAt(i)
 	}
 }
 
-// remove takes a connection out of the pool, and returns whether it was there.
+// remove removes a connection from the pool, and reports whether it was in the pool.
 func (p *pool) remove(c *connection) bool {
 	i := slices.Index(p.conns, c)
 	if i < 0 {
@@ -87,11 +88,11 @@
 	return true
 }
 
-// reassign finds a connection for the attempts that wait beyond the dials that are under way. Where there is none, and
-// none is to come, they end with the status.
+// reassign assigns connections to waiting attempts as long as there are more of them than connections being dialed. If there
+// is no connection for an attempt and none is being dialed, the attempt completes with the status.
 func (cl *Client) reassign(p *pool, status balancer.Status) {
 	for len(p.waiting) > p.dialing {
-		a := p.nextWaiting()
+		a := p.popWaiting()
 		c := p.pick(a)
 		switch {
 		case c != nil:
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -10,8 +10,8 @@
 	"hillknot/internal/core"
 )
 
-// Of idle connections the one that was used last is picked: the endpoint may have just closed the other, and an order
-// that is written into that may have run.
+// Among idle connections the most recently used one is picked: the endpoint may have just closed the other one, and an order
+// that is written on it then counts as one that may have run.
 func TestPickPrefersLatestUsedConnection(t *testing.T) {
 	h := newHarness(t)
 	h.send("t1")
@@ -23,21 +23,22 @@
 	h.now.Store(int64(time.Millisecond))
 	fmt.Fprint(older, "t1 WAIT - 0\r\n\r\n")
 	h.expectResult(balancer.Rejected)
-	h.do(func() {}) // it is idle by now
+	h.do(func() {}) // waits until the connection is idle
 	h.now.Store(int64(2 * time.Millisecond))
 	fmt.Fprint(newer, "t2 WAIT - 0\r\n\r\n")
 	h.expectResult(balancer.Rejected)
-	h.do(func() {}) // it is idle by now
+	h.do(func() {}) // waits until the connection is idle
 	h.send("t3")
 	h.expectLine(r2, "ASK t3 ")
 }
 
-// More attempts than there may be connections are sent while these are being dialed: they share what comes up, or fail
-// with it. They failed at once before, and the endpoint was blamed for it.
+// Attempts that are sent while connections are being dialed share these connections, or fail with the dials, even if there
+// are more attempts than there may be connections. Earlier, the surplus attempts failed immediately, and the endpoint was
+// blamed for it.
 func TestAttemptsShareConnections(t *testing.T) {
 	h := newHarness(t)
 	send := func(txns ...string) {
-		h.do(func() { // all before any dial is through
+		h.do(func() { // sends all attempts before the client handles the result of any dial
 			for _, txn := range txns {
 				h.client.Send(h.attempt(txn))
 			}
@@ -65,11 +66,11 @@
 		case txn := <-lines:
 			received[txn] = true
 		case <-time.After(10 * time.Second):
-			t.Fatalf("received %v only", received)
+			t.Fatalf("received only %v", received)
 		}
 	}
 	if len(received) != 5 || len(h.results) != 0 {
-		t.Errorf("received %v, %d ended", received, len(h.results))
+		t.Errorf("received %v, %d attempts completed; want 5 received and none completed", received, len(h.results))
 	}
 	h.listener.Close()
 	h.do(func() { h.client.CloseEndpoint(h.endpoint) })
@@ -79,8 +80,9 @@
 	}
 }
 
-// Where all connections that there may be are open, the one that has been idle for longest is closed for one to an
-// endpoint that has none. Where none is idle, it is not the endpoint that has failed.
+// When the limit of connections is reached, the connection that has been idle for the longest time is closed to make room
+// for one to an endpoint that has none. If no connection is idle, the attempt is rejected, which does not blame the
+// endpoint.
 func TestLongestIdleConnectionMakesRoom(t *testing.T) {
 	h := newHarness(t)
 	h.client.limits.UpstreamConns = 1
--- a/internal/upstream/recent.go
+++ b/internal/upstream/recent.go
@@ -2,30 +2,31 @@
 
 import "time"
 
-// maxRecentRequests bounds each generation of recentRequests: a client that sends and cancels as fast as it can must
-// not fill the memory.
+// maxRecentRequests is the maximum number of requests in each generation of recentRequests. It prevents a client that sends
+// and cancels as fast as it can from exhausting the memory.
 const maxRecentRequests = 1 << 12
 
-// recentRequests remembers requests for one to two times the longest that a client waits, or for less where there are
-// very many.
+// recentRequests remembers requests for one to two times the longest time that a client waits, or for less if there are
+// very many. It keeps two generations; add replaces the older one.
 //
-// pool.abandoned holds what was given up at an endpoint, by a cancellation or by closing its connection. An endpoint
-// reads its connections in no set order: the same request sent again on another one could reach it before it has read
-// the cancellation or the close, and it would hold two copies at once. On the same connection a response could cross
-// the cancellation and be taken for the new one. So the same request is not sent there again.
+// pool.abandoned holds requests that were abandoned at an endpoint, by a cancellation or by closing their connection. An
+// endpoint reads its connections in no particular order. If the same request were sent again on another connection, the
+// endpoint could read it before the cancellation or the close, and would hold two copies at the same time. On the same
+// connection, a response that crosses the cancellation could be mistaken for the response to the new request. Therefore the
+// same request is not sent to the endpoint again.
 //
-// connection.unserved holds what got a response on a connection and was not served. A response may come twice, and the
-// second one late: it would be taken for that of the next attempt, which may be running.
+// connection.unserved holds requests that got a response on a connection and were not served. A response may arrive twice,
+// the second time late. It would then be mistaken for the response to the next attempt of the request, which may be running.
 type recentRequests struct {
-	young, old map[string]bool // by txn
-	rotatedAt  time.Duration
+	current, previous map[string]bool // generations, by txn
+	rotatedAt         time.Duration
 }
 
-func (r *recentRequests) add(txn string, now, longest time.Duration) {
-	if r.young == nil || now-r.rotatedAt > longest || len(r.young) >= maxRecentRequests {
-		r.young, r.old, r.rotatedAt = map[string]bool{}, r.young, now
+func (r *recentRequests) add(txn string, now, retention time.Duration) {
+	if r.current == nil || now-r.rotatedAt > retention || len(r.current) >= maxRecentRequests {
+		r.current, r.previous, r.rotatedAt = map[string]bool{}, r.current, now
 	}
-	r.young[txn] = true
+	r.current[txn] = true
 }
 
-func (r *recentRequests) has(txn string) bool { return r.young[txn] || r.old[txn] }
+func (r *recentRequests) contains(txn string) bool { return r.current[txn] || r.previous[txn] }
