--- a/internal/netio/accept_test.go
+++ b/internal/netio/accept_test.go
@@ -10,8 +10,9 @@
 
 // acceptErrors are the errors that accept(2) documents, except those for invalid arguments.
 var acceptErrors = []syscall.Errno{syscall.EAGAIN, syscall.EINTR, syscall.ECONNABORTED, syscall.EMFILE, syscall.ENFILE,
-	syscall.ENOBUFS, syscall.ENOMEM, syscall.EPROTO, syscall.EPERM, syscall.ENETDOWN, syscall.ENOPROTOOPT, syscall.EHOSTDOWN, syscall.ENONET,
-	syscall.EHOSTUNREACH, syscall.EOPNOTSUPP, syscall.ENETUNREACH, syscall.ETIMEDOUT, syscall.ENOSR, syscall.EIO}
+	syscall.ENOBUFS, syscall.ENOMEM, syscall.EPROTO, syscall.EPERM, syscall.ENETDOWN, syscall.ENOPROTOOPT,
+	syscall.EHOSTDOWN, syscall.ENONET, syscall.EHOSTUNREACH, syscall.EOPNOTSUPP, syscall.ENETUNREACH, syscall.ETIMEDOUT,
+	syscall.ENOSR, syscall.EIO}
 
 // failAcceptFor makes all calls of accept fail with errno for the given span of time. It counts the calls, also those
 // after that span.
--- a/internal/netio/client_test.go
+++ b/internal/netio/client_test.go
@@ -67,7 +67,8 @@
 	t.Cleanup(func() { ln.Close() })
 	for range 20 {
 		ended := make(chan bool)
-		c, err := Dial(ln.Addr().String(), 10*time.Second, testLimits, NewBudget(1<<20), func(*Conn) Handler { return closeReporter{ended} })
+		c, err := Dial(ln.Addr().String(), 10*time.Second, testLimits, NewBudget(1<<20),
+			func(*Conn) Handler { return closeReporter{ended} })
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/netio/evict_test.go
+++ b/internal/netio/evict_test.go
@@ -30,7 +30,7 @@
 func TestSlowWriterIsEvictedLast(t *testing.T) {
 	short := testLimits
 	short.SilentTimeout = time.Second // a peer that is silent for an eighth of it may be evicted
-	s := serve(t, 8, short, newLines)
+	s := serve(t, 8, short, newLineEcho)
 	slow, idle := dial(t, s.Addr().String()), dial(t, s.Addr().String())
 	expectEcho(t, idle)
 	if _, err := slow.Write([]byte("h")); err != nil {
@@ -54,7 +54,7 @@
 // in the middle of a message stay open.
 func TestSetMaxConnsClosesIdleConnections(t *testing.T) {
 	conns := make(chan *Conn, 10)
-	s := serve(t, 10, testLimits, func(c *Conn) Handler { conns <- c; return newLines(c) })
+	s := serve(t, 10, testLimits, func(c *Conn) Handler { conns <- c; return newLineEcho(c) })
 	awaitingReply, writing := dial(t, s.Addr().String()), dial(t, s.Addr().String())
 	(<-conns).AddPendingReplies(1)
 	writing.Write([]byte("h"))
@@ -86,7 +86,7 @@
 	made := make(chan *Conn, 10)
 	s := serveWithBudget(t, 1, limits, NewBudget(1<<25), func(c *Conn) Handler {
 		made <- c
-		return lines{echo{c}}
+		return lineEcho{echo{c}}
 	})
 	slow := dial(t, s.Addr().String())
 	if err := slow.(*net.TCPConn).SetReadBuffer(16 << 10); err != nil {
--- a/internal/netio/helpers_test.go
+++ b/internal/netio/helpers_test.go
@@ -30,7 +30,9 @@
 }
 
 // serveWithBudget is like serve, for tests that queue more than a megabyte.
-func serveWithBudget(t *testing.T, maxConns int, limits config.ConnLimits, budget *Budget, newHandler func(*Conn) Handler) *Server {
+func serveWithBudget(
+	t *testing.T, maxConns int, limits config.ConnLimits, budget *Budget, newHandler func(*Conn) Handler,
+) *Server {
 	t.Helper()
 	s, err := Listen("127.0.0.1:0", maxConns, limits, budget, newHandler)
 	if err != nil {
@@ -81,12 +83,12 @@
 	}
 }
 
-// lines is a handler that sends back complete lines only.
-type lines struct{ echo }
+// lineEcho is a handler that sends back complete lines only.
+type lineEcho struct{ echo }
 
-func newLines(c *Conn) Handler { return lines{echo{c}} }
+func newLineEcho(c *Conn) Handler { return lineEcho{echo{c}} }
 
-func (l lines) Consume(buf []byte) (int, int, error) {
+func (l lineEcho) Consume(buf []byte) (int, int, error) {
 	if buf[len(buf)-1] != '\n' {
 		return 0, 0, nil
 	}
--- a/internal/netio/sweep_test.go
+++ b/internal/netio/sweep_test.go
@@ -10,7 +10,7 @@
 func TestSilentAndSlowPeersTimeOut(t *testing.T) {
 	short := testLimits
 	short.SilentTimeout, short.MessageTimeout = 50*time.Millisecond, 50*time.Millisecond
-	s := serve(t, 100, short, newLines)
+	s := serve(t, 100, short, newLineEcho)
 	active, slow := dial(t, s.Addr().String()), dial(t, s.Addr().String())
 	active.Write([]byte("hi\n"))
 	go func() {
--- a/internal/upstream/golden_test.go
+++ b/internal/upstream/golden_test.go
@@ -22,7 +22,9 @@
 			Body: []byte("two\r\nseats"),
 		},
 		Timeout: 900 * time.Millisecond, Source: &core.Endpoint{ID: "mid-1"},
-		Decision: balancer.SendAttempt{CachePriority: 2, MaxAge: 1500 * time.Millisecond, Coalesce: true, CachedOnly: true, Revalidate: true},
+		Decision: balancer.SendAttempt{
+			CachePriority: 2, MaxAge: 1500 * time.Millisecond, Coalesce: true, CachedOnly: true, Revalidate: true,
+		},
 	}
 	golden.Same(t, "ask.hex", appendRequest(nil, a))
 	minimal := &core.Attempt{Request: &core.Request{Txn: "t", Class: "page", ObjectText: "0a", PartText: "0"}}
