--- a/client/actions.go
+++ b/client/actions.go
@@ -41,7 +41,7 @@
 	case policy.ActionCancel:
 		action.Conn.UserData.(*routerConn).cancel(action.Call.UserData.(*pendingCall))
 	case policy.ActionClose:
-		action.Conn.UserData.(*routerConn).shut()
+		action.Conn.UserData.(*routerConn).beginClose()
 	case policy.ActionFinish:
 		c.finish(action.Call.UserData.(*pendingCall), action.Outcome)
 	}
@@ -59,7 +59,7 @@
 	if c.timer.timer == nil {
 		c.goroutines.Add(1)
 		c.timer.timer = time.AfterFunc(wait, c.tick)
-	} else if wasSet := c.timer.timer.Reset(wait); !wasSet {
+	} else if wasActive := c.timer.timer.Reset(wait); !wasActive {
 		c.goroutines.Add(1)
 	}
 }
--- a/client/client.go
+++ b/client/client.go
@@ -34,15 +34,15 @@
 	cancelDials context.CancelFunc
 	goroutines  sync.WaitGroup
 
-	mu       sync.Mutex // guards all below, and the connections and calls; it is never held during I/O
-	policy   *policy.Policy
-	txns     *rand.ChaCha8 // source of transaction ids
-	calls    map[*pendingCall]struct{}
-	timer    policyTimer
-	closed   bool
-	idle     chan struct{} // closed once the client is closed and no call is open any more
-	counters counters
-	observer observer
+	mu        sync.Mutex // guards all below, and the connections and calls; it is never held during I/O
+	policy    *policy.Policy
+	txnSource *rand.ChaCha8 // source of transaction ids
+	calls     map[*pendingCall]struct{}
+	timer     policyTimer
+	closed    bool
+	idle      chan struct{} // closed once the client is closed and no call is open any more
+	counters  counters
+	observer  observer
 }
 
 // New returns a client for the routers that the configuration names. It opens no connection before the first
@@ -59,20 +59,20 @@
 	var seed [32]byte
 	_, _ = crand.Read(seed[:]) // it never fails: the program ends first
 	c := &Client{
-		config:   cfg,
-		classes:  classes,
-		epoch:    clock.Now(),
-		txns:     rand.NewChaCha8(seed),
-		calls:    map[*pendingCall]struct{}{},
-		idle:     make(chan struct{}),
-		counters: newCounters(len(classes.list)),
-		observer: observer{notify: cfg.Observer},
+		config:    cfg,
+		classes:   classes,
+		epoch:     clock.Now(),
+		txnSource: rand.NewChaCha8(seed),
+		calls:     map[*pendingCall]struct{}{},
+		idle:      make(chan struct{}),
+		counters:  newCounters(len(classes.list)),
+		observer:  observer{notify: cfg.Observer},
 	}
 	if cfg.Policy != nil {
 		c.settings = *cfg.Policy
 	} else {
 		c.settings = policy.Defaults()
-		c.settings.Seed = binary.LittleEndian.Uint64(seed[:]) ^ c.txns.Uint64()
+		c.settings.Seed = binary.LittleEndian.Uint64(seed[:]) ^ c.txnSource.Uint64()
 	}
 	if err := c.settings.Check(); err != nil {
 		return nil, fmt.Errorf("client: Policy: %w", err)
--- a/client/close_test.go
+++ b/client/close_test.go
@@ -14,7 +14,7 @@
 )
 
 // Calls that wait are bounded, Close cancels those that do not end in time, and a closed client takes none.
-func TestCloseCancelsTheBoundedCallsThatWait(t *testing.T) {
+func TestWaitingCallsAreBoundedAndCanceledByClose(t *testing.T) {
 	r := readyRouter(t, func(*fakes.Peer, rpc.Message) {}) // it never answers
 	settings := policy.Defaults()
 	settings.Waiting, settings.ConnsPerRouter, settings.OpenPerConn = 3, 1, 2
--- a/client/config.go
+++ b/client/config.go
@@ -13,7 +13,7 @@
 const (
 	defaultMaxAnswer = 240_000 // bytes
 	defaultMaxBody   = 48_000  // bytes
-	maxMessageBytes  = 1 << 28 // bound on both
+	maxMessageSize   = 1 << 28 // bound on both
 	maxRouters       = 1024
 
 	maxClassName  = 64 // bytes
@@ -78,13 +78,13 @@
 			return fmt.Errorf("client: Routers: %w", err)
 		}
 	}
-	if !validMessageBytes(cfg.MaxAnswer) || !validMessageBytes(cfg.MaxBody) {
+	if !validMessageSize(cfg.MaxAnswer) || !validMessageSize(cfg.MaxBody) {
 		return errors.New("client: MaxAnswer or MaxBody is out of range")
 	}
 	return nil
 }
 
-func validMessageBytes(n int) bool { return n >= 0 && n <= maxMessageBytes }
+func validMessageSize(n int) bool { return n >= 0 && n <= maxMessageSize }
 
 // Class is a class of requests: what the routers serve under one name.
 type Class struct {
--- a/client/conn.go
+++ b/client/conn.go
@@ -34,8 +34,8 @@
 	connEnded   // its end was reported
 )
 
-// shutDown says whether nothing more is to be written.
-func (s connState) shutDown() bool { return s >= connClosing }
+// isClosing says whether nothing more is to be written.
+func (s connState) isClosing() bool { return s >= connClosing }
 
 // openConn starts a connection. The lock is held.
 func (c *Client) openConn(action policy.Action) {
@@ -60,7 +60,7 @@
 	}
 	c.goroutines.Add(1)
 	go conn.writeLoop()
-	reader := responseReader{conn: conn, buffer: make([]byte, readSize)}
+	reader := responseReader{conn: conn, buffer: make([]byte, readBufferBytes)}
 	conn.end(reader.run(), nil)
 }
 
@@ -80,7 +80,7 @@
 		c.runActions()
 		return false
 	}
-	if conn.state.shutDown() {
+	if conn.state.isClosing() {
 		_ = netConn.Close() // nothing was written to it
 		return false
 	}
@@ -91,8 +91,8 @@
 	return true
 }
 
-// shut closes the connection, which ends its goroutines. The lock is held.
-func (conn *routerConn) shut() {
+// beginClose closes the connection, which ends its goroutines. The lock is held.
+func (conn *routerConn) beginClose() {
 	if conn.state < connClosing {
 		conn.state = connClosing
 	}
@@ -116,7 +116,7 @@
 	if conn.state == connEnded {
 		return
 	}
-	conn.shut()
+	conn.beginClose()
 	conn.state = connEnded
 	unsentIDs := conn.outbox.unsentCalls(failure)
 	conn.outbox.messages = nil
@@ -165,7 +165,7 @@
 
 // enqueue has a message written. The lock is held.
 func (conn *routerConn) enqueue(m message) {
-	if !conn.state.shutDown() {
+	if !conn.state.isClosing() {
 		conn.outbox.messages = append(conn.outbox.messages, m)
 		wake(conn.outbox.wake)
 	}
--- a/client/errors.go
+++ b/client/errors.go
@@ -54,13 +54,13 @@
 	if e.Wait > 0 {
 		fmt.Fprintf(&b, ", to come back in %v", e.Wait.Round(time.Millisecond))
 	}
-	if e.notToRepeat() {
+	if e.unsafeToRepeat() {
 		b.WriteString("; it may have run")
 	}
 	return b.String()
 }
 
-func (e *Error) notToRepeat() bool { return e.MayHaveRun && e.Unsafe }
+func (e *Error) unsafeToRepeat() bool { return e.MayHaveRun && e.Unsafe }
 
 // Is implements the matching of errors.Is.
 func (e *Error) Is(target error) bool {
@@ -68,7 +68,7 @@
 	case e.Kind:
 		return true
 	case ErrMayHaveRun:
-		return e.notToRepeat()
+		return e.unsafeToRepeat()
 	case context.DeadlineExceeded:
 		return e.Kind == ErrDeadline
 	}
--- a/client/health.go
+++ b/client/health.go
@@ -31,19 +31,19 @@
 
 // checkRouter sends one health check. When ctx ends the connection's deadline passes, and reading from it fails.
 func (c *Client) checkRouter(ctx context.Context, address string) error {
-	nc, err := c.config.Dial(ctx, address)
+	netConn, err := c.config.Dial(ctx, address)
 	if err != nil {
 		return err
 	}
-	defer nc.Close()
-	stop := context.AfterFunc(ctx, func() { _ = nc.SetDeadline(clock.Past()) })
+	defer netConn.Close()
+	stop := context.AfterFunc(ctx, func() { _ = netConn.SetDeadline(clock.Past()) })
 	defer stop()
 
 	const id = 1
-	if _, err := nc.Write(rpc.AppendHealthRequest(nil, id)); err != nil {
+	if _, err := netConn.Write(rpc.AppendHealthRequest(nil, id)); err != nil {
 		return err
 	}
-	header, err := readHeader(ctx, nc)
+	header, err := readHeader(ctx, netConn)
 	switch {
 	case err != nil:
 		return err
@@ -57,11 +57,11 @@
 
 // readHeader reads a response up to its body.
 func readHeader(ctx context.Context, from io.Reader) (rpc.ResponseHeader, error) {
-	buf := make([]byte, 0, maxHeader)
+	buf := make([]byte, 0, maxHeaderBytes)
 	for len(buf) < cap(buf) {
 		n, readErr := from.Read(buf[len(buf):cap(buf)])
 		buf = buf[:len(buf)+n]
-		header, progress, err := rpc.ParseResponseHeader(buf, maxHeader, 0)
+		header, progress, err := rpc.ParseResponseHeader(buf, maxHeaderBytes, 0)
 		switch {
 		case err != nil:
 			return rpc.ResponseHeader{}, err
--- a/client/health_test.go
+++ b/client/health_test.go
@@ -14,7 +14,7 @@
 
 // One router accepts connections and says nothing, one takes no clients, and the third is closed and started again:
 // calls are served by the third alone.
-func TestCallsGoToTheOneReadyRouter(t *testing.T) {
+func TestCallsGoOnlyToTheReadyRouter(t *testing.T) {
 	silent, err := fakes.NewRouter("127.0.0.1:0", func(*fakes.Peer, rpc.Message) {})
 	if err != nil {
 		t.Fatal(err)
--- a/client/malformed_test.go
+++ b/client/malformed_test.go
@@ -96,7 +96,7 @@
 
 // Malformed responses never end in a panic, in a longer body than is allowed, or in an error that hides that the
 // request may have run.
-func TestMalformedResponsesDoNoHarm(t *testing.T) {
+func TestMalformedResponsesEndInValidOutcomes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		response := append(drawResponse(t), drawResponse(t)...)
 		for range rapid.IntRange(0, 3).Draw(t, "changed bytes") {
--- a/client/observer.go
+++ b/client/observer.go
@@ -37,9 +37,9 @@
 
 // observer calls Config.Observer for what happened under the client's lock, in order, once that is free.
 type observer struct {
-	notify    func(Observation) // may be nil
-	pending   []Observation     // under the client's lock
-	notifying sync.Mutex        // held while notify is called
+	notify   func(Observation) // may be nil
+	pending  []Observation     // under the client's lock
+	notifyMu sync.Mutex        // held while notify is called
 }
 
 // add queues an observation. The client's lock is held.
@@ -55,8 +55,8 @@
 		clientLock.Unlock()
 		return
 	}
-	o.notifying.Lock() // before the client's lock is free, or observations could overtake each other
-	defer o.notifying.Unlock()
+	o.notifyMu.Lock() // before the client's lock is free, or observations could overtake each other
+	defer o.notifyMu.Unlock()
 	pending := o.pending
 	o.pending = nil
 	clientLock.Unlock()
--- a/client/policy/call.go
+++ b/client/policy/call.go
@@ -16,10 +16,10 @@
 	delayedUntil time.Duration // while it is delayed
 	neverSent    bool          // counted in Policy.waiting
 
-	attempts int // written, or about to be
-	moves    int // attempts of which surely not a byte was written; not counted in attempts
-	latest   attempt
-	retry    retryState
+	attempts    int // written, or about to be
+	moves       int // attempts of which surely not a byte was written; not counted in attempts
+	lastAttempt attempt
+	retry       retryState
 }
 
 // callState is the state of a call.
@@ -61,12 +61,12 @@
 func (p *Policy) StartCall(now time.Duration, spec CallSpec) *Call {
 	p.now = now
 	call := &Call{
-		UserData:   spec.UserData,
-		class:      spec.Class,
-		idempotent: spec.Idempotent,
-		deadline:   spec.Deadline,
-		state:      callDelayed,
-		latest:     attempt{router: -1},
+		UserData:    spec.UserData,
+		class:       spec.Class,
+		idempotent:  spec.Idempotent,
+		deadline:    spec.Deadline,
+		state:       callDelayed,
+		lastAttempt: attempt{router: -1},
 	}
 	call.timer = newTimer(call)
 	p.counts.Calls++
@@ -105,8 +105,8 @@
 		return
 	}
 	if call.state == callInFlight {
-		p.emit(Action{Kind: ActionCancel, Conn: call.latest.conn, Call: call})
-		if call.latest.written {
+		p.emit(Action{Kind: ActionCancel, Conn: call.lastAttempt.conn, Call: call})
+		if call.lastAttempt.written {
 			call.retry.mayHaveRun = true
 		} else {
 			p.uncountAttempt(call)
@@ -157,7 +157,7 @@
 	switch {
 	case p.now >= call.deadline:
 		if call.state == callInFlight {
-			p.recordOverdue(call.latest.conn.router)
+			p.recordTimeout(call.lastAttempt.conn.router)
 		}
 		p.abandon(call, Deadline)
 	case call.state == callDelayed:
--- a/client/policy/conn.go
+++ b/client/policy/conn.go
@@ -6,8 +6,8 @@
 	// maxCallsPerConn is how many calls one connection carries in its life: their ids are bounded.
 	maxCallsPerConn = 1 << 31
 
-	// writePaceWeight is the weight of the latest write in the moving average of a connection's pace.
-	writePaceWeight = 0.3
+	// writeTimeWeight is the weight of the latest write in the moving average of a connection's pace.
+	writeTimeWeight = 0.3
 )
 
 // Conn is one connection to a router, from its ActionDial to DialFailed or ConnectionClosed.
@@ -15,16 +15,16 @@
 	// UserData is the caller's own: the policy does not use it.
 	UserData any
 
-	router     *router
-	state      connState
-	timer      timer
-	inFlight   int    // calls
-	sent       uint64 // calls in all
-	writePace  float64
-	lastUsed   time.Duration // when a call was last added or removed
-	lastHeard  time.Duration // when bytes last came, or the connection began to owe a response
-	idleBefore time.Duration // how long it had been idle before the calls that are in flight now
-	health     healthCheck
+	router           *router
+	state            connState
+	timer            timer
+	inFlight         int    // calls
+	totalCalls       uint64 // calls in all
+	writeTimePerByte float64
+	lastUsed         time.Duration // when a call was last added or removed
+	silentSince      time.Duration // when bytes last came, or the connection began to owe a response
+	idleBefore       time.Duration // how long it had been idle before the calls that are in flight now
+	health           healthCheck
 }
 
 // healthCheck is the state of a connection's health checks.
@@ -50,10 +50,10 @@
 func (conn *Conn) addCall(p *Policy) {
 	conn.inFlight++
 	if conn.inFlight == 1 { // it owed no response: its silence begins now
-		conn.lastHeard, conn.idleBefore = p.now, p.now-conn.lastUsed
+		conn.silentSince, conn.idleBefore = p.now, p.now-conn.lastUsed
 		p.setConnTimer(conn)
 	}
-	conn.sent++
+	conn.totalCalls++
 	conn.router.inFlight++
 }
 
@@ -66,12 +66,12 @@
 // WriteCompleted reports how long a write of so many bytes took. The time of later writes is expected from it.
 func (conn *Conn) WriteCompleted(bytes int, took time.Duration) {
 	if bytes > 0 {
-		conn.writePace += writePaceWeight * (float64(took)/float64(bytes) - conn.writePace)
+		conn.writeTimePerByte += writeTimeWeight * (float64(took)/float64(bytes) - conn.writeTimePerByte)
 	}
 }
 
 func (conn *Conn) expectedWriteTime(bytes int) time.Duration {
-	return time.Duration(conn.writePace * float64(bytes))
+	return time.Duration(conn.writeTimePerByte * float64(bytes))
 }
 
 // openConns opens a connection to each router that may be dialed and lacks capacity.
@@ -116,7 +116,7 @@
 	if conn.state != connDialing {
 		return
 	}
-	conn.state, conn.lastHeard = connChecking, now
+	conn.state, conn.silentSince = connChecking, now
 	p.checkHealth(conn)
 }
 
@@ -131,13 +131,13 @@
 	p.sendQueued()
 }
 
-// reviewConn drains a connection that has carried all the calls that it may, closes one that has drained, and makes
+// updateConnState drains a connection that has carried all the calls that it may, closes one that has drained, and makes
 // sure that a ready one has its timer.
-func (p *Policy) reviewConn(conn *Conn) {
+func (p *Policy) updateConnState(conn *Conn) {
 	switch {
 	case conn.state == connDraining && conn.inFlight == 0:
 		p.closeConn(conn)
-	case conn.state == connReady && conn.sent >= maxCallsPerConn:
+	case conn.state == connReady && conn.totalCalls >= maxCallsPerConn:
 		conn.state = connDraining
 	case conn.state == connReady && !conn.timer.isSet():
 		p.setConnTimer(conn)
--- a/client/policy/conn_test.go
+++ b/client/policy/conn_test.go
@@ -52,7 +52,7 @@
 }
 
 // A router that falls silent is left.
-func TestSilentRouterIsLeft(t *testing.T) {
+func TestConnectionsToSilentRouterAreClosed(t *testing.T) {
 	s := newSimulation(t, 2, nil)
 	s.startEvery(20*ms, time.Second)
 	s.routers[0].respond = serveAfter(time.Hour)
--- a/client/policy/connclose.go
+++ b/client/policy/connclose.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// longIdle is how long a connection is without calls until its end says nothing of its router.
-const longIdle = time.Second
+// idleCloseThreshold is how long a connection is without calls until its end says nothing of its router.
+const idleCloseThreshold = time.Second
 
 // connEnd is what the end of a connection says of its router.
 type connEnd struct {
@@ -17,7 +17,7 @@
 // once.
 func (p *Policy) ConnectionClosed(now time.Duration, conn *Conn, unsent, lost []*Call) {
 	p.now = now
-	end := p.classifyEnd(conn, lost)
+	end := p.classifyConnEnd(conn, lost)
 	p.removeConn(conn)
 	if end.byRouter && len(lost) > 0 && !end.crossedClose {
 		p.recordFailure(conn.router)
@@ -26,13 +26,13 @@
 		p.backOffDial(conn.router)
 	}
 	for _, call := range unsent {
-		if call.latest.conn == conn {
+		if call.lastAttempt.conn == conn {
 			p.detach(call)
-			p.move(call)
+			p.redispatchUnsent(call)
 		}
 	}
 	for _, call := range lost {
-		if call.latest.conn == conn {
+		if call.lastAttempt.conn == conn {
 			p.detach(call)
 			p.recoverLost(call, end.crossedClose)
 		}
@@ -40,25 +40,25 @@
 	p.sendQueued()
 }
 
-// classifyEnd tells the kinds of ends apart, before the connection's state is changed.
-func (p *Policy) classifyEnd(conn *Conn, lost []*Call) connEnd {
+// classifyConnEnd tells the kinds of ends apart, before the connection's state is changed.
+func (p *Policy) classifyConnEnd(conn *Conn, lost []*Call) connEnd {
 	if conn.state == connClosed {
 		return connEnd{}
 	}
-	end := connEnd{byRouter: true, crossedClose: conn.state != connDraining && p.writtenJustNow(lost)}
+	end := connEnd{byRouter: true, crossedClose: conn.state != connDraining && p.allWrittenRecently(lost)}
 	idle := p.now - conn.lastUsed
 	if conn.inFlight > 0 {
 		idle = 0
 	}
-	closedAsIdle := idle >= longIdle || end.crossedClose && conn.idleBefore >= longIdle
+	closedAsIdle := idle >= idleCloseThreshold || end.crossedClose && conn.idleBefore >= idleCloseThreshold
 	end.spreadDial = conn.state == connChecking || !closedAsIdle
 	return end
 }
 
-// writtenJustNow says whether all of these calls were written so shortly ago that the router may not have seen them.
-func (p *Policy) writtenJustNow(calls []*Call) bool {
+// allWrittenRecently says whether all of these calls were written so shortly ago that the router may not have seen them.
+func (p *Policy) allWrittenRecently(calls []*Call) bool {
 	for _, call := range calls {
-		if p.now-call.latest.sentAt > p.settings.Crossing {
+		if p.now-call.lastAttempt.sentAt > p.settings.Crossing {
 			return false
 		}
 	}
--- a/client/policy/dispatch.go
+++ b/client/policy/dispatch.go
@@ -24,15 +24,15 @@
 		p.finish(call, Outcome{Verdict: verdict, Local: verdict == Refused, RetryAfter: at - p.now})
 	case rejecting:
 		call.delayedUntil = at
-		p.wait(call, callDelayed)
+		p.holdCall(call, callDelayed)
 	default:
 		p.queue = append(p.queue, call)
-		p.wait(call, callQueued)
+		p.holdCall(call, callQueued)
 	}
 }
 
-// wait keeps a call in a state in which it is with no router.
-func (p *Policy) wait(call *Call, state callState) {
+// holdCall keeps a call in a state in which it is with no router.
+func (p *Policy) holdCall(call *Call, state callState) {
 	if !call.neverSent && call.attempts == 0 {
 		call.neverSent = true
 		p.waiting++
@@ -54,7 +54,7 @@
 	p.uncountWaiting(call)
 	isRetry := call.isRetry()
 	call.state = callInFlight
-	call.latest = attempt{conn: conn, router: conn.router.index, sentAt: p.now}
+	call.lastAttempt = attempt{conn: conn, router: conn.router.index, sentAt: p.now}
 	conn.addCall(p)
 	call.attempts++
 	p.counts.Tries++
@@ -62,16 +62,16 @@
 		p.counts.Retries++
 	}
 	p.setCallTimer(call)
-	p.reviewConn(conn)
+	p.updateConnState(conn)
 	p.emit(Action{Kind: ActionSend, Call: call, Conn: conn, Router: conn.router.index, Retry: isRetry})
 }
 
 // detach takes a call off its connection.
 func (p *Policy) detach(call *Call) {
-	conn := call.latest.conn
-	call.latest.conn, call.state = nil, callDelayed
+	conn := call.lastAttempt.conn
+	call.lastAttempt.conn, call.state = nil, callDelayed
 	conn.removeCall(p.now)
-	p.reviewConn(conn)
+	p.updateConnState(conn)
 }
 
 // sendQueued sends what is queued, in order, for as long as there is capacity.
@@ -128,12 +128,12 @@
 	if call.state != callInFlight {
 		return 0, false
 	}
-	call.latest.sentAt = now
-	limit = call.deadline - now - call.latest.conn.expectedWriteTime(bytes)
+	call.lastAttempt.sentAt = now
+	limit = call.deadline - now - call.lastAttempt.conn.expectedWriteTime(bytes)
 	if limit < p.minServiceTime(call) {
 		p.abandon(call, Deadline)
 		return 0, false
 	}
-	call.latest.written = true
+	call.lastAttempt.written = true
 	return limit, true
 }
--- a/client/policy/dispatch_test.go
+++ b/client/policy/dispatch_test.go
@@ -27,7 +27,7 @@
 }
 
 // With no router, calls end at once and say when to come back; once the router is back they are served.
-func TestCallsWithoutRouterEndAtOnce(t *testing.T) {
+func TestCallsEndEarlyWithoutRouterAndAreServedAfterItsReturn(t *testing.T) {
 	s := newSimulation(t, 1, nil)
 	s.startEvery(10*ms, 100*ms)
 	s.routers[0].down = true
--- a/client/policy/health.go
+++ b/client/policy/health.go
@@ -11,13 +11,13 @@
 
 // nextHealthCheck is when a connection in use is checked: at even intervals, and sooner where it falls silent.
 func (p *Policy) nextHealthCheck(conn *Conn) time.Duration {
-	return min(conn.lastHeard+p.settings.Quiet, conn.health.lastSent+p.settings.CheckEvery)
+	return min(conn.silentSince+p.settings.Quiet, conn.health.lastSent+p.settings.CheckEvery)
 }
 
 // HealthReceived reports the response to a health check: whether the router takes clients.
 func (p *Policy) HealthReceived(now time.Duration, conn *Conn, ready bool) {
 	p.now = now
-	conn.lastHeard, conn.health.pendingSince = now, 0
+	conn.silentSince, conn.health.pendingSince = now, 0
 	switch {
 	case conn.state == connClosed:
 		return
@@ -36,7 +36,7 @@
 // BytesReceived reports that bytes came in. Where a connection is in use they count as the response to a health
 // check: the router is there.
 func (p *Policy) BytesReceived(now time.Duration, conn *Conn) {
-	conn.lastHeard = now
+	conn.silentSince = now
 	if conn.state != connChecking {
 		conn.health.pendingSince = 0
 	}
@@ -56,7 +56,7 @@
 	for _, conn := range append([]*Conn(nil), r.conns...) { // a copy: reviewConn removes those that it closes
 		if conn.state == connReady || conn.state == connChecking {
 			conn.state = connDraining
-			p.reviewConn(conn)
+			p.updateConnState(conn)
 		}
 	}
 	r.dial.notBefore = p.now + time.Duration((0.5+p.random.Float64())*float64(p.settings.CheckEvery))
--- a/client/policy/outlier.go
+++ b/client/policy/outlier.go
@@ -6,23 +6,23 @@
 	// maxEjectionDoublings bounds how often the span of a router's ejections is doubled.
 	maxEjectionDoublings = 16
 
-	// ejectionMemory is how many times EjectFor a router has to do well after an ejection until the next one is
+	// ejectionResetFactor is how many times EjectFor a router has to do well after an ejection until the next one is
 	// short again.
-	ejectionMemory = 4
+	ejectionResetFactor = 4
 )
 
 // outlierState is the outlier detection of one router.
 type outlierState struct {
-	failures     int // in a row
-	ejectedUntil time.Duration
-	ejections    int // that make the next one longer
+	failures        int // in a row
+	ejectedUntil    time.Duration
+	recentEjections int // that make the next one longer
 }
 
 // recordSuccess counts a response that shows a router at work.
 func (p *Policy) recordSuccess(r *router) {
 	r.outlier.failures = 0
-	if r.outlier.ejections > 0 && p.now > r.outlier.ejectedUntil+ejectionMemory*p.settings.EjectFor {
-		r.outlier.ejections = 0
+	if r.outlier.recentEjections > 0 && p.now > r.outlier.ejectedUntil+ejectionResetFactor*p.settings.EjectFor {
+		r.outlier.recentEjections = 0
 	}
 }
 
@@ -34,8 +34,8 @@
 	}
 }
 
-// recordOverdue counts that a router did not answer within the time limit that was sent with the call.
-func (p *Policy) recordOverdue(r *router) {
+// recordTimeout counts that a router did not answer within the time limit that was sent with the call.
+func (p *Policy) recordTimeout(r *router) {
 	r.recordSuccessRate(0)
 	p.recordFailure(r)
 }
@@ -55,8 +55,8 @@
 func (p *Policy) eject(r *router) {
 	o := &r.outlier
 	o.failures = p.settings.EjectAfter - 1 // the first failure after the ejection counts in full
-	span := min(p.settings.EjectMost, p.settings.EjectFor<<min(o.ejections, maxEjectionDoublings))
-	o.ejections++
+	span := min(p.settings.EjectMost, p.settings.EjectFor<<min(o.recentEjections, maxEjectionDoublings))
+	o.recentEjections++
 	o.ejectedUntil = p.now + time.Duration((0.75+0.5*p.random.Float64())*float64(span))
 	p.counts.Ejections++
 	p.setTimer(&r.timer, o.ejectedUntil)
--- a/client/policy/policy.go
+++ b/client/policy/policy.go
@@ -35,10 +35,10 @@
 // New returns the policy of a client that knows the given number of routers and classes of requests. Both are named
 // by their index from 0. The settings must have passed Settings.Check.
 func New(settings Settings, routers, classes int) *Policy {
-	const stream = 0x9e3779b97f4a7c15
+	const pcgStream = 0x9e3779b97f4a7c15
 	p := &Policy{
 		settings: settings,
-		random:   rand.New(rand.NewPCG(settings.Seed, stream)),
+		random:   rand.New(rand.NewPCG(settings.Seed, pcgStream)),
 		classes:  make([]serviceTime, classes),
 	}
 	for i := range routers {
--- a/client/policy/reconnect.go
+++ b/client/policy/reconnect.go
@@ -3,8 +3,8 @@
 import "time"
 
 const (
-	// firstDialBackoff is the longest wait after the first failed dial to a router that was never up.
-	firstDialBackoff = 100 * time.Millisecond
+	// initialDialBackoff is the longest wait after the first failed dial to a router that was never up.
+	initialDialBackoff = 100 * time.Millisecond
 
 	// maxDialDoublings bounds how often it is doubled.
 	maxDialDoublings = 10
@@ -12,17 +12,17 @@
 
 // dialState is what is known of the connecting to one router.
 type dialState struct {
-	notBefore     time.Duration // no connection is opened before
-	failures      int           // in a row
-	everConnected bool
-	lost          bool // the last connection broke: the next that comes up is a reconnect
+	notBefore      time.Duration // no connection is opened before
+	failures       int           // in a row
+	everConnected  bool
+	connectionLost bool // the last connection broke: the next that comes up is a reconnect
 }
 
 // recordConnected records that a router answered the first health check of a connection.
 func (p *Policy) recordConnected(r *router) {
 	r.dial.failures, r.dial.everConnected = 0, true
-	if r.dial.lost {
-		r.dial.lost = false
+	if r.dial.connectionLost {
+		r.dial.connectionLost = false
 		p.counts.Reconnects++
 	}
 }
@@ -39,12 +39,12 @@
 	wait := p.random.Float64() * span
 	switch {
 	case !r.dial.everConnected:
-		wait = p.random.Float64() * min(span, float64(firstDialBackoff<<min(r.dial.failures, maxDialDoublings)))
+		wait = p.random.Float64() * min(span, float64(initialDialBackoff<<min(r.dial.failures, maxDialDoublings)))
 	case r.dial.failures > 0:
 		wait += span / 2
 	}
 	r.dial.failures++
-	r.dial.lost = r.dial.lost || r.dial.everConnected
+	r.dial.connectionLost = r.dial.connectionLost || r.dial.everConnected
 	r.dial.notBefore = p.now + time.Duration(wait)
 	p.setTimer(&r.timer, max(r.dial.notBefore, r.outlier.ejectedUntil))
 	p.redispatchQueued()
--- a/client/policy/response.go
+++ b/client/policy/response.go
@@ -10,9 +10,9 @@
 	if call.state != callInFlight {
 		return
 	}
-	conn, took := call.latest.conn, now-call.latest.sentAt
+	conn, took := call.lastAttempt.conn, now-call.lastAttempt.sentAt
 	r := conn.router
-	conn.lastHeard = now
+	conn.silentSince = now
 	conn.health.pendingSince = 0
 	p.detach(call)
 	if result == ResultRejected {
--- a/client/policy/retry.go
+++ b/client/policy/retry.go
@@ -42,8 +42,8 @@
 	p.setCallTimer(call)
 }
 
-// move sends a call elsewhere of which not a byte was written: no router has seen it.
-func (p *Policy) move(call *Call) {
+// redispatchUnsent sends a call elsewhere of which not a byte was written: no router has seen it.
+func (p *Policy) redispatchUnsent(call *Call) {
 	p.uncountAttempt(call)
 	call.moves++
 	if call.moves > 2*len(p.routers)+2 {
--- a/client/policy/retry_test.go
+++ b/client/policy/retry_test.go
@@ -9,28 +9,28 @@
 // A call that is not idempotent is sent again after a rejection, or where not a byte was written; never after
 // anything else.
 func TestUnsafeCallIsRetriedOnlyIfItDidNotRun(t *testing.T) {
-	none := breakage(-1)
+	notBroken := breakage(-1)
 	for name, test := range map[string]struct {
 		respond func() simResponse
 		broken  breakage // of the connection, with the call in flight
 		want    Outcome
 	}{
-		"served":   {serveAfter(ms), none, Outcome{Attempts: 1}},
-		"rejected": {reject(0), none, Outcome{Verdict: Refused, Attempts: 3}},
-		"failed":   {fail(), none, Outcome{Verdict: Failed, MayHaveRun: true, Attempts: 1}},
-		"invalid": {always(simResponse{after: ms, result: ResultInvalid}), none,
+		"served":   {serveAfter(ms), notBroken, Outcome{Attempts: 1}},
+		"rejected": {reject(0), notBroken, Outcome{Verdict: Refused, Attempts: 3}},
+		"failed":   {fail(), notBroken, Outcome{Verdict: Failed, MayHaveRun: true, Attempts: 1}},
+		"invalid": {always(simResponse{after: ms, result: ResultInvalid}), notBroken,
 			Outcome{Verdict: Failed, Attempts: 1}},
 		"lost":    {serveAfter(time.Hour), callsLost, Outcome{Verdict: Lost, MayHaveRun: true, Attempts: 1}},
 		"unsent":  {serveAfter(100 * ms), callsUnsent, Outcome{Attempts: 1}},
-		"overdue": {serveAfter(time.Hour), none, Outcome{Verdict: Deadline, MayHaveRun: true, Attempts: 1}},
+		"overdue": {serveAfter(time.Hour), notBroken, Outcome{Verdict: Deadline, MayHaveRun: true, Attempts: 1}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := newSimulation(t, 2, nil)
 			s.setResponses(test.respond)
 			call := s.start(false, 3*time.Second)
 			s.run(20 * ms)
-			if test.broken != none {
-				s.breakAll(s.routers[call.latest.router], test.broken)
+			if test.broken != notBroken {
+				s.breakAll(s.routers[call.lastAttempt.router], test.broken)
 			}
 			s.run(10 * time.Second)
 			got, want := s.outcomes[call], test.want
@@ -44,7 +44,7 @@
 
 // A call that crosses a router's close of an idle connection is sent again at once; only an idempotent one, and
 // only once.
-func TestCallThatCrossedACloseIsSentAgain(t *testing.T) {
+func TestOnlyIdempotentCallThatCrossedCloseIsSentAgain(t *testing.T) {
 	for name, idempotent := range map[string]bool{"idempotent": true, "not idempotent": false} {
 		t.Run(name, func(t *testing.T) {
 			s := newSimulation(t, 1, nil)
--- a/client/policy/router.go
+++ b/client/policy/router.go
@@ -6,8 +6,8 @@
 )
 
 const (
-	// loadFade is the time constant with which what was seen of a router fades.
-	loadFade = 2 * time.Second
+	// loadDecayTime is the time constant with which what was seen of a router fades.
+	loadDecayTime = 2 * time.Second
 
 	// Weights of the latest sample in moving averages. A slower response counts sooner than a quicker one.
 	slowerWeight        = 0.3
@@ -81,12 +81,12 @@
 // quickly: its responses count as slower the fewer of them serve. What was seen of a router fades, so that it is
 // tried again; where nothing is known the average over all routers is expected.
 func (p *Policy) expectedCost(r *router) float64 {
-	known := math.Exp(-(p.now - r.load.lastResponse).Seconds() / loadFade.Seconds())
+	confidence := math.Exp(-(p.now - r.load.lastResponse).Seconds() / loadDecayTime.Seconds())
 	latency := p.latency
 	if r.load.latency > 0 {
-		latency += (r.load.latency - p.latency) * known
+		latency += (r.load.latency - p.latency) * confidence
 	}
-	successRate := 1 - (1-r.load.successRate)*known
+	successRate := 1 - (1-r.load.successRate)*confidence
 	return float64(r.inFlight+1) * max(latency, minLatency) / max(successRate, minSuccessRate)
 }
 
--- a/client/policy/selection.go
+++ b/client/policy/selection.go
@@ -19,7 +19,7 @@
 		if conn == nil {
 			continue
 		}
-		if r.index == call.latest.router && call.attempts+call.moves > 0 {
+		if r.index == call.lastAttempt.router && call.attempts+call.moves > 0 {
 			previous = conn
 			continue
 		}
--- a/client/policy/servicetime.go
+++ b/client/policy/servicetime.go
@@ -30,17 +30,17 @@
 	}
 }
 
-// quickest returns the least time in which a request may be served, and at least the given floor.
-func (s *serviceTime) quickest(now, floor time.Duration) time.Duration {
+// minimum returns the least time in which a request may be served, and at least the given floor.
+func (s *serviceTime) minimum(now, floor time.Duration) time.Duration {
 	s.advance(now)
-	least := s.current
-	if least == 0 || s.previous > 0 && s.previous < least {
-		least = s.previous
+	shortest := s.current
+	if shortest == 0 || s.previous > 0 && s.previous < shortest {
+		shortest = s.previous
 	}
-	return max(least, floor)
+	return max(shortest, floor)
 }
 
 // minServiceTime is the least time that an attempt of the call needs.
 func (p *Policy) minServiceTime(call *Call) time.Duration {
-	return p.classes[call.class].quickest(p.now, p.settings.LeastTime)
+	return p.classes[call.class].minimum(p.now, p.settings.LeastTime)
 }
--- a/client/policy/slidingsum.go
+++ b/client/policy/slidingsum.go
@@ -4,10 +4,10 @@
 
 // slidingSum adds up values over a window of time that slides in steps of a twentieth of it.
 type slidingSum struct {
-	step  time.Duration
-	slots [20]float64 // a ring, by number of the step
-	total float64
-	last  int64 // number of the latest step that was seen
+	step     time.Duration
+	slots    [20]float64 // a ring, by number of the step
+	total    float64
+	lastStep int64 // number of the latest step that was seen
 }
 
 func newSlidingSum(window time.Duration) slidingSum {
@@ -18,13 +18,13 @@
 func (s *slidingSum) advance(now time.Duration) {
 	slots := int64(len(s.slots))
 	current := int64(now / s.step)
-	if current-s.last >= slots { // nothing of it is left
-		*s = slidingSum{step: s.step, last: current}
+	if current-s.lastStep >= slots { // nothing of it is left
+		*s = slidingSum{step: s.step, lastStep: current}
 		return
 	}
-	for s.last < current {
-		s.last++
-		slot := &s.slots[s.last%slots]
+	for s.lastStep < current {
+		s.lastStep++
+		slot := &s.slots[s.lastStep%slots]
 		s.total -= *slot
 		*slot = 0
 	}
@@ -32,7 +32,7 @@
 
 func (s *slidingSum) add(now time.Duration, value float64) {
 	s.advance(now)
-	s.slots[s.last%int64(len(s.slots))] += value
+	s.slots[s.lastStep%int64(len(s.slots))] += value
 	s.total += value
 }
 
--- a/client/policy/throttle.go
+++ b/client/policy/throttle.go
@@ -6,8 +6,8 @@
 )
 
 const (
-	// rampShedFraction is the fraction of calls that is shed when the ramp after an overload begins.
-	rampShedFraction = 0.8
+	// initialRampShedFraction is the fraction of calls that is shed when the ramp after an overload begins.
+	initialRampShedFraction = 0.8
 
 	// So many accepted responses in a row end an overload: more where routers accepted some calls all along, as two
 	// accepted ones in a row say little there.
@@ -34,12 +34,12 @@
 
 func newThrottle(settings *Settings, random *rand.Rand) throttle {
 	t := throttle{settings: settings, random: random}
-	t.forget()
+	t.resetWindow()
 	return t
 }
 
-// forget drops the figures of the window.
-func (t *throttle) forget() {
+// resetWindow drops the figures of the window.
+func (t *throttle) resetWindow() {
 	t.ended = newSlidingSum(t.settings.ThrottleWindow)
 	t.accepted = newSlidingSum(t.settings.ThrottleWindow)
 }
@@ -48,7 +48,7 @@
 func (t *throttle) shedFraction(now time.Duration) float64 {
 	if t.rampStart > 0 {
 		if now < t.rampStart+t.settings.Ramp {
-			return rampShedFraction * (1 - float64(now-t.rampStart)/float64(t.settings.Ramp))
+			return initialRampShedFraction * (1 - float64(now-t.rampStart)/float64(t.settings.Ramp))
 		}
 		t.rampStart = 0
 	}
@@ -87,15 +87,15 @@
 func (t *throttle) recordAccepted(now time.Duration) {
 	t.streak++
 	overloaded := t.rampStart == 0 && t.shedFraction(now) > 0
-	if overloaded && t.streak >= t.streakToEnd(now) {
-		t.forget() // the figures of the overload say nothing of what comes
+	if overloaded && t.streak >= t.requiredStreak(now) {
+		t.resetWindow() // the figures of the overload say nothing of what comes
 		t.rampStart = now
 	}
 	t.ended.add(now, 1)
 	t.accepted.add(now, 1)
 }
 
-func (t *throttle) streakToEnd(now time.Duration) int {
+func (t *throttle) requiredStreak(now time.Duration) int {
 	if t.accepted.sum(now) > partialOverloadAccepted {
 		return partialOverloadEndStreak
 	}
--- a/client/policy/throttle_test.go
+++ b/client/policy/throttle_test.go
@@ -6,7 +6,7 @@
 )
 
 // Retries do not add to an overload in which routers reject all calls, and its end is seen within a second.
-func TestOverloadIsNotFedAndItsEndIsSeen(t *testing.T) {
+func TestThrottleLimitsAttemptsInOverloadAndRecovers(t *testing.T) {
 	for name, retryAfter := range map[string]time.Duration{"without Retry-After": 0, "with Retry-After": 500 * ms} {
 		t.Run(name, func(t *testing.T) {
 			s := newSimulation(t, 2, nil)
--- a/client/reader.go
+++ b/client/reader.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	maxHeader = 4 << 10  // bytes of a response besides its body
-	readSize  = 16 << 10 // bytes read at a time
+	maxHeaderBytes  = 4 << 10  // bytes of a response besides its body
+	readBufferBytes = 16 << 10 // bytes read at a time
 )
 
 // responseReader reads the responses of one connection. It belongs to the connection's goroutine.
@@ -27,7 +27,7 @@
 		}
 		n, err := r.fill()
 		if n > 0 {
-			r.conn.recordBytes()
+			r.conn.reportBytesReceived()
 		} else if err != nil {
 			return err
 		}
@@ -45,7 +45,7 @@
 // parseBuffered handles the responses that are in the buffer; it reads on only to complete one with a body.
 func (r *responseReader) parseBuffered() error {
 	for len(r.unread) > 0 {
-		header, progress, err := rpc.ParseResponseHeader(r.unread, maxHeader, r.conn.client.config.MaxAnswer)
+		header, progress, err := rpc.ParseResponseHeader(r.unread, maxHeaderBytes, r.conn.client.config.MaxAnswer)
 		if err != nil {
 			return err
 		}
@@ -75,13 +75,13 @@
 	body := make([]byte, header.BodySize) // at most Config.MaxAnswer: ParseHead has checked it
 	received := copy(body, r.unread)
 	r.unread = r.unread[received:]
-	r.conn.recordProgress(call, body, received)
+	r.conn.publishProgress(call, body, received)
 	for received < len(body) {
 		n, err := r.conn.netConn.Read(body[received:])
 		received += n
 		if n > 0 {
-			r.conn.recordBytes()
-			r.conn.recordProgress(call, body, received)
+			r.conn.reportBytesReceived()
+			r.conn.publishProgress(call, body, received)
 		} else if err != nil {
 			return nil, unexpectedEOF(err)
 		}
@@ -93,7 +93,7 @@
 // readTrailer reads the fields behind a body.
 func (r *responseReader) readTrailer() (rpc.Fields, error) {
 	for {
-		fields, progress, err := rpc.ParseResponseTrailer(r.unread, maxHeader)
+		fields, progress, err := rpc.ParseResponseTrailer(r.unread, maxHeaderBytes)
 		if err != nil {
 			return rpc.Fields{}, err
 		}
--- a/client/request.go
+++ b/client/request.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// maxTag is the longest Request.Have, in bytes.
-const maxTag = 64
+// maxTagBytes is the longest Request.Have, in bytes.
+const maxTagBytes = 64
 
 // Request is a request to the routers. Class is required; the zero value of any other field leaves it out.
 type Request struct {
@@ -77,5 +77,5 @@
 			return false
 		}
 	}
-	return len(tag) <= maxTag
+	return len(tag) <= maxTagBytes
 }
--- a/client/response.go
+++ b/client/response.go
@@ -15,8 +15,8 @@
 // usedID says whether an id was used on the connection. The lock is held.
 func (conn *routerConn) usedID(id uint64) bool { return id > 0 && id <= uint64(conn.lastID) }
 
-// recordBytes reports to the policy that bytes came in.
-func (conn *routerConn) recordBytes() {
+// reportBytesReceived reports to the policy that bytes came in.
+func (conn *routerConn) reportBytesReceived() {
 	c := conn.client
 	c.mu.Lock()
 	if conn.state != connEnded {
@@ -39,8 +39,8 @@
 	return call, nil
 }
 
-// recordProgress publishes to a call with Request.To what has come of its response. The call may be nil.
-func (conn *routerConn) recordProgress(call *pendingCall, body []byte, received int) {
+// publishProgress publishes to a call with Request.To what has come of its response. The call may be nil.
+func (conn *routerConn) publishProgress(call *pendingCall, body []byte, received int) {
 	if call == nil || !call.stream.enabled() {
 		return
 	}
--- a/client/stats.go
+++ b/client/stats.go
@@ -32,14 +32,14 @@
 }
 
 const (
-	longestLatency  = 2 * time.Hour // no request takes longer than an hour
-	latencyAccuracy = 2             // significant figures; some 20 kB a class
+	maxLatency    = 2 * time.Hour // no request takes longer than an hour
+	latencyDigits = 2             // significant figures; some 20 kB a class
 )
 
 func newCounters(classes int) counters {
 	var s counters
 	for range classes {
-		s.served = append(s.served, hdrhistogram.New(1, longestLatency.Microseconds(), latencyAccuracy))
+		s.served = append(s.served, hdrhistogram.New(1, maxLatency.Microseconds(), latencyDigits))
 	}
 	return s
 }
--- a/client/stream_test.go
+++ b/client/stream_test.go
@@ -44,7 +44,7 @@
 
 // What was written to Request.To is not written twice: a call whose response breaks off is retried only where the
 // sink is a Rewinder. A sink that fails ends the call.
-func TestStreamedResponseThatBreaksOff(t *testing.T) {
+func TestBrokenOffStreamIsRetriedOnlyWithRewinder(t *testing.T) {
 	body := bytes.Repeat([]byte("score "), 30_000)
 	var requests atomic.Int64
 	breakOff := make(chan struct{}, 10)
--- a/client/writer.go
+++ b/client/writer.go
@@ -7,8 +7,8 @@
 )
 
 const (
-	// maxBatch is the size of a write, in bytes, from which on no more messages are added to it.
-	maxBatch = 64 << 10
+	// maxBatchBytes is the size of a write, in bytes, from which on no more messages are added to it.
+	maxBatchBytes = 64 << 10
 
 	// requestOverhead is about what a request takes besides its body, in bytes.
 	requestOverhead = 200
@@ -117,12 +117,12 @@
 	c := conn.client
 	c.mu.Lock()
 	defer c.unlock()
-	if conn.state.shutDown() {
+	if conn.state.isClosing() {
 		return buf, false
 	}
 	messages := conn.outbox.messages
 	taken := 0
-	for taken < len(messages) && len(buf) < maxBatch {
+	for taken < len(messages) && len(buf) < maxBatchBytes {
 		buf = conn.appendMessage(buf, messages[taken])
 		taken++
 	}
@@ -156,15 +156,15 @@
 		return buf
 	}
 	conn.outbox.batch = append(conn.outbox.batch, batchedCall{requestID: m.requestID, start: len(buf)})
-	call.txn = c.txns.Uint64()
-	resumes := uint64(0)
+	call.txn = c.txnSource.Uint64()
+	resumedTxn := uint64(0)
 	if call.policyCall.IsClaim() {
-		resumes = call.claimedTxn
+		resumedTxn = call.claimedTxn
 	}
 	return rpc.AppendRequest(buf, uint64(m.requestID), &rpc.Request{
 		Method:        c.classes.list[call.class].name,
 		Txn:           call.txn,
-		ResumedTxn:    resumes,
+		ResumedTxn:    resumedTxn,
 		Account:       c.config.Account,
 		TimeoutMillis: max(limit.Milliseconds(), 1),
 		Retry:         m.retry,
