--- a/client/policy/action.go
+++ b/client/policy/action.go
@@ -3,25 +3,27 @@
 // ActionKind says what an Action asks the caller to do.
 type ActionKind uint8
 
-// The kinds of actions, with the fields of Action that each of them sets.
+// The kinds of actions, with the fields of Action that each of them uses.
 const (
-	// ActionDial: open Conn to Router, then report Connected or DialFailed.
+	// ActionDial asks the caller to open Conn to Router, and then to report Connected or DialFailed.
 	ActionDial ActionKind = iota
-	// ActionCheckHealth: ask on Conn whether Router takes clients, then report HealthReceived.
+	// ActionCheckHealth asks the caller to send a health check on Conn, which asks Router whether it takes clients,
+	// and then to report HealthReceived.
 	ActionCheckHealth
-	// ActionSend: write Call on Conn once PrepareWrite allows it. Retry marks that a router may have seen the call
-	// before.
+	// ActionSend asks the caller to write Call on Conn once PrepareWrite allows it. Retry is set if a router may have
+	// seen the call before.
 	ActionSend
-	// ActionCancel: tell the router on Conn that nobody waits for Call any more. Its response, if one comes, is not
-	// reported.
+	// ActionCancel asks the caller to tell the router on Conn that the response to Call is no longer needed. A
+	// response that still arrives must not be reported.
 	ActionCancel
-	// ActionClose: close Conn. ConnectionClosed must still be reported, with the calls that were in flight on it.
+	// ActionClose asks the caller to close Conn. ConnectionClosed must still be reported, with the calls that were in
+	// flight on Conn.
 	ActionClose
-	// ActionFinish: Call has ended as Outcome says. It is asked for exactly once for each call.
+	// ActionFinish reports that Call has ended with Outcome. It is emitted exactly once for each call.
 	ActionFinish
 )
 
-// Action is something that the caller has to do.
+// Action is an operation that the policy asks the caller to carry out.
 type Action struct {
 	Kind    ActionKind
 	Router  int // index of the router, as given to New
@@ -31,8 +33,8 @@
 	Outcome Outcome
 }
 
-// Actions returns what is to be done since the last call, in order. The slice is valid until the next call of any
-// method of the Policy.
+// Actions returns the actions that were emitted since its last call, in order. The slice is valid until the next call
+// of any method of the Policy.
 func (p *Policy) Actions() []Action {
 	actions := p.actions
 	p.actions = p.actions[:0]
--- a/client/policy/call.go
+++ b/client/policy/call.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// Call is one request of a caller over all its attempts, from StartCall to its one ActionFinish.
+// Call is one request over all its attempts, from StartCall to its only ActionFinish.
 type Call struct {
-	// UserData is the caller's own: the policy does not use it.
+	// UserData belongs to the caller; the policy does not use it.
 	UserData any
 
 	class      int
@@ -13,11 +13,11 @@
 
 	state        callState
 	timer        timer
-	delayedUntil time.Duration // while it is delayed
-	neverSent    bool          // counted in Policy.waiting
+	delayedUntil time.Duration // end of the delay, in state callDelayed
+	neverSent    bool          // the call is counted in Policy.waiting
 
-	attempts    int // written, or about to be
-	moves       int // attempts of which surely not a byte was written; not counted in attempts
+	attempts    int // attempts that were written or are about to be
+	moves       int // attempts of which certainly no byte was written; not counted in attempts
 	lastAttempt attempt
 	retry       retryState
 }
@@ -27,37 +27,38 @@
 
 const (
 	callQueued   callState = iota // waits for a connection with capacity
-	callDelayed                   // waits for a moment: a backoff, or a router's Retry-After
-	callInFlight                  // with a router
+	callDelayed                   // waits for the end of a backoff or of a router's Retry-After
+	callInFlight                  // an attempt is on a connection
 	callEnded
 )
 
-// attempt is the sending of a call to one router.
+// attempt is one attempt of a call at one router.
 type attempt struct {
-	conn    *Conn // while the call is in flight
-	router  int   // -1: no attempt yet
+	conn    *Conn // nil unless the call is in flight
+	router  int   // index of the router; -1: no attempt yet
 	sentAt  time.Duration
-	written bool // bytes of it may have gone out
+	written bool // bytes of the attempt may have been sent
 }
 
-// retryState is what decides whether a call may be sent again.
+// retryState holds what decides whether a call may be sent again.
 type retryState struct {
 	mayHaveRun   bool // an attempt may have taken effect
 	forbidden    bool // part of a response has been handed to the caller
-	crossedClose bool // it was sent again as it had crossed a router's close, which is done once
-	claiming     bool // its router was lost: the next attempt asks another one for the outcome
-	claimed      bool // it has done so once without the retry budget
+	crossedClose bool // the call was sent again because it crossed a router's close; that is done only once
+	claiming     bool // the router was lost: the next attempt asks another router for the outcome
+	claimed      bool // the call has made a claim outside the retry budget, which is done only once
 }
 
 // CallSpec describes a new call.
 type CallSpec struct {
-	Class      int           // index, as given to New
+	Class      int           // index of the class, from 0
 	Idempotent bool          // may be sent again after an attempt that may have run
-	Deadline   time.Duration // when the call ends at the latest
-	UserData   any           // for Call.UserData
+	Deadline   time.Duration // time at which the call ends at the latest
+	UserData   any           // value of Call.UserData
 }
 
-// StartCall takes a new call. It may end at once: shed, too late, or with too many others waiting.
+// StartCall starts a new call. The call may end at once: if it is shed, if too little time is left, or if too many
+// other calls are waiting.
 func (p *Policy) StartCall(now time.Duration, spec CallSpec) *Call {
 	p.now = now
 	call := &Call{
@@ -83,7 +84,7 @@
 	return call
 }
 
-// shedRetryAfter is how long the caller of a call that is shed should stay away.
+// shedRetryAfter returns how long the caller of a shed call should wait before the next call.
 func (p *Policy) shedRetryAfter() time.Duration {
 	wait := p.settings.ProbeEvery
 	if at, ok := p.allRejectingUntil(); ok {
@@ -92,14 +93,14 @@
 	return wait
 }
 
-// CancelCall ends a call whose caller no longer waits. It does nothing for a call that has ended.
+// CancelCall ends a call whose caller no longer waits. It has no effect on a call that has ended.
 func (p *Policy) CancelCall(now time.Duration, call *Call) {
 	p.now = now
 	p.abandon(call, Withdrawn)
 	p.sendQueued()
 }
 
-// abandon ends a call whatever its state, and tells the router that may be working on it.
+// abandon ends a call in any state, and cancels it at the router that may be working on it.
 func (p *Policy) abandon(call *Call, verdict Verdict) {
 	if call.state == callEnded {
 		return
@@ -116,7 +117,7 @@
 	p.finish(call, Outcome{Verdict: verdict})
 }
 
-// uncountAttempt takes back the latest attempt: not a byte of it was written.
+// uncountAttempt removes the last attempt from the counts, because no byte of it was written.
 func (p *Policy) uncountAttempt(call *Call) {
 	call.attempts--
 	p.counts.Tries--
@@ -125,16 +126,16 @@
 	}
 }
 
-// isRetry says whether a router may have seen the call before the attempt that is about to be made.
+// isRetry reports whether a router may have seen the call before the attempt that is about to be made.
 func (call *Call) isRetry() bool { return call.attempts > 0 }
 
-// IsClaim says whether the call's attempt asks for the outcome of the one before it, whose router was lost.
+// IsClaim reports whether the call's attempt asks for the outcome of the previous attempt, whose router was lost.
 func (call *Call) IsClaim() bool { return call.retry.claiming }
 
-// ForbidRetry keeps the call from being sent again, as part of a response has been handed to its caller.
+// ForbidRetry prevents the call from being sent again, because part of a response has been passed to its caller.
 func (call *Call) ForbidRetry() { call.retry.forbidden = true }
 
-// finish ends a call for its caller.
+// finish ends a call and emits its ActionFinish.
 func (p *Policy) finish(call *Call, outcome Outcome) {
 	p.uncountWaiting(call)
 	call.state = callEnded
@@ -144,7 +145,7 @@
 	p.emit(Action{Kind: ActionFinish, Call: call, Outcome: outcome})
 }
 
-// setCallTimer sets a call's timer to its deadline, or to the end of its delay where that comes first.
+// setCallTimer sets a call's timer to its deadline, or to the end of its delay if that is earlier.
 func (p *Policy) setCallTimer(call *Call) {
 	at := call.deadline
 	if call.state == callDelayed {
--- a/client/policy/conn.go
+++ b/client/policy/conn.go
@@ -3,33 +3,34 @@
 import "time"
 
 const (
-	// maxCallsPerConn is how many calls one connection carries in its life: their ids are bounded.
+	// maxCallsPerConn is the maximum number of calls on one connection over its lifetime, because their ids are
+	// bounded.
 	maxCallsPerConn = 1 << 31
 
-	// writeTimeWeight is the weight of the latest write in the moving average of a connection's pace.
+	// writeTimeWeight is the weight of the latest write in the moving average of a connection's write time per byte.
 	writeTimeWeight = 0.3
 )
 
 // Conn is one connection to a router, from its ActionDial to DialFailed or ConnectionClosed.
 type Conn struct {
-	// UserData is the caller's own: the policy does not use it.
+	// UserData belongs to the caller; the policy does not use it.
 	UserData any
 
 	router           *router
 	state            connState
 	timer            timer
-	inFlight         int    // calls
-	totalCalls       uint64 // calls in all
-	writeTimePerByte float64
+	inFlight         int           // number of calls
+	totalCalls       uint64        // calls sent over its lifetime
+	writeTimePerByte float64       // moving average, in nanoseconds
 	lastUsed         time.Duration // when a call was last added or removed
-	silentSince      time.Duration // when bytes last came, or the connection began to owe a response
-	idleBefore       time.Duration // how long it had been idle before the calls that are in flight now
+	silentSince      time.Duration // when bytes were last received, or when the connection began to owe a response
+	idleBefore       time.Duration // how long the connection was idle before the calls that are in flight now
 	health           healthCheck
 }
 
-// healthCheck is the state of a connection's health checks.
+// healthCheck holds the state of a connection's health checks.
 type healthCheck struct {
-	pendingSince time.Duration // when the check that is not answered was sent; 0: there is none
+	pendingSince time.Duration // when the unanswered check was sent; 0: no check is pending
 	lastSent     time.Duration
 }
 
@@ -38,9 +39,9 @@
 
 const (
 	connDialing  connState = iota
-	connChecking           // up, and waits for the response to its first health check
+	connChecking           // connected; waits for the response to its first health check
 	connReady              // takes calls
-	connDraining           // takes no new calls, and is closed once none is in flight
+	connDraining           // takes no new calls; closed once no call is in flight
 	connClosed
 )
 
@@ -49,7 +50,7 @@
 
 func (conn *Conn) addCall(p *Policy) {
 	conn.inFlight++
-	if conn.inFlight == 1 { // it owed no response: its silence begins now
+	if conn.inFlight == 1 { // the connection owed no response before: its silence begins now
 		conn.silentSince, conn.idleBefore = p.now, p.now-conn.lastUsed
 		p.setConnTimer(conn)
 	}
@@ -63,7 +64,8 @@
 	conn.lastUsed = now
 }
 
-// WriteCompleted reports how long a write of so many bytes took. The time of later writes is expected from it.
+// WriteCompleted reports how long a write of the given number of bytes took. The expected time of later writes is
+// derived from it.
 func (conn *Conn) WriteCompleted(bytes int, took time.Duration) {
 	if bytes > 0 {
 		conn.writeTimePerByte += writeTimeWeight * (float64(took)/float64(bytes) - conn.writeTimePerByte)
@@ -83,8 +85,8 @@
 	}
 }
 
-// lacksCapacity says whether all connections to a router are nearly full, no other is on its way, and one more is
-// allowed.
+// lacksCapacity reports whether all ready connections to a router are nearly full, no other connection is being set
+// up, and one more is allowed.
 func (p *Policy) lacksCapacity(r *router) bool {
 	active := 0
 	for _, conn := range r.conns {
@@ -110,7 +112,8 @@
 	p.emit(Action{Kind: ActionDial, Conn: conn, Router: r.index})
 }
 
-// Connected reports that a connection is up. Its first health check must be answered before it gets calls.
+// Connected reports that a connection is up. Its first health check must be answered before the connection gets
+// calls.
 func (p *Policy) Connected(now time.Duration, conn *Conn) {
 	p.now = now
 	if conn.state != connDialing {
@@ -120,7 +123,7 @@
 	p.checkHealth(conn)
 }
 
-// DialFailed reports that a connection did not come up.
+// DialFailed reports that a dial failed.
 func (p *Policy) DialFailed(now time.Duration, conn *Conn) {
 	p.now = now
 	if conn.state != connDialing {
@@ -131,8 +134,8 @@
 	p.sendQueued()
 }
 
-// updateConnState drains a connection that has carried all the calls that it may, closes one that has drained, and makes
-// sure that a ready one has its timer.
+// updateConnState starts to drain a connection that has carried maxCallsPerConn calls, closes a connection that has
+// drained, and ensures that the timer of a ready connection is set.
 func (p *Policy) updateConnState(conn *Conn) {
 	switch {
 	case conn.state == connDraining && conn.inFlight == 0:
@@ -144,7 +147,7 @@
 	}
 }
 
-// closeConn closes a connection. What is in flight on it is reported by ConnectionClosed.
+// closeConn closes a connection. The calls in flight on it are reported by ConnectionClosed.
 func (p *Policy) closeConn(conn *Conn) {
 	if conn.state == connClosed {
 		return
@@ -165,8 +168,8 @@
 	}
 }
 
-// setConnTimer sets when a connection is looked at next. A moment that has moved on since is noticed then: moving the
-// timer with each call would cost more.
+// setConnTimer sets the time at which a connection is examined next. If the due time has been postponed by then,
+// timerDue sets the timer again: moving the timer with each call would cost more.
 func (p *Policy) setConnTimer(conn *Conn) {
 	at := conn.lastUsed + p.settings.Idle
 	switch {
--- a/client/policy/connclose.go
+++ b/client/policy/connclose.go
@@ -2,19 +2,19 @@
 
 import "time"
 
-// idleCloseThreshold is how long a connection is without calls until its end says nothing of its router.
+// idleCloseThreshold is the idle time from which on the end of a connection says nothing about its router.
 const idleCloseThreshold = time.Second
 
-// connEnd is what the end of a connection says of its router.
+// connEnd describes what the end of a connection says about its router.
 type connEnd struct {
-	byRouter     bool // the client had not asked for it
-	crossedClose bool // the router closed an idle connection, and all calls in flight were written just before
-	spreadDial   bool // the connection was in use: other clients lost theirs too, and come back at the same time
+	byRouter     bool // the client had not closed the connection
+	crossedClose bool // the router closed an idle connection just after all calls in flight were written
+	spreadDial   bool // the next dial is delayed at random: other clients lost connections in use too, and reconnect
 }
 
-// ConnectionClosed reports that a connection has ended: by the router, through a fault, or as ActionClose asked.
-// Unsent lists the calls in flight of which surely not one byte was written, lost all others. It must be reported
-// once.
+// ConnectionClosed reports that a connection has ended: closed by the router, broken by a fault, or closed because of
+// ActionClose. Unsent lists the calls in flight of which certainly no byte was written, lost lists all other calls in
+// flight. The end of a connection must be reported once.
 func (p *Policy) ConnectionClosed(now time.Duration, conn *Conn, unsent, lost []*Call) {
 	p.now = now
 	end := p.classifyConnEnd(conn, lost)
@@ -40,7 +40,7 @@
 	p.sendQueued()
 }
 
-// classifyConnEnd tells the kinds of ends apart, before the connection's state is changed.
+// classifyConnEnd returns the kind of a connection's end. It must be called before the connection's state changes.
 func (p *Policy) classifyConnEnd(conn *Conn, lost []*Call) connEnd {
 	if conn.state == connClosed {
 		return connEnd{}
@@ -55,7 +55,8 @@
 	return end
 }
 
-// allWrittenRecently says whether all of these calls were written so shortly ago that the router may not have seen them.
+// allWrittenRecently reports whether all of the calls were written so recently that the router may not have seen
+// them.
 func (p *Policy) allWrittenRecently(calls []*Call) bool {
 	for _, call := range calls {
 		if p.now-call.lastAttempt.sentAt > p.settings.Crossing {
--- a/client/policy/dispatch.go
+++ b/client/policy/dispatch.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// dispatch sends a call, keeps it until it can be sent, or ends it where that moment comes too late.
+// dispatch sends a call, holds it until it can be sent, or ends it if that would be too late.
 func (p *Policy) dispatch(call *Call) {
 	latestStart := call.deadline - p.minServiceTime(call)
 	if p.now > latestStart {
@@ -16,7 +16,7 @@
 	}
 	at, verdict := p.nextCapacity()
 	rejecting := at > p.now && verdict == Refused
-	if rejecting { // spread the calls, or all of them come at the moment that the routers named
+	if rejecting { // spread the calls: otherwise all would be sent at the time that the routers named
 		at += time.Duration(p.random.Float64() * float64(max(p.settings.BackoffBase, (at-p.now)/2)))
 	}
 	switch {
@@ -31,7 +31,7 @@
 	}
 }
 
-// holdCall keeps a call in a state in which it is with no router.
+// holdCall puts a call into a state in which it waits and is not at a router.
 func (p *Policy) holdCall(call *Call, state callState) {
 	if !call.neverSent && call.attempts == 0 {
 		call.neverSent = true
@@ -41,7 +41,7 @@
 	p.setCallTimer(call)
 }
 
-// uncountWaiting takes a call off those that were never sent.
+// uncountWaiting removes a call from the count of calls that were never sent.
 func (p *Policy) uncountWaiting(call *Call) {
 	if call.neverSent {
 		call.neverSent = false
@@ -66,7 +66,7 @@
 	p.emit(Action{Kind: ActionSend, Call: call, Conn: conn, Router: conn.router.index, Retry: isRetry})
 }
 
-// detach takes a call off its connection.
+// detach removes a call from its connection.
 func (p *Policy) detach(call *Call) {
 	conn := call.lastAttempt.conn
 	call.lastAttempt.conn, call.state = nil, callDelayed
@@ -74,7 +74,7 @@
 	p.updateConnState(conn)
 }
 
-// sendQueued sends what is queued, in order, for as long as there is capacity.
+// sendQueued sends queued calls, in order, while there is capacity.
 func (p *Policy) sendQueued() {
 	for len(p.queue) > 0 {
 		if call := p.queue[0]; call.state == callQueued {
@@ -88,17 +88,17 @@
 			p.dropQueueHead()
 		}
 	}
-	if cap(p.queue) > 4*p.settings.Waiting { // what a burst has left behind
+	if cap(p.queue) > 4*p.settings.Waiting { // release the memory that a burst of calls took
 		p.queue = nil
 	}
 }
 
 func (p *Policy) dropQueueHead() {
-	p.queue[0] = nil // or the array would keep the call
+	p.queue[0] = nil // otherwise the array would keep the call reachable
 	p.queue = p.queue[1:]
 }
 
-// redispatchQueued decides anew on each queued call: what it waited for may come too late now.
+// redispatchQueued dispatches each queued call again: the capacity that it waits for may now come too late.
 func (p *Policy) redispatchQueued() {
 	queued := p.queue
 	p.queue = nil
@@ -109,7 +109,7 @@
 	}
 }
 
-// anyQueued says whether a call waits for capacity.
+// anyQueued reports whether a call waits for capacity.
 func (p *Policy) anyQueued() bool {
 	for _, call := range p.queue {
 		if call.state == callQueued {
@@ -119,9 +119,9 @@
 	return false
 }
 
-// PrepareWrite must be called right before a call that ActionSend asked for is written. With ok it counts as
-// written, and limit is the time limit to send to the router with it. Without ok the call has ended, or
-// ends now as too little time is left, and must not be written. Bytes is the size of the write up to and with this
+// PrepareWrite must be called right before the call of an ActionSend is written. If ok is true, the call counts as
+// written, and limit is the time limit to send to the router with it. If ok is false, the call has ended, or ends now
+// because too little time is left, and must not be written. Bytes is the size of the write up to and including this
 // call.
 func (p *Policy) PrepareWrite(now time.Duration, call *Call, bytes int) (limit time.Duration, ok bool) {
 	p.now = now
--- a/client/policy/health.go
+++ b/client/policy/health.go
@@ -2,19 +2,20 @@
 
 import "time"
 
-// checkHealth asks a router whether it takes clients.
+// checkHealth sends a health check, which asks a router whether it takes clients.
 func (p *Policy) checkHealth(conn *Conn) {
 	conn.health = healthCheck{pendingSince: p.now, lastSent: p.now}
 	p.emit(Action{Kind: ActionCheckHealth, Conn: conn, Router: conn.router.index})
 	p.setConnTimer(conn)
 }
 
-// nextHealthCheck is when a connection in use is checked: at even intervals, and sooner where it falls silent.
+// nextHealthCheck returns when a connection in use is checked next: at regular intervals, and earlier if it is
+// silent.
 func (p *Policy) nextHealthCheck(conn *Conn) time.Duration {
 	return min(conn.silentSince+p.settings.Quiet, conn.health.lastSent+p.settings.CheckEvery)
 }
 
-// HealthReceived reports the response to a health check: whether the router takes clients.
+// HealthReceived reports the response to a health check. Ready is true if the router takes clients.
 func (p *Policy) HealthReceived(now time.Duration, conn *Conn, ready bool) {
 	p.now = now
 	conn.silentSince, conn.health.pendingSince = now, 0
@@ -33,8 +34,8 @@
 	p.sendQueued()
 }
 
-// BytesReceived reports that bytes came in. Where a connection is in use they count as the response to a health
-// check: the router is there.
+// BytesReceived reports that bytes were received. Unless the connection waits for its first health check, they count
+// as the response to a pending health check, because they show that the router is alive.
 func (p *Policy) BytesReceived(now time.Duration, conn *Conn) {
 	conn.silentSince = now
 	if conn.state != connChecking {
@@ -50,10 +51,11 @@
 	p.backOffDial(conn.router)
 }
 
-// drainRouter leaves a router that takes no clients: what is in flight goes on, and the router is dialed again later.
+// drainRouter stops sending calls to a router that takes no clients. Calls in flight continue, and the router is
+// dialed again later.
 func (p *Policy) drainRouter(r *router) {
 	p.counts.Drains++
-	for _, conn := range append([]*Conn(nil), r.conns...) { // a copy: reviewConn removes those that it closes
+	for _, conn := range append([]*Conn(nil), r.conns...) { // a copy: updateConnState removes closed connections
 		if conn.state == connReady || conn.state == connChecking {
 			conn.state = connDraining
 			p.updateConnState(conn)
--- a/client/policy/outlier.go
+++ b/client/policy/outlier.go
@@ -3,22 +3,22 @@
 import "time"
 
 const (
-	// maxEjectionDoublings bounds how often the span of a router's ejections is doubled.
+	// maxEjectionDoublings bounds how often the length of a router's ejections is doubled.
 	maxEjectionDoublings = 16
 
-	// ejectionResetFactor is how many times EjectFor a router has to do well after an ejection until the next one is
-	// short again.
+	// ejectionResetFactor is the time after an ejection, in multiples of EjectFor, from which on a success makes the
+	// router's next ejection short again.
 	ejectionResetFactor = 4
 )
 
-// outlierState is the outlier detection of one router.
+// outlierState holds the outlier detection state of one router.
 type outlierState struct {
-	failures        int // in a row
+	failures        int // consecutive failures
 	ejectedUntil    time.Duration
-	recentEjections int // that make the next one longer
+	recentEjections int // ejections that make the next one longer
 }
 
-// recordSuccess counts a response that shows a router at work.
+// recordSuccess records a response that shows that a router works.
 func (p *Policy) recordSuccess(r *router) {
 	r.outlier.failures = 0
 	if r.outlier.recentEjections > 0 && p.now > r.outlier.ejectedUntil+ejectionResetFactor*p.settings.EjectFor {
@@ -26,7 +26,7 @@
 	}
 }
 
-// recordFailure counts a fault of a router, and ejects it after some in a row.
+// recordFailure counts a failure of a router, and ejects the router after Settings.EjectAfter consecutive failures.
 func (p *Policy) recordFailure(r *router) {
 	r.outlier.failures++
 	if r.outlier.failures >= p.settings.EjectAfter && p.now >= r.outlier.ejectedUntil && p.mayEject() {
@@ -34,13 +34,13 @@
 	}
 }
 
-// recordTimeout counts that a router did not answer within the time limit that was sent with the call.
+// recordTimeout records that a router did not respond within the time limit that was sent with the call.
 func (p *Policy) recordTimeout(r *router) {
 	r.recordSuccessRate(0)
 	p.recordFailure(r)
 }
 
-// mayEject says whether one more router may be ejected. Where too many fail, none of them is an outlier.
+// mayEject reports whether one more router may be ejected. If too many routers fail, none of them is an outlier.
 func (p *Policy) mayEject() bool {
 	ejected := 1
 	for _, r := range p.routers {
@@ -51,10 +51,10 @@
 	return float64(ejected) <= p.settings.EjectShare*float64(len(p.routers))
 }
 
-// eject keeps a router from getting calls for a time that doubles with each ejection.
+// eject excludes a router from getting calls for a time that doubles with each ejection.
 func (p *Policy) eject(r *router) {
 	o := &r.outlier
-	o.failures = p.settings.EjectAfter - 1 // the first failure after the ejection counts in full
+	o.failures = p.settings.EjectAfter - 1 // a single failure after the ejection ejects the router again
 	span := min(p.settings.EjectMost, p.settings.EjectFor<<min(o.recentEjections, maxEjectionDoublings))
 	o.recentEjections++
 	o.ejectedUntil = p.now + time.Duration((0.75+0.5*p.random.Float64())*float64(span))
--- a/client/policy/policy.go
+++ b/client/policy/policy.go
@@ -1,13 +1,13 @@
-// Package policy decides for a client of edge routers: which router gets a request, whether and when it is retried,
-// when it is shed before it is sent, and when connections are opened, checked and closed.
+// Package policy makes the decisions of a client of edge routers: which router gets a request, whether and when it is
+// retried, whether it is shed before it is sent, and when connections are opened, health-checked and closed.
 //
-// It is a state machine without I/O, clock or global randomness. The caller reports events through the methods of
-// Policy, each with the time at which it happened, and after each of them does what Actions returns. Times are
-// durations since any fixed moment, must be above 0 and never go back. Random numbers come from Settings.Seed:
-// equal events lead to equal actions.
+// The package is a state machine without I/O, a clock or global randomness. The caller reports each event through a
+// method of Policy, with the time of the event, and then carries out the actions that Actions returns. Times are
+// durations since any fixed moment; they must be above 0 and must never decrease. Random numbers are derived from
+// Settings.Seed, so equal events lead to equal actions.
 //
-// A Policy, its calls and its connections are not safe for concurrent use: the caller holds one lock around an
-// event and the actions that follow from it.
+// A Policy, its calls and its connections are not safe for concurrent use: the caller must hold one lock while it
+// reports an event and carries out the resulting actions.
 package policy
 
 import (
@@ -19,21 +19,21 @@
 type Policy struct {
 	settings Settings
 	random   *rand.Rand
-	now      time.Duration // of the latest event
+	now      time.Duration // time of the latest event
 	routers  []*router
-	queue    []*Call // waiting for capacity, in order; calls that have ended are skipped when they are reached
-	waiting  int     // calls that were never sent, in the queue or delayed
+	queue    []*Call // calls that wait for capacity, in FIFO order; ended calls are skipped once they reach the head
+	waiting  int     // calls that were never sent, whether queued or delayed
 	timers   timerHeap
 	budget   retryBudget
 	throttle throttle
 	latency  float64       // moving average over all routers, in seconds
-	classes  []serviceTime // by class
+	classes  []serviceTime // indexed by class
 	actions  []Action
 	counts   Counts
 }
 
-// New returns the policy of a client that knows the given number of routers and classes of requests. Both are named
-// by their index from 0. The settings must have passed Settings.Check.
+// New returns the policy of a client with the given numbers of routers and of request classes. Routers and classes
+// are identified by their indexes, which start at 0. The settings must have passed Settings.Check.
 func New(settings Settings, routers, classes int) *Policy {
 	const pcgStream = 0x9e3779b97f4a7c15
 	p := &Policy{
@@ -59,7 +59,7 @@
 // Waiting returns how many calls have not been sent yet.
 func (p *Policy) Waiting() int { return p.waiting }
 
-// NextTick returns when Tick has to be called at the latest; ok is false where nothing is due at any time.
+// NextTick returns the time by which Tick must be called; ok is false if no timer is set.
 func (p *Policy) NextTick() (at time.Duration, ok bool) {
 	if len(p.timers) == 0 {
 		return 0, false
@@ -67,7 +67,7 @@
 	return p.timers[0].at, true
 }
 
-// Tick does what is due by now. A call before the time of NextTick does no harm.
+// Tick handles the timers that are due by now. It may be called before the time that NextTick returns.
 func (p *Policy) Tick(now time.Duration) {
 	p.now = now
 	for len(p.timers) > 0 && p.timers[0].at <= now {
@@ -76,7 +76,7 @@
 	p.sendQueued()
 }
 
-// CloseAll closes all connections. All calls must have ended, and none may be started after it.
+// CloseAll closes all connections. All calls must have ended, and no call may be started afterwards.
 func (p *Policy) CloseAll(now time.Duration) {
 	p.now = now
 	for _, r := range p.routers {
--- a/client/policy/reconnect.go
+++ b/client/policy/reconnect.go
@@ -3,19 +3,19 @@
 import "time"
 
 const (
-	// initialDialBackoff is the longest wait after the first failed dial to a router that was never up.
+	// initialDialBackoff is the longest wait after the first failed dial to a router that was never connected.
 	initialDialBackoff = 100 * time.Millisecond
 
-	// maxDialDoublings bounds how often it is doubled.
+	// maxDialDoublings bounds how often initialDialBackoff is doubled.
 	maxDialDoublings = 10
 )
 
-// dialState is what is known of the connecting to one router.
+// dialState holds the state of dialing one router.
 type dialState struct {
-	notBefore      time.Duration // no connection is opened before
-	failures       int           // in a row
+	notBefore      time.Duration // no connection is opened before this time
+	failures       int           // consecutive failures
 	everConnected  bool
-	connectionLost bool // the last connection broke: the next that comes up is a reconnect
+	connectionLost bool // the last connection broke: the next one that comes up is a reconnect
 }
 
 // recordConnected records that a router answered the first health check of a connection.
@@ -27,8 +27,9 @@
 	}
 }
 
-// backOffDial sets when the next connection to a router is opened, unless another one is ready. The clients of a
-// router that restarts must not all come back together; one that was never up is dialed again sooner at first.
+// backOffDial sets when the next connection to a router is opened, unless another connection is ready. The wait is
+// random, because the clients of a restarted router must not all reconnect at the same time. A router that was never
+// connected is dialed again sooner at first.
 func (p *Policy) backOffDial(r *router) {
 	for _, conn := range r.conns {
 		if conn.state == connReady {
--- a/client/policy/response.go
+++ b/client/policy/response.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// ResponseReceived reports a router's response to a call that is in flight. RetryAfter is how long clients are to
-// stay away, which a router may send with a rejection; 0 where it sent none. It does nothing for a call that is not
-// in flight.
+// ResponseReceived reports a router's response to a call that is in flight. RetryAfter is the time for which clients
+// must not send, which a router may return with a rejection; 0 if it returned none. ResponseReceived does nothing for
+// a call that is not in flight.
 func (p *Policy) ResponseReceived(now time.Duration, call *Call, result Result, retryAfter time.Duration) {
 	p.now = now
 	if call.state != callInFlight {
@@ -31,11 +31,11 @@
 		p.recordSuccess(r)
 		p.finish(call, Outcome{Verdict: Failed})
 	case ResultRejected:
-		p.recordSuccess(r) // a router that can reject is no outlier
+		p.recordSuccess(r) // a router that rejects is not an outlier
 		r.rejectsUntil = max(r.rejectsUntil, now+min(retryAfter, p.settings.LongestWait))
 		p.retryOrFinish(call, Outcome{Verdict: Refused, RetryAfter: retryAfter})
 	case ResultFailed:
-		if !call.retry.claiming { // a claim that finds no outcome is no fault of the router that was asked
+		if !call.retry.claiming { // a claim that finds no outcome is not a fault of the router that was asked
 			p.recordFailure(r)
 		}
 		call.retry.mayHaveRun, call.retry.claiming = true, false
--- a/client/policy/retry.go
+++ b/client/policy/retry.go
@@ -22,7 +22,7 @@
 	}
 }
 
-// mayRetry says whether the call may be sent once more as far as its attempts up to now go.
+// mayRetry reports whether the previous attempts of the call allow another one.
 func (p *Policy) mayRetry(call *Call) bool {
 	if call.retry.forbidden || call.attempts >= p.settings.Tries {
 		return false
@@ -36,13 +36,14 @@
 	return time.Duration(p.random.Float64() * float64(longest))
 }
 
-// delay has a call dispatched again after a wait.
+// delay schedules a call to be dispatched again after a wait.
 func (p *Policy) delay(call *Call, wait time.Duration) {
 	call.state, call.delayedUntil = callDelayed, p.now+wait
 	p.setCallTimer(call)
 }
 
-// redispatchUnsent sends a call elsewhere of which not a byte was written: no router has seen it.
+// redispatchUnsent dispatches a call again whose last attempt no router has seen, because no byte of it was written.
+// The call ends if this happens too often.
 func (p *Policy) redispatchUnsent(call *Call) {
 	p.uncountAttempt(call)
 	call.moves++
@@ -54,9 +55,9 @@
 	p.dispatch(call)
 }
 
-// recoverLost handles an attempt that got no response, or none that can be read. An idempotent call that crossed the
-// router's close is sent again once, at once and outside the budget: the router closed an idle
-// connection, which is no fault.
+// recoverLost handles an attempt that got no response or a malformed one. An idempotent call that crossed a router's
+// close is sent again immediately and without using the retry budget, but only once: the router closed an idle
+// connection, which is not a fault.
 func (p *Policy) recoverLost(call *Call, crossedClose bool) {
 	call.retry.mayHaveRun = true
 	call.retry.claiming = p.settings.Claims && !call.idempotent && !call.retry.forbidden
--- a/client/policy/retrybudget.go
+++ b/client/policy/retrybudget.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// retryBudget bounds the retries of all calls together, to a ratio of the first attempts of a sliding window and a
-// small floor. Without it the retries of all calls would multiply the load on routers that are overloaded already.
+// retryBudget bounds the retries of all calls in a sliding window to a ratio of the first attempts in the window plus
+// a small floor. Without it, the retries of all calls would multiply the load on routers that are already overloaded.
 type retryBudget struct {
 	ratio, floor           float64
 	firstAttempts, retries slidingSum
@@ -11,7 +11,7 @@
 
 func (b *retryBudget) recordFirstAttempt(now time.Duration) { b.firstAttempts.add(now, 1) }
 
-// take spends one retry; false where the budget has none left.
+// take uses one retry of the budget. It returns false if none is left.
 func (b *retryBudget) take(now time.Duration) bool {
 	if b.retries.sum(now)+1 > b.floor+b.ratio*b.firstAttempts.sum(now) {
 		return false
--- a/client/policy/router.go
+++ b/client/policy/router.go
@@ -6,45 +6,45 @@
 )
 
 const (
-	// loadDecayTime is the time constant with which what was seen of a router fades.
+	// loadDecayTime is the time constant with which a router's load estimate decays.
 	loadDecayTime = 2 * time.Second
 
-	// Weights of the latest sample in moving averages. A slower response counts sooner than a quicker one.
+	// Weights of the latest sample in moving averages. A slower response has more weight than a quicker one.
 	slowerWeight        = 0.3
 	quickerWeight       = 0.1
 	successRateWeight   = 0.1
 	routerLatencyWeight = 0.05
 
-	// Bounds of a router's expected cost, so that no router's is zero or infinite.
+	// Lower bounds that keep a router's expected cost above zero and finite.
 	minLatency     = 1e-4 // seconds
 	minSuccessRate = 0.02
 )
 
-// router is what is known of one router.
+// router holds the state of one router.
 type router struct {
 	index        int
 	conns        []*Conn
 	inFlight     int // calls on its connections
 	load         loadEstimate
-	rejectsUntil time.Duration // from its Retry-After: it gets no call before
+	rejectsUntil time.Duration // end of its Retry-After: the router gets no calls before
 	outlier      outlierState
 	dial         dialState
 	timer        timer
 }
 
-// loadEstimate is what a router's responses tell of its load.
+// loadEstimate is the load of a router as estimated from its responses.
 type loadEstimate struct {
-	latency      float64 // moving average of the responses that served, in seconds; 0: not known
-	successRate  float64 // share of its responses that served, a moving average from 0 to 1
+	latency      float64 // moving average over served and invalid requests, in seconds; 0: unknown
+	successRate  float64 // moving average of the share of served and invalid requests, from 0 to 1
 	lastResponse time.Duration
 }
 
-// usable says whether the router may get calls now.
+// usable reports whether the router may get calls now.
 func (r *router) usable(now time.Duration) bool {
 	return now >= r.outlier.ejectedUntil && now >= r.rejectsUntil
 }
 
-// leastLoaded returns the connection with the fewest calls in flight that has capacity, or nil.
+// leastLoaded returns the ready connection with the fewest calls in flight among those below capacity, or nil.
 func (r *router) leastLoaded(capacity int) *Conn {
 	var best *Conn
 	for _, conn := range r.conns {
@@ -55,7 +55,7 @@
 	return best
 }
 
-// recordResponse takes the time and the kind of a response.
+// recordResponse updates the load estimate with the time that a response took and its result.
 func (r *router) recordResponse(now, took time.Duration, result Result) {
 	r.load.lastResponse = now
 	if result != ResultServed && result != ResultInvalid {
@@ -77,9 +77,9 @@
 	r.load.successRate += successRateWeight * (sample - r.load.successRate)
 }
 
-// expectedCost is the lower the sooner a call is expected to be served there. A router that rejects does so
-// quickly: its responses count as slower the fewer of them serve. What was seen of a router fades, so that it is
-// tried again; where nothing is known the average over all routers is expected.
+// expectedCost returns the expected cost of a call at a router, which is lower the sooner the call is likely to be
+// served. A router that rejects responds quickly, so its responses count as slower the fewer calls it serves. The
+// estimate decays so that the router is tried again; without an estimate the average over all routers is used.
 func (p *Policy) expectedCost(r *router) float64 {
 	confidence := math.Exp(-(p.now - r.load.lastResponse).Seconds() / loadDecayTime.Seconds())
 	latency := p.latency
--- a/client/policy/selection.go
+++ b/client/policy/selection.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// pickConn chooses the connection for a call: the better of two random routers that have capacity (power of two
-// choices). A retry goes to another router than the attempt before it where there is one. It returns nil where no
-// router has capacity.
+// pickConn returns the connection for a call: that of the router with the lower expected cost out of two random
+// routers with capacity (power of two choices). A retry goes to a router other than that of the previous attempt if
+// there is one. It returns nil if no router has capacity.
 func (p *Policy) pickConn(call *Call) *Conn {
 	pair := pairSampler{random: p.random}
 	var previous *Conn
@@ -34,8 +34,8 @@
 	return pair.first
 }
 
-// pairSampler draws two of the connections that it is offered, each pair as likely as any other (reservoir
-// sampling): it needs no list of them.
+// pairSampler draws two of the connections that it is offered by reservoir sampling: each pair is equally likely, and
+// no list of the connections is needed.
 type pairSampler struct {
 	random        *rand.Rand
 	first, second *Conn
@@ -59,8 +59,9 @@
 	}
 }
 
-// nextCapacity returns when a call that finds no capacity now may find some, and the verdict with which it ends if
-// that is too late. The time is now where calls in flight or a connection on its way may make room at any moment.
+// nextCapacity returns the time from which a call that finds no capacity now may find some, and the verdict of the
+// call if that is too late. The time is now if calls in flight or a connection that is being set up may provide
+// capacity at any moment.
 func (p *Policy) nextCapacity() (at time.Duration, verdict Verdict) {
 	if at, all := p.allRejectingUntil(); all {
 		return at, Refused
@@ -81,8 +82,8 @@
 	return at, Unreachable
 }
 
-// allRejectingUntil says whether all routers that can be reached have sent a Retry-After that holds, and when the
-// first of them takes calls again.
+// allRejectingUntil reports whether all reachable routers have sent a Retry-After that has not expired, and when the
+// first of them takes calls again. It returns false if no router is reachable.
 func (p *Policy) allRejectingUntil() (at time.Duration, all bool) {
 	for _, r := range p.routers {
 		notReachable := len(r.conns) == 0 && p.now < r.dial.notBefore || p.now < r.outlier.ejectedUntil
--- a/client/policy/servicetime.go
+++ b/client/policy/servicetime.go
@@ -4,14 +4,14 @@
 
 const serviceTimePeriod = 10 * time.Second
 
-// serviceTime is the quickest that requests of a class were served in the current period and the one before it. An
-// attempt with less time left than that can't succeed, and is not made.
+// serviceTime holds the shortest times in which a request of a class was served, in the current period and in the one
+// before it. An attempt with less time left can't succeed and is not made.
 type serviceTime struct {
-	current, previous time.Duration // 0: none was served
+	current, previous time.Duration // 0: no request was served
 	periodEnd         time.Duration
 }
 
-// advance begins a new period where the current one is over.
+// advance begins a new period if the current one is over.
 func (s *serviceTime) advance(now time.Duration) {
 	if now < s.periodEnd {
 		return
@@ -30,7 +30,7 @@
 	}
 }
 
-// minimum returns the least time in which a request may be served, and at least the given floor.
+// minimum returns the shortest time in which a request was served recently, but at least the given floor.
 func (s *serviceTime) minimum(now, floor time.Duration) time.Duration {
 	s.advance(now)
 	shortest := s.current
@@ -40,7 +40,7 @@
 	return max(shortest, floor)
 }
 
-// minServiceTime is the least time that an attempt of the call needs.
+// minServiceTime returns the least time that an attempt of the call needs.
 func (p *Policy) minServiceTime(call *Call) time.Duration {
 	return p.classes[call.class].minimum(p.now, p.settings.LeastTime)
 }
--- a/client/policy/settings.go
+++ b/client/policy/settings.go
@@ -5,54 +5,55 @@
 	"time"
 )
 
-// Settings are the limits and times of a client. Start from Defaults: the zero value is not valid. A time is above
-// 0 and at most an hour.
+// Settings holds the limits and durations of a client. Start from Defaults: the zero value is not valid. Each
+// duration must be above 0 and at most one hour.
 type Settings struct {
-	// Seed is the seed of all random numbers. Clients must differ in it, or they act at the same moments.
+	// Seed seeds all random numbers. Each client needs its own seed: clients with equal seeds act at the same
+	// moments.
 	Seed uint64
 
 	// Retries.
-	Tries       int           // attempts of a call, at most
-	RetryShare  float64       // retry budget: retries allowed for each first attempt in RetryWindow
-	RetryFloor  float64       // retry budget: retries allowed besides in RetryWindow
+	Tries       int           // maximum number of attempts of a call
+	RetryShare  float64       // retry budget: retries allowed per first attempt in RetryWindow
+	RetryFloor  float64       // retry budget: additional retries allowed in RetryWindow
 	RetryWindow time.Duration // sliding window of the retry budget
-	BackoffBase time.Duration // longest backoff before the first retry; doubled with each further one
+	BackoffBase time.Duration // longest backoff before the first retry; doubled with each further retry
 	BackoffMost time.Duration // longest backoff before any retry
-	LongestWait time.Duration // longest Retry-After that a router's rejection may ask for
-	LeastTime   time.Duration // an attempt with less time left is not made
+	LongestWait time.Duration // longest Retry-After of a router that is honored; a longer one is cut to it
+	LeastTime   time.Duration // no attempt is made with less time left
 
 	// Connections.
-	OpenPerConn    int           // calls in flight on a connection, at most
-	ConnsPerRouter int           // connections to a router, at most
-	Waiting        int           // calls that were never sent, at most
-	Idle           time.Duration // a connection without calls is closed after it; routers close theirs later
-	Crossing       time.Duration // a call written so shortly before a router's close may have crossed it
-	DialWait       time.Duration // time limit of a dial
-	CheckWait      time.Duration // time limit of a health check
+	OpenPerConn    int           // maximum number of calls in flight on a connection
+	ConnsPerRouter int           // maximum number of connections to a router
+	Waiting        int           // maximum number of calls that were never sent
+	Idle           time.Duration // a connection without calls is closed after this time; routers close theirs later
+	Crossing       time.Duration // a call written at most this long before a router's close may have crossed it
+	DialWait       time.Duration // timeout of a dial
+	CheckWait      time.Duration // timeout of a health check
 	CheckEvery     time.Duration // interval of health checks on a connection in use
-	Quiet          time.Duration // a connection that owes responses and is silent for so long is checked
+	Quiet          time.Duration // a connection that owes responses and is silent for this long is health-checked
 	Reconnect      time.Duration // span over which reconnects after a break are spread
 
 	// Outlier ejection.
-	EjectAfter int           // failures in a row that eject a router
-	EjectFor   time.Duration // how long the first ejection lasts, give or take a quarter; doubled with each further one
-	EjectMost  time.Duration // how long any ejection lasts, give or take a quarter
-	EjectShare float64       // of the routers that may be ejected at a time, from 0 to 1
+	EjectAfter int           // consecutive failures that eject a router
+	EjectFor   time.Duration // length of the first ejection, plus or minus a quarter; doubled with each further ejection
+	EjectMost  time.Duration // longest ejection, plus or minus a quarter
+	EjectShare float64       // largest share of the routers that may be ejected at the same time, from 0 to 1
 
-	// Claims has a call that is not idempotent, and whose router was lost, ask another router for its outcome. That
-	// one asks the others, and runs the request only if it surely never ran. All routers must be configured to keep
-	// orders for each other.
+	// Claims lets a call that is not idempotent and whose router was lost ask another router for its outcome. That
+	// router asks the others, and runs the request only if it is certain that the request never ran. All routers must
+	// be configured to keep orders for each other.
 	Claims bool
 
-	// Throttling, while routers reject nearly all calls.
-	ThrottleWindow time.Duration // sliding window of responses that it is judged by
-	ThrottleLeast  int           // calls of the window below which nothing is shed
-	ThrottleOver   float64       // calls beyond this multiple of the accepted ones are shed
-	ProbeEvery     time.Duration // one call is admitted so often all the same
-	Ramp           time.Duration // span after the end of it over which a rising share of calls is admitted
+	// Throttling while routers reject nearly all calls.
+	ThrottleWindow time.Duration // sliding window of the responses that throttling is based on
+	ThrottleLeast  int           // number of calls in the window below which no call is shed
+	ThrottleOver   float64       // calls beyond this multiple of the accepted calls are shed
+	ProbeEvery     time.Duration // interval at which one call is admitted nevertheless, as a probe
+	Ramp           time.Duration // time after the end of throttling over which a rising share of calls is admitted
 }
 
-// Defaults returns the settings for routers that keep to their protocol. Seed is 0: set it.
+// Defaults returns the settings for routers that follow their protocol. Seed is 0; the caller must set it.
 func Defaults() Settings {
 	const ms = time.Millisecond
 	return Settings{
@@ -89,7 +90,7 @@
 	}
 }
 
-// Check returns an error that names the first setting out of its range, or nil.
+// Check returns an error that names the first setting that is out of range, or nil.
 func (s Settings) Check() error {
 	if err := s.checkCounts(); err != nil {
 		return err
@@ -113,7 +114,7 @@
 		{"ThrottleLeast", s.ThrottleLeast, 1 << 20},
 	} {
 		if setting.value < 1 || setting.value > setting.max {
-			return fmt.Errorf("%s is %d, not 1 to %d", setting.name, setting.value, setting.max)
+			return fmt.Errorf("%s is %d, must be 1 to %d", setting.name, setting.value, setting.max)
 		}
 	}
 	return nil
@@ -143,7 +144,7 @@
 		{"Ramp", s.Ramp},
 	} {
 		if setting.value <= 0 || setting.value > time.Hour {
-			return fmt.Errorf("%s is %v, not above 0 and up to 1h", setting.name, setting.value)
+			return fmt.Errorf("%s is %v, must be above 0 and at most 1h", setting.name, setting.value)
 		}
 	}
 	return nil
@@ -160,8 +161,8 @@
 		{"ThrottleOver", s.ThrottleOver, 1, 1e6},
 	} {
 		inRange := setting.value >= setting.min && setting.value <= setting.max
-		if !inRange { // NaN included
-			return fmt.Errorf("%s is %v, not %v to %v", setting.name, setting.value, setting.min, setting.max)
+		if !inRange { // also if the value is NaN
+			return fmt.Errorf("%s is %v, must be %v to %v", setting.name, setting.value, setting.min, setting.max)
 		}
 	}
 	return nil
--- a/client/policy/slidingsum.go
+++ b/client/policy/slidingsum.go
@@ -2,23 +2,23 @@
 
 import "time"
 
-// slidingSum adds up values over a window of time that slides in steps of a twentieth of it.
+// slidingSum is a sum of values over a sliding time window, which advances in steps of a twentieth of its length.
 type slidingSum struct {
 	step     time.Duration
-	slots    [20]float64 // a ring, by number of the step
+	slots    [20]float64 // ring buffer, indexed by step number modulo its length
 	total    float64
-	lastStep int64 // number of the latest step that was seen
+	lastStep int64 // number of the step at the latest call
 }
 
 func newSlidingSum(window time.Duration) slidingSum {
 	return slidingSum{step: window / time.Duration(len(slidingSum{}.slots))}
 }
 
-// advance drops what has left the window.
+// advance drops the values that have left the window.
 func (s *slidingSum) advance(now time.Duration) {
 	slots := int64(len(s.slots))
 	current := int64(now / s.step)
-	if current-s.lastStep >= slots { // nothing of it is left
+	if current-s.lastStep >= slots { // all values have left the window
 		*s = slidingSum{step: s.step, lastStep: current}
 		return
 	}
--- a/client/policy/timers.go
+++ b/client/policy/timers.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// timerOwner is a call, a connection or a router: what a timer wakes.
+// timerOwner is the call, connection or router that a timer belongs to.
 type timerOwner interface {
 	timerDue(p *Policy)
 }
 
-// timer is the next moment at which something is due for its owner.
+// timer holds the next time at which its owner has something to do.
 type timer struct {
 	at    time.Duration
 	index int // in the heap; -1: not set
@@ -43,8 +43,8 @@
 // popTimer removes the earliest timer.
 func (p *Policy) popTimer() *timer { return heap.Pop(&p.timers).(*timer) }
 
-// timerHeap implements heap.Interface, with the earliest timer first. Each timer knows its index, so that it can be
-// moved.
+// timerHeap implements heap.Interface, with the earliest timer first. Each timer holds its index in the heap, so that
+// it can be moved.
 type timerHeap []*timer
 
 func (h timerHeap) Len() int { return len(h) }
