--- a/client/actions.go
+++ b/client/actions.go
@@ -6,14 +6,14 @@
 	"hillknot/client/policy"
 )
 
-// policyTimer has the policy's Tick called when it is due.
+// policyTimer calls the policy's Tick when it is due.
 type policyTimer struct {
 	timer *time.Timer
-	at    time.Duration // when it fires; 0: it is not set
+	at    time.Duration // when it fires; 0: not set
 }
 
-// runActions does what the policy asks for, until it asks for nothing more, and sets the timer. It is called after
-// each event. The lock is held.
+// runActions carries out the actions of the policy until none is left, and sets the timer. It is called after each
+// event. The lock is held.
 func (c *Client) runActions() {
 	for actions := c.policy.Actions(); len(actions) > 0; actions = c.policy.Actions() {
 		for _, action := range actions {
@@ -47,8 +47,8 @@
 	}
 }
 
-// setTimer sets the timer to the policy's next tick. One that fires too early does no harm, and is left. A timer that
-// is set counts as a goroutine, so that Close waits for one that has fired. The lock is held.
+// setTimer sets the timer to the policy's next tick. A timer that would fire too early is harmless and is not moved.
+// A set timer counts as a goroutine, so that Close waits for a timer that has fired. The lock is held.
 func (c *Client) setTimer() {
 	at, ok := c.policy.NextTick()
 	if !ok || c.timer.at > 0 && c.timer.at <= at {
@@ -64,7 +64,7 @@
 	}
 }
 
-// stopTimer stops the timer for good. The lock is held.
+// stopTimer stops the timer permanently. The lock is held.
 func (c *Client) stopTimer() {
 	if c.timer.timer != nil && c.timer.timer.Stop() {
 		c.goroutines.Done()
--- a/client/call.go
+++ b/client/call.go
@@ -8,8 +8,8 @@
 	"hillknot/internal/clock"
 )
 
-// pendingCall is a request on its way. It is guarded by the client's lock until done is closed, and is the
-// goroutine's of Do after that. Request and done don't change.
+// pendingCall is a request in progress. The client's lock guards it until done is closed; after that it belongs to
+// the goroutine of Do. The fields request and done don't change.
 type pendingCall struct {
 	request    *Request
 	class      int
@@ -17,21 +17,21 @@
 	policyCall *policy.Call
 	done       chan struct{} // closed once outcome, errorText and response are final
 
-	conn       *routerConn // on which it is in flight, or nil
-	requestID  uint32      // on that connection
+	conn       *routerConn // connection on which the call is in flight, or nil
+	requestID  uint32      // id of the request on conn
 	txn        uint64      // transaction id of the latest attempt
-	claimedTxn uint64      // transaction id of the first attempt whose router was lost, which claims name; 0: none
+	claimedTxn uint64      // transaction id of the first attempt whose router was lost, which claims refer to; 0: none
 	stream     responseStream
 
 	outcome   policy.Outcome
-	errorText string // from the router's latest error
+	errorText string // code of the router's latest error
 	response  Response
 }
 
-// Do sends a request and returns the response. It returns at the latest when the request's time limit is over or
-// ctx has ended, and before that as soon as it is clear that no response will come in time. The error, if any, is
-// an *Error that says what happened, and whether the request may have taken effect; the response then has only
-// Tries and Took.
+// Do sends a request and returns the response. It returns at the latest when the request's time limit has passed or
+// ctx has ended, and earlier if it is clear that no response will arrive in time. The error, if any, is an *Error
+// that describes what happened and whether the request may have taken effect; the response then has only Tries and
+// Took.
 func (c *Client) Do(ctx context.Context, req Request) (Response, error) {
 	class, err := c.checkRequest(&req)
 	if err != nil {
@@ -53,7 +53,7 @@
 	return call.response, nil
 }
 
-// timeLimit is the earliest of the class's limit, the request's and the context's deadline.
+// timeLimit returns the smallest of the class's limit, the request's limit and the time to the context's deadline.
 func (c *Client) timeLimit(ctx context.Context, call *pendingCall) time.Duration {
 	limit := c.classes.list[call.class].Limit
 	if call.request.Limit > 0 {
@@ -65,7 +65,7 @@
 	return limit
 }
 
-// start hands a call to the policy; false where the client is closed.
+// start passes a call to the policy. It returns false if the client is closed.
 func (c *Client) start(call *pendingCall, limit time.Duration) bool {
 	c.mu.Lock()
 	if c.closed {
@@ -85,7 +85,8 @@
 	return true
 }
 
-// wait returns once a call has ended, with its error. Meanwhile it hands what comes of the response to Request.To.
+// wait returns the error of a call once the call has ended. Until then it writes the response to Request.To as it
+// arrives.
 func (c *Client) wait(ctx context.Context, call *pendingCall) error {
 	var cause error
 	var sink sinkWriter
@@ -112,7 +113,7 @@
 	}
 }
 
-// cancel ends a call whose caller no longer waits. It ends soon after, or has ended already.
+// cancel ends a call whose caller no longer waits. The call may have ended already.
 func (c *Client) cancel(call *pendingCall) {
 	c.mu.Lock()
 	c.policy.CancelCall(c.now(), call.policyCall)
--- a/client/client.go
+++ b/client/client.go
@@ -1,11 +1,11 @@
-// Package client sends requests to edge routers and returns their responses. It is what directors' tools use.
+// Package client sends requests to edge routers and returns their responses. Directors' tools use it.
 //
-// A Client spreads requests over the routers, keeps one time limit for a request over all its attempts, marks
-// retries as such and bounds them by a budget, never repeats a request that may have taken effect unless its class
-// allows that, heeds the routers' Retry-After, and spreads its reconnects after a router's restart.
+// A Client spreads requests over the routers, applies one time limit to all attempts of a request, marks retries as
+// such and bounds them by a budget, never repeats a request that may have taken effect unless its class allows that,
+// obeys the routers' Retry-After, and spreads its reconnects after a router's restart.
 //
-// All decisions are made by package policy, which does no I/O. This package does what it decides: it owns the
-// connections, their goroutines and the clock.
+// Package policy, which does no I/O, makes all decisions. This package carries them out: it owns the connections,
+// their goroutines and the clock.
 package client
 
 import (
@@ -21,32 +21,32 @@
 	"hillknot/internal/clock"
 )
 
-// Client sends requests to a set of routers. Create it with New, once for a program, and end it with Close. Its
-// methods are safe for concurrent use.
+// Client sends requests to a set of routers. Create one per program with New, and end it with Close. Its methods are
+// safe for concurrent use.
 type Client struct {
 	config   Config
 	settings policy.Settings
 	classes  classTable
-	epoch    time.Duration // reading of package clock at which the policy's time began
+	epoch    time.Duration // reading of package clock when the client was created
 
-	// Close cancels the dials and waits for the goroutines: those of connections, and of timers that have fired.
+	// Close cancels the dials and waits for the goroutines of connections and of timers that have fired.
 	dialContext context.Context
 	cancelDials context.CancelFunc
 	goroutines  sync.WaitGroup
 
-	mu        sync.Mutex // guards all below, and the connections and calls; it is never held during I/O
+	mu        sync.Mutex // guards all fields below, the connections and the calls; never held during I/O
 	policy    *policy.Policy
 	txnSource *rand.ChaCha8 // source of transaction ids
 	calls     map[*pendingCall]struct{}
 	timer     policyTimer
 	closed    bool
-	idle      chan struct{} // closed once the client is closed and no call is open any more
+	idle      chan struct{} // closed once the client is closed and no call is open
 	counters  counters
 	observer  observer
 }
 
-// New returns a client for the routers that the configuration names. It opens no connection before the first
-// request. The error says which part of the configuration can't be used.
+// New returns a client for the routers in the configuration. It opens no connection before the first request. The
+// error names the part of the configuration that is invalid.
 func New(cfg Config) (*Client, error) {
 	cfg.setDefaults()
 	if err := cfg.check(); err != nil {
@@ -57,7 +57,7 @@
 		return nil, err
 	}
 	var seed [32]byte
-	_, _ = crand.Read(seed[:]) // it never fails: the program ends first
+	_, _ = crand.Read(seed[:]) // it never returns an error: the program ends instead
 	c := &Client{
 		config:    cfg,
 		classes:   classes,
@@ -82,8 +82,8 @@
 	return c, nil
 }
 
-// now returns the policy's time. It is never 0, which stands for "not set" there.
+// now returns the current time as package policy counts it. It is never 0, which means "not set" there.
 func (c *Client) now() time.Duration { return clock.Now() - c.epoch + time.Second }
 
-// unlock frees the lock, and then tells the observer what has happened under it.
+// unlock releases the lock, and then passes the observations that were added under it to Config.Observer.
 func (c *Client) unlock() { c.observer.unlockAndNotify(&c.mu) }
--- a/client/close.go
+++ b/client/close.go
@@ -5,9 +5,9 @@
 	"fmt"
 )
 
-// Close ends the client. From then on Do returns ErrClosed. Close waits until the requests that are open have ended
-// or ctx has, cancels the rest, and returns once the client's connections are closed and its goroutines have ended.
-// The error wraps the cause of ctx where that ended first. It may be called more than once.
+// Close ends the client; from then on Do returns ErrClosed. Close waits until the open requests have ended or ctx has
+// ended, cancels the remaining requests, and returns once the client's connections are closed and its goroutines have
+// ended. The error wraps the cause of ctx if ctx ended first. Close may be called more than once.
 func (c *Client) Close(ctx context.Context) error {
 	c.mu.Lock()
 	if !c.closed && len(c.calls) == 0 {
--- a/client/config.go
+++ b/client/config.go
@@ -13,42 +13,43 @@
 const (
 	defaultMaxAnswer = 240_000 // bytes
 	defaultMaxBody   = 48_000  // bytes
-	maxMessageSize   = 1 << 28 // bound on both
+	maxMessageSize   = 1 << 28 // upper bound of MaxAnswer and MaxBody, in bytes
 	maxRouters       = 1024
 
 	maxClassName  = 64 // bytes
 	maxClassLimit = time.Hour
 
-	// healthMethod is the method of health checks, which no class can be named.
+	// healthMethod is the method of health checks. No class may have this name.
 	healthMethod = "health"
 )
 
 // Config configures a client. Only Routers is required.
 type Config struct {
-	// Routers lists the addresses of the routers, as host:port. All routers of a location should be named: a
-	// request goes to another router where one is away.
+	// Routers lists the addresses of the routers, as host:port. It should list all routers of a location, because a
+	// request goes to another router if one is unavailable.
 	Routers []string
 
-	// Account is the account that pays for the requests. Empty: the requests name none.
+	// Account is the account that pays for the requests. If it is empty, requests name no account.
 	Account string
 
-	// Classes are the classes of requests by name. Default: Classes().
+	// Classes maps names to classes of requests. Default: Classes().
 	Classes map[string]Class
 
 	// Policy holds the limits and times of the client. Default: policy.Defaults() with a random Seed.
 	Policy *policy.Settings
 
-	// MaxAnswer is the longest body of a response, in bytes. Default: 240,000. A longer one ends its connection.
+	// MaxAnswer is the maximum size of a response body, in bytes. Default: 240,000. A larger body ends its
+	// connection.
 	MaxAnswer int
 
-	// MaxBody is the longest body of a request, in bytes. Default: 48,000.
+	// MaxBody is the maximum size of a request body, in bytes. Default: 48,000.
 	MaxBody int
 
-	// Observer, if set, is called for each event, in order and never twice at a time. It must not block, and must
-	// not call the client.
+	// Observer, if set, is called for each event, in order and never concurrently. It must not block, and must not
+	// call the client.
 	Observer func(Observation)
 
-	// Dial opens a connection to an address of Routers. It must end when the context does. Default: TCP.
+	// Dial opens a connection to an address of Routers. It must return when the context ends. Default: TCP.
 	Dial func(ctx context.Context, addr string) (net.Conn, error)
 }
 
@@ -71,7 +72,7 @@
 
 func (cfg *Config) check() error {
 	if len(cfg.Routers) == 0 || len(cfg.Routers) > maxRouters {
-		return fmt.Errorf("client: Routers has %d addresses, not 1 to %d", len(cfg.Routers), maxRouters)
+		return fmt.Errorf("client: Routers has %d addresses, must have 1 to %d", len(cfg.Routers), maxRouters)
 	}
 	for _, addr := range cfg.Routers {
 		if _, _, err := net.SplitHostPort(addr); err != nil {
@@ -79,24 +80,24 @@
 		}
 	}
 	if !validMessageSize(cfg.MaxAnswer) || !validMessageSize(cfg.MaxBody) {
-		return errors.New("client: MaxAnswer or MaxBody is out of range")
+		return errors.New("client: MaxAnswer or MaxBody is not between 0 and 256 MiB")
 	}
 	return nil
 }
 
 func validMessageSize(n int) bool { return n >= 0 && n <= maxMessageSize }
 
-// Class is a class of requests: what the routers serve under one name.
+// Class is a class of requests: a kind of request that the routers serve under one name.
 type Class struct {
-	// Safe says that a request may be repeated, as it is idempotent. Without it the client does not repeat a
-	// request that may have run: it would take effect twice.
+	// Safe is true if requests of the class are idempotent and may be repeated. The client does not repeat a request
+	// of any other class that may have run, because it could take effect twice.
 	Safe bool
 
-	// Limit is how long routers work on a request at most. It is above 0 and at most an hour.
+	// Limit is the maximum time that routers work on a request. It must be above 0 and at most one hour.
 	Limit time.Duration
 }
 
-// Classes returns the classes of the platform's routers, in a map of the caller's own.
+// Classes returns the classes of the platform's routers, in a new map that the caller may change.
 func Classes() map[string]Class {
 	return map[string]Class{
 		"full-score":  {Safe: true, Limit: 5 * time.Second},
@@ -105,7 +106,7 @@
 	}
 }
 
-// classTable numbers the classes, as package policy knows them.
+// classTable assigns an index to each class, by which package policy identifies it.
 type classTable struct {
 	index map[string]int
 	list  []namedClass
@@ -121,7 +122,7 @@
 	for name, class := range classes {
 		validName := name != "" && name != healthMethod && len(name) <= maxClassName
 		if !validName || class.Limit <= 0 || class.Limit > maxClassLimit {
-			return classTable{}, fmt.Errorf("client: Classes: %q with limit %v can't be used", name, class.Limit)
+			return classTable{}, fmt.Errorf("client: Classes: name %q or its limit %v is invalid", name, class.Limit)
 		}
 		table.index[name] = len(table.list)
 		table.list = append(table.list, namedClass{Class: class, name: name})
--- a/client/conn.go
+++ b/client/conn.go
@@ -9,9 +9,9 @@
 	"hillknot/client/policy"
 )
 
-// routerConn is a connection to a router. One goroutine dials it and then reads responses, another writes what is
-// queued. Both end when the connection does; Client.goroutines counts them. All fields are guarded by the client's
-// lock, except client, address, policyConn and netConn, which don't change once the goroutines that use them run.
+// routerConn is a connection to a router. One goroutine dials it and then reads responses, another writes the queued
+// messages. Both end when the connection ends; Client.goroutines counts them. The client's lock guards all fields
+// except client, address, policyConn and netConn, which don't change once the goroutines that use them run.
 type routerConn struct {
 	client     *Client
 	address    string
@@ -20,7 +20,7 @@
 
 	state  connState
 	calls  map[uint32]*pendingCall // in flight, by id
-	lastID uint32                  // of calls and health checks
+	lastID uint32                  // latest id of a call or health check
 	outbox outbox
 }
 
@@ -30,11 +30,11 @@
 const (
 	connDialing connState = iota
 	connOpen
-	connClosing // closed on this side; its end is not reported to the policy yet
-	connEnded   // its end was reported
+	connClosing // closed on this side, but its end is not yet reported to the policy
+	connEnded   // its end was reported to the policy
 )
 
-// isClosing says whether nothing more is to be written.
+// isClosing reports whether nothing more may be written.
 func (s connState) isClosing() bool { return s >= connClosing }
 
 // openConn starts a connection. The lock is held.
@@ -64,7 +64,8 @@
 	conn.end(reader.run(), nil)
 }
 
-// dial opens the connection and reports that to the policy; false where it did not come up or is not wanted any more.
+// dial opens the connection and reports the result to the policy. It returns false if the dial failed or the
+// connection is no longer wanted.
 func (conn *routerConn) dial() bool {
 	c := conn.client
 	ctx, cancel := context.WithTimeout(c.dialContext, c.settings.DialWait)
@@ -98,17 +99,17 @@
 	}
 	wake(conn.outbox.wake)
 	if conn.netConn != nil {
-		_ = conn.netConn.Close() // an error changes nothing: the connection is not used any more
+		_ = conn.netConn.Close() // an error does not matter: the connection is no longer used
 	}
 }
 
-// writeFailure is what went wrong with a write.
+// writeFailure describes a failed write.
 type writeFailure struct {
-	written int // bytes of the batch that went out
+	written int // bytes of the batch that were written
 }
 
-// end closes the connection and reports its end to the policy. Reader and writer both call it with why they ended;
-// only the first call counts. The writer gives its failure too.
+// end closes the connection and reports its end to the policy. The reader and the writer both call it with the reason
+// for which they ended; only the first call has an effect. The writer also passes its failure.
 func (conn *routerConn) end(err error, failure *writeFailure) {
 	c := conn.client
 	c.mu.Lock()
@@ -129,7 +130,7 @@
 			continue
 		}
 		lost = append(lost, call.policyCall)
-		if call.claimedTxn == 0 { // a claim that is lost itself leaves what is claimed
+		if call.claimedTxn == 0 { // a lost claim does not change which transaction is claimed
 			call.claimedTxn = call.txn
 		}
 	}
@@ -138,7 +139,7 @@
 	c.runActions()
 }
 
-// send queues a call under an id of its own. The lock is held.
+// send queues a call under a new request id. The lock is held.
 func (conn *routerConn) send(call *pendingCall, retry bool) {
 	conn.lastID++
 	call.conn, call.requestID = conn, conn.lastID
@@ -146,8 +147,8 @@
 	conn.enqueue(message{kind: requestMessage, call: call, requestID: call.requestID, retry: retry})
 }
 
-// cancel tells the router that nobody waits for a call any more, or takes it back if it was not written. The lock
-// is held.
+// cancel tells the router that the caller no longer waits for a call, or removes the call from the outbox if it is
+// not in a batch yet. The lock is held.
 func (conn *routerConn) cancel(call *pendingCall) {
 	conn.detach(call)
 	if !conn.outbox.remove(call) {
@@ -155,7 +156,7 @@
 	}
 }
 
-// detach takes a call off the connection: a response to it is ignored. The lock is held.
+// detach removes a call from the connection, so that a response to it is ignored. The lock is held.
 func (conn *routerConn) detach(call *pendingCall) {
 	if call.conn == conn {
 		delete(conn.calls, call.requestID)
@@ -163,7 +164,7 @@
 	}
 }
 
-// enqueue has a message written. The lock is held.
+// enqueue queues a message to be written, unless the connection is closing. The lock is held.
 func (conn *routerConn) enqueue(m message) {
 	if !conn.state.isClosing() {
 		conn.outbox.messages = append(conn.outbox.messages, m)
--- a/client/errors.go
+++ b/client/errors.go
@@ -10,32 +10,33 @@
 	"hillknot/client/policy"
 )
 
-// The kinds of errors of Do, for errors.Is.
+// The kinds of errors that Do returns, for errors.Is.
 var (
-	ErrRefused     = errors.New("refused")               // rejected by routers, or shed by the client; it never ran
-	ErrFailed      = errors.New("failed")                // a router reported an error
-	ErrLost        = errors.New("answer lost")           // the connection broke, or brought what can't be read
-	ErrDeadline    = errors.New("no answer in time")     // also matches context.DeadlineExceeded
-	ErrBusy        = errors.New("too many calls wait")   // it was not sent
-	ErrUnreachable = errors.New("no router reached")     // in time; it was not sent
-	ErrCanceled    = errors.New("withdrawn")             // the context ended, or the client was closed meanwhile
-	ErrClosed      = errors.New("client closed")         // before the call of Do
-	ErrRequest     = errors.New("malformed request")     // it was not sent
-	ErrSink        = errors.New("answer not written to") // Request.To failed; the request was served
-	ErrMayHaveRun  = errors.New("may have run")          // matches besides, where the request must not be repeated
+	ErrRefused     = errors.New("refused")                     // rejected by routers, or shed by the client; it never ran
+	ErrFailed      = errors.New("failed")                      // a router reported an error
+	ErrLost        = errors.New("response lost")               // the connection broke, or the response was malformed
+	ErrDeadline    = errors.New("no response in time")         // also matches context.DeadlineExceeded
+	ErrBusy        = errors.New("too many calls waiting")      // it was not sent
+	ErrUnreachable = errors.New("no router reachable")         // in time; it was not sent
+	ErrCanceled    = errors.New("withdrawn")                   // the context ended, or the client was closed meanwhile
+	ErrClosed      = errors.New("client closed")               // before the call of Do
+	ErrRequest     = errors.New("malformed request")           // it was not sent
+	ErrSink        = errors.New("writing the response failed") // Request.To failed; the request was served
+	ErrMayHaveRun  = errors.New("may have run")                // matches in addition if the request must not be repeated
 )
 
-// Error says how a request ended that was not served. By errors.Is it matches its Kind, and ErrMayHaveRun besides
-// where a request that must not be repeated may have taken effect: then find out before it is sent again.
+// Error describes why a request was not served. With errors.Is it matches its Kind. It also matches ErrMayHaveRun if
+// a request that must not be repeated may have taken effect: the caller must find out whether it did before sending
+// the request again.
 type Error struct {
 	Kind       error
-	MayHaveRun bool          // a router may have got it, and nothing proves that it did not run
+	MayHaveRun bool          // a router may have received the request, and nothing proves that it did not run
 	Unsafe     bool          // a repeat could take effect twice: its class is not Safe
-	Local      bool          // of ErrRefused: the client shed it, as routers reject nearly all requests
-	Wait       time.Duration // of ErrRefused and ErrUnreachable: when to come back; 0: not known
+	Local      bool          // of ErrRefused: the client shed the request because routers reject nearly all
+	Wait       time.Duration // of ErrRefused and ErrUnreachable: how long to wait before the next request; 0: unknown
 	Tries      int           // attempts that were sent
-	Text       string        // the router's error, or what is wrong with the request
-	Cause      error         // the context's, or the error of Request.To; may be nil
+	Text       string        // the router's error code, or what is wrong with the request
+	Cause      error         // cause of the context's end, or error of Request.To; may be nil
 }
 
 // Error implements error.
@@ -52,7 +53,7 @@
 		fmt.Fprintf(&b, " (tries: %d)", e.Tries)
 	}
 	if e.Wait > 0 {
-		fmt.Fprintf(&b, ", to come back in %v", e.Wait.Round(time.Millisecond))
+		fmt.Fprintf(&b, ", retry after %v", e.Wait.Round(time.Millisecond))
 	}
 	if e.unsafeToRepeat() {
 		b.WriteString("; it may have run")
@@ -78,7 +79,7 @@
 // Unwrap returns Cause.
 func (e *Error) Unwrap() error { return e.Cause }
 
-// errorKinds are the kinds of errors by the policy's verdict.
+// errorKinds maps the policy's verdicts to kinds of errors.
 var errorKinds = map[policy.Verdict]error{
 	policy.Refused:     ErrRefused,
 	policy.Failed:      ErrFailed,
@@ -89,8 +90,8 @@
 	policy.Withdrawn:   ErrCanceled,
 }
 
-// outcomeError is the error of a call that has ended, or nil where it was served. Cause is why the caller canceled
-// it.
+// outcomeError returns the error of a call that has ended, or nil if it was served. Cause is the reason for which the
+// caller canceled it.
 func (c *Client) outcomeError(call *pendingCall, cause error) error {
 	outcome := call.outcome
 	if outcome.Verdict == policy.Served {
--- a/client/health.go
+++ b/client/health.go
@@ -10,13 +10,13 @@
 	"hillknot/internal/rpc"
 )
 
-// ErrNotReady is what Health returns for a router that answered that it takes no clients now.
+// ErrNotReady is the error that Health returns for a router that answered that it takes no clients now.
 var ErrNotReady = errors.New("takes no clients now")
 
-// Health asks each router whether it takes clients, on a connection of its own. It returns one error for each
-// router, in the order of Config.Routers: nil where it does, ErrNotReady where it says that it does not, another
-// error where it can't be reached or gives no response within Settings.DialWait and Settings.CheckWait together. It
-// does not use or change what the client knows of the routers, and may be called after Close.
+// Health asks each router whether it takes clients, on a connection of its own. It returns one error for each router,
+// in the order of Config.Routers: nil if it takes clients, ErrNotReady if it answered that it does not, and another
+// error if it can't be reached or does not respond within Settings.DialWait plus Settings.CheckWait. Health neither
+// uses nor changes what the client knows about the routers, and may be called after Close.
 func (c *Client) Health(ctx context.Context) []error {
 	ctx, cancel := context.WithTimeout(ctx, c.settings.DialWait+c.settings.CheckWait)
 	defer cancel()
@@ -29,7 +29,8 @@
 	return results
 }
 
-// checkRouter sends one health check. When ctx ends the connection's deadline passes, and reading from it fails.
+// checkRouter sends one health check. When ctx ends, the connection's deadline is set to the past, so that reading
+// from it fails.
 func (c *Client) checkRouter(ctx context.Context, address string) error {
 	netConn, err := c.config.Dial(ctx, address)
 	if err != nil {
--- a/client/observer.go
+++ b/client/observer.go
@@ -18,13 +18,13 @@
 	Connected                 // a connection is up
 	DialFailed                // a connection did not come up; see Err
 	Disconnected              // a connection has ended; see Err
-	Drained                   // a router answered a health check: it takes no clients now
+	Drained                   // a router reported in a health check that it takes no clients now
 )
 
-// Observation is something that happened, for Config.Observer. What says which fields are set.
+// Observation is an event for Config.Observer. What determines which fields are set.
 type Observation struct {
 	What    Event
-	Router  string // address; empty where no router is concerned
+	Router  string // address; empty if the event concerns no router
 	Class   string
 	Retry   bool
 	Result  policy.Result
@@ -35,10 +35,11 @@
 	Err     error
 }
 
-// observer calls Config.Observer for what happened under the client's lock, in order, once that is free.
+// observer calls Config.Observer for observations that were added under the client's lock, in order, once the lock is
+// released.
 type observer struct {
 	notify   func(Observation) // may be nil
-	pending  []Observation     // under the client's lock
+	pending  []Observation     // guarded by the client's lock
 	notifyMu sync.Mutex        // held while notify is called
 }
 
@@ -49,13 +50,13 @@
 	}
 }
 
-// unlockAndNotify frees the client's lock and calls notify for what was queued.
+// unlockAndNotify releases the client's lock and calls notify for the pending observations.
 func (o *observer) unlockAndNotify(clientLock *sync.Mutex) {
 	if len(o.pending) == 0 {
 		clientLock.Unlock()
 		return
 	}
-	o.notifyMu.Lock() // before the client's lock is free, or observations could overtake each other
+	o.notifyMu.Lock() // locked before the client's lock is released, so that observations can't overtake each other
 	defer o.notifyMu.Unlock()
 	pending := o.pending
 	o.pending = nil
--- a/client/reader.go
+++ b/client/reader.go
@@ -8,15 +8,15 @@
 )
 
 const (
-	maxHeaderBytes  = 4 << 10  // bytes of a response besides its body
-	readBufferBytes = 16 << 10 // bytes read at a time
+	maxHeaderBytes  = 4 << 10  // maximum size of a response without its body
+	readBufferBytes = 16 << 10 // size of the read buffer
 )
 
 // responseReader reads the responses of one connection. It belongs to the connection's goroutine.
 type responseReader struct {
 	conn   *routerConn
 	buffer []byte
-	unread []byte // the part of buffer that has come and was not used yet
+	unread []byte // part of buffer that was read from the connection but not parsed yet
 }
 
 // run reads responses until the connection ends, and returns why.
@@ -34,7 +34,7 @@
 	}
 }
 
-// fill reads once into the buffer, behind what is unread. As for io.Reader, bytes may come with an error.
+// fill reads once into the buffer, after the unread bytes. As with io.Reader, bytes may come with an error.
 func (r *responseReader) fill() (n int, err error) {
 	kept := copy(r.buffer, r.unread)
 	n, err = r.conn.netConn.Read(r.buffer[kept:])
@@ -42,7 +42,8 @@
 	return n, err
 }
 
-// parseBuffered handles the responses that are in the buffer; it reads on only to complete one with a body.
+// parseBuffered handles the responses in the buffer. It reads from the connection only to complete a response with a
+// body.
 func (r *responseReader) parseBuffered() error {
 	for len(r.unread) > 0 {
 		header, progress, err := rpc.ParseResponseHeader(r.unread, maxHeaderBytes, r.conn.client.config.MaxAnswer)
@@ -66,13 +67,13 @@
 	return nil
 }
 
-// readBody reads the body of a response, and the fields behind it into its header.
+// readBody reads the body of a response, and stores the fields that follow the body in the header.
 func (r *responseReader) readBody(header *rpc.ResponseHeader) ([]byte, error) {
 	call, err := r.conn.beginResponse(header.ID)
 	if err != nil {
 		return nil, err
 	}
-	body := make([]byte, header.BodySize) // at most Config.MaxAnswer: ParseHead has checked it
+	body := make([]byte, header.BodySize) // at most Config.MaxAnswer, as ParseResponseHeader has checked
 	received := copy(body, r.unread)
 	r.unread = r.unread[received:]
 	r.conn.publishProgress(call, body, received)
@@ -90,7 +91,7 @@
 	return body, err
 }
 
-// readTrailer reads the fields behind a body.
+// readTrailer reads the fields that follow a body.
 func (r *responseReader) readTrailer() (rpc.Fields, error) {
 	for {
 		fields, progress, err := rpc.ParseResponseTrailer(r.unread, maxHeaderBytes)
@@ -107,7 +108,8 @@
 	}
 }
 
-// unexpectedEOF is the error of a connection that ends inside a response.
+// unexpectedEOF returns the error of a connection that ended inside a response, with io.EOF replaced by
+// io.ErrUnexpectedEOF.
 func unexpectedEOF(err error) error {
 	if errors.Is(err, io.EOF) {
 		return io.ErrUnexpectedEOF
--- a/client/response.go
+++ b/client/response.go
@@ -10,12 +10,12 @@
 )
 
 // errUnknownID ends a connection on which a response has an id that was never used.
-var errUnknownID = errors.New("an answer under an id that was never used")
+var errUnknownID = errors.New("response with an id that was never used")
 
-// usedID says whether an id was used on the connection. The lock is held.
+// usedID reports whether an id was used on the connection. The lock is held.
 func (conn *routerConn) usedID(id uint64) bool { return id > 0 && id <= uint64(conn.lastID) }
 
-// reportBytesReceived reports to the policy that bytes came in.
+// reportBytesReceived reports to the policy that bytes were received.
 func (conn *routerConn) reportBytesReceived() {
 	c := conn.client
 	c.mu.Lock()
@@ -25,7 +25,7 @@
 	c.mu.Unlock()
 }
 
-// beginResponse records that the body of a response begins, and returns its call; nil where the call has ended.
+// beginResponse records the start of a response body and returns its call, or nil if the call has ended.
 func (conn *routerConn) beginResponse(id uint64) (*pendingCall, error) {
 	conn.client.mu.Lock()
 	defer conn.client.mu.Unlock()
@@ -39,19 +39,20 @@
 	return call, nil
 }
 
-// publishProgress publishes to a call with Request.To what has come of its response. The call may be nil.
+// publishProgress passes the received part of a response on to its call if that has a Request.To. The call may be
+// nil.
 func (conn *routerConn) publishProgress(call *pendingCall, body []byte, received int) {
 	if call == nil || !call.stream.enabled() {
 		return
 	}
 	conn.client.mu.Lock()
-	if call.conn == conn { // it may have ended meanwhile
+	if call.conn == conn { // the call may have ended meanwhile
 		call.stream.update(body, received)
 	}
 	conn.client.mu.Unlock()
 }
 
-// handleResponse takes a complete response. An error ends the connection.
+// handleResponse handles a complete response. An error ends the connection.
 func (conn *routerConn) handleResponse(header rpc.ResponseHeader, body []byte) error {
 	c := conn.client
 	c.mu.Lock()
@@ -67,7 +68,7 @@
 		return nil
 	}
 	call := conn.calls[uint32(header.ID)]
-	if call == nil { // its call has ended, or it is a second response
+	if call == nil { // the call has ended, or this is a second response
 		c.counters.strays++
 		c.policy.BytesReceived(c.now(), conn.policyConn)
 		return nil
@@ -76,7 +77,7 @@
 	return nil
 }
 
-// handleHealth takes the response to a health check. The lock is held.
+// handleHealth handles the response to a health check. The lock is held.
 func (conn *routerConn) handleHealth(ready bool) {
 	c := conn.client
 	if !ready {
@@ -86,7 +87,7 @@
 	c.runActions()
 }
 
-// handleCallResponse takes the response to a call that waits for it. The lock is held.
+// handleCallResponse handles the response to a call in flight. The lock is held.
 func (conn *routerConn) handleCallResponse(call *pendingCall, header rpc.ResponseHeader, body []byte) {
 	c := conn.client
 	conn.detach(call)
@@ -112,7 +113,7 @@
 	c.runActions()
 }
 
-// errorResult is what a router's error says of the attempt.
+// errorResult returns the result of an attempt to which a router responded with an error.
 func errorResult(routerError string) policy.Result {
 	switch routerError {
 	case rpc.CodeThrottled:
@@ -124,7 +125,7 @@
 	}
 }
 
-// recordServed keeps the response of a call that was served. The lock is held.
+// recordServed stores the response of a call that was served. The lock is held.
 func (call *pendingCall) recordServed(body []byte, unchanged bool) {
 	call.response.Unchanged, call.response.Size = unchanged, len(body)
 	if call.request.To == nil {
--- a/client/stats.go
+++ b/client/stats.go
@@ -14,17 +14,17 @@
 	Mean, P50, P95, P99, Max time.Duration
 }
 
-// Stats are the figures of a client since its start.
+// Stats holds the statistics of a client since its start.
 type Stats struct {
 	policy.Counts
 	Open    int                       // requests that have not ended
-	Waiting int                       // of these, not sent yet
+	Waiting int                       // open requests that have not been sent yet
 	Ended   map[policy.Verdict]uint64 // requests that have ended
 	Strays  uint64                    // responses to requests that had ended already
-	Served  map[string]Latency        // of the requests that were served, by class
+	Served  map[string]Latency        // latency of the requests that were served, by class
 }
 
-// counters are the client's own figures, under its lock.
+// counters holds the client's own statistics. The client's lock guards it.
 type counters struct {
 	ended  [policy.Withdrawn + 1]uint64 // by verdict
 	strays uint64
@@ -33,7 +33,7 @@
 
 const (
 	maxLatency    = 2 * time.Hour // no request takes longer than an hour
-	latencyDigits = 2             // significant figures; some 20 kB a class
+	latencyDigits = 2             // significant digits; about 20 kB per class
 )
 
 func newCounters(classes int) counters {
@@ -52,7 +52,7 @@
 	}
 }
 
-// Stats returns the figures up to now. They are consistent with each other, and the caller's own.
+// Stats returns a consistent snapshot of the statistics. The caller may change it.
 func (c *Client) Stats() Stats {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/client/stream.go
+++ b/client/stream.go
@@ -2,30 +2,30 @@
 
 import "io"
 
-// responseStream is the body of the response that is coming in for a request with To. It is guarded by the client's
-// lock; the bytes of body behind received are being filled without it. The zero value is for a request without To.
+// responseStream is the body of the response that is being received for a request with To. The client's lock guards
+// it, but the bytes of body after received are filled without the lock. The zero value is for a request without To.
 type responseStream struct {
-	progress   chan struct{} // has an element when more has come
-	generation int           // counts the responses that began: an attempt may break off inside one
-	body       []byte        // of its full size
-	received   int           // bytes of body that have come
+	progress   chan struct{} // holds an element when more of the body was received
+	generation int           // number of responses that began; an attempt may break off inside a response
+	body       []byte        // has the full size of the body
+	received   int           // bytes of body that were received
 }
 
 func (s *responseStream) enabled() bool { return s.progress != nil }
 
-// begin records that a response begins. It may be another one than before: of a retry.
+// begin records that a response begins, which may be that of a retry.
 func (s *responseStream) begin() {
 	s.generation++
 	s.body, s.received = nil, 0
 }
 
-// update publishes what has come of a body.
+// update publishes the received part of a body.
 func (s *responseStream) update(body []byte, received int) {
 	s.body, s.received = body, received
 	wake(s.progress)
 }
 
-// wake sends on a channel with one element unless it has one already.
+// wake sends on a channel with capacity 1 unless it holds an element already.
 func wake(signal chan<- struct{}) {
 	select {
 	case signal <- struct{}{}:
@@ -33,13 +33,13 @@
 	}
 }
 
-// sinkWriter writes a response to Request.To as it comes. It belongs to the goroutine of Do.
+// sinkWriter writes a response to Request.To as it arrives. Only the goroutine of Do uses it.
 type sinkWriter struct {
-	generation int // of the response that was written, as responseStream counts them
-	written    int // bytes
+	generation int // responseStream.generation of the response that was written
+	written    int // bytes of that response that were written
 }
 
-// write writes what has come of a response since the last call. A response that begins anew is written from its
+// write writes what was received of a response since the last call. A response that begins again is written from its
 // start.
 func (w *sinkWriter) write(c *Client, call *pendingCall) error {
 	sink := call.request.To
@@ -52,7 +52,7 @@
 	}
 	c.mu.Unlock()
 
-	if generation != w.generation && w.written > 0 { // only after a retry, and so only with a Rewinder
+	if generation != w.generation && w.written > 0 { // only after a retry, and therefore only with a Rewinder
 		if err := rewinder.Rewind(); err != nil {
 			return err
 		}
--- a/client/writer.go
+++ b/client/writer.go
@@ -10,15 +10,15 @@
 	// maxBatchBytes is the size of a write, in bytes, from which on no more messages are added to it.
 	maxBatchBytes = 64 << 10
 
-	// requestOverhead is about what a request takes besides its body, in bytes.
+	// requestOverhead is the approximate size of a request without its body, in bytes.
 	requestOverhead = 200
 )
 
-// message is something to be written to a router.
+// message is a message to be written to a router.
 type message struct {
 	kind      messageKind
 	call      *pendingCall // of a request
-	requestID uint32       // of a request, or of the one that is canceled
+	requestID uint32       // id of a request, or of the request to cancel
 	retry     bool         // of a request
 }
 
@@ -30,20 +30,20 @@
 	healthCheck
 )
 
-// outbox is what a connection has to write. It is guarded by the client's lock.
+// outbox holds what a connection has to write. The client's lock guards it.
 type outbox struct {
 	messages []message
-	wake     chan struct{} // has an element when there are messages, or the connection is shut
-	batch    []batchedCall // the calls in the write that is under way
+	wake     chan struct{} // holds an element when there are messages or the connection is closing
+	batch    []batchedCall // calls in the write in progress
 }
 
-// batchedCall is a call in a write.
+// batchedCall is a call in a batch.
 type batchedCall struct {
 	requestID uint32
-	start     int // of its bytes in the batch
+	start     int // offset of its first byte in the batch
 }
 
-// remove takes back a call that is not in a batch yet; false where it is, or is not in the outbox.
+// remove removes a call that is not in a batch yet. It returns false if the call is in a batch, or not in the outbox.
 func (o *outbox) remove(call *pendingCall) bool {
 	i := slices.IndexFunc(o.messages, func(m message) bool { return m.kind == requestMessage && m.call == call })
 	if i < 0 {
@@ -53,9 +53,9 @@
 	return true
 }
 
-// unsentCalls returns the ids of the calls of which surely not one byte was written: those that were never in a
-// batch, and in a batch whose write failed those behind the bytes that went out. Of a write that is under way
-// nothing is sure.
+// unsentCalls returns the ids of the calls of which certainly no byte was written: the calls that were never in a
+// batch and, if the write of a batch failed, the calls of that batch after the written bytes. Nothing is certain
+// about the calls of a write in progress.
 func (o *outbox) unsentCalls(failure *writeFailure) map[uint32]bool {
 	unsent := map[uint32]bool{}
 	for _, m := range o.messages {
@@ -73,7 +73,7 @@
 	return unsent
 }
 
-// writeLoop writes what is queued until the connection ends.
+// writeLoop writes queued messages until the connection ends.
 func (conn *routerConn) writeLoop() {
 	defer conn.client.goroutines.Done()
 	var buf []byte
@@ -93,7 +93,7 @@
 	}
 }
 
-// writeBatch writes a batch; false where the connection has ended by it.
+// writeBatch writes a batch. It returns false if the write failed, which ends the connection.
 func (conn *routerConn) writeBatch(batch []byte) bool {
 	c := conn.client
 	start := c.now()
@@ -112,7 +112,7 @@
 	return true
 }
 
-// nextBatch turns queued messages into bytes; open is false where the connection is shut.
+// nextBatch encodes queued messages into bytes; open is false if the connection is closing.
 func (conn *routerConn) nextBatch(buf []byte) (batch []byte, open bool) {
 	c := conn.client
 	c.mu.Lock()
@@ -127,7 +127,7 @@
 		taken++
 	}
 	rest := copy(messages, messages[taken:])
-	clear(messages[rest:]) // or the array would keep their calls
+	clear(messages[rest:]) // otherwise the array would keep their calls reachable
 	conn.outbox.messages = messages[:rest]
 	c.runActions()
 	return buf, true
@@ -145,7 +145,7 @@
 	}
 }
 
-// appendRequest appends a request unless its call has ended, or has too little time left.
+// appendRequest appends a request unless its call has ended or has too little time left.
 func (conn *routerConn) appendRequest(buf []byte, m message) []byte {
 	c, call := conn.client, m.call
 	if conn.calls[m.requestID] != call {
