--- a/client/client_test.go
+++ b/client/client_test.go
@@ -16,7 +16,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// readyRouter starts a router that takes clients and handles all other messages as the test says.
+// readyRouter starts a router that takes clients and passes all other messages to handle.
 func readyRouter(t testing.TB, handle func(*fakes.Peer, rpc.Message)) *fakes.Router {
 	t.Helper()
 	r, err := fakes.NewReadyRouter("127.0.0.1:0", handle)
@@ -61,26 +61,26 @@
 	c := newClient(t, nil, r.Addr())
 	ctx := context.Background()
 
-	t.Run("body", func(t *testing.T) {
+	t.Run("body is returned", func(t *testing.T) {
 		got, err := c.Do(ctx, Request{Class: "full-score", Item: 7})
 		if err != nil || !bytes.Equal(got.Body, body) || got.Tries != 1 || got.Router != r.Addr() {
-			t.Errorf("%d bytes, %d tries, %v", len(got.Body), got.Tries, err)
+			t.Errorf("got %d bytes, %d tries, error %v", len(got.Body), got.Tries, err)
 		}
 	})
-	t.Run("streamed", func(t *testing.T) {
+	t.Run("body is written to Request.To", func(t *testing.T) {
 		var to bytes.Buffer
 		got, err := c.Do(ctx, Request{Class: "full-score", Item: 7, To: &to})
 		if err != nil || !bytes.Equal(to.Bytes(), body) || got.Size != len(body) || got.Body != nil {
-			t.Errorf("streamed %d bytes of %d, %v", to.Len(), got.Size, err)
+			t.Errorf("streamed %d of %d bytes, error %v", to.Len(), got.Size, err)
 		}
 	})
-	t.Run("unchanged", func(t *testing.T) {
+	t.Run("current copy is reported as unchanged", func(t *testing.T) {
 		got, err := c.Do(ctx, Request{Class: "part-page", Have: "tag"})
 		if err != nil || !got.Unchanged {
-			t.Errorf("%+v, %v", got, err)
+			t.Errorf("got %+v, error %v", got, err)
 		}
 	})
-	t.Run("unknown class", func(t *testing.T) {
+	t.Run("unknown class fails with ErrRequest", func(t *testing.T) {
 		if _, err := c.Do(ctx, Request{Class: "nothing"}); !errors.Is(err, ErrRequest) {
 			t.Error(err)
 		}
--- a/client/close_test.go
+++ b/client/close_test.go
@@ -13,9 +13,10 @@
 	"hillknot/internal/testutil/fakes"
 )
 
-// Calls that wait are bounded, Close cancels those that do not end in time, and a closed client takes none.
+// The number of waiting calls is bounded, Close cancels the calls that do not end in time, and a closed client takes
+// no calls.
 func TestWaitingCallsAreBoundedAndCanceledByClose(t *testing.T) {
-	r := readyRouter(t, func(*fakes.Peer, rpc.Message) {}) // it never answers
+	r := readyRouter(t, func(*fakes.Peer, rpc.Message) {}) // the router never responds
 	settings := policy.Defaults()
 	settings.Waiting, settings.ConnsPerRouter, settings.OpenPerConn = 3, 1, 2
 	c, err := New(Config{Routers: []string{r.Addr()}, Policy: &settings})
@@ -42,14 +43,14 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 50*time.Millisecond)
 	defer cancel()
 	if err := c.Close(ctx); !errors.Is(err, context.DeadlineExceeded) {
-		t.Errorf("close: %v", err)
+		t.Errorf("Close returned %v", err)
 	}
 	calls.Wait()
-	// Three wait at a time. Once two of them are in flight, up to two more may take their places.
+	// Three calls can wait at a time. Once two of them are in flight, up to two more may take their places.
 	if busy.Load()+canceled.Load() != 20 || canceled.Load() < 3 || canceled.Load() > 5 {
-		t.Errorf("%d busy, %d withdrawn", busy.Load(), canceled.Load())
+		t.Errorf("%d calls busy, %d canceled", busy.Load(), canceled.Load())
 	}
 	if _, err := c.Do(context.Background(), Request{Class: "full-score"}); !errors.Is(err, ErrClosed) {
-		t.Errorf("after the close: %v", err)
+		t.Errorf("Do after Close returned %v", err)
 	}
 }
--- a/client/example_test.go
+++ b/client/example_test.go
@@ -45,7 +45,7 @@
 	// Output: a page, 1 try, <nil>
 }
 
-// An order that was rejected never ran. One that may have run must not be sent again before its state is known.
+// An order that was rejected never ran. An order that may have run must not be sent again before its state is known.
 func ExampleError() {
 	r := router()
 	defer r.Close()
@@ -66,9 +66,9 @@
 	case errors.Is(err, client.ErrMayHaveRun):
 		fmt.Println("find out first whether it took effect")
 	case errors.Is(err, client.ErrRefused) && errors.As(err, &e):
-		fmt.Println("not run; to come back later:", e.Wait > time.Second)
+		fmt.Println("not run; retry later:", e.Wait > time.Second)
 	default:
 		fmt.Println(err)
 	}
-	// Output: not run; to come back later: true
+	// Output: not run; retry later: true
 }
--- a/client/health_test.go
+++ b/client/health_test.go
@@ -12,8 +12,8 @@
 	"hillknot/internal/testutil/fakes"
 )
 
-// One router accepts connections and says nothing, one takes no clients, and the third is closed and started again:
-// calls are served by the third alone.
+// One router accepts connections but never responds, one takes no clients, and the third is closed and restarted:
+// only the third serves calls.
 func TestCallsGoOnlyToTheReadyRouter(t *testing.T) {
 	silent, err := fakes.NewRouter("127.0.0.1:0", func(*fakes.Peer, rpc.Message) {})
 	if err != nil {
@@ -44,7 +44,7 @@
 	ready.Close()
 	_, err = c.Do(ctx, Request{Class: "full-score", Limit: 100 * time.Millisecond})
 	if err == nil || errors.Is(err, ErrMayHaveRun) {
-		t.Errorf("with all routers away: %v", err)
+		t.Errorf("with no router that takes calls: %v", err)
 	}
 	restarted, err := fakes.NewReadyRouter(addr, serve)
 	if err != nil {
@@ -55,9 +55,9 @@
 		t.Error(err)
 	}
 	if s := c.Stats(); s.Drains == 0 || callsAtDraining.Load() != 0 {
-		t.Errorf("%+v; %d calls at a router that takes none", s, callsAtDraining.Load())
+		t.Errorf("stats %+v; %d calls at the draining router", s, callsAtDraining.Load())
 	}
 	if errs := c.Health(t.Context()); errs[2] != nil || errs[1] != ErrNotReady {
-		t.Errorf("health %v", errs)
+		t.Errorf("Health returned %v", errs)
 	}
 }
--- a/client/malformed_test.go
+++ b/client/malformed_test.go
@@ -14,7 +14,7 @@
 	_ "hillknot/internal/testutil/parsertest" // sets rapid's seed
 )
 
-// failer is what testing.T and rapid.T have in common.
+// failer is the part of testing.TB that *testing.T and *rapid.T have in common and that the tests need.
 type failer interface {
 	Helper()
 	Fatal(...any)
@@ -23,8 +23,8 @@
 
 const maxTestAnswer = 1 << 12
 
-// doWithResponse sends a request that must not be repeated to a router that answers the health check, sends these
-// bytes, and ends.
+// doWithResponse sends a request that must not be repeated to a router that answers the health check, sends the given
+// bytes and closes the connection.
 func doWithResponse(t failer, response []byte) (Response, error) {
 	t.Helper()
 	c, err := New(Config{
@@ -48,7 +48,7 @@
 	return got, doErr
 }
 
-// respondOnce plays a router for one health check and one request.
+// respondOnce acts as a router for one health check and one request.
 func respondOnce(nc net.Conn, response []byte) {
 	defer nc.Close()
 	in := make([]byte, 1<<12)
@@ -59,21 +59,21 @@
 		return
 	}
 	if _, err := nc.Read(in); err == nil {
-		_, _ = nc.Write(response) // it fails where the client finds the start malformed, and hangs up
+		_, _ = nc.Write(response) // it fails if the client finds the start malformed and closes the connection
 	}
 }
 
-// checkOutcome checks what must hold of a request that must not be repeated, whatever the router sent.
+// checkOutcome checks what must hold for a request that must not be repeated, for any response of the router.
 func checkOutcome(t failer, sent []byte, response Response, err error) {
 	t.Helper()
 	var e *Error
 	switch {
 	case err == nil && len(response.Body) > maxTestAnswer:
-		t.Fatalf("%q: a body of %d bytes", sent, len(response.Body))
+		t.Fatalf("response %q: body of %d bytes is over the limit", sent, len(response.Body))
 	case err != nil && !errors.As(err, &e):
-		t.Fatalf("%q: %v", sent, err)
+		t.Fatalf("response %q: error %v is not an *Error", sent, err)
 	case errors.Is(err, ErrLost) && !errors.Is(err, ErrMayHaveRun):
-		t.Fatalf("%q: lost, and surely not run: %v", sent, err)
+		t.Fatalf("response %q: lost, but reported as not run: %v", sent, err)
 	}
 }
 
@@ -94,8 +94,8 @@
 	return rapid.SliceOfN(rapid.Byte(), 1, 100).Draw(t, "garbage")
 }
 
-// Malformed responses never end in a panic, in a longer body than is allowed, or in an error that hides that the
-// request may have run.
+// Malformed responses never end in a panic, in a body over the limit, or in an error that hides that the request may
+// have run.
 func TestMalformedResponsesEndInValidOutcomes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		response := append(drawResponse(t), drawResponse(t)...)
@@ -109,15 +109,15 @@
 
 func TestMalformedResponseIsReportedAsLost(t *testing.T) {
 	for name, response := range map[string][]byte{
-		"body over the limit":       rpc.AppendBodyResponse(nil, 2, make([]byte, maxTestAnswer+1)),
-		"body of two gigabytes":     {0x94, 1, 2, 0xc0, 0x92, 0xc6, 0x7f, 0xff, 0xff, 0xff},
-		"id that was never used":    rpc.AppendBodyResponse(nil, 99, nil),
-		"endless nesting":           bytes.Repeat([]byte{0x94}, 1<<14),
-		"notification, no response": {0x93, 2, 0xa1, 'x', 0x90},
+		"body over the limit":              rpc.AppendBodyResponse(nil, 2, make([]byte, maxTestAnswer+1)),
+		"body of two gigabytes":            {0x94, 1, 2, 0xc0, 0x92, 0xc6, 0x7f, 0xff, 0xff, 0xff},
+		"id that was never used":           rpc.AppendBodyResponse(nil, 99, nil),
+		"endless nesting":                  bytes.Repeat([]byte{0x94}, 1<<14),
+		"notification instead of response": {0x93, 2, 0xa1, 'x', 0x90},
 	} {
 		t.Run(name, func(t *testing.T) {
 			if _, err := doWithResponse(t, response); !errors.Is(err, ErrLost) || !errors.Is(err, ErrMayHaveRun) {
-				t.Errorf("%.20q: %v", response, err)
+				t.Errorf("response %.20q: got error %v, want ErrLost and ErrMayHaveRun", response, err)
 			}
 		})
 	}
--- a/client/policy/policy_test.go
+++ b/client/policy/policy_test.go
@@ -11,8 +11,8 @@
 	_ "hillknot/internal/testutil/parsertest" // sets rapid's seed
 )
 
-// Whatever happens, each call ends once and in time, no call that is not idempotent is sent again once it may have
-// run, and nothing is left behind. The same events lead to the same actions.
+// For any events, each call ends once and in time, a call that is not idempotent is not sent again once it may have
+// run, and no state is left behind. Equal events lead to equal actions.
 func TestInvariantsHoldForRandomEvents(t *testing.T) {
 	if err := flag.Set("rapid.checks", "1000"); err != nil {
 		t.Fatal(err)
@@ -31,12 +31,12 @@
 			traces[i] = s.trace
 		}
 		if !slices.Equal(traces[0], traces[1]) {
-			t.Fatal("the same events had other actions")
+			t.Fatal("the same events led to different actions")
 		}
 	})
 }
 
-// runScript does what the numbers of a script say, and returns the calls that it started.
+// runScript performs the events that the numbers of a script encode, and returns the calls that it started.
 func (s *simulation) runScript(script []uint64) (calls []*Call) {
 	for _, n := range script {
 		r := s.routers[n>>8%uint64(len(s.routers))]
@@ -72,31 +72,32 @@
 	return calls
 }
 
-// checkOutcomes checks that each call has ended, and that its outcome tells what happened to it.
+// checkOutcomes checks that each call has ended, and that its outcome agrees with its attempts.
 func (s *simulation) checkOutcomes(calls []*Call) {
 	s.t.Helper()
 	for _, call := range calls {
 		outcome, ended := s.outcomes[call]
 		// A call that crossed a router's close may be sent once more.
 		if !ended || outcome.Attempts != s.sent[call] || outcome.Attempts > s.settings.Tries+1 {
-			s.t.Fatalf("a call was sent %d times and ended as %+v (%v)", s.sent[call], outcome, ended)
+			s.t.Fatalf("a call was sent %d times, outcome %+v, ended %v", s.sent[call], outcome, ended)
 		}
 		if outcome.MayHaveRun != (s.mayHaveRun[call] > 0 && outcome.Verdict != Served) {
-			s.t.Fatalf("a call of which %d tries may have run ended as %+v", s.mayHaveRun[call], outcome)
+			s.t.Fatalf("a call with %d attempts that may have run ended as %+v", s.mayHaveRun[call], outcome)
 		}
 	}
 }
 
-// checkNothingLeft checks that no state of calls is left behind, and that retries kept to their budget.
+// checkNothingLeft checks that no call, timer or queue entry is left behind, and that the number of retries stays
+// within the budget.
 func (s *simulation) checkNothingLeft(calls int) {
 	s.t.Helper()
 	p := s.policy
 	if p.Waiting() != 0 || len(p.timers) != 0 || len(p.queue) != 0 {
-		s.t.Fatalf("left behind: %d calls, %d times, %d in the queue", p.Waiting(), len(p.timers), len(p.queue))
+		s.t.Fatalf("left behind: %d waiting calls, %d timers, %d queue entries", p.Waiting(), len(p.timers), len(p.queue))
 	}
 	counts := p.Counts()
 	allowed := s.settings.RetryShare*float64(calls) + 20*s.settings.RetryFloor
 	if float64(counts.Retries)-float64(counts.Crossings)-allowed > 0 {
-		s.t.Fatalf("%d retries of %d calls", counts.Retries, calls)
+		s.t.Fatalf("%d retries of %d calls are over the budget", counts.Retries, calls)
 	}
 }
--- a/client/policy/retry_test.go
+++ b/client/policy/retry_test.go
@@ -6,13 +6,13 @@
 	"time"
 )
 
-// A call that is not idempotent is sent again after a rejection, or where not a byte was written; never after
-// anything else.
+// A call that is not idempotent is sent again after a rejection or if no byte of it was written, and never in any
+// other case.
 func TestUnsafeCallIsRetriedOnlyIfItDidNotRun(t *testing.T) {
 	notBroken := breakage(-1)
 	for name, test := range map[string]struct {
 		respond func() simResponse
-		broken  breakage // of the connection, with the call in flight
+		broken  breakage // how the connection breaks while the call is in flight
 		want    Outcome
 	}{
 		"served":   {serveAfter(ms), notBroken, Outcome{Attempts: 1}},
@@ -22,7 +22,7 @@
 			Outcome{Verdict: Failed, Attempts: 1}},
 		"lost":    {serveAfter(time.Hour), callsLost, Outcome{Verdict: Lost, MayHaveRun: true, Attempts: 1}},
 		"unsent":  {serveAfter(100 * ms), callsUnsent, Outcome{Attempts: 1}},
-		"overdue": {serveAfter(time.Hour), notBroken, Outcome{Verdict: Deadline, MayHaveRun: true, Attempts: 1}},
+		"timeout": {serveAfter(time.Hour), notBroken, Outcome{Verdict: Deadline, MayHaveRun: true, Attempts: 1}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := newSimulation(t, 2, nil)
@@ -36,16 +36,16 @@
 			got, want := s.outcomes[call], test.want
 			if got.Verdict != want.Verdict || got.MayHaveRun != want.MayHaveRun || got.Attempts != want.Attempts ||
 				s.sent[call] != want.Attempts {
-				t.Errorf("%+v, sent %d times", got, s.sent[call])
+				t.Errorf("got %+v, sent %d times", got, s.sent[call])
 			}
 		})
 	}
 }
 
-// A call that crosses a router's close of an idle connection is sent again at once; only an idempotent one, and
+// A call that crosses a router's close of an idle connection is sent again at once, but only if it is idempotent, and
 // only once.
 func TestOnlyIdempotentCallThatCrossedCloseIsSentAgain(t *testing.T) {
-	for name, idempotent := range map[string]bool{"idempotent": true, "not idempotent": false} {
+	for name, idempotent := range map[string]bool{"idempotent call is sent again": true, "other call is not sent again": false} {
 		t.Run(name, func(t *testing.T) {
 			s := newSimulation(t, 1, nil)
 			s.start(true, time.Second)
@@ -62,7 +62,7 @@
 	}
 }
 
-// The Retry-After that a router sends for one call holds for all, and is the least that they wait.
+// The Retry-After that a router sends for one call applies to all calls, which wait at least that long.
 func TestRetryAfterHoldsForAllCalls(t *testing.T) {
 	s := newSimulation(t, 1, nil)
 	r := s.routers[0]
@@ -76,26 +76,26 @@
 	}
 	short := s.start(true, 100*ms)
 	if outcome := s.outcomes[short]; outcome.Verdict != Refused || !outcome.Local || outcome.RetryAfter < 300*ms {
-		t.Errorf("a call with too little time: %+v", outcome)
+		t.Errorf("a call with less time than the Retry-After: %+v", outcome)
 	}
-	s.run(2 * time.Second) // the simulation checks that none goes too early
+	s.run(2 * time.Second) // the simulation checks that no call is sent too early
 	if s.share(calls, Served) < 1 || r.received[1] == r.received[2] {
-		t.Errorf("served %v, at %v", s.share(calls, Served), r.received)
+		t.Errorf("%v of the calls served, received at %v", s.share(calls, Served), r.received)
 	}
 }
 
-// Retries of all calls together stay within the budget.
+// The retries of all calls together stay within the budget.
 func TestRetriesStayWithinBudget(t *testing.T) {
 	s := newSimulation(t, 1, func(s *Settings) { s.EjectShare = 0 })
 	s.routers[0].respond = fail()
 	calls := s.startEvery(5*ms, 20*time.Second)
 	retries := float64(s.policy.Counts().Retries)
 	if most := 0.1*float64(len(calls)) + 3*s.settings.RetryFloor; retries > most || retries < most/2 {
-		t.Errorf("%v retries of %d calls", retries, len(calls))
+		t.Errorf("%v retries of %d calls, budget not kept or not used", retries, len(calls))
 	}
 }
 
-// The waits before retries are random.
+// Backoffs are random with full jitter: their mean is half of the longest backoff.
 func TestBackoffHasFullJitter(t *testing.T) {
 	s := newSimulation(t, 1, nil)
 	sum, n := 0.0, 2000
@@ -103,6 +103,6 @@
 		sum += s.policy.backoff(3).Seconds()
 	}
 	if mean := sum / float64(n); math.Abs(mean-0.1) > 0.01 {
-		t.Errorf("the mean wait before a third try is %.3f s", mean)
+		t.Errorf("the mean backoff after three attempts is %.3f s", mean)
 	}
 }
--- a/client/policy/simulation_test.go
+++ b/client/policy/simulation_test.go
@@ -10,8 +10,8 @@
 
 const ms = time.Millisecond
 
-// simulation plays routers and the network to a policy, in virtual time, and checks each action: that calls go only
-// where they may, that a retry is marked, that each call ends once and in time.
+// simulation simulates routers and the network for a policy, in virtual time. It checks each action: calls are sent
+// only where they may be sent, retries are marked, and each call ends once and in time.
 type simulation struct {
 	t        rapid.TB
 	policy   *Policy
@@ -20,16 +20,16 @@
 	events   []simEvent
 	routers  []*simRouter
 	conns    map[*Conn]*simConn
-	dialed   []*Conn // in order
+	dialed   []*Conn // in the order of the dials
 
-	sent       map[*Call]int // attempts
-	mayHaveRun map[*Call]int // of these, those that were not proved not to run
+	sent       map[*Call]int // number of attempts
+	mayHaveRun map[*Call]int // number of attempts for which nothing proves that they did not run
 	outcomes   map[*Call]Outcome
 	endedAt    map[*Call]time.Duration
-	trace      []string // actions
+	trace      []string // formatted actions
 }
 
-// simEvent is something that happens at a time of its own.
+// simEvent is an event that happens at a given time.
 type simEvent struct {
 	at time.Duration
 	do func()
@@ -39,11 +39,11 @@
 type simRouter struct {
 	down         bool // refuses connections
 	silent       bool // accepts connections and answers nothing
-	draining     bool // answers health checks with that it takes no clients
+	draining     bool // answers health checks by reporting that it takes no clients
 	respond      func() simResponse
-	received     []time.Duration // calls
-	accepted     []time.Duration // connections
-	rejectsUntil time.Duration   // by its own Retry-After
+	received     []time.Duration // times of received calls
+	accepted     []time.Duration // times of accepted connections
+	rejectsUntil time.Duration   // end of its own Retry-After
 }
 
 // simResponse is how a router answers a call.
@@ -104,19 +104,19 @@
 	}
 }
 
-// schedule has something done after a time.
+// schedule adds an event that happens after a time.
 func (s *simulation) schedule(after time.Duration, do func()) {
 	s.events = append(s.events, simEvent{s.now + after, do})
 }
 
-// start starts a call and carries out what the policy decides.
+// start starts a call and carries out the resulting actions.
 func (s *simulation) start(idempotent bool, limit time.Duration) *Call {
 	call := s.policy.StartCall(s.now, CallSpec{Idempotent: idempotent, Deadline: s.now + limit})
 	s.runActions()
 	return call
 }
 
-// startEvery starts idempotent calls at even intervals for a time, and returns them.
+// startEvery starts idempotent calls at regular intervals for a time, and returns them.
 func (s *simulation) startEvery(interval, d time.Duration) (calls []*Call) {
 	for until := s.now + d; s.now < until; s.run(interval) {
 		calls = append(calls, s.start(true, 3*time.Second))
@@ -124,7 +124,7 @@
 	return calls
 }
 
-// run lets time pass.
+// run advances the virtual time by d, and handles the events and timers that are due.
 func (s *simulation) run(d time.Duration) {
 	for until := s.now + d; ; {
 		next := s.nextEvent()
@@ -204,10 +204,10 @@
 
 func (s *simulation) finish(action Action) {
 	if _, twice := s.outcomes[action.Call]; twice {
-		s.t.Fatalf("a call ended twice, as %+v", action.Outcome)
+		s.t.Fatalf("a call ended a second time, as %+v", action.Outcome)
 	}
 	if s.now > action.Call.deadline {
-		s.t.Fatalf("a call ended %v too late", s.now-action.Call.deadline)
+		s.t.Fatalf("a call ended %v after its deadline", s.now-action.Call.deadline)
 	}
 	s.outcomes[action.Call], s.endedAt[action.Call] = action.Outcome, s.now
 }
@@ -230,22 +230,22 @@
 	s.schedule(response.after, func() { s.deliver(call, conn, response) })
 }
 
-// checkSend checks that a call may go out as it does.
+// checkSend checks that a call may be sent on the given connection with the given limit.
 func (s *simulation) checkSend(action Action, conn *simConn, limit time.Duration) {
 	s.t.Helper()
 	call := action.Call
 	_, ended := s.outcomes[call]
 	switch left := call.deadline - s.now; {
 	case !conn.up || len(conn.inFlight) >= s.settings.OpenPerConn:
-		s.t.Fatalf("a call goes out on a connection that is up: %v, and has %d open", conn.up, len(conn.inFlight))
+		s.t.Fatalf("a call is sent on a connection with up=%v and %d calls in flight", conn.up, len(conn.inFlight))
 	case ended || limit > left || limit <= 0:
-		s.t.Fatalf("a call goes out, over: %v, with limit %v of %v", ended, limit, left)
+		s.t.Fatalf("a call is sent with ended=%v, limit %v and %v left to its deadline", ended, limit, left)
 	case conn.router.rejectsUntil > s.now:
-		s.t.Fatalf("a call goes out %v before it may", conn.router.rejectsUntil-s.now)
+		s.t.Fatalf("a call is sent %v before the end of a Retry-After", conn.router.rejectsUntil-s.now)
 	case !call.idempotent && s.mayHaveRun[call] > 0:
-		s.t.Fatalf("an unsafe call goes out again that may have run")
+		s.t.Fatalf("a call that is not idempotent is sent again after it may have run")
 	case action.Retry != (s.sent[call] > 0):
-		s.t.Fatalf("try %d marked as retry: %v", s.sent[call]+1, action.Retry)
+		s.t.Fatalf("attempt %d is marked as retry: %v", s.sent[call]+1, action.Retry)
 	}
 }
 
@@ -265,15 +265,15 @@
 	s.policy.ResponseReceived(s.now, call, response.result, response.retryAfter)
 }
 
-// breakage is what is known of the calls in flight on a connection that breaks.
+// breakage says whether the calls in flight on a broken connection may have run.
 type breakage int
 
 const (
 	callsLost   breakage = iota // they may have run
-	callsUnsent                 // surely not a byte of them was written
+	callsUnsent                 // certainly no byte of them was written
 )
 
-// breakConn ends a connection with all calls that are in flight on it.
+// breakConn ends a connection and reports the calls in flight on it.
 func (s *simulation) breakConn(conn *Conn, kind breakage) {
 	sim := s.conns[conn]
 	sim.up = false
@@ -299,7 +299,7 @@
 	}
 }
 
-// share returns the share of calls that ended with a verdict.
+// share returns the share of calls that ended with the given verdict.
 func (s *simulation) share(calls []*Call, verdict Verdict) float64 {
 	n := 0
 	for _, call := range calls {
--- a/client/response_test.go
+++ b/client/response_test.go
@@ -11,8 +11,8 @@
 	"hillknot/internal/testutil/fakes"
 )
 
-// A response to a call that has ended is ignored: one that came late, one that crossed the cancel, and a second
-// one. The connection goes on.
+// Responses to calls that have ended are ignored, and the connection stays open. The test covers a late response, a
+// response that crosses the cancel, and a second response.
 func TestResponsesToEndedCallsAreIgnored(t *testing.T) {
 	var canceled atomic.Int64
 	r := readyRouter(t, func(p *fakes.Peer, m rpc.Message) {
@@ -20,7 +20,7 @@
 		case m.Kind == rpc.KindNotification:
 			canceled.Add(1)
 			p.SendBody(m.IDs[0], []byte("too late"))
-		case string(m.Fields.Nth) == "1": // never in time
+		case string(m.Fields.Nth) == "1": // no response
 		default:
 			p.SendBody(m.ID, []byte("well"))
 			p.SendBody(m.ID, []byte("twice"))
@@ -42,11 +42,11 @@
 			cancel()
 			if !errors.Is(err, want) || (err != nil) != errors.Is(err, ErrMayHaveRun) ||
 				err == nil && string(resp.Body) != "well" {
-				t.Errorf("%q, %v, want %v", resp.Body, err, want)
+				t.Errorf("got %q and error %v, want error %v", resp.Body, err, want)
 			}
 		}
 	}
 	if s := c.Stats(); s.Dials != 1 || s.Strays == 0 || canceled.Load() == 0 {
-		t.Errorf("%+v, %d cancels", s, canceled.Load())
+		t.Errorf("stats %+v, %d cancels received", s, canceled.Load())
 	}
 }
--- a/client/stream_test.go
+++ b/client/stream_test.go
@@ -14,13 +14,13 @@
 	"hillknot/internal/testutil/fakes"
 )
 
-// rewindableSink keeps what it is given, and can discard it.
+// rewindableSink keeps the bytes that are written to it, and can discard them.
 type rewindableSink struct{ bytes.Buffer }
 
 // Rewind implements Rewinder.
 func (s *rewindableSink) Rewind() error { s.Reset(); return nil }
 
-// failingSink fails each write. It is a Rewinder too.
+// failingSink fails each write. It is also a Rewinder.
 type failingSink struct {
 	rewindableSink
 	err error
@@ -28,7 +28,7 @@
 
 func (s *failingSink) Write([]byte) (int, error) { return 0, s.err }
 
-// plainSink can't discard what it is given, and reports its first bytes.
+// plainSink can't discard the bytes that are written to it, and calls onFirst before the first of them.
 type plainSink struct {
 	written int
 	onFirst func()
@@ -42,15 +42,15 @@
 	return len(b), nil
 }
 
-// What was written to Request.To is not written twice: a call whose response breaks off is retried only where the
-// sink is a Rewinder. A sink that fails ends the call.
+// Bytes are not written to Request.To twice: a call whose response breaks off is retried only if the sink is a
+// Rewinder. A failing sink ends the call.
 func TestBrokenOffStreamIsRetriedOnlyWithRewinder(t *testing.T) {
 	body := bytes.Repeat([]byte("score "), 30_000)
 	var requests atomic.Int64
 	breakOff := make(chan struct{}, 10)
 	r := readyRouter(t, func(p *fakes.Peer, m rpc.Message) {
 		response := rpc.AppendBodyResponse(nil, m.ID, body)
-		if m.Kind == rpc.KindRequest && requests.Add(1)%2 == 1 { // each other one
+		if m.Kind == rpc.KindRequest && requests.Add(1)%2 == 1 { // every other request, the first included
 			p.SendRaw(response[:100_000])
 			<-breakOff
 			p.Reset()
@@ -65,17 +65,17 @@
 	breakOff <- struct{}{}
 	_, err := c.Do(ctx, Request{Class: "full-score", To: &rewindable})
 	if err != nil || !bytes.Equal(rewindable.Bytes(), body) {
-		t.Errorf("%d bytes, %v", rewindable.Len(), err)
+		t.Errorf("rewindable sink got %d bytes, error %v", rewindable.Len(), err)
 	}
 
 	plain := &plainSink{onFirst: func() { breakOff <- struct{}{} }}
 	_, err = c.Do(ctx, Request{Class: "full-score", To: plain})
 	if !errors.Is(err, ErrLost) || plain.written == 0 || plain.written > 100_000 {
-		t.Errorf("%d bytes handed over, %v", plain.written, err)
+		t.Errorf("plain sink got %d bytes, error %v", plain.written, err)
 	}
 
 	_, err = c.Do(ctx, Request{Class: "full-score", To: &failingSink{err: os.ErrPermission}})
 	if !errors.Is(err, ErrSink) || !errors.Is(err, os.ErrPermission) {
-		t.Errorf("a sink that fails: %v", err)
+		t.Errorf("failing sink: error %v", err)
 	}
 }
