--- a/internal/extension/orderfailover/golden_test.go
+++ b/internal/extension/orderfailover/golden_test.go
@@ -10,11 +10,11 @@
 	"hillknot/internal/testutil/golden"
 )
 
-// A claim is checked against the record of its order by a hash of what the client asked for, which two routers of different
-// releases compute. The file of testdata/golden was written at commit 86ccf0f.
+// A claim is compared with the record of its order by a hash of what the client asked for, which two routers of different
+// releases compute. The files of testdata/golden were written at commit 86ccf0f.
 //
-// No name reaches the bytes, but what function digest hashes, in its order: the length (8 bytes, highest first) and the bytes
-// of Class, Item, Account and Body, then Part and Group.
+// The hash covers no names, only the values that function digest hashes, in this order: the length (8 bytes, big-endian) and
+// the bytes of each of Class, Item, Account and Body, then Part and Group (8 bytes each, big-endian).
 func TestGoldenDigest(t *testing.T) {
 	q := &core.Request{
 		Txn:        "00000000000000a1",
@@ -25,7 +25,7 @@
 		Group:      4,
 		Body:       []byte("two seats"),
 	}
-	o := order(q, "00000000000000c3", 1500*time.Millisecond)
+	o := failoverOrder(q, "00000000000000c3", 1500*time.Millisecond)
 	golden.Same(t, "digest.hex", o.Digest[:])
 	want := failover.Order{
 		Txn:      "00000000000000c3",
@@ -41,11 +41,11 @@
 	if !reflect.DeepEqual(o, want) {
 		t.Errorf("order %+v, want %+v", o, want)
 	}
-	empty := order(&core.Request{}, "", 0)
+	empty := failoverOrder(&core.Request{}, "", 0)
 	golden.Same(t, "digest-empty.hex", empty.Digest[:])
 }
 
-// What a replica is told of an answer.
+// Each answer is converted to the outcome that the replica stores.
 func TestGoldenOutcomes(t *testing.T) {
 	rejected := core.Answer{Verdict: core.Rejected, RetryAfter: time.Second}
 	for name, c := range map[string]struct {
@@ -73,7 +73,7 @@
 			want:       failover.Outcome{Kind: failover.Failed},
 		},
 	} {
-		if got := outcome(c.answer, c.mayHaveRun); !reflect.DeepEqual(got, c.want) {
+		if got := failoverOutcome(c.answer, c.mayHaveRun); !reflect.DeepEqual(got, c.want) {
 			t.Errorf("%s: %+v, want %+v", name, got, c.want)
 		}
 	}
