--- a/client/errors.go
+++ b/client/errors.go
@@ -21,7 +21,7 @@
 	ErrCanceled    = errors.New("withdrawn")                   // the context ended, or the client was closed meanwhile
 	ErrClosed      = errors.New("client closed")               // before the call of Do
 	ErrRequest     = errors.New("malformed request")           // it was not sent
-	ErrSink        = errors.New("writing the response failed") // Request.To failed; the request was served
+	ErrSink        = errors.New("writing the response failed") // Request.To failed; a router served the request
 	ErrMayHaveRun  = errors.New("may have run")                // matches in addition if the request must not be repeated
 )
 
--- a/client/policy/router.go
+++ b/client/policy/router.go
@@ -35,7 +35,7 @@
 // loadEstimate is the load of a router as estimated from its responses.
 type loadEstimate struct {
 	latency      float64 // moving average over served and invalid requests, in seconds; 0: unknown
-	successRate  float64 // moving average of the share of served and invalid requests, from 0 to 1
+	successRate  float64 // moving average of the share of served and invalid requests; timeouts count as failures; 0 to 1
 	lastResponse time.Duration
 }
 
--- a/client/policy/throttle.go
+++ b/client/policy/throttle.go
@@ -21,8 +21,8 @@
 
 // throttle sheds calls locally while routers reject nearly all of them (an overload). It is adaptive throttling as in
 // the Google SRE book, with a probe and a ramp that let it recover within a second. Shedding spares routers the work
-// of rejecting calls, and the callers' links the traffic of calls that would be rejected. One call per
-// ProbeEvery is still admitted as a probe, to detect the end of the overload.
+// of rejecting calls, and the callers' links the traffic of calls that would be rejected. One call per ProbeEvery is
+// still admitted as a probe, to detect the end of the overload.
 type throttle struct {
 	settings  *Settings
 	random    *rand.Rand
