--- a/internal/cluster/messaging/peer.go
+++ b/internal/cluster/messaging/peer.go
@@ -6,42 +6,42 @@
 	"time"
 )
 
-// peer is another router, as its latest process that was heard of.
+// peer is another router, represented by its latest known process.
 type peer struct {
 	name             string
 	process          uint64 // 0: not known yet
 	outbox           outbox
 	inbox            inbox
-	acknowledgements []item // to be sent
-	query            query  // for the process that is there now
+	acknowledgements []item // to send
+	query            query  // for the process that runs now
 	queryReplies     []queryReply
-	announce         bool // it takes this router for another process, and is to hear of this one
-	heardAt          time.Duration
+	announce         bool // a packet is due, as the peer sent one to another process of this router
+	lastSeenAt       time.Duration
 }
 
-// outgoing is a message in flight.
-type outgoing struct {
+// outgoingMessage is a message in flight to a peer.
+type outgoingMessage struct {
 	id       uint64
-	process  uint64 // that it is for; 0: not known yet
+	process  uint64 // process that the message is for; 0: not known yet
 	body     []byte
-	sendAt   time.Duration // when it is sent again
-	backoff  time.Duration // until the attempt after that
+	sendAt   time.Duration // when it is sent next
+	backoff  time.Duration // between that attempt and the one after it
 	deadline time.Duration
 }
 
-// outbox holds the messages in flight to a peer, in the order in which they were sent first.
+// outbox holds the messages in flight to a peer, in the order of the calls of Send.
 type outbox struct {
-	messages []*outgoing
+	messages []*outgoingMessage
 	bytes    int // of their bodies
 }
 
-func (o *outbox) add(out *outgoing) {
+func (o *outbox) add(out *outgoingMessage) {
 	o.messages = append(o.messages, out)
 	o.bytes += len(out.body)
 }
 
 func (o *outbox) remove(id uint64) {
-	i := slices.IndexFunc(o.messages, func(out *outgoing) bool { return out.id == id })
+	i := slices.IndexFunc(o.messages, func(out *outgoingMessage) bool { return out.id == id })
 	if i < 0 {
 		return
 	}
@@ -49,31 +49,31 @@
 	o.messages = slices.Delete(o.messages, i, i+1)
 }
 
-// inbox knows which messages of a peer's process have come, so that each is delivered at most once.
+// inbox remembers which messages of a peer's process were received, so that each is delivered at most once.
 type inbox struct {
-	replies map[uint64][]byte // of messages that came; nil: not acknowledged yet
-	order   []uint64          // the keys of replies, oldest first
-	floor   uint64            // messages with numbers up to this are too old to be told apart
+	replies       map[uint64][]byte // by id of a received message; nil: not acknowledged yet
+	receivedIDs   []uint64          // the keys of replies, oldest first
+	forgottenUpTo uint64            // messages with ids up to this are too old to be remembered, and ignored
 }
 
-// accept notes a message and returns true if it came for the first time. Else it returns the reply to be sent again, if
-// there is one.
-func (b *inbox) accept(id uint64, memory int) (first bool, reply []byte) {
+// accept records a message and returns true if it was received for the first time. Otherwise it returns the reply to send
+// again, if there is one. It remembers at most maxReplies messages.
+func (b *inbox) accept(id uint64, maxReplies int) (isNew bool, reply []byte) {
 	reply, known := b.replies[id]
-	if known || id <= b.floor || id == 0 {
+	if known || id <= b.forgottenUpTo || id == 0 {
 		return false, reply
 	}
 	b.replies[id] = nil
-	b.order = append(b.order, id)
-	if len(b.order) > memory {
-		b.floor = max(b.floor, b.order[0])
-		delete(b.replies, b.order[0])
-		b.order = b.order[1:]
+	b.receivedIDs = append(b.receivedIDs, id)
+	if len(b.receivedIDs) > maxReplies {
+		b.forgottenUpTo = max(b.forgottenUpTo, b.receivedIDs[0])
+		delete(b.replies, b.receivedIDs[0])
+		b.receivedIDs = b.receivedIDs[1:]
 	}
 	return true, nil
 }
 
-// setReply remembers the reply to a message. It returns false if the message is not remembered.
+// setReply records the reply to a message. It returns false if the message is no longer remembered.
 func (b *inbox) setReply(id uint64, reply []byte) bool {
 	if _, known := b.replies[id]; !known {
 		return false
@@ -84,35 +84,35 @@
 
 // reset forgets the messages of a process that has ended.
 func (b *inbox) reset() {
-	b.order, b.floor = nil, 0
+	b.receivedIDs, b.forgottenUpTo = nil, 0
 	clear(b.replies)
 }
 
-// query asks which process of a peer is there now. Only the reply to an open query tells: a process that has ended
-// can't give it, however late its packets come.
+// query asks which process of a peer runs now. Only the reply to an open query can determine it: a process that has ended
+// cannot send that reply, however late its packets arrive.
 type query struct {
 	number    uint64        // 0: no query is open
-	sendAt    time.Duration // when it is sent again
+	sendAt    time.Duration // when it is sent next
 	expiresAt time.Duration // when it is given up if no message waits for the reply
 }
 
-// queryReply tells a process that asked that this one is here.
+// queryReply is a reply that is due to a query: the peer's process that sent the query, and the number of the query.
 type queryReply struct{ process, number uint64 }
 
-// maxQueryReplies bounds the queries of a peer that wait for a reply.
+// maxQueryReplies bounds the queries of one peer that wait for a reply.
 const maxQueryReplies = 4
 
 // queryLifetime is how long a query is repeated if no message waits for the reply.
 const queryLifetime = 2 * time.Second
 
-// silent tells whether there is nothing to send to the peer.
-func (p *peer) silent() bool {
+// hasNothingToSend reports whether there is nothing to send to the peer.
+func (p *peer) hasNothingToSend() bool {
 	return len(p.outbox.messages) == 0 && len(p.acknowledgements) == 0 && p.query.number == 0 &&
 		len(p.queryReplies) == 0 && !p.announce
 }
 
-// peer finds a peer, or begins to remember it. If there are too many, the one that was heard of longest ago and has no
-// message in flight is forgotten; if there is none, peer returns nil.
+// peer returns the peer of a name, and adds it if needed. If there are too many, it first forgets the peer that was seen
+// longest ago among those without messages in flight; if there is none, it returns nil.
 func (m *Messenger) peer(now time.Duration, name string) *peer {
 	if p := m.peers[name]; p != nil {
 		return p
@@ -124,8 +124,8 @@
 		}
 		delete(m.peers, oldest.name)
 	}
-	p := &peer{name: name, heardAt: now, inbox: inbox{replies: map[uint64][]byte{}}}
-	m.peers[name], m.names = p, nil
+	p := &peer{name: name, lastSeenAt: now, inbox: inbox{replies: map[uint64][]byte{}}}
+	m.peers[name], m.peerNames = p, nil
 	return p
 }
 
@@ -133,14 +133,14 @@
 	var oldest *peer
 	for _, name := range slices.Sorted(maps.Keys(m.peers)) {
 		p := m.peers[name]
-		if len(p.outbox.messages) == 0 && (oldest == nil || p.heardAt < oldest.heardAt) {
+		if len(p.outbox.messages) == 0 && (oldest == nil || p.lastSeenAt < oldest.lastSeenAt) {
 			oldest = p
 		}
 	}
 	return oldest
 }
 
-// startQuery asks which process of a peer is there now, unless that query is open already.
+// startQuery opens a query for the process of a peer that runs now, unless a query is open already.
 func (m *Messenger) startQuery(now time.Duration, p *peer) {
 	if p.query.number != 0 {
 		return
@@ -149,8 +149,8 @@
 	p.query = query{number: m.lastQuery, sendAt: now, expiresAt: now + queryLifetime}
 }
 
-// replaceProcess goes on with another process of a peer. Messages for the one before end with ProcessReplacedError;
-// those that are for no process yet are sent to it at once.
+// replaceProcess replaces the known process of a peer. Messages for the previous one end with ProcessReplacedError;
+// those that are for no process yet are now for the new one and are sent at once.
 func (m *Messenger) replaceProcess(p *peer, process uint64) {
 	for _, out := range slices.Clone(p.outbox.messages) {
 		if out.process == 0 {
