--- a/client/policy/connclose.go
+++ b/client/policy/connclose.go
@@ -9,7 +9,7 @@
 type connEnd struct {
 	byRouter     bool // the client had not closed the connection
 	crossedClose bool // the router closed an idle connection just after all calls in flight were written
-	spreadDial   bool // the next dial is delayed at random: other clients lost connections in use too, and reconnect
+	spreadDial   bool // spread the dials: the connection was in use, so other clients lost theirs and reconnect at the same time
 }
 
 // ConnectionClosed reports that a connection has ended: closed by the router, broken by a fault, or closed because of
