--- a/internal/rpc/decoder.go
+++ b/internal/rpc/decoder.go
@@ -6,21 +6,21 @@
 	"math"
 )
 
-// errIncomplete says that the buffer ends within the message. Every other error says that it never becomes a message.
+// errIncomplete reports that the buffer ends within the message. After any other error, the buffer can never become a
+// valid message.
 var errIncomplete = errors.New("message is incomplete")
 
-// maxDepth is how deep a value that is skipped may be nested.
+// maxDepth is the largest number of nesting levels of a value that is skipped.
 const maxDepth = 8
 
 // decoder reads MessagePack values from a buffer that may end anywhere.
 type decoder struct {
 	buffer []byte
 	offset int
-	needed int // with errIncomplete: bytes that the buffer must hold to get further
+	needed int // after errIncomplete: bytes that the buffer must hold for the parser to get further
 }
 
-// progress is the result of a parser of a value of at most limit bytes: how far it came, given the error that stopped
-// it.
+// progress returns the result of parsing a value of at most limit bytes. err is the error that stopped the parser, or nil.
 func (d *decoder) progress(limit int, err error) (Progress, error) {
 	switch {
 	case errors.Is(err, errIncomplete) && d.needed <= limit && len(d.buffer) < limit:
@@ -31,7 +31,7 @@
 	return Progress{Consumed: d.offset}, nil
 }
 
-// peek returns the next byte and leaves it.
+// peek returns the next byte without consuming it.
 func (d *decoder) peek() (byte, error) {
 	if d.offset >= len(d.buffer) {
 		d.needed = d.offset + 1
@@ -40,7 +40,7 @@
 	return d.buffer[d.offset], nil
 }
 
-// take returns the next bytes.
+// take consumes and returns the next size bytes.
 func (d *decoder) take(size int) ([]byte, error) {
 	if size > len(d.buffer)-d.offset {
 		d.needed = d.offset + size
@@ -50,7 +50,7 @@
 	return d.buffer[d.offset-size : d.offset : d.offset], nil
 }
 
-// bigEndian reads a number of at most 8 bytes.
+// bigEndian reads an unsigned big-endian number of size bytes, at most 8.
 func (d *decoder) bigEndian(size int) (uint64, error) {
 	bytes, err := d.take(size)
 	if err != nil {
@@ -61,7 +61,7 @@
 	return binary.BigEndian.Uint64(wide[:]), nil
 }
 
-// uint reads a whole number that is not negative.
+// uint reads an unsigned integer.
 func (d *decoder) uint() (uint64, error) {
 	head, err := d.peek()
 	if err != nil {
@@ -78,7 +78,7 @@
 	return 0, ErrMalformed
 }
 
-// messageID reads the id of a message.
+// messageID reads the id of a message, which must fit in 32 bits.
 func (d *decoder) messageID() (uint64, error) {
 	id, err := d.uint()
 	if err == nil && id > math.MaxUint32 {
@@ -87,14 +87,15 @@
 	return id, err
 }
 
-// arrayLength reads the head of an array.
+// arrayLength reads the head of an array, and returns the number of its elements.
 func (d *decoder) arrayLength() (int, error) { return d.collectionLength(formatArray, headArray16) }
 
-// mapLength reads the head of a map, and returns how many pairs follow.
+// mapLength reads the head of a map, and returns the number of its key-value pairs.
 func (d *decoder) mapLength() (int, error) { return d.collectionLength(formatMap, headMap16) }
 
-// collectionLength reads the head of an array or a map. The form with a length of 32 bits follows the one with 16 bits.
-func (d *decoder) collectionLength(expected format, form16 byte) (int, error) {
+// collectionLength reads the head of an array or a map, whose form with a 16-bit length has the head byte head16. The
+// head byte of the form with a 32-bit length is the next one.
+func (d *decoder) collectionLength(expected format, head16 byte) (int, error) {
 	head, err := d.peek()
 	if err != nil {
 		return 0, err
@@ -103,13 +104,13 @@
 	if formats[head] != expected {
 		return 0, ErrMalformed
 	}
-	if head >= form16 {
-		return d.length(2 << (head - form16))
+	if head >= head16 {
+		return d.length(2 << (head - head16))
 	}
 	return int(head & shortCollectionMask), nil
 }
 
-// length reads a length of so many bytes.
+// length reads a length that is encoded in size bytes. It must fit in 31 bits.
 func (d *decoder) length(size int) (int, error) {
 	length, err := d.bigEndian(size)
 	if err != nil {
@@ -121,7 +122,7 @@
 	return int(length), nil
 }
 
-// bytes reads a string or binary data, which clients' libraries don't always tell apart.
+// bytes reads a string or binary data. Both are accepted, as some client libraries don't distinguish them.
 func (d *decoder) bytes() ([]byte, error) {
 	size, err := d.bytesLength()
 	if err != nil {
@@ -130,7 +131,7 @@
 	return d.take(size)
 }
 
-// bytesLength reads the head of a string or of binary data.
+// bytesLength reads the head of a string or of binary data, and returns its length in bytes.
 func (d *decoder) bytesLength() (int, error) {
 	head, err := d.peek()
 	if err != nil {
@@ -148,7 +149,7 @@
 	return int(head & shortStringMask), nil
 }
 
-// skip passes over any value that is nested no deeper than depth.
+// skip skips a value of any format. A value with more than depth nesting levels is malformed.
 func (d *decoder) skip(depth int) error {
 	head, err := d.peek()
 	if err != nil {
@@ -182,6 +183,7 @@
 	return err
 }
 
+// skipValues skips count values, each of at most depth nesting levels.
 func (d *decoder) skipValues(count, depth int) error {
 	for range count {
 		if err := d.skip(depth); err != nil {
@@ -191,7 +193,7 @@
 	return nil
 }
 
-// skipExtension passes over an extension value with a length, a type and data.
+// skipExtension skips an extension value that consists of a length, a type and data.
 func (d *decoder) skipExtension(head byte) error {
 	d.offset++
 	size, err := d.length(1 << (head - headExtension8))
@@ -202,7 +204,7 @@
 	return err
 }
 
-// scalarSize is the size of a value that has no length of its own, with its head byte.
+// scalarSize returns the size in bytes, with the head byte, of a value whose size depends on its head byte alone.
 func scalarSize(head byte) int {
 	switch formats[head] {
 	case formatFloat:
@@ -212,7 +214,7 @@
 	case formatInt:
 		return 1 + 1<<(head-headInt8)
 	case formatFixedExtension:
-		return 2 + 1<<(head-headFixExtension1) // with the type
+		return 2 + 1<<(head-headFixExtension1) // head byte, type and data
 	}
 	return 1
 }
--- a/internal/rpc/encode.go
+++ b/internal/rpc/encode.go
@@ -6,7 +6,7 @@
 	"strconv"
 )
 
-// AppendRequest appends a client's request under an id.
+// AppendRequest appends a client's request with a message id.
 func AppendRequest(b []byte, id uint64, request *Request) []byte {
 	b = appendString(appendUint(append(b, headFixArray|requestElements, byte(KindRequest)), id), request.Method)
 	b = append(b, headFixArray|2, headFixMap|request.fieldCount())
@@ -30,9 +30,9 @@
 	return append(appendBinaryHead(b, len(request.Body)), request.Body...)
 }
 
-// fieldCount is how many fields the request has on the wire.
+// fieldCount returns the number of fields that the request has on the wire.
 func (r *Request) fieldCount() byte {
-	count := byte(5) // those that each request has
+	count := byte(5) // the fields that every request has
 	if r.Retry {
 		count++
 	}
@@ -48,19 +48,19 @@
 	return count
 }
 
-// AppendCancel appends the notification that a client no longer waits for the response under an id.
+// AppendCancel appends the notification that the client no longer waits for the response with a message id.
 func AppendCancel(b []byte, id uint64) []byte {
 	b = appendString(append(b, headFixArray|notificationElements, byte(KindNotification)), methodCancel)
 	return appendUint(append(b, headFixArray|1), id)
 }
 
-// AppendHealthRequest appends the health check of a router: whether it takes clients.
+// AppendHealthRequest appends a health check, which asks whether the router accepts clients.
 func AppendHealthRequest(b []byte, id uint64) []byte {
 	b = appendString(appendUint(append(b, headFixArray|requestElements, byte(KindRequest)), id), methodHealth)
 	return append(b, headFixArray|1, headFixMap)
 }
 
-// AppendBodyResponse appends the response to a request that was served: its body, and at most 15 fields.
+// AppendBodyResponse appends the response to a request that was served: the body, and at most 15 fields.
 func AppendBodyResponse(b []byte, id uint64, body []byte, fields ...Field) []byte {
 	b = append(appendResponseHead(b, id), headNil, headFixArray|2)
 	b = append(appendBinaryHead(b, len(body)), body...)
@@ -73,8 +73,8 @@
 	return append(appendFields(b, fields), headNil)
 }
 
-// AppendThrottledResponse appends the response to a request that was rejected and never ran. The client is to wait for
-// retryAfter milliseconds; 0 names no time. An empty reason stands for load.
+// AppendThrottledResponse appends the response to a request that was rejected and never ran. The client should wait
+// for retryAfter milliseconds before it retries; 0 sends no such time. An empty reason means overload.
 func AppendThrottledResponse(b []byte, id uint64, retryAfter int64, reason string) []byte {
 	var fields [2]Field
 	count := 0
@@ -89,7 +89,7 @@
 	return AppendErrorResponse(b, id, CodeThrottled, fields[:count]...)
 }
 
-// AppendHealthResponse appends the response to a health check.
+// AppendHealthResponse appends the response to a health check. ready reports whether the router accepts clients.
 func AppendHealthResponse(b []byte, id uint64, ready bool) []byte {
 	value := byte(headFalse)
 	if ready {
@@ -98,7 +98,7 @@
 	return append(appendResponseHead(b, id), headNil, headFixArray|2, value, headFixMap)
 }
 
-// appendResponseHead appends the start of a response up to its id; error and result follow.
+// appendResponseHead appends a response up to its id. The caller appends the error and the result.
 func appendResponseHead(b []byte, id uint64) []byte {
 	return appendUint(append(b, headFixArray|responseElements, byte(KindResponse)), id)
 }
@@ -112,7 +112,7 @@
 	return b
 }
 
-// appendUint appends a number in its shortest form.
+// appendUint appends an unsigned integer in its shortest form.
 func appendUint(b []byte, v uint64) []byte {
 	switch {
 	case v <= maxPositiveFixInt:
@@ -127,7 +127,7 @@
 	return binary.BigEndian.AppendUint64(append(b, headUint64), v)
 }
 
-// appendString appends a string of at most 64 KiB.
+// appendString appends a string of less than 64 KiB.
 func appendString(b []byte, s string) []byte {
 	if len(s) <= shortStringMask {
 		return append(append(b, headFixString|byte(len(s))), s...)
@@ -135,7 +135,7 @@
 	return append(binary.BigEndian.AppendUint16(append(b, headString16), uint16(len(s))), s...)
 }
 
-// appendBinaryHead appends the head of binary data of so many bytes, which are to follow.
+// appendBinaryHead appends the head of binary data of size bytes. The caller appends the data.
 func appendBinaryHead(b []byte, size int) []byte {
 	switch {
 	case size <= math.MaxUint8:
@@ -156,7 +156,7 @@
 	return b
 }
 
-// appendDecimal appends a number as a string of decimal digits, of which there are never more than 20.
+// appendDecimal appends a number as a string of decimal digits. It has at most 20 digits, which fit a short string.
 func appendDecimal(b []byte, v uint64) []byte {
 	head := len(b)
 	b = strconv.AppendUint(append(b, 0), v, 10)
--- a/internal/rpc/format.go
+++ b/internal/rpc/format.go
@@ -1,6 +1,6 @@
 package rpc
 
-// format is the type of a MessagePack value, as its head byte tells it.
+// format is the type of a MessagePack value, which its head byte determines.
 type format uint8
 
 const (
@@ -20,8 +20,8 @@
 	formatFixedExtension
 )
 
-// The head bytes of the formats: the first byte of a value. The formats of 8, 16, 32 and 64 bits follow each
-// other, so that the distance to the first one tells the size.
+// The head bytes of the formats. A head byte is the first byte of a value. The formats of 8, 16, 32 and 64 bits have
+// consecutive head bytes, so that the distance from the first of them gives the size.
 const (
 	headFixMap        = 0x80
 	headFixArray      = 0x90
@@ -48,10 +48,10 @@
 	headNegativeInt   = 0xe0
 )
 
-// maxPositiveFixInt is the largest number that is its own head byte.
+// maxPositiveFixInt is the largest integer that is encoded as its head byte alone.
 const maxPositiveFixInt = headFixMap - 1
 
-// Masks of the length in the head byte of a short map, array or string.
+// Masks of the length that the head byte of a short map, array or string holds.
 const (
 	shortCollectionMask = 0x0f
 	shortStringMask     = 0x1f
@@ -60,6 +60,7 @@
 // formats holds the format of each head byte.
 var formats = formatTable()
 
+// formatTable returns the format of each head byte.
 func formatTable() [256]format {
 	ranges := []struct {
 		head   int
--- a/internal/rpc/message.go
+++ b/internal/rpc/message.go
@@ -1,7 +1,7 @@
 // Package rpc encodes and parses the MessagePack-RPC messages that clients and routers exchange.
 //
-// It holds no state and does no I/O. What a parser returns are slices of the buffer that it was given; they are valid
-// as long as that buffer is not changed. An encoder appends to the buffer that it is given and returns it.
+// It holds no state and does no I/O. The slices that a parser returns point into the buffer that it was given, and are
+// valid until that buffer changes. An encoder appends to the buffer that it is given and returns the extended buffer.
 package rpc
 
 import (
@@ -9,17 +9,17 @@
 	"strconv"
 )
 
-// ErrMalformed says that the bytes are no message and never become one, whatever follows. The connection is of no more
-// use.
+// ErrMalformed reports that the bytes are not a valid message, and that no further bytes can make them one. The
+// connection can't be used any more.
 var ErrMalformed = errors.New("malformed message")
 
-// Progress tells how much of a buffer a parser has used.
+// Progress reports how much of a buffer a parser has used.
 type Progress struct {
-	Consumed int // bytes of the complete value; 0: the value is not complete yet
-	Needed   int // bytes that the buffer must hold before the next attempt, as far as known; 0: any more
+	Consumed int // length of the value in bytes; 0: the value is incomplete
+	Needed   int // bytes that the buffer must hold before the next attempt, as far as known; 0: at least one more byte
 }
 
-// MessageKind is the first element of each message.
+// MessageKind is the kind of a message, which is its first element.
 type MessageKind uint64
 
 // The kinds of messages, as MessagePack-RPC numbers them.
@@ -32,26 +32,27 @@
 // Message is a request or a notification, as a router reads it.
 type Message struct {
 	Kind       MessageKind
-	ID         uint64 // of a request: the client's message id, which its response repeats; at most 32 bits
+	ID         uint64 // message id that the client gave a request and that the response repeats; at most 32 bits
 	Method     []byte
-	ParamCount int // how many parameters there are, known or not
+	ParamCount int // number of parameters, with those that the parser ignores
 	Fields     Fields
 	Body       []byte
-	IDs        []uint64 // whole numbers among the parameters: the ids that a "cancel" withdraws
+	IDs        []uint64 // unsigned integers among the parameters: in a "cancel", the ids of the cancelled requests
 }
 
-// Fields are the fields of a request and, the last three, of a response, as they stand on the wire. Nil: there is none.
+// Fields holds the raw values of the fields of a request or a response. The last three occur in responses, all others in
+// requests. A field that the message does not have is nil.
 type Fields struct {
-	Txn            []byte // the client's own name of the request, in hex digits
-	Timeout        []byte // milliseconds for which the client waits
+	Txn            []byte // the client's own id of the request, in hex digits
+	Timeout        []byte // how long the client waits, in milliseconds
 	Item           []byte
 	Nth            []byte
 	Batch          []byte
-	CachedTag      []byte // version of the copy that the client holds
+	CachedTag      []byte // version of the copy that the client has
 	Retry          []byte // "1": the client has sent the request before
 	IdempotencyKey []byte
-	ResumedTxn     []byte // txn of the same request, whose router the client has lost
-	Account        []byte // prepaid account that pays
+	ResumedTxn     []byte // txn under which the client sent the same request to a router that it has lost
+	Account        []byte // prepaid account that pays for the request
 
 	NotModified []byte
 	RetryAfter  []byte
@@ -60,9 +61,9 @@
 
 // The names of the fields of responses.
 const (
-	FieldNotModified = "ok304"  // "1": the copy that the client holds is current
-	FieldRetryAfter  = "later"  // milliseconds for which a rejected client is to wait
-	FieldReason      = "reason" // why a request was rejected; without it, the reason is load
+	FieldNotModified = "ok304"  // "1": the copy that the client has is current
+	FieldRetryAfter  = "later"  // how long the client of a rejected request should wait, in milliseconds
+	FieldReason      = "reason" // why the request was rejected; absent: overload
 )
 
 // The names of the fields of requests.
@@ -79,13 +80,13 @@
 	fieldAccount        = "account"
 )
 
-// The names of the methods that are no class of requests.
+// The names of the methods that are not the name of a class.
 const (
 	methodHealth = "health"
 	methodCancel = "cancel"
 )
 
-// slot returns where the value of a field is kept, or nil where the name is not known.
+// slot returns the address of the value of the named field, or nil if the name is unknown.
 func (f *Fields) slot(name []byte) *[]byte {
 	switch string(name) {
 	case fieldTxn:
@@ -112,7 +113,7 @@
 	return f.responseSlot(name)
 }
 
-// responseSlot is slot for the fields of responses.
+// responseSlot is like slot, for the fields of responses only.
 func (f *Fields) responseSlot(name []byte) *[]byte {
 	switch string(name) {
 	case FieldReason:
@@ -125,11 +126,11 @@
 	return nil
 }
 
-// IsNotModified tells whether the copy that the client holds is current.
+// IsNotModified reports whether the copy that the client has is current.
 func (f Fields) IsNotModified() bool { return string(f.NotModified) == "1" }
 
-// RetryAfterMillis is for how many milliseconds a rejected client is to wait; 0 where the response names no time, or
-// one that is no number of at most 31 bits.
+// RetryAfterMillis returns how long the client of a rejected request should wait, in milliseconds. It returns 0 if the
+// response holds no such time, or one that is not a number of at most 31 bits.
 func (f Fields) RetryAfterMillis() int {
 	millis, err := strconv.ParseUint(string(f.RetryAfter), 10, 31)
 	if err != nil {
@@ -138,10 +139,10 @@
 	return int(millis)
 }
 
-// Field is one named value beside the body or the error code of a response.
+// Field is a named value that accompanies the body or the error code of a response.
 type Field struct{ Name, Value string }
 
-// Request is what a client sends.
+// Request is a request, as a client sends it.
 type Request struct {
 	Method        string // the class of the request
 	Txn           uint64
@@ -150,35 +151,35 @@
 	Item          uint64
 	Nth           uint64
 	Batch         uint8
-	Account       string // prepaid account that pays; empty: none is named
-	ResumedTxn    uint64 // txn of the same request, whose router was lost; 0: none
-	CachedTag     string // version of the copy that the client holds; empty: none
+	Account       string // prepaid account that pays for the request; empty: none
+	ResumedTxn    uint64 // txn under which the same request was sent to a router that was lost; 0: none
+	CachedTag     string // version of the copy that the client has; empty: none
 	Body          []byte
 }
 
-// The error codes that a router itself sends. Others stem from the answer of the page cache.
+// The error codes that originate in the router. All others come from the answer of the page cache.
 const (
-	CodeThrottled    = "Throttled"    // the request was rejected and never ran: a retry is harmless
-	CodeBadRequest   = "BadRequest"   // the request can't be used; it never ran
-	CodeNoSuchMethod = "NoSuchMethod" // there is no such class; it never ran
+	CodeThrottled    = "Throttled"    // the request was rejected and never ran; a retry is harmless
+	CodeBadRequest   = "BadRequest"   // the request is invalid and never ran
+	CodeNoSuchMethod = "NoSuchMethod" // there is no class of that name; the request never ran
 )
 
-// ResponseKind is what a response brings.
+// ResponseKind is the kind of content of a response.
 type ResponseKind uint8
 
 // The kinds of responses.
 const (
 	ResponseBody   ResponseKind = iota // the request was served
-	ResponseError                      // it was not
-	ResponseHealth                     // whether the router takes clients
+	ResponseError                      // the request was not served
+	ResponseHealth                     // the answer to a health check
 )
 
-// ResponseHeader is a response up to its body, as a client reads it.
+// ResponseHeader holds a response up to its body, as a client reads it.
 type ResponseHeader struct {
 	ID       uint64
 	Kind     ResponseKind
-	BodySize int    // of ResponseBody: bytes of the body, which follows the header; the trailer follows the body
+	BodySize int    // of ResponseBody: length of the body in bytes; the body follows the header, the trailer the body
 	Code     []byte // of ResponseError
-	Ready    bool   // of ResponseHealth: the router takes clients
+	Ready    bool   // of ResponseHealth: the router accepts clients
 	Fields   Fields // of ResponseError and ResponseHealth; those of ResponseBody are in the trailer
 }
--- a/internal/rpc/parse.go
+++ b/internal/rpc/parse.go
@@ -1,7 +1,7 @@
 package rpc
 
-// ParseMessage reads the message at the start of the buffer. It allocates nothing but Message.IDs. A message of more
-// than limit bytes is malformed.
+// ParseMessage reads the request or notification at the start of the buffer. It allocates nothing but Message.IDs. A
+// message of more than limit bytes is malformed.
 func ParseMessage(buffer []byte, limit int) (Message, Progress, error) {
 	d := decoder{buffer: buffer}
 	var m Message
@@ -12,9 +12,9 @@
 	return m, progress, err
 }
 
-// ParseResponseHeader reads a response up to its body, or all of a response that has no body. A header of more than
-// limit bytes is malformed, and so is one that announces a body of more than bodyLimit bytes: the caller may allocate
-// BodySize.
+// ParseResponseHeader reads a response up to its body, or the whole response if it has no body. A header of more than
+// limit bytes is malformed, and so is one that announces a body of more than bodyLimit bytes, so that the caller may
+// allocate BodySize bytes.
 func ParseResponseHeader(buffer []byte, limit, bodyLimit int) (ResponseHeader, Progress, error) {
 	d := decoder{buffer: buffer}
 	var h ResponseHeader
@@ -48,7 +48,7 @@
 	notificationElements = 3
 )
 
-// messageHead reads how many elements a message has, and the first of them, its kind.
+// messageHead reads the number of elements of a message, and its first element, the kind.
 func (d *decoder) messageHead() (elements int, kind MessageKind, err error) {
 	if elements, err = d.arrayLength(); err != nil {
 		return 0, 0, err
@@ -79,7 +79,7 @@
 	return d.params(m)
 }
 
-// params reads the parameters, of which there may be more than are known.
+// params reads the parameters. There may be more than the protocol defines.
 func (d *decoder) params(m *Message) error {
 	count, err := d.arrayLength()
 	if err != nil {
@@ -94,7 +94,8 @@
 	return nil
 }
 
-// param reads one parameter: a map holds fields, a string or binary data are the body, a whole number is an id.
+// param reads one parameter. A map holds fields, a string or binary data is the body, an unsigned integer is an id, and
+// anything else is skipped.
 func (d *decoder) param(m *Message) error {
 	head, err := d.peek()
 	if err != nil {
@@ -114,7 +115,7 @@
 	return d.skip(maxDepth)
 }
 
-// fields reads a map, and keeps the values whose names are known.
+// fields reads a map into f, and skips the values whose names are unknown.
 func (d *decoder) fields(f *Fields) error {
 	count, err := d.mapLength()
 	if err != nil {
@@ -137,7 +138,7 @@
 	return nil
 }
 
-// responseHeader reads [kind, id, error, result], the result up to the bytes of the body.
+// responseHeader reads a response, [kind, id, error, result]. It reads the result up to the bytes of the body.
 func (d *decoder) responseHeader(h *ResponseHeader) error {
 	elements, kind, err := d.messageHead()
 	if err != nil {
@@ -160,8 +161,8 @@
 	return d.result(h)
 }
 
-// result reads the result of a request that was served, up to its body: [body, fields], or [ready, fields] of a health
-// check.
+// result reads the result of a response without an error: [ready, fields] of a health check in full, or [body, fields]
+// up to the bytes of the body.
 func (d *decoder) result(h *ResponseHeader) error {
 	elements, err := d.arrayLength()
 	if err != nil {
@@ -183,8 +184,8 @@
 	return err
 }
 
-// errorResponse reads an error, [code, fields] or [code] or the code alone, and the result beside it, which says
-// nothing.
+// errorResponse reads an error, which is [code, fields], [code] or the code alone, and skips the result after it, which
+// has no meaning in an error response.
 func (d *decoder) errorResponse(h *ResponseHeader) error {
 	h.Kind = ResponseError
 	head, err := d.peek()
--- a/internal/rpc/parse_test.go
+++ b/internal/rpc/parse_test.go
@@ -10,7 +10,7 @@
 	"hillknot/internal/testutil/parsertest"
 )
 
-// Limits of the parsers in tests, in bytes.
+// Limits of the parsers under test, in bytes.
 const (
 	messageLimit = 1 << 16
 	headerLimit  = 1 << 10
@@ -54,7 +54,8 @@
 	}
 }
 
-// A message over the limit must end the connection, not fill the memory.
+// A message over the limit is malformed, which ends the connection. The parser must not ask the caller to buffer it, as
+// it could fill the memory.
 func TestParseMessageOverLimit(t *testing.T) {
 	head := AppendRequest(nil, 7, &Request{Method: "a"})
 	for _, buf := range [][]byte{
@@ -72,7 +73,7 @@
 	notification := appendString([]byte{0x93, byte(KindNotification)}, "x")
 	deep := append(notification, []byte("\x91"+strings.Repeat("\x91", 100)+"\x01")...)
 	if _, _, err := ParseMessage(deep, messageLimit); err == nil {
-		t.Error("arrays nested too deep were accepted")
+		t.Error("arrays nested too deeply were accepted")
 	}
 }
 
@@ -98,7 +99,7 @@
 	}})
 }
 
-// Responses as a client reads them: the header up to the body, and the trailer behind it.
+// A client reads a response in two steps: the header up to the body, and the trailer after the body.
 func TestParseResponse(t *testing.T) {
 	parsertest.Run(t, drawResponseHeader, func(buf []byte) (int, int, error) {
 		_, progress, err := ParseResponseHeader(buf, headerLimit, 1<<16)
