--- a/internal/frontend/msgpackrpc/request.go
+++ b/internal/frontend/msgpackrpc/request.go
@@ -9,14 +9,14 @@
 	"hillknot/internal/rpc"
 )
 
-// Bounds of texts in a request, in bytes.
+// Limits of the strings in a request, in bytes.
 const (
 	maxAccountBytes = 128
 	maxTagBytes     = 64 // of an entity tag or an idempotency key
 )
 
-// newRequest turns a message into a request, or returns the error code that answers it. What outlives the read buffer
-// is copied. With rpc.CodeBadRequest the request holds its class, for the statistics.
+// newRequest converts a message into a request, or returns the error code to answer it with. It copies all data, as the
+// read buffer is reused. With rpc.CodeBadRequest, the request holds its class, for the statistics.
 func (s *Server) newRequest(m rpc.Message) (request core.Request, code string) {
 	class, ok := s.classes[string(m.Method)]
 	if !ok {
@@ -28,7 +28,7 @@
 		return request, rpc.CodeBadRequest
 	}
 	if class.Deadline > 0 && numbers.timeout > class.Deadline || len(m.Body) > s.limits.BodyBytes {
-		return request, rpc.CodeBadRequest // no client of the class waits so long or sends so much
+		return request, rpc.CodeBadRequest // no valid client of the class waits longer or sends a longer body
 	}
 	part := string(m.Fields.Nth)
 	if part == "" {
@@ -53,28 +53,28 @@
 	}, ""
 }
 
-// requestNumbers are the fields of a request that are numbers.
+// requestNumbers holds the numeric fields of a request.
 type requestNumbers struct {
 	timeout     time.Duration
 	object      uint64
 	part, group uint64
 }
 
-// parseNumbers reads the numeric fields. The time-out and the object are required; a part or group that is absent is 0.
+// parseNumbers reads the numeric fields. The timeout and the object are required. A part or group that is absent is 0.
 func parseNumbers(f *rpc.Fields) (n requestNumbers, ok bool) {
 	if len(f.Timeout) == 0 {
 		return n, false
 	}
-	millis, timeoutOK := parseNumber(f.Timeout, 31)
+	millis, timeoutOK := parseDecimal(f.Timeout, 31)
 	n.timeout = time.Duration(millis) * time.Millisecond
 	var objectOK, partOK, groupOK bool
 	n.object, objectOK = parseHexID(f.Item)
-	n.part, partOK = parseNumber(f.Nth, 63)
-	n.group, groupOK = parseNumber(f.Batch, 8)
+	n.part, partOK = parseDecimal(f.Nth, 63)
+	n.group, groupOK = parseDecimal(f.Batch, 8)
 	return n, timeoutOK && objectOK && partOK && groupOK
 }
 
-// validTexts tells whether the fields that are passed on as texts have the form that the core and page caches expect.
+// validTexts reports whether the fields that are passed on as text have the form that the core and page caches expect.
 func validTexts(f *rpc.Fields) bool {
 	if _, ok := parseHexID(f.Txn); !ok {
 		return false
@@ -87,8 +87,8 @@
 	return validTag(f.CachedTag) && validTag(f.IdempotencyKey) && len(f.Account) <= maxAccountBytes
 }
 
-// parseNumber reads a decimal number of so many bits; an absent one is 0.
-func parseNumber(b []byte, bits int) (uint64, bool) {
+// parseDecimal reads a decimal number that must fit in bits bits. An absent number is 0.
+func parseDecimal(b []byte, bits int) (uint64, bool) {
 	if len(b) == 0 {
 		return 0, true
 	}
@@ -96,13 +96,14 @@
 	return n, err == nil
 }
 
-// parseHexID reads 16 hex digits.
+// parseHexID reads an id of exactly 16 hex digits.
 func parseHexID(b []byte) (uint64, bool) {
 	n, err := strconv.ParseUint(string(b), 16, 64)
 	return n, err == nil && len(b) == 16
 }
 
-// validTag tells whether a tag can be passed on to a page cache as one word of a line.
+// validTag reports whether a tag can be sent to a page cache as one word of a line: it contains no white space, comma,
+// equals sign, control character or byte outside ASCII, and is not too long.
 func validTag(b []byte) bool {
 	for _, c := range b {
 		if c <= ' ' || c >= 0x7f || c == ',' || c == '=' {
--- a/internal/frontend/msgpackrpc/server.go
+++ b/internal/frontend/msgpackrpc/server.go
@@ -1,5 +1,5 @@
-// Package msgpackrpc is the front end for clients that speak MessagePack-RPC over TCP. It turns messages into requests of
-// the core, and the core's answers into messages. It decides nothing.
+// Package msgpackrpc is the front end for clients that speak MessagePack-RPC over TCP. It converts messages into requests
+// to the core, and the core's answers into messages. It makes no routing decisions.
 package msgpackrpc
 
 import (
@@ -14,8 +14,8 @@
 
 var log = logging.For("msgpackrpc")
 
-// Core is what the front end submits requests to. Post, NewID, EarliestArrival, Snapshot and DrainStage may be called
-// anywhere; the other methods are called on the core's goroutine.
+// Core processes the requests that the front end submits. Post, NewID, EarliestArrival, Snapshot and DrainStage may be
+// called from any goroutine, the other methods only on the core's goroutine.
 type Core interface {
 	Post(f func())
 	NewID() balancer.RequestID
@@ -35,18 +35,18 @@
 	core    Core
 	limits  config.Limits
 	classes map[string]balancer.Class // by method name
-	budget  *netio.Budget             // bounds the answers that wait for slow clients, over all connections
+	budget  *netio.Budget             // bounds the bytes of unsent answers over all connections
 }
 
-// Listen opens the listener, or takes the one that the process inherited under a descriptor above 0. The budget
-// bounds the answers that wait for slow clients, over all connections.
+// Listen opens a listener on addr, or uses the inherited listener if its descriptor is above 0. The budget bounds the
+// bytes of answers that wait for slow clients, over all connections.
 func Listen(addr string, inherited int, c Core, limits config.Limits, classes []balancer.Class, budget *netio.Budget) (*Server, error) {
 	s := &Server{core: c, limits: limits, classes: make(map[string]balancer.Class, len(classes)), budget: budget}
 	for _, class := range classes {
 		s.classes[class.Name] = class
 	}
 	newHandler := func(transport *netio.Conn) netio.Handler {
-		return &conn{server: s, transport: transport, open: map[uint64]balancer.RequestID{}}
+		return &conn{server: s, transport: transport, openRequests: map[uint64]balancer.RequestID{}}
 	}
 	var err error
 	if inherited > 0 {
@@ -61,9 +61,9 @@
 	return s, nil
 }
 
-// idleTimeouts returns how long a client may hold a connection that awaits no answer: idle, and in the middle of a
-// message. A router that drains waits for a request that is being written, but not up to the moment at which it counts
-// as empty.
+// idleTimeouts returns how long a connection without pending answers may stay open: while it is idle, and while a message
+// is incomplete. A draining router still waits for incomplete messages, but gives up on them in stage core.CloseAll,
+// before it counts as empty.
 func (s *Server) idleTimeouts() (idle, partial time.Duration) {
 	switch s.core.DrainStage() {
 	case core.CloseIdle:
--- a/internal/frontend/msgpackrpc/server_test.go
+++ b/internal/frontend/msgpackrpc/server_test.go
@@ -17,28 +17,28 @@
 	"hillknot/internal/netio"
 )
 
-// fakeCore hands what the front end submits to the test.
+// fakeCore passes the calls of the front end on to the test.
 type fakeCore struct {
-	posts     chan func()
-	submitted chan core.Request
-	cancelled chan balancer.RequestID
-	ids       balancer.RequestID
-	counted   atomic.Int64 // answers that the front worded
-	phase     atomic.Int64
-	leave     atomic.Int64
+	posts      chan func()
+	submitted  chan core.Request
+	cancelled  chan balancer.RequestID
+	ids        balancer.RequestID
+	counted    atomic.Int64 // answers that the front end gave itself
+	phase      atomic.Int64
+	drainStage atomic.Int64
 }
 
-func (d *fakeCore) Post(f func())                               { d.posts <- f }
-func (d *fakeCore) NewID() balancer.RequestID                   { d.ids++; return d.ids }
-func (d *fakeCore) EarliestArrival() time.Duration              { return 0 }
-func (d *fakeCore) AbortRequest(balancer.RequestID)             {}
-func (d *fakeCore) Submit(_ balancer.RequestID, q core.Request) { d.submitted <- q }
-func (d *fakeCore) CancelRequest(id balancer.RequestID)         { d.cancelled <- id }
-func (d *fakeCore) CountAnswer(string, core.Verdict)            { d.counted.Add(1) }
-func (d *fakeCore) Snapshot() *core.Snapshot {
-	return &core.Snapshot{Phase: core.Phase(d.phase.Load())}
+func (fake *fakeCore) Post(f func())                               { fake.posts <- f }
+func (fake *fakeCore) NewID() balancer.RequestID                   { fake.ids++; return fake.ids }
+func (fake *fakeCore) EarliestArrival() time.Duration              { return 0 }
+func (fake *fakeCore) AbortRequest(balancer.RequestID)             {}
+func (fake *fakeCore) Submit(_ balancer.RequestID, q core.Request) { fake.submitted <- q }
+func (fake *fakeCore) CancelRequest(id balancer.RequestID)         { fake.cancelled <- id }
+func (fake *fakeCore) CountAnswer(string, core.Verdict)            { fake.counted.Add(1) }
+func (fake *fakeCore) Snapshot() *core.Snapshot {
+	return &core.Snapshot{Phase: core.Phase(fake.phase.Load())}
 }
-func (d *fakeCore) DrainStage() core.DrainStage { return core.DrainStage(d.leave.Load()) }
+func (fake *fakeCore) DrainStage() core.DrainStage { return core.DrainStage(fake.drainStage.Load()) }
 
 type client struct {
 	t   *testing.T
@@ -46,38 +46,39 @@
 	dec *msgpack.Decoder
 }
 
-func open(t *testing.T) (*fakeCore, func() *client) {
+// start runs a server with a fake core. It returns the core, and a function that connects a client.
+func start(t *testing.T) (*fakeCore, func() *client) {
 	t.Helper()
-	d, _, dial := openServer(t)
-	return d, dial
+	fake, _, dial := startServer(t)
+	return fake, dial
 }
 
-// openServer is open for tests that call the server.
-func openServer(t *testing.T) (*fakeCore, *Server, func() *client) {
+// startServer is like start, for tests that use the server.
+func startServer(t *testing.T) (*fakeCore, *Server, func() *client) {
 	t.Helper()
-	d := &fakeCore{posts: make(chan func(), 100), submitted: make(chan core.Request, 100), cancelled: make(chan balancer.RequestID, 100)}
-	d.phase.Store(int64(core.Serving))
-	lim := config.Limits{ClientConns: 10, OpenPerConn: 2, MessageBytes: 1 << 16, BodyBytes: 1 << 10, BadRequests: 2,
+	fake := &fakeCore{posts: make(chan func(), 100), submitted: make(chan core.Request, 100), cancelled: make(chan balancer.RequestID, 100)}
+	fake.phase.Store(int64(core.Serving))
+	limits := config.Limits{ClientConns: 10, OpenPerConn: 2, MessageBytes: 1 << 16, BodyBytes: 1 << 10, BadRequests: 2,
 		Client: config.ConnLimits{MaxPendingBytes: 1 << 20, ReadTimeout: time.Minute, WriteTimeout: time.Minute, IdleTimeout: time.Minute, SilentTimeout: 10 * time.Second}}
-	f, err := Listen("127.0.0.1:0", 0, d, lim, []balancer.Class{{Name: "page", Deadline: 3 * time.Second}}, netio.NewBudget(1<<22))
+	server, err := Listen("127.0.0.1:0", 0, fake, limits, []balancer.Class{{Name: "page", Deadline: 3 * time.Second}}, netio.NewBudget(1<<22))
 	if err != nil {
 		t.Fatal(err)
 	}
-	go f.Serve()
+	go server.Serve()
 	stop := make(chan struct{})
 	go func() {
 		for {
 			select {
-			case p := <-d.posts:
+			case p := <-fake.posts:
 				p()
 			case <-stop:
 				return
 			}
 		}
 	}()
-	t.Cleanup(func() { f.Close(); close(stop) })
-	return d, f, func() *client {
-		nc, err := net.Dial("tcp", f.Addr().String())
+	t.Cleanup(func() { server.Close(); close(stop) })
+	return fake, server, func() *client {
+		nc, err := net.Dial("tcp", server.Addr().String())
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -99,96 +100,97 @@
 		"nth": "3", "batch": "17", "got": "4be0", "second": "1", "unique": "0de5"}, []byte("body")})
 }
 
-// answer reads the next answer, which is to [1, id, error, result].
-func (c *client) answer(id int64) (word string, fields map[string]any, result any) {
+// readResponse reads the next response, [1, id, error, result], and checks its id. The error is [code, fields].
+func (c *client) readResponse(id int64) (code string, fields map[string]any, result any) {
 	c.t.Helper()
 	v, err := c.dec.DecodeSlice()
 	if err != nil || len(v) != 4 {
-		c.t.Fatalf("answer %v, error %v", v, err)
+		c.t.Fatalf("response %v, error %v", v, err)
 	}
 	if got, ok := v[1].(int8); !ok || int64(got) != id {
-		c.t.Errorf("answer to %v, want %d", v[1], id)
+		c.t.Errorf("response with id %v, want %d", v[1], id)
 	}
 	if e, ok := v[2].([]any); ok {
-		word, fields = e[0].(string), e[1].(map[string]any)
+		code, fields = e[0].(string), e[1].(map[string]any)
 	}
-	return word, fields, v[3]
+	return code, fields, v[3]
 }
 
 func TestRequestsAndResponses(t *testing.T) {
-	d, dial := open(t)
+	fake, dial := start(t)
 	c := dial()
 	c.call(1, "page")
-	q := <-d.submitted
+	q := <-fake.submitted
 	if !q.Retry || q.Object != 0x7f3a9c21e0b4d655 || q.Part != 3 || q.Group != 17 || q.Timeout != 1500*time.Millisecond ||
 		q.ETag != "4be0" || q.IdempotencyKey != "0de5" || string(q.Body) != "body" {
 		t.Errorf("request %+v", q)
 	}
-	d.Post(func() { q.Reply(core.Answer{Verdict: core.Served, Body: make([]byte, 70000)}) })
-	if w, _, res := c.answer(1); w != "" || len(res.([]any)[0].([]byte)) != 70000 {
-		t.Errorf("error %q", w)
+	fake.Post(func() { q.Reply(core.Answer{Verdict: core.Served, Body: make([]byte, 70000)}) })
+	if code, _, res := c.readResponse(1); code != "" || len(res.([]any)[0].([]byte)) != 70000 {
+		t.Errorf("error %q", code)
 	}
 	c.call(2, "page")
-	q = <-d.submitted
-	d.Post(func() { q.Reply(core.Answer{Verdict: core.Rejected, RetryAfter: 400 * time.Millisecond}) })
-	if w, f, _ := c.answer(2); w != "Throttled" || f["later"] != "400" {
-		t.Errorf("refused: %q %v", w, f)
+	q = <-fake.submitted
+	fake.Post(func() { q.Reply(core.Answer{Verdict: core.Rejected, RetryAfter: 400 * time.Millisecond}) })
+	if code, fields, _ := c.readResponse(2); code != "Throttled" || fields["later"] != "400" {
+		t.Errorf("rejected: %q %v", code, fields)
 	}
 	c.call(3, "page")
-	q = <-d.submitted
-	d.Post(func() { q.Reply(core.Answer{Verdict: core.NotModified}) })
-	if _, _, res := c.answer(3); res.([]any)[1].(map[string]any)["ok304"] != "1" || len(res.([]any)[0].([]byte)) != 0 {
-		t.Errorf("unchanged: %v", res)
+	q = <-fake.submitted
+	fake.Post(func() { q.Reply(core.Answer{Verdict: core.NotModified}) })
+	if _, _, res := c.readResponse(3); res.([]any)[1].(map[string]any)["ok304"] != "1" || len(res.([]any)[0].([]byte)) != 0 {
+		t.Errorf("not modified: %v", res)
 	}
 	c.call(4, "what")
-	if w, _, _ := c.answer(4); w != "NoSuchMethod" {
-		t.Errorf("unknown method: %q", w)
+	if code, _, _ := c.readResponse(4); code != "NoSuchMethod" {
+		t.Errorf("unknown method: %q", code)
 	}
 	c.send(0, 5, "page", []any{map[string]string{"txn": "a b"}, []byte{}})
-	if w, _, _ := c.answer(5); w != "BadRequest" {
-		t.Errorf("fields that can't be used: %q", w)
+	if code, _, _ := c.readResponse(5); code != "BadRequest" {
+		t.Errorf("invalid txn: %q", code)
 	}
 	c.send(0, 6, "health", []any{map[string]string{}})
-	if _, _, res := c.answer(6); res.([]any)[0] != true {
+	if _, _, res := c.readResponse(6); res.([]any)[0] != true {
 		t.Errorf("health: %v", res)
 	}
 }
 
-// After a cancel or a close nothing is owed; over the limit of a connection a request is refused at once.
-func TestCancelAndClose(t *testing.T) {
-	d, dial := open(t)
+// A cancel or a close of the connection cancels open requests. A request over the limit of a connection is rejected at
+// once.
+func TestCancelOrCloseCancelsOpenRequests(t *testing.T) {
+	fake, dial := start(t)
 	c := dial()
 	c.call(1, "page")
 	c.call(2, "page")
 	c.call(3, "page")
-	if w, _, _ := c.answer(3); w != "Throttled" {
-		t.Errorf("third open request: %q", w)
+	if code, _, _ := c.readResponse(3); code != "Throttled" {
+		t.Errorf("third open request: %q", code)
 	}
 	c.send(2, "cancel", []any{1})
-	if id := <-d.cancelled; id != 1 {
+	if id := <-fake.cancelled; id != 1 {
 		t.Errorf("cancelled %d", id)
 	}
 	c.nc.Close()
-	if id := <-d.cancelled; id != 2 {
+	if id := <-fake.cancelled; id != 2 {
 		t.Errorf("cancelled %d", id)
 	}
 }
 
-// A malformed message closes its connection and no other.
+// A malformed message closes its own connection only.
 func TestMalformedMessageClosesItsConnection(t *testing.T) {
-	d, dial := open(t)
+	fake, dial := start(t)
 	bad, good := dial(), dial()
 	bad.nc.Write([]byte{0xc1, 0xff})
 	if n, err := bad.nc.Read(make([]byte, 1)); n != 0 || err != io.EOF {
-		t.Errorf("read %d, %v; want the end", n, err)
+		t.Errorf("read %d bytes, %v; want EOF", n, err)
 	}
 	good.call(1, "page")
-	<-d.submitted
+	<-fake.submitted
 }
 
-// What is out of range is never passed on, and a client that goes on sending such calls is cut off.
+// Requests with fields out of range are never submitted, and a client that keeps sending them loses its connection.
 func TestOutOfRangeFieldsAreRejected(t *testing.T) {
-	d, dial := open(t)
+	fake, dial := start(t)
 	good := map[string]string{"txn": "9b1f03aa5c7e2d41", "limit": "3000", "item": "7f3a9c21e0b4d655", "nth": "3", "batch": "17"}
 	for name, bad := range map[string][]string{"limit": {"3001", "NaN", "-1", "0x10", "1e3", "", "99999999999999999999"},
 		"item": {"7f3a", "what", "-f3a9c21e0b4d655"}, "nth": {"-1", "99999999999999999999"}, "batch": {"256", "-1"}, "txn": {"", "9b1f03aa5c7e2d4 "},
@@ -198,140 +200,142 @@
 			fields[name] = v
 			c := dial()
 			c.send(0, 1, "page", []any{fields, []byte{}})
-			if w, _, _ := c.answer(1); w != "BadRequest" {
-				t.Errorf("%s=%q: %q", name, v, w)
+			if code, _, _ := c.readResponse(1); code != "BadRequest" {
+				t.Errorf("%s=%q: %q", name, v, code)
 			}
 		}
 	}
 	c := dial()
 	c.send(0, 1, "page", []any{good, make([]byte, 1<<10+1)})
-	if w, _, _ := c.answer(1); w != "BadRequest" {
-		t.Errorf("large body: %q", w)
+	if code, _, _ := c.readResponse(1); code != "BadRequest" {
+		t.Errorf("large body: %q", code)
 	}
 	for id := 2; id < 4; id++ {
 		c.send(0, id, "what", []any{good, []byte{}})
 	}
-	c.answer(2)
+	c.readResponse(2)
 	if _, err := c.dec.DecodeSlice(); err == nil {
-		t.Error("still answered")
+		t.Error("answered after too many bad requests, want a closed connection")
 	}
-	if len(d.submitted) != 0 {
-		t.Errorf("%d requests were passed on", len(d.submitted))
+	if len(fake.submitted) != 0 {
+		t.Errorf("%d requests submitted, want none", len(fake.submitted))
 	}
 }
 
-// A router that leaves its clients says that it is not ready, and closes a connection right behind the answer after
-// which it owes nothing, and what idles.
-func TestDraining(t *testing.T) {
-	d, dial := open(t)
+// A draining router reports that it is not ready. It closes a connection after the last pending answer, and closes idle
+// connections.
+func TestDrainingClosesConnections(t *testing.T) {
+	fake, dial := start(t)
 	c, idle, other := dial(), dial(), dial()
-	other.call(1, "page") // owes an answer, and so stays
-	q := <-d.submitted
+	other.call(1, "page") // stays open, as its answer is pending
+	q := <-fake.submitted
 	idle.send(0, 1, "health", []any{map[string]string{}})
-	if _, _, res := idle.answer(1); res.([]any)[0] != true {
+	if _, _, res := idle.readResponse(1); res.([]any)[0] != true {
 		t.Errorf("health: %v", res)
 	}
 	c.call(1, "page")
 	c.call(2, "page")
-	first, second := <-d.submitted, <-d.submitted
-	d.phase.Store(int64(core.Standby))
-	d.leave.Store(int64(core.CloseAfterResponse))
-	d.Post(func() { first.Reply(core.Answer{Verdict: core.Served}) })
-	c.answer(1)
+	first, second := <-fake.submitted, <-fake.submitted
+	fake.phase.Store(int64(core.Standby))
+	fake.drainStage.Store(int64(core.CloseAfterResponse))
+	fake.Post(func() { first.Reply(core.Answer{Verdict: core.Served}) })
+	c.readResponse(1)
 	c.send(0, 3, "health", []any{map[string]string{}})
-	if _, _, res := c.answer(3); res.([]any)[0] != false {
-		t.Errorf("health while leaving: %v", res)
+	if _, _, res := c.readResponse(3); res.([]any)[0] != false {
+		t.Errorf("health while draining: %v", res)
 	}
-	d.Post(func() { second.Reply(core.Answer{Verdict: core.Served}) })
-	c.answer(2)
+	fake.Post(func() { second.Reply(core.Answer{Verdict: core.Served}) })
+	c.readResponse(2)
 	if _, err := c.dec.DecodeSlice(); err != io.EOF {
-		t.Errorf("after the last answer: %v, want the end", err)
+		t.Errorf("after the last answer: %v, want EOF", err)
 	}
-	d.leave.Store(int64(core.CloseAll))
+	fake.drainStage.Store(int64(core.CloseAll))
 	if _, err := idle.dec.DecodeSlice(); err != io.EOF {
-		t.Errorf("idle: %v, want the end", err)
+		t.Errorf("idle connection: %v, want EOF", err)
 	}
-	d.Post(func() { q.Reply(core.Answer{Verdict: core.Served}) })
-	other.answer(1)
+	fake.Post(func() { q.Reply(core.Answer{Verdict: core.Served}) })
+	other.readResponse(1)
 }
 
-// Refusals and errors that the front words by itself count, each once.
-func TestAnswersOfTheFrontEndCount(t *testing.T) {
-	d, dial := open(t)
+// Rejections and errors that the front end answers itself are counted, each once.
+func TestFrontEndAnswersAreCounted(t *testing.T) {
+	fake, dial := start(t)
 	c := dial()
 	c.send(0, 1, "what", []any{map[string]string{}})
-	c.answer(1)
+	c.readResponse(1)
 	for id := 2; id <= 4; id++ {
 		c.call(id, "page")
 	}
-	c.answer(4)
-	if n := d.counted.Load(); n != 2 {
-		t.Errorf("%d answers counted, want the error and the refusal", n)
+	c.readResponse(4)
+	if n := fake.counted.Load(); n != 2 {
+		t.Errorf("%d answers counted, want 2: the error and the rejection", n)
 	}
 }
 
-// Where the memory for answers is used up, a client is told that its request failed; the connection, with all else on
-// it, goes on, and the answer counts as what it was.
-func TestResponseOverTheMemoryBudget(t *testing.T) {
-	d, dial := open(t)
+// A request whose answer exceeds the memory budget fails, and is counted as failed. Its connection stays open, and later
+// requests on it are served.
+func TestResponseOverTheMemoryBudgetFails(t *testing.T) {
+	fake, dial := start(t)
 	c := dial()
 	c.call(1, "page")
-	q := <-d.submitted
-	told := make(chan core.Verdict, 1)
-	d.Post(func() { told <- q.Reply(core.Answer{Verdict: core.Served, Body: make([]byte, 1<<23)}) })
-	if w, _, _ := c.answer(1); w != "Failed" || <-told != core.Failed {
-		t.Errorf("error %q", w)
+	q := <-fake.submitted
+	verdicts := make(chan core.Verdict, 1)
+	fake.Post(func() { verdicts <- q.Reply(core.Answer{Verdict: core.Served, Body: make([]byte, 1<<23)}) })
+	if code, _, _ := c.readResponse(1); code != "Failed" || <-verdicts != core.Failed {
+		t.Errorf("error %q", code)
 	}
 	c.call(2, "page")
-	q = <-d.submitted
-	d.Post(func() { told <- q.Reply(core.Answer{Verdict: core.Served, Body: []byte("x")}) })
-	if w, _, _ := c.answer(2); w != "" || <-told != core.Served {
-		t.Errorf("after it: error %q", w)
+	q = <-fake.submitted
+	fake.Post(func() { verdicts <- q.Reply(core.Answer{Verdict: core.Served, Body: []byte("x")}) })
+	if code, _, _ := c.readResponse(2); code != "" || <-verdicts != core.Served {
+		t.Errorf("next request: error %q", code)
 	}
 }
 
-// tooLong is an answer over the budget of openServer.
-func tooLong() core.Answer { return core.Answer{Verdict: core.Served, Body: make([]byte, 1<<23)} }
+// oversizedAnswer returns an answer that exceeds the budget of startServer.
+func oversizedAnswer() core.Answer {
+	return core.Answer{Verdict: core.Served, Body: make([]byte, 1<<23)}
+}
 
-// A response over the memory budget is answered as failed on a connection that is closing, too: one answer, then the end. The
-// connection was once closed without any, as the reply counted as given before it was.
-func TestResponseOverTheMemoryBudgetWhileClosing(t *testing.T) {
+// A request whose answer exceeds the memory budget also fails on a connection that is closing: the client gets one answer,
+// then EOF. The connection was once closed without an answer, as the reply counted as given before it was sent.
+func TestResponseOverTheMemoryBudgetFailsWhileClosing(t *testing.T) {
 	for name, beginClose := range map[string]func(*fakeCore, *Server, *client){
 		"malformed input": func(_ *fakeCore, _ *Server, c *client) { c.nc.Write([]byte{0xc1}) },
 		"duplicate id":    func(_ *fakeCore, _ *Server, c *client) { c.call(1, "page") },
-		"shutdown": func(_ *fakeCore, f *Server, _ *client) {
-			go f.Shutdown(clock.Now() + 5*time.Second)
+		"shutdown": func(_ *fakeCore, server *Server, _ *client) {
+			go server.Shutdown(clock.Now() + 5*time.Second)
 		},
-		"hot restart": func(d *fakeCore, _ *Server, _ *client) { d.leave.Store(int64(core.CloseAll)) },
+		"hot restart": func(fake *fakeCore, _ *Server, _ *client) { fake.drainStage.Store(int64(core.CloseAll)) },
 	} {
 		t.Run(name, func(t *testing.T) {
-			d, f, dial := openServer(t)
+			fake, server, dial := startServer(t)
 			c := dial()
 			c.call(1, "page")
-			q := <-d.submitted
-			beginClose(d, f, c)
-			time.Sleep(50 * time.Millisecond) // the close has begun, and waits for the reply
+			q := <-fake.submitted
+			beginClose(fake, server, c)
+			time.Sleep(50 * time.Millisecond) // by now the close has begun, and waits for the reply
 			verdict := make(chan core.Verdict, 1)
-			d.Post(func() { verdict <- q.Reply(tooLong()) })
-			if w, _, _ := c.answer(1); w != "Failed" || <-verdict != core.Failed {
-				t.Errorf("error %q", w)
+			fake.Post(func() { verdict <- q.Reply(oversizedAnswer()) })
+			if code, _, _ := c.readResponse(1); code != "Failed" || <-verdict != core.Failed {
+				t.Errorf("error %q", code)
 			}
 			if _, err := c.dec.DecodeSlice(); err != io.EOF {
-				t.Errorf("after the answer: %v, want the end", err)
+				t.Errorf("after the answer: %v, want EOF", err)
 			}
 		})
 	}
 }
 
-// A request that was read as its connection ended, and comes to the core behind the news of the end, is not submitted: nobody
-// could withdraw it, and it would be sent on for a client that has gone.
-func TestRequestAfterTheCloseIsNotSubmitted(t *testing.T) {
-	d := &fakeCore{posts: make(chan func(), 10), submitted: make(chan core.Request, 10)}
-	c := &conn{server: &Server{core: d, limits: config.Limits{OpenPerConn: 2}, budget: netio.NewBudget(1 << 20)}, open: map[uint64]balancer.RequestID{}}
+// A request that is read as its connection ends, and reaches the core's goroutine after Closed, is not submitted: nothing
+// could cancel it any more, and it would be sent to a page cache for a client that has gone.
+func TestRequestAfterCloseIsNotSubmitted(t *testing.T) {
+	fake := &fakeCore{posts: make(chan func(), 10), submitted: make(chan core.Request, 10)}
+	c := &conn{server: &Server{core: fake, limits: config.Limits{OpenPerConn: 2}, budget: netio.NewBudget(1 << 20)}, openRequests: map[uint64]balancer.RequestID{}}
 	c.Closed()
-	(<-d.posts)()
+	(<-fake.posts)()
 	c.submit(1, core.Request{}, "")
-	if len(d.submitted) != 0 {
-		t.Error("submitted")
+	if len(fake.submitted) != 0 {
+		t.Error("request submitted after the connection closed")
 	}
 }
--- a/internal/rpc/message.go
+++ b/internal/rpc/message.go
@@ -159,7 +159,7 @@
 
 // The error codes that originate in the router. All others come from the answer of the page cache.
 const (
-	CodeThrottled    = "Throttled"    // the request was rejected and never ran; a retry is harmless
+	CodeThrottled    = "Throttled"    // the request was rejected and never ran, so that a retry is harmless
 	CodeBadRequest   = "BadRequest"   // the request is invalid and never ran
 	CodeNoSuchMethod = "NoSuchMethod" // there is no class of that name; the request never ran
 )
