--- a/internal/frontend/dns/message.go
+++ b/internal/frontend/dns/message.go
@@ -1,6 +1,6 @@
 package dns
 
-// Types, classes, codes and bits of RFC 1035, 2782, 3596, 6891 and 7871.
+// Types, classes, response codes, flags and sizes of RFC 1035, 2782, 3596, 6891 and 7871.
 const (
 	typeA    = 1
 	typeSOA  = 6
@@ -19,16 +19,16 @@
 	codeRefused  = 5
 	codeBadVers  = 16
 
-	bitResponse  = 1 << 15
-	bitAuth      = 1 << 10
-	bitTruncated = 1 << 9
-	bitRecursion = 1 << 8 // desired; copied
-	opcodeMask   = 0xf << 11
+	bitResponse         = 1 << 15
+	bitAuthoritative    = 1 << 10
+	bitTruncated        = 1 << 9
+	bitRecursionDesired = 1 << 8 // copied from the query into the reply
+	opcodeMask          = 0xf << 11
 
-	headerLen  = 12
-	optSubnet  = 8
-	familyIPv4 = 1
-	familyIPv6 = 2
-	plainUDP   = 512  // what a resolver without EDNS takes
-	largestUDP = 1232 // what passes without being cut on the way
+	headerLen       = 12
+	optClientSubnet = 8
+	familyIPv4      = 1
+	familyIPv6      = 2
+	plainUDPSize    = 512  // largest reply in bytes that a resolver without EDNS accepts
+	maxUDPSize      = 1232 // largest reply in bytes that is not fragmented on its way
 )
--- a/internal/frontend/dns/names.go
+++ b/internal/frontend/dns/names.go
@@ -9,28 +9,31 @@
 	"hillknot/internal/core"
 )
 
-// findZone finds the configured name that a name is, or lies below. Below is empty where it is the configured one.
-func (s *Server) findZone(name string) (zone, below string, ok bool) {
+// findZone returns the configured name that a name equals or lies below, and the labels of the name before it. subdomain
+// is empty if the name is the configured one.
+func (s *Server) findZone(name string) (zone, subdomain string, ok bool) {
 	for _, zone := range s.cfg.Names {
 		if name == zone {
 			return zone, "", true
 		}
-		if below, found := strings.CutSuffix(name, "."+zone); found {
-			return zone, below, true
+		if subdomain, found := strings.CutSuffix(name, "."+zone); found {
+			return zone, subdomain, true
 		}
 	}
 	return "", "", false
 }
 
+// labelPrefix starts the label of every endpoint.
 const labelPrefix = "m-"
 
-// label is the name of an endpoint below the configured one: the hash of its id, as ids may hold what a label may not.
-func label(e *core.Endpoint) string {
+// endpointLabel returns the label of an endpoint below the configured name. It holds a hash of the endpoint's id, as an id
+// may contain characters that a label may not.
+func endpointLabel(e *core.Endpoint) string {
 	return fmt.Sprintf("%s%016x", labelPrefix, uint64(core.EndpointIDOf(e.ID)))
 }
 
-// parseLabel reads the endpoint that a label names; an empty label names any.
-func parseLabel(text string) (only balancer.EndpointID, ok bool) {
+// parseLabel returns the id of the endpoint that a label names. An empty label stands for any endpoint, and returns 0.
+func parseLabel(text string) (id balancer.EndpointID, ok bool) {
 	if text == "" {
 		return 0, true
 	}
--- a/internal/frontend/dns/query.go
+++ b/internal/frontend/dns/query.go
@@ -11,7 +11,7 @@
 
 var errMalformed = errors.New("malformed query")
 
-// query is a parsed query. Its raw question is a slice of the buffer that it was read from.
+// query is a parsed query. Its raw question is a slice of the buffer that the query was read from.
 type query struct {
 	id, flags uint16
 	question  []byte
@@ -20,20 +20,20 @@
 	qclass    uint16
 	edns      bool
 	version   uint8
-	size      int
-	subnet    netip.Prefix // of the client, if it is told
+	size      int          // of the longest reply over UDP that the resolver accepts, in bytes
+	subnet    netip.Prefix // of the client, if hasSubnet
 	hasSubnet bool
 }
 
-// parse reads a query. A message too short for a header, or one that is an answer, gets no reply: ok is
-// false. Other faults come with what is known of the query, so that they can be answered.
-func parse(b []byte) (q query, ok bool, err error) {
+// parseQuery reads a query. If the message is too short for a header, or is a response, ok is false, and no reply may be sent.
+// With any other error, parseQuery returns what it has read of the query, so that the error can be answered.
+func parseQuery(b []byte) (q query, ok bool, err error) {
 	if len(b) < headerLen || b[2]&0x80 != 0 {
 		return q, false, errMalformed
 	}
-	q.id, q.flags, q.size = binary.BigEndian.Uint16(b), binary.BigEndian.Uint16(b[2:]), plainUDP
+	q.id, q.flags, q.size = binary.BigEndian.Uint16(b), binary.BigEndian.Uint16(b[2:]), plainUDPSize
 	if q.flags&opcodeMask != 0 {
-		return q, true, nil // the rest may have another form
+		return q, true, nil // other opcodes may have another message format
 	}
 	count := func(i int) int { return int(binary.BigEndian.Uint16(b[4+2*i:])) }
 	if count(0) != 1 || count(1) != 0 {
@@ -47,15 +47,16 @@
 	q.question = b[headerLen : i+4]
 	i += 4
 	for range count(2) + count(3) {
-		if i, err = q.record(b, i); err != nil {
+		if i, err = q.readRecord(b, i); err != nil {
 			return q, true, err
 		}
 	}
 	return q, true, nil
 }
 
-// record reads a record after the question; only the OPT record matters.
-func (q *query) record(b []byte, i int) (int, error) {
+// readRecord reads a record after the question, and returns the offset after it. All records but the OPT record are
+// ignored.
+func (q *query) readRecord(b []byte, i int) (int, error) {
 	name, i, err := readName(b, i)
 	if err != nil || len(b) < i+10 {
 		return 0, errMalformed
@@ -69,13 +70,14 @@
 			return 0, errMalformed
 		}
 		q.edns, q.version = true, b[i+5]
-		q.size = min(max(int(binary.BigEndian.Uint16(b[i+2:])), plainUDP), largestUDP)
-		return end, q.options(b[i+10 : end])
+		q.size = min(max(int(binary.BigEndian.Uint16(b[i+2:])), plainUDPSize), maxUDPSize)
+		return end, q.readOptions(b[i+10 : end])
 	}
 	return end, nil
 }
 
-func (q *query) options(b []byte) error {
+// readOptions reads the options of the OPT record, of which only the client's subnet is used.
+func (q *query) readOptions(b []byte) error {
 	for len(b) > 0 {
 		if len(b) < 4 {
 			return errMalformed
@@ -84,7 +86,7 @@
 		if len(b) < 4+n {
 			return errMalformed
 		}
-		if code == optSubnet {
+		if code == optClientSubnet {
 			if err := q.readSubnet(b[4 : 4+n]); err != nil {
 				return err
 			}
@@ -94,6 +96,7 @@
 	return nil
 }
 
+// readSubnet reads the option that holds the client's subnet, RFC 7871, 6.
 func (q *query) readSubnet(b []byte) error {
 	if len(b) < 4 {
 		return errMalformed
@@ -105,23 +108,23 @@
 	case familyIPv6:
 		size = net.IPv6len
 	default:
-		return nil // a family that we don't know
+		return nil // unknown address family
 	}
 	if bits > size*8 || len(b)-4 != (bits+7)/8 {
 		return errMalformed
 	}
-	var wide [16]byte
-	copy(wide[:], b[4:])
-	addr, _ := netip.AddrFromSlice(wide[:size])
+	var padded [16]byte
+	copy(padded[:], b[4:])
+	addr, _ := netip.AddrFromSlice(padded[:size])
 	q.subnet, q.hasSubnet = netip.PrefixFrom(addr, bits).Masked(), true
 	return nil
 }
 
-// readName reads the name at i, and returns it with the place behind it. Compression pointers may only point backwards,
-// so that every name ends.
+// readName reads the name at offset i, and returns it in lower case with the offset after it. Compression pointers may
+// only point backwards, so that reading always ends.
 func readName(b []byte, i int) (name string, next int, err error) {
 	var text strings.Builder
-	lowest := i // a pointer must point below it
+	lowest := i // a pointer must point before this offset
 	for {
 		if i >= len(b) {
 			return "", 0, errMalformed
@@ -152,7 +155,7 @@
 	}
 }
 
-// Forms of names, RFC 1035, 3.1 and 4.1.4.
+// The encoding of names, RFC 1035, 3.1 and 4.1.4. Lengths are in bytes.
 const (
 	pointerMask = 0xc0
 	maxLabel    = 63
--- a/internal/frontend/dns/reply.go
+++ b/internal/frontend/dns/reply.go
@@ -6,19 +6,19 @@
 	"strings"
 )
 
-// reply builds an answer.
+// reply builds the reply to a query.
 type reply struct {
 	b     []byte
 	count [sectionCount]int // records by section
 }
 
-// newReply starts the reply to a query with the question, where that was understood.
+// newReply starts the reply to a query. The reply repeats the question, if it could be read.
 func newReply(q query, code int) *reply {
 	r := &reply{b: make([]byte, headerLen, 256)}
 	binary.BigEndian.PutUint16(r.b, q.id)
-	flags := q.flags&(opcodeMask|bitRecursion) | bitResponse | uint16(code&0xf)
+	flags := q.flags&(opcodeMask|bitRecursionDesired) | bitResponse | uint16(code&0xf)
 	if code == codeOK || code == codeNXDomain {
-		flags |= bitAuth
+		flags |= bitAuthoritative
 	}
 	binary.BigEndian.PutUint16(r.b[2:], flags)
 	if len(q.question) > 0 {
@@ -28,10 +28,10 @@
 	return r
 }
 
-// section is a part of a reply.
+// section is a section of a reply that holds records.
 type section int
 
-// The sections, in the order in which they stand.
+// The sections, in their order on the wire.
 const (
 	answerSection section = iota
 	authoritySection
@@ -39,8 +39,8 @@
 	sectionCount
 )
 
-// record appends a record. Sections have to come in their order.
-func (r *reply) record(s section, name string, rtype, class uint16, ttl uint32, data []byte) {
+// appendRecord appends a record. The caller must append the records of the sections in their order.
+func (r *reply) appendRecord(s section, name string, rtype, class uint16, ttl uint32, data []byte) {
 	r.b = appendName(r.b, name)
 	r.b = binary.BigEndian.AppendUint16(r.b, rtype)
 	r.b = binary.BigEndian.AppendUint16(r.b, class)
@@ -50,8 +50,8 @@
 	r.count[s]++
 }
 
-// finish ends the reply. What is over the size is cut to the question, and marked so: the resolver asks
-// again over TCP.
+// finish completes the reply and returns it. A reply of more than size bytes loses all its records but the OPT record, and
+// is marked as truncated, so that the resolver retries over TCP.
 func (r *reply) finish(q query, code, size int) []byte {
 	var opt []byte
 	if q.edns {
@@ -71,8 +71,8 @@
 	return r.b
 }
 
-// optRecord is the OPT record of a reply, RFC 6891. It repeats the client's subnet, RFC 7871: the answer holds for the
-// whole of it.
+// optRecord returns the OPT record of a reply, RFC 6891. It repeats the client's subnet, RFC 7871, as the answer is valid
+// for all clients of that subnet.
 func optRecord(q query, code int) []byte {
 	var data []byte
 	if q.hasSubnet {
@@ -82,18 +82,18 @@
 		}
 		bits := q.subnet.Bits()
 		size := (bits + 7) / 8
-		data = binary.BigEndian.AppendUint16(nil, optSubnet)
+		data = binary.BigEndian.AppendUint16(nil, optClientSubnet)
 		data = binary.BigEndian.AppendUint16(data, uint16(4+size))
 		data = binary.BigEndian.AppendUint16(data, family)
-		data = append(data, byte(bits), byte(bits)) // of the query, and of the answer
+		data = append(data, byte(bits), byte(bits)) // prefix lengths of the query and of the answer
 		data = append(data, addr[:size]...)
 	}
 	opt := &reply{}
-	opt.record(additionalSection, "", typeOPT, largestUDP, uint32(code>>4)<<24, data)
+	opt.appendRecord(additionalSection, "", typeOPT, maxUDPSize, uint32(code>>4)<<24, data)
 	return opt.b
 }
 
-// appendName appends a name without compression.
+// appendName appends a name in uncompressed form.
 func appendName(b []byte, name string) []byte {
 	for l := range strings.SplitSeq(name, ".") {
 		if l != "" {
--- a/internal/frontend/dns/server.go
+++ b/internal/frontend/dns/server.go
@@ -1,9 +1,9 @@
 // Package dns is the front end for DNS resolvers: it answers A, AAAA and SRV queries for the configured names with page
 // caches that the core chooses, over UDP and TCP.
 //
-// A name stands for the page caches of the router's own location. Below it, each page cache has a name of its own, to
-// which SRV records point. Clients of the same subnet (of the same resolver, where the subnet is not told) get the same
-// answers, so that the objects that they ask for stay cached in one place.
+// A configured name stands for the page caches of the router's own location. Each page cache has a name of its own below
+// it, to which SRV records point. Clients of the same subnet get the same answers, so that the objects that they request
+// stay cached in one place. If a resolver does not send the subnet, all its clients get the same answers.
 package dns
 
 import (
@@ -23,7 +23,7 @@
 
 var log = logging.For("dns")
 
-// Core chooses page caches. Post may be called anywhere, Resolve on the core's goroutine.
+// Core chooses page caches. Post may be called from any goroutine, Resolve only on the core's goroutine.
 type Core interface {
 	Post(f func())
 	Resolve(q core.EndpointQuery)
@@ -34,18 +34,18 @@
 	core   Core
 	cfg    config.DNS
 	limits config.Limits
-	udp    *net.UDPConn // netpoll has no UDP
+	udp    *net.UDPConn // not of netio, as netpoll does not support UDP
 	tcp    *netio.Server
 
-	readUDP readDatagram
-	openUDP atomic.Int64 // queries over UDP without an answer
+	readUDP        readDatagram // reads from udp, unless a test replaces it
+	openUDPQueries atomic.Int64 // queries over UDP without a reply
 }
 
-// portAttempts bounds how often Listen tries another port where the system chooses it.
+// portAttempts is the largest number of ports that Listen tries if the system chooses the port.
 const portAttempts = 8
 
-// Listen opens the sockets, with the same port for both. Where the system chooses the port, one that is free over TCP
-// may be taken over UDP: then it tries another.
+// Listen opens the TCP and the UDP socket on the same port. If the system chooses the port, a port that is free for TCP
+// may be in use for UDP; Listen then tries another one.
 func Listen(c Core, cfg config.DNS, limits config.Limits, budget *netio.Budget) (*Server, error) {
 	for attempt := 1; ; attempt++ {
 		s, err := listenOnce(c, cfg, limits, budget)
@@ -56,6 +56,7 @@
 	}
 }
 
+// listenOnce opens both sockets. The system chooses a port at most once.
 func listenOnce(c Core, cfg config.DNS, limits config.Limits, budget *netio.Budget) (*Server, error) {
 	s := &Server{core: c, cfg: cfg, limits: limits}
 	var err error
@@ -71,16 +72,17 @@
 	}
 	if err != nil {
 		s.tcp.Close()
-		return nil, fmt.Errorf("listen: %w", err)
+		return nil, fmt.Errorf("listen over UDP: %w", err)
 	}
 	s.readUDP = s.udp.ReadFromUDPAddrPort
 	return s, nil
 }
 
-// Addr is the address listened on.
+// Addr returns the address that the server listens on.
 func (s *Server) Addr() string { return s.tcp.Addr().String() }
 
-// Serve answers queries until Close, or until one of the sockets fails. The goroutine of the other socket ends with Close.
+// Serve answers queries until Close is called or one of the sockets fails, and returns the error of that socket. The other
+// socket is served until Close.
 func (s *Server) Serve() error {
 	failed := make(chan error, 2)
 	go func() { failed <- s.tcp.Serve() }()
@@ -91,5 +93,5 @@
 // Close closes the sockets.
 func (s *Server) Close() {
 	s.tcp.Close()
-	_ = s.udp.Close() // nothing is left to be done about an error
+	_ = s.udp.Close() // an error can't be handled here
 }
--- a/internal/frontend/dns/transport.go
+++ b/internal/frontend/dns/transport.go
@@ -13,14 +13,14 @@
 	"hillknot/internal/netio"
 )
 
-// maxQueryUDP bounds a query over UDP, in bytes.
+// maxQueryUDP is the length of the longest query over UDP, in bytes.
 const maxQueryUDP = 4096
 
-// readDatagram reads a datagram into a buffer, as net.UDPConn does.
+// readDatagram reads a datagram into buf, like the method ReadFromUDPAddrPort of net.UDPConn.
 type readDatagram func(buf []byte) (n int, from netip.AddrPort, err error)
 
-// serveUDP reads queries over UDP until Close, or until the socket is of no more use. Above the limit of open queries they are
-// dropped: resolvers retry.
+// serveUDP answers queries over UDP until Close is called, or until the socket fails permanently, and returns that error.
+// It drops queries over the limit of open queries, as resolvers retry.
 func (s *Server) serveUDP() error {
 	buf := make([]byte, maxQueryUDP)
 	var pause readPause
@@ -30,18 +30,18 @@
 		case errors.Is(err, net.ErrClosed):
 			return nil
 		case isPermanentReadError(err):
-			return fmt.Errorf("read: %w", err)
+			return fmt.Errorf("read over UDP: %w", err)
 		case err != nil:
 			pause.wait(err)
 			continue
 		}
 		pause.reset()
-		if s.openUDP.Load() >= int64(s.limits.OpenQueries) {
+		if s.openUDPQueries.Load() >= int64(s.limits.OpenQueries) {
 			continue
 		}
-		s.openUDP.Add(1)
+		s.openUDPQueries.Add(1)
 		s.handle(buf[:n], from, true, func(reply []byte) {
-			s.openUDP.Add(-1)
+			s.openUDPQueries.Add(-1)
 			if reply == nil {
 				return
 			}
@@ -52,8 +52,8 @@
 	}
 }
 
-// isPermanentReadError tells, of an error of recvmsg(2), that the descriptor is no socket that can be read: no later call
-// will do better. All others pass, such as a lack of memory, or come from the network.
+// isPermanentReadError reports whether an error of recvmsg(2) means that the descriptor is not a readable socket, so that
+// later calls fail as well. All other errors are temporary, such as a lack of memory, or come from the network.
 func isPermanentReadError(err error) bool {
 	for _, errno := range []syscall.Errno{syscall.EBADF, syscall.EFAULT, syscall.EINVAL, syscall.ENOTSOCK} {
 		if errors.Is(err, errno) {
@@ -63,16 +63,16 @@
 	return false
 }
 
-// A pause after an error of reading lasts minReadPause at first, and twice as long each time, up to maxReadPause.
+// The pause after a read error is minReadPause at first, and doubles with each further error up to maxReadPause.
 const (
 	minReadPause = time.Millisecond
 	maxReadPause = 100 * time.Millisecond
 )
 
-// readPause keeps a socket whose reads fail from being read without end.
+// readPause is the pause after a read error. It prevents a busy loop on a socket whose reads fail.
 type readPause struct{ length time.Duration }
 
-// wait waits after an error, the first of which in a row is logged.
+// wait sleeps after a read error. It logs only the first error in a row.
 func (p *readPause) wait(err error) {
 	if p.length == 0 {
 		p.length = minReadPause
@@ -82,11 +82,11 @@
 	p.length = min(2*p.length, maxReadPause)
 }
 
-// reset notes that a read succeeded.
+// reset ends a row of errors. It is called after a read that succeeded.
 func (p *readPause) reset() { p.length = 0 }
 
-// sendUDP sends a datagram, or drops it where the socket's buffer is full: the core may not wait. A write deadline would
-// not do, as it can be over before the write has begun on a busy machine.
+// sendUDP sends a datagram, or drops it if the socket's buffer is full, as the core's goroutine must not block. A write
+// deadline does not work for this: on a busy machine it can expire before the write has begun.
 func (s *Server) sendUDP(b []byte, to netip.AddrPort) error {
 	raw, err := s.udp.SyscallConn()
 	if err != nil {
@@ -104,18 +104,18 @@
 	return errors.Join(err, sendErr)
 }
 
-// tcpConn is a resolver's connection over TCP.
+// tcpConn is a TCP connection of a resolver.
 type tcpConn struct {
 	server    *Server
 	transport *netio.Conn
 }
 
-// lengthSize is the size of the length before each message over TCP, RFC 1035, 4.2.2.
+// lengthSize is the size in bytes of the length that precedes each message over TCP, RFC 1035, 4.2.2.
 const lengthSize = 2
 
 // Consume implements netio.Handler.
 func (c *tcpConn) Consume(buf []byte) (used, want int, err error) {
-	from, _ := netip.ParseAddrPort(c.transport.RemoteAddr().String()) // without an address, all clients share one key
+	from, _ := netip.ParseAddrPort(c.transport.RemoteAddr().String()) // if this fails, all clients share one key
 	for {
 		rest := buf[used:]
 		if len(rest) < lengthSize {
@@ -130,7 +130,7 @@
 	}
 }
 
-// send sends a reply, or closes the connection where there is none.
+// send sends a reply, or closes the connection if the reply is nil.
 func (c *tcpConn) send(reply []byte) {
 	if reply == nil {
 		c.transport.Close()
@@ -142,5 +142,5 @@
 	}
 }
 
-// Closed implements netio.Handler. Open queries are decided all the same: that takes a moment at most.
+// Closed implements netio.Handler. Open queries are not cancelled, as the core resolves them within a moment.
 func (c *tcpConn) Closed() {}
--- a/internal/rpc/decoder.go
+++ b/internal/rpc/decoder.go
@@ -56,9 +56,9 @@
 	if err != nil {
 		return 0, err
 	}
-	var wide [8]byte
-	copy(wide[8-size:], bytes)
-	return binary.BigEndian.Uint64(wide[:]), nil
+	var padded [8]byte
+	copy(padded[8-size:], bytes)
+	return binary.BigEndian.Uint64(padded[:]), nil
 }
 
 // uint reads an unsigned integer.
