--- a/internal/frontend/admin/http.go
+++ b/internal/frontend/admin/http.go
@@ -11,18 +11,20 @@
 	errTooLong   = errors.New("call over the limit")
 )
 
-// request is the request line of an HTTP call. Its slices are of the buffer that it was read from.
+// request holds the method and the path of an HTTP request. Its slices point into the buffer that it was read from.
 type request struct{ method, path []byte }
 
-// progress tells how much of a buffer the parser has used.
+// progress reports how much of a buffer the parser has used.
 type progress struct {
-	consumed int // bytes of the complete request with its body; 0: it is not complete yet
-	needed   int // bytes that the buffer must hold before the next attempt, as far as known; 0: any more
+	consumed int // length of the request with its body in bytes; 0: the request is incomplete
+	needed   int // bytes that the buffer must hold before the next attempt, as far as known; 0: at least one more byte
 }
 
+// headerEnd ends the headers of a request.
 const headerEnd = "\r\n\r\n"
 
-// parseRequest reads the request at the start of buf.
+// parseRequest reads the request at the start of buf. The request line and the headers may have maxHead bytes, the body
+// maxBody bytes.
 func parseRequest(buf []byte, maxHead, maxBody int) (request, progress, error) {
 	end := bytes.Index(buf, []byte(headerEnd))
 	if end > maxHead || end < 0 && len(buf) > maxHead {
@@ -51,7 +53,8 @@
 	return request{method: words[0], path: path}, progress{consumed: length}, nil
 }
 
-// bodySize reads the length of the body from the headers. Chunked bodies are not supported: no call here needs one.
+// bodySize returns the length of the body in bytes, from the headers. Chunked bodies are malformed, as no request to this
+// server needs one.
 func bodySize(head []byte) (size int, err error) {
 	for more := len(head) > 0; more; {
 		var line []byte
@@ -71,7 +74,7 @@
 	return size, nil
 }
 
-// isToken tells whether a method or the name of a header is well formed.
+// isToken reports whether the name of a method or a header is well formed.
 func isToken(b []byte) bool {
 	for _, c := range b {
 		if c <= ' ' || c >= 0x7f {
--- a/internal/frontend/admin/server.go
+++ b/internal/frontend/admin/server.go
@@ -1,8 +1,9 @@
-// Package admin is the front end for operators: HTTP/1.1 on an address of its own, one call to a connection. It tells
-// the state of the router, shows its metrics in the text format of Prometheus, and puts the router on standby.
+// Package admin is the front end for operators. It serves HTTP/1.1 on an address of its own, with one request per
+// connection. It reports the state of the router and its metrics in the text format of Prometheus, and puts the router on
+// standby.
 //
-// It reads the snapshot that the core's loop has published, and so answers at once under any load; only what changes
-// the router's state goes through the loop.
+// Requests that only read are answered from the snapshot that the core's event loop has published, and so at once under
+// any load. Only requests that change the router's state run on the event loop.
 package admin
 
 import (
@@ -16,13 +17,13 @@
 
 var log = logging.For("admin")
 
-// Core is what operators see and control. Post and Snapshot may be called anywhere, EnterStandby and LeaveStandby on the
-// core's goroutine.
+// Core is the part of the core that operators see and control. Post and Snapshot may be called from any goroutine,
+// EnterStandby and LeaveStandby only on the core's goroutine.
 type Core interface {
 	Post(f func())
 	Snapshot() *core.Snapshot
 	EnterStandby()
-	LeaveStandby() bool // false: the router is shutting down, and does not come back
+	LeaveStandby() bool // false: the router is shutting down, and stays out of service
 }
 
 // Server answers operators on one address.
@@ -32,14 +33,14 @@
 	limits config.Limits
 }
 
-// Listen opens the listener. Its connections have places of their own: clients can't take them, and callers that
-// send nothing are evicted for new ones.
+// Listen opens the listener. Its connections have a limit of their own, so that clients can't use it up. A connection that
+// sends nothing is evicted for a new one.
 func Listen(addr string, c Core, limits config.Limits) (*Server, error) {
 	s := &Server{core: c, limits: limits}
 	budget := netio.NewBudget(limits.AdminConns * (limits.AdminHeaderBytes + limits.AdminBodyBytes + limits.Admin.MaxPendingBytes))
 	var err error
-	s.Server, err = netio.Listen(addr, limits.AdminConns, limits.Admin, budget, func(nc *netio.Conn) netio.Handler {
-		return &conn{server: s, nc: nc}
+	s.Server, err = netio.Listen(addr, limits.AdminConns, limits.Admin, budget, func(transport *netio.Conn) netio.Handler {
+		return &conn{server: s, transport: transport}
 	})
 	if err != nil {
 		return nil, err
@@ -49,12 +50,12 @@
 
 // conn is an operator's connection.
 type conn struct {
-	server   *Server
-	nc       *netio.Conn
-	answered bool
+	server    *Server
+	transport *netio.Conn
+	answered  bool
 }
 
-// Consume implements netio.Handler. A connection is answered once; what follows is ignored.
+// Consume implements netio.Handler. It answers the first request on the connection, and ignores all later input.
 func (c *conn) Consume(buf []byte) (used, want int, err error) {
 	if c.answered {
 		return len(buf), 0, nil
@@ -65,7 +66,7 @@
 	}
 	c.answered = true
 	if err != nil {
-		log.Debug("operator's request malformed", logging.KeyClient, c.nc.RemoteAddr(), logging.KeyError, err)
+		log.Debug("operator's request malformed", logging.KeyClient, c.transport.RemoteAddr(), logging.KeyError, err)
 		c.respond(response{status: "400 Bad Request", body: err.Error() + "\n"})
 		return len(buf), 0, nil
 	}
@@ -76,18 +77,19 @@
 // Closed implements netio.Handler.
 func (c *conn) Closed() {}
 
-// readOnly holds the pages, and whether a page only reads.
-var readOnly = map[string]bool{"/status": true, "/status/metrics": true, "/standby": false, "/active": false}
+// readOnlyByPath holds the path of each page, and whether the page only reads the state of the router.
+var readOnlyByPath = map[string]bool{"/status": true, "/status/metrics": true, "/standby": false, "/active": false}
 
+// route answers a request for a page.
 func (c *conn) route(method, path string) {
-	reads, found := readOnly[path]
+	readOnly, found := readOnlyByPath[path]
 	isHead := method == "HEAD"
 	switch {
 	case !found:
 		c.respond(response{status: "404 Not Found", body: "no such page\n", omitBody: isHead})
-	case reads && method != "GET" && !isHead:
+	case readOnly && method != "GET" && !isHead:
 		c.respond(response{status: "405 Method Not Allowed", body: "GET or HEAD\n", allow: "GET, HEAD"})
-	case !reads && method != "POST":
+	case !readOnly && method != "POST":
 		c.respond(response{status: "405 Method Not Allowed", body: "POST\n", allow: "POST", omitBody: isHead})
 	case path == "/status":
 		c.respond(statusResponse(c.server.core.Snapshot().Phase, isHead))
@@ -102,7 +104,8 @@
 
 const statusOK = "200 OK"
 
-// statusResponse is 200 while clients are taken.
+// statusResponse returns the response that reports the phase. Its status is 200 while the router accepts clients, and 503
+// otherwise.
 func statusResponse(phase core.Phase, isHead bool) response {
 	status := "503 Service Unavailable"
 	if phase == core.Serving {
@@ -111,7 +114,7 @@
 	return response{status: status, body: phase.String() + "\n", omitBody: isHead}
 }
 
-// enterStandby and leaveStandby run on the core's goroutine, so that the answer comes once the new state holds.
+// enterStandby and leaveStandby run on the core's goroutine, so that they answer after the state has changed.
 
 func (c *conn) enterStandby() {
 	c.server.core.EnterStandby()
@@ -126,19 +129,21 @@
 	c.confirmStandby(false)
 }
 
+// confirmStandby logs and answers a change of the standby state.
 func (c *conn) confirmStandby(standby bool) {
 	log.Info("standby changed by operator", "standby", standby)
 	c.respond(response{status: statusOK, body: "done\n"})
 }
 
-// response is an answer over HTTP.
+// response is an HTTP response.
 type response struct {
 	status   string // code and reason
 	body     string
 	allow    string // methods for the header Allow; empty: no such header
-	omitBody bool   // as for HEAD
+	omitBody bool   // for requests with HEAD
 }
 
+// respond sends a response and closes the connection.
 func (c *conn) respond(r response) {
 	allow := ""
 	if r.allow != "" {
@@ -149,5 +154,5 @@
 	if !r.omitBody {
 		b = append(b, r.body...)
 	}
-	c.nc.SendAndClose(b)
+	c.transport.SendAndClose(b)
 }
--- a/internal/frontend/agentcheck/agentcheck_test.go
+++ b/internal/frontend/agentcheck/agentcheck_test.go
@@ -12,20 +12,20 @@
 
 type fakeCore struct{ phase core.Phase }
 
-func (d *fakeCore) Snapshot() *core.Snapshot { return &core.Snapshot{Phase: d.phase} }
+func (fake *fakeCore) Snapshot() *core.Snapshot { return &core.Snapshot{Phase: fake.phase} }
 
-// Every connection gets the one line that HAProxy reads, and ends.
+// Every connection gets the one line that HAProxy reads, and is then closed.
 func TestAgentCheckLines(t *testing.T) {
-	lim := config.Limits{AgentCheckConns: 8, AgentCheck: config.ConnLimits{MaxPendingBytes: 1 << 10, ReadTimeout: time.Minute, WriteTimeout: time.Minute, IdleTimeout: time.Minute, SilentTimeout: time.Minute}}
+	limits := config.Limits{AgentCheckConns: 8, AgentCheck: config.ConnLimits{MaxPendingBytes: 1 << 10, ReadTimeout: time.Minute, WriteTimeout: time.Minute, IdleTimeout: time.Minute, SilentTimeout: time.Minute}}
 	for phase, want := range map[core.Phase]string{core.Starting: "down\n", core.Serving: "ready\n", core.Standby: "drain\n", core.ShuttingDown: "drain\n"} {
 		t.Run(phase.String(), func(t *testing.T) {
-			f, err := Listen("127.0.0.1:0", &fakeCore{phase}, lim)
+			server, err := Listen("127.0.0.1:0", &fakeCore{phase}, limits)
 			if err != nil {
 				t.Fatal(err)
 			}
-			t.Cleanup(f.Close)
-			go f.Serve()
-			nc, err := net.Dial("tcp", f.Addr().String())
+			t.Cleanup(server.Close)
+			go server.Serve()
+			nc, err := net.Dial("tcp", server.Addr().String())
 			if err != nil {
 				t.Fatal(err)
 			}
