--- a/internal/handover/golden_test.go
+++ b/internal/handover/golden_test.go
@@ -10,15 +10,15 @@
 	"hillknot/internal/testutil/golden"
 )
 
-// Processes of different releases follow each other: the new one reads what the old one wrote. The files of
-// testdata/golden were written at commit 86ccf0f.
+// A process takes over from a process of another release, and reads what that one wrote. The files of testdata/golden
+// were written at commit 86ccf0f.
 //
-// What reaches the bytes: no name of a type or field, but the constants kindTake, kindAt, kindReady, kindState and
-// version, the keys of encode ("pos", "linkRoom", "floor", "purges", "members", "loads", "objects", "classes",
-// "name", "work") and the order of the numbers in its rows: purges {ByGroup, ID, PurgedAt}, members {ID, StartedAt,
-// WarmUpBudget, MissRate, ConsecutiveFailures, Ejected, NextProbe, PenalizedAt, Penalty}, loads {Rate, Peak,
+// The encoding does not depend on the names of types or fields. It depends on the constants kindTake, kindAt, kindReady,
+// kindState and version, the keys in encode ("pos", "linkRoom", "floor", "purges", "members", "loads", "objects",
+// "classes", "name", "work"), and the order of the numbers in the rows: purges {ByGroup, ID, PurgedAt}, members {ID,
+// StartedAt, WarmUpBudget, MissRate, ConsecutiveFailures, Ejected, NextProbe, PenalizedAt, Penalty}, loads {Rate, Peak,
 // PeakCapacity, UpdatedAt}, objects {Object, Part, RequestCount, ServedAt, ReplicatedAt, CachedAtHome, ServiceTime}.
-// The place in Snapshot.Loads is the number of a role of package balancer, whose order counts too.
+// The index in Snapshot.Loads is the number of a role in package balancer, so that the order of the roles matters too.
 
 var goldenState = State{DiscoveryPosition: 4_100_000_000, Snapshot: balancer.Snapshot{LinkLimit: 2.5, PurgeFloor: 7,
 	Purges: []balancer.PurgeSnapshot{{ByGroup: true, ID: 11, PurgedAt: 9}, {ID: 1<<64 - 1, PurgedAt: 10}},
@@ -43,11 +43,11 @@
 			}
 		})
 	}
-	one := goldenState // each kind of row, with every field set
-	one.Snapshot.Purges = one.Snapshot.Purges[:1]
-	one.Snapshot.Endpoints = one.Snapshot.Endpoints[:1]
-	one.Snapshot.Objects = one.Snapshot.Objects[:1]
-	golden.Nonzero(t, one)
+	filled := goldenState // one row of each kind, with every field set
+	filled.Snapshot.Purges = filled.Snapshot.Purges[:1]
+	filled.Snapshot.Endpoints = filled.Snapshot.Endpoints[:1]
+	filled.Snapshot.Objects = filled.Snapshot.Objects[:1]
+	golden.Nonzero(t, filled)
 }
 
 func TestGoldenMessages(t *testing.T) {
@@ -69,25 +69,25 @@
 	}
 }
 
-// A predecessor's answers of this version are taken; those of another version are refused, on both sides, as
-// nothing may be taken over from it.
+// A successor accepts a predecessor's answers of its own version. Both sides reject messages of another version, as
+// nothing may be taken over between different versions.
 func TestGoldenVersions(t *testing.T) {
-	p := newPredecessor(lim)
+	p := newPredecessor(testLimits)
 	text := append(golden.Read(t, "at.txt"), golden.Read(t, "state.txt")...)
 	if used, _, err := p.Consume(text); err != nil || used != len(text) || string(<-p.positions) != "4100000000" {
-		t.Errorf("%d of %d bytes taken, %v", used, len(text), err)
+		t.Errorf("%d of %d bytes consumed, %v", used, len(text), err)
 	}
 	if s, err := decode(<-p.states); err != nil || !reflect.DeepEqual(s, goldenState) {
 		t.Errorf("state %+v, %v", s, err)
 	}
-	for _, other := range []string{"AT 1 2\n41", "AT 3 2\n41", "STATE 1 2\n{}"} {
-		if _, _, err := newPredecessor(lim).Consume([]byte(other)); !errors.Is(err, errMalformed) {
-			t.Errorf("%q: %v, want %v", other, err, errMalformed)
+	for _, encoded := range []string{"AT 1 2\n41", "AT 3 2\n41", "STATE 1 2\n{}"} {
+		if _, _, err := newPredecessor(testLimits).Consume([]byte(encoded)); !errors.Is(err, errMalformed) {
+			t.Errorf("%q: %v, want %v", encoded, err, errMalformed)
 		}
 	}
-	for _, other := range []string{"TAKE 1 0\n", "TAKE 3 0\n"} {
-		if _, _, err := (&successor{}).Consume([]byte(other)); !errors.Is(err, errMalformed) {
-			t.Errorf("%q: %v, want %v", other, err, errMalformed)
+	for _, encoded := range []string{"TAKE 1 0\n", "TAKE 3 0\n"} {
+		if _, _, err := (&successor{}).Consume([]byte(encoded)); !errors.Is(err, errMalformed) {
+			t.Errorf("%q: %v, want %v", encoded, err, errMalformed)
 		}
 	}
 }
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -1,13 +1,13 @@
-// Package handover is the hot restart of a router: a successor process takes over from its predecessor while both
-// run.
+// Package handover implements the hot restart of a router: a successor process takes over from its predecessor while
+// both run.
 //
-// They talk over a Unix socket on which the predecessor listens (SuccessorListener) and which the successor finds
-// (FindPredecessor). The successor sends TAKE as it starts and is answered with the predecessor's position in the
-// event log of discovery; it sends READY once it is about to take clients, and is answered with the predecessor's
-// State. From then on the predecessor may shut down. The connection stays open for as long as both live: its end
-// tells each that the other has ended.
+// The processes communicate over a Unix socket. The predecessor listens on it (SuccessorListener), and the successor
+// connects to it (FindPredecessor). The successor sends TAKE when it starts, and the predecessor answers with its
+// position in the event log of discovery. The successor sends READY when it is about to accept clients, and the
+// predecessor answers with its State. From then on the predecessor may shut down. The connection stays open while both
+// processes run, so that each process notices the end of the other.
 //
-// Processes of different releases meet here. The messages and what is in them stay as they are, or version changes.
+// The two processes may be of different releases. A change of the messages or their content needs another version.
 package handover
 
 import (
@@ -18,27 +18,27 @@
 
 var log = logging.For("handover")
 
-// ErrPredecessorUnavailable says that the predecessor has ended, or does not answer in time.
+// ErrPredecessorUnavailable reports that the predecessor has ended, or has not answered in time.
 var ErrPredecessorUnavailable = errors.New("predecessor unavailable")
 
 // Process is the running process that a successor takes over from. Its methods may be called from any goroutine.
 type Process interface {
-	// DiscoveryPosition is how far the process has followed the event log of discovery.
+	// DiscoveryPosition returns the position in the event log of discovery that the process has reached.
 	DiscoveryPosition() int64
-	// State is what a successor goes on from. It is called as a successor is ready.
+	// State returns the state that a successor starts from. It is called when a successor is ready.
 	State() State
-	// SuccessorChanged is called as a successor connects, is ready, or has ended. Calls come one after the other,
-	// and must not call back.
+	// SuccessorChanged is called when a successor has connected, is ready, or has ended. Calls do not overlap. The
+	// implementation must not call the SuccessorListener.
 	SuccessorChanged(stage SuccessorStage)
 }
 
-// SuccessorStage is how far a successor has come. Where there is more than one, it is the one that has come
-// farthest.
+// SuccessorStage is the stage that a successor has reached. If there are several successors, it is the latest stage of
+// any of them.
 type SuccessorStage uint8
 
-// The stages.
+// The stages, in their order.
 const (
-	NoSuccessor       SuccessorStage = iota // none is connected
-	SuccessorStarting                       // it takes no clients yet
-	SuccessorReady                          // it takes clients
+	NoSuccessor       SuccessorStage = iota // no successor is connected
+	SuccessorStarting                       // a successor is connected, but does not accept clients yet
+	SuccessorReady                          // a successor accepts clients
 )
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -15,11 +15,11 @@
 	"hillknot/internal/testutil/parsertest"
 )
 
-var lim = config.Limits{HandoverConns: 4, HandoverStateBytes: 1 << 16, HandoverTimeout: 20 * time.Second,
+var testLimits = config.Limits{HandoverConns: 4, HandoverStateBytes: 1 << 16, HandoverTimeout: 20 * time.Second,
 	Handover: config.ConnLimits{MaxPendingBytes: 1 << 17, ReadTimeout: 20 * time.Second, MessageTimeout: 20 * time.Second, WriteTimeout: 20 * time.Second,
 		IdleTimeout: time.Hour, SilentTimeout: time.Hour}}
 
-var some = State{DiscoveryPosition: 41, Snapshot: balancer.Snapshot{LinkLimit: 2.5, PurgeFloor: 7,
+var testState = State{DiscoveryPosition: 41, Snapshot: balancer.Snapshot{LinkLimit: 2.5, PurgeFloor: 7,
 	Purges: []balancer.PurgeSnapshot{{ByGroup: true, ID: 1<<64 - 1, PurgedAt: 9}},
 	Endpoints: []balancer.EndpointSnapshot{{ID: 1<<64 - 2, StartedAt: 3, WarmUpBudget: 0.25, MissRate: 0.5,
 		ConsecutiveFailures: 2, Ejected: true, NextProbe: 4,
@@ -29,40 +29,42 @@
 	Objects: []balancer.ObjectSnapshot{{Object: 1 << 63, Part: 2, RequestCount: 3, ServedAt: 4, ReplicatedAt: 5,
 		CachedAtHome: true, ServiceTime: 0.5}}}}
 
-// owner is a process that a successor may take over from.
-type owner struct{ stages chan SuccessorStage }
+// fakeProcess is a process that a successor may take over from.
+type fakeProcess struct{ stages chan SuccessorStage }
 
-func (o *owner) DiscoveryPosition() int64              { return some.DiscoveryPosition }
-func (o *owner) State() State                          { return some }
-func (o *owner) SuccessorChanged(stage SuccessorStage) { o.stages <- stage }
+func (process *fakeProcess) DiscoveryPosition() int64              { return testState.DiscoveryPosition }
+func (process *fakeProcess) State() State                          { return testState }
+func (process *fakeProcess) SuccessorChanged(stage SuccessorStage) { process.stages <- stage }
 
-// expectStage waits for the next change of stage.
-func (o *owner) expectStage(t *testing.T, want SuccessorStage) {
+// expectStage waits for the next call of SuccessorChanged, and checks its stage.
+func (process *fakeProcess) expectStage(t *testing.T, want SuccessorStage) {
 	t.Helper()
 	select {
-	case got := <-o.stages:
+	case got := <-process.stages:
 		if got != want {
 			t.Errorf("notified of stage %d, want %d", got, want)
 		}
 	case <-time.After(20 * time.Second):
-		t.Fatal("not notified")
+		t.Fatal("SuccessorChanged was not called")
 	}
 }
 
-func listen(t *testing.T) (*owner, string) {
+// listen listens for successors of a fake process. It returns the process and the path of the socket.
+func listen(t *testing.T) (*fakeProcess, string) {
 	t.Helper()
-	o, path := &owner{stages: make(chan SuccessorStage, 10)}, filepath.Join(t.TempDir(), "s")
-	g, err := ListenForSuccessor(path, o, lim)
+	process, path := &fakeProcess{stages: make(chan SuccessorStage, 10)}, filepath.Join(t.TempDir(), "s")
+	listener, err := ListenForSuccessor(path, process, testLimits)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(g.Close)
-	return o, path
+	t.Cleanup(listener.Close)
+	return process, path
 }
 
+// find connects to the predecessor that listens on a path.
 func find(t *testing.T, path string) *Predecessor {
 	t.Helper()
-	p := FindPredecessor(path, lim)
+	p := FindPredecessor(path, testLimits)
 	if p == nil {
 		t.Fatal("no predecessor")
 	}
@@ -70,41 +72,41 @@
 	return p
 }
 
-// The predecessor is notified of its successor as that connects, and that it is ready before the successor has the
-// state.
+// The predecessor is notified when its successor connects. It is notified that the successor is ready before the
+// successor gets the state.
 func TestSuccessorTakesOverState(t *testing.T) {
-	o, path := listen(t)
+	process, path := listen(t)
 	p := find(t, path)
-	o.expectStage(t, SuccessorStarting)
-	if p.DiscoveryPosition != some.DiscoveryPosition {
+	process.expectStage(t, SuccessorStarting)
+	if p.DiscoveryPosition != testState.DiscoveryPosition {
 		t.Errorf("position %d", p.DiscoveryPosition)
 	}
 	s, err := p.AnnounceReady()
-	if err != nil || !reflect.DeepEqual(s, some) {
-		t.Errorf("state %+v, %v; want %+v", s, err, some)
+	if err != nil || !reflect.DeepEqual(s, testState) {
+		t.Errorf("state %+v, %v; want %+v", s, err, testState)
 	}
-	o.expectStage(t, SuccessorReady)
+	process.expectStage(t, SuccessorReady)
 }
 
-// A successor that dies leaves its predecessor as it was: another successor can connect, also where the dead one
-// had taken the predecessor's place on the path.
+// After the end of a successor, another successor can connect to the predecessor, even if the first one had listened on
+// the path in place of the predecessor.
 func TestSuccessorThatEndsCanBeReplaced(t *testing.T) {
-	o, path := listen(t)
+	process, path := listen(t)
 	p := find(t, path)
-	o.expectStage(t, SuccessorStarting)
+	process.expectStage(t, SuccessorStarting)
 	if _, err := p.AnnounceReady(); err != nil {
 		t.Fatal(err)
 	}
-	o.expectStage(t, SuccessorReady)
-	next, err := ListenForSuccessor(path, &owner{stages: make(chan SuccessorStage, 10)}, lim)
+	process.expectStage(t, SuccessorReady)
+	next, err := ListenForSuccessor(path, &fakeProcess{stages: make(chan SuccessorStage, 10)}, testLimits)
 	if err != nil {
 		t.Fatal(err)
 	}
 	next.Close()
 	p.Close()
-	o.expectStage(t, NoSuccessor)
+	process.expectStage(t, NoSuccessor)
 	for end := time.Now().Add(20 * time.Second); ; time.Sleep(time.Millisecond) {
-		if p := FindPredecessor(path, lim); p != nil {
+		if p := FindPredecessor(path, testLimits); p != nil {
 			p.Close()
 			break
 		}
@@ -112,14 +114,14 @@
 			t.Fatal("no other successor can connect")
 		}
 	}
-	o.expectStage(t, SuccessorStarting)
+	process.expectStage(t, SuccessorStarting)
 }
 
-// Close ends all goroutines of a listener, also where a successor has just ended and the path is being taken back.
+// Close ends all goroutines of a listener, even if a successor has just ended and the listener is reopening the path.
 func TestNothingListensAfterClose(t *testing.T) {
 	for range 20 {
-		process, path := &owner{stages: make(chan SuccessorStage, 10)}, filepath.Join(t.TempDir(), "s")
-		l, err := ListenForSuccessor(path, process, lim)
+		process, path := &fakeProcess{stages: make(chan SuccessorStage, 10)}, filepath.Join(t.TempDir(), "s")
+		l, err := ListenForSuccessor(path, process, testLimits)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -129,34 +131,34 @@
 		}
 		go p.Close()
 		l.Close()
-		if FindPredecessor(path, lim) != nil {
-			t.Fatal("listens after Close")
+		if FindPredecessor(path, testLimits) != nil {
+			t.Fatal("a process listens on the path after Close")
 		}
 	}
 }
 
-// The successor is notified of its predecessor's end, and gets no state after it.
+// The successor is notified of its predecessor's end, and gets no state from then on.
 func TestSuccessorIsNotifiedOfPredecessorsEnd(t *testing.T) {
-	o := &owner{stages: make(chan SuccessorStage, 10)}
+	process := &fakeProcess{stages: make(chan SuccessorStage, 10)}
 	path := filepath.Join(t.TempDir(), "s")
-	g, err := ListenForSuccessor(path, o, lim)
+	listener, err := ListenForSuccessor(path, process, testLimits)
 	if err != nil {
 		t.Fatal(err)
 	}
 	p := find(t, path)
-	g.Close()
+	listener.Close()
 	select {
 	case <-p.Ended():
 	case <-time.After(20 * time.Second):
-		t.Fatal("not seen")
+		t.Fatal("the end of the predecessor was not noticed")
 	}
 	if _, err := p.AnnounceReady(); err == nil {
-		t.Error("a state from one that has gone")
+		t.Error("got a state from a predecessor that has ended")
 	}
 }
 
-// No predecessor: nothing at the path, a socket that was left behind, a file of another kind, and a listener that
-// does not answer.
+// FindPredecessor finds none if the path does not exist, or is a stale socket, a regular file, or the socket of a listener
+// that does not answer.
 func TestFindsNoPredecessor(t *testing.T) {
 	dir := t.TempDir()
 	stale := filepath.Join(dir, "stale")
@@ -170,28 +172,29 @@
 	if err := os.WriteFile(file, []byte("7"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	mute, err := net.Listen("unix", filepath.Join(dir, "mute"))
+	silent, err := net.Listen("unix", filepath.Join(dir, "mute"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { mute.Close() })
-	short := lim
-	short.HandoverTimeout = 10 * time.Millisecond
-	for _, path := range []string{filepath.Join(dir, "none"), stale, file, mute.Addr().String()} {
-		if FindPredecessor(path, short) != nil {
-			t.Errorf("%s: a predecessor", path)
+	t.Cleanup(func() { silent.Close() })
+	shortTimeout := testLimits
+	shortTimeout.HandoverTimeout = 10 * time.Millisecond
+	for _, path := range []string{filepath.Join(dir, "none"), stale, file, silent.Addr().String()} {
+		if FindPredecessor(path, shortTimeout) != nil {
+			t.Errorf("%s: found a predecessor, want none", path)
 		}
 	}
-	if g, err := ListenForSuccessor(stale, &owner{}, lim); err != nil {
+	if listener, err := ListenForSuccessor(stale, &fakeProcess{}, testLimits); err != nil {
 		t.Errorf("over a stale path: %v", err)
 	} else {
-		g.Close()
+		listener.Close()
 	}
 }
 
-// Another version, or anything else, ends the connection, and the process is not notified of a successor.
+// A message of another version or an unexpected message ends the connection, and the process is not notified of a
+// successor.
 func TestOtherVersionIsRejected(t *testing.T) {
-	o, path := listen(t)
+	process, path := listen(t)
 	for _, text := range []string{"TAKE 1 0\n", "TAKE 3 0\n", "READY 2 0\n", "TAKE 2 5\nhello", "GET / HTTP/1.1\r\n\r\n"} {
 		nc, err := net.Dial("unix", path)
 		if err != nil {
@@ -200,12 +203,12 @@
 		nc.SetDeadline(time.Now().Add(20 * time.Second))
 		nc.Write([]byte(text))
 		if n, err := nc.Read(make([]byte, 1)); n != 0 || err == nil {
-			t.Errorf("%q is answered", text)
+			t.Errorf("%q: got an answer, want a closed connection", text)
 		}
 		nc.Close()
 	}
-	if len(o.stages) != 0 {
-		t.Errorf("told %v", <-o.stages)
+	if len(process.stages) != 0 {
+		t.Errorf("notified of stage %v, want no notification", <-process.stages)
 	}
 }
 
@@ -217,8 +220,8 @@
 		_, progress, err := parseMessage(buf, 200)
 		return progress.consumed, progress.needed, err
 	})
-	// A state in which bytes are bent is an error or a state, and no panic.
-	parsertest.Garbage(t, func(*rapid.T) []byte { return encode(some) }, func(buf []byte) (int, int, error) {
+	// Decoding a damaged state returns an error or a state, and does not panic.
+	parsertest.Garbage(t, func(*rapid.T) []byte { return encode(testState) }, func(buf []byte) (int, int, error) {
 		_, err := decode(buf)
 		return len(buf), 0, err
 	})
--- a/internal/handover/listener.go
+++ b/internal/handover/listener.go
@@ -9,49 +9,50 @@
 	"hillknot/internal/netio"
 )
 
-// SuccessorListener waits for successors of this process.
+// SuccessorListener accepts connections of the successors of this process.
 type SuccessorListener struct {
 	path    string
 	limits  config.Limits
 	process Process
 
-	goroutines sync.WaitGroup // those that serve, and those that reopen the socket
+	goroutines sync.WaitGroup // goroutines that serve or reopen the socket
 
-	mu       sync.Mutex
-	server   *netio.Server
-	closed   bool // Close was called: nothing is opened any more
-	starting int  // successors that are connected
-	ready    int  // of these, those that are ready
+	mu        sync.Mutex
+	server    *netio.Server
+	closed    bool // Close was called; no socket is opened any more
+	connected int  // number of connected successors
+	ready     int  // number of connected successors that are ready
 }
 
-// ListenForSuccessor listens on a path, in place of whoever did so before. The caller closes the listener.
+// ListenForSuccessor listens on a path, and replaces the process that listened there before. The caller closes the
+// listener.
 func ListenForSuccessor(path string, process Process, limits config.Limits) (*SuccessorListener, error) {
 	l := &SuccessorListener{path: path, limits: limits, process: process}
 	return l, l.open()
 }
 
-// open listens on the path, in place of whoever does so now.
+// open listens on the path, and replaces the process that listens there now.
 func (l *SuccessorListener) open() error {
 	budget := netio.NewBudget(2 * l.limits.HandoverStateBytes)
 	handler := func(conn *netio.Conn) netio.Handler { return &successor{listener: l, conn: conn} }
 	server, err := netio.Listen(l.path, l.limits.HandoverConns, l.limits.Handover, budget, handler)
 	if err != nil {
-		return fmt.Errorf("hand over: %w", err)
+		return fmt.Errorf("listen for successors: %w", err)
 	}
-	if unused := l.use(server); unused != nil {
+	if unused := l.replaceServer(server); unused != nil {
 		unused.Close()
 	}
 	l.goroutines.Go(func() {
-		if err := server.Serve(); err != nil { // of a server that is closed, it frees the socket
+		if err := server.Serve(); err != nil { // if the server is closed already, Serve only frees the socket
 			log.Error("successor listener failed", logging.KeyError, err)
 		}
 	})
 	return nil
 }
 
-// use makes a server the one of the listener, and returns the server that is to be closed: the one before, if there
-// is one, or the new one where the listener was closed meanwhile.
-func (l *SuccessorListener) use(server *netio.Server) (unused *netio.Server) {
+// replaceServer makes server the current server. It returns the server that the caller must close: the previous one, if
+// any, or the new one if the listener has been closed meanwhile.
+func (l *SuccessorListener) replaceServer(server *netio.Server) (unused *netio.Server) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.closed {
@@ -61,8 +62,8 @@
 	return unused
 }
 
-// reopen takes back the path of a successor that has ended, in a goroutine of its own: it closes connections, which
-// calls back.
+// reopen listens again on the path, which a successor that has ended had taken. It does so in a goroutine of its own, as
+// it closes connections, which calls the methods of the listener again.
 func (l *SuccessorListener) reopen() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -77,8 +78,8 @@
 	})
 }
 
-// Close stops waiting for successors, and ends the connections to those there are. It returns once all goroutines
-// of the listener have ended.
+// Close stops accepting successors, and closes the connections to the present ones. It returns when all goroutines of the
+// listener have ended.
 func (l *SuccessorListener) Close() {
 	l.mu.Lock()
 	server := l.server
@@ -90,20 +91,20 @@
 	l.goroutines.Wait()
 }
 
-// count notes that successors have connected or ended, or are ready or no longer, and notifies the process.
-func (l *SuccessorListener) count(starting, ready int) {
+// adjustCounts adds to the numbers of connected and of ready successors, and notifies the process of the new stage.
+func (l *SuccessorListener) adjustCounts(connected, ready int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.starting, l.ready = l.starting+starting, l.ready+ready
+	l.connected, l.ready = l.connected+connected, l.ready+ready
 	l.process.SuccessorChanged(l.stage())
 }
 
-// stage returns how far successors have come. The caller holds l.mu.
+// stage returns the latest stage of any successor. The caller holds l.mu.
 func (l *SuccessorListener) stage() SuccessorStage {
 	switch {
 	case l.ready > 0:
 		return SuccessorReady
-	case l.starting > 0:
+	case l.connected > 0:
 		return SuccessorStarting
 	}
 	return NoSuccessor
--- a/internal/handover/message.go
+++ b/internal/handover/message.go
@@ -7,15 +7,15 @@
 	"strconv"
 )
 
-// version is of the messages and of what is in them. A process that meets another version takes nothing over.
+// version is the version of the messages and their content. Between processes of different versions, nothing is taken over.
 const version = 2
 
 // The kinds of messages.
 const (
 	kindTake  = "TAKE"  // a successor is starting
-	kindAt    = "AT"    // the answer: the predecessor's position in the event log of discovery
-	kindReady = "READY" // the successor is about to take clients
-	kindState = "STATE" // the answer: the predecessor's State
+	kindAt    = "AT"    // the answer to TAKE: the predecessor's position in the event log of discovery
+	kindReady = "READY" // the successor is about to accept clients
+	kindState = "STATE" // the answer to READY: the predecessor's State
 )
 
 var (
@@ -23,22 +23,22 @@
 	errTooLong   = errors.New("message over the limit")
 )
 
-// message is KIND VERSION LENGTH, a line feed, and a body of so many bytes. Its slices are of the buffer it was
-// read from.
+// message is a message of the form KIND VERSION LENGTH, a line feed, and a body of LENGTH bytes. Its slices point into the
+// buffer that it was read from.
 type message struct {
 	kind    []byte
 	version uint64
 	body    []byte
 }
 
-// progress is how far a parser came: the length of the message that it read, or 0 where that is not complete, and
-// then the length that it has, as far as that is known.
+// progress reports how much of a buffer a parser has used. consumed is the length of the message in bytes, or 0 if the
+// message is incomplete. In that case needed is its length, or 0 if that is not known yet.
 type progress struct{ consumed, needed int }
 
-// maxHeader is the most bytes that may stand before the line feed.
+// maxHeader is the largest number of bytes before the line feed.
 const maxHeader = 64
 
-// parseMessage reads the message at the start of buf. A body may have maxBody bytes.
+// parseMessage reads the message at the start of buf. Its body may have at most maxBody bytes.
 func parseMessage(buf []byte, maxBody int) (message, progress, error) {
 	end := bytes.IndexByte(buf, '\n')
 	if end > maxHeader || end < 0 && len(buf) > maxHeader {
@@ -62,7 +62,8 @@
 	return m, progress{consumed: length}, nil
 }
 
-// parseHeader reads the line before a body. It returns the message without its body, and the body's length.
+// parseHeader reads the line that precedes a body. It returns the message without its body, and the length of the body in
+// bytes.
 func parseHeader(line []byte) (m message, size uint64, err error) {
 	fields := bytes.Split(line, []byte(" "))
 	if len(fields) != 3 || len(fields[0]) == 0 {
--- a/internal/handover/predecessor.go
+++ b/internal/handover/predecessor.go
@@ -10,21 +10,21 @@
 	"hillknot/internal/netio"
 )
 
-// Predecessor is the process that this one takes over from: the successor's end of the connection.
+// Predecessor is the successor's end of the connection to the process that it takes over from.
 type Predecessor struct {
-	// DiscoveryPosition is how far the predecessor had followed the event log of discovery as this process
-	// connected.
+	// DiscoveryPosition is the position in the event log of discovery that the predecessor had reached when this
+	// process connected.
 	DiscoveryPosition int64
 
 	conn      *netio.Conn
 	limits    config.Limits
-	ended     chan struct{} // closed as the connection ends
-	positions chan []byte   // the answer to TAKE, once
-	states    chan []byte   // the answer to READY, once
+	ended     chan struct{} // closed when the connection ends
+	positions chan []byte   // receives the answer to TAKE, once
+	states    chan []byte   // receives the answer to READY, once
 }
 
-// FindPredecessor connects to the process that listens on a path. It returns nil where there is none, or it does
-// not answer in time: that is no error. The caller closes the connection.
+// FindPredecessor connects to the process that listens on a path. It returns nil if there is no such process, or if it
+// does not answer in time; neither is an error. The caller closes the connection.
 func FindPredecessor(path string, limits config.Limits) *Predecessor {
 	p := newPredecessor(limits)
 	budget := netio.NewBudget(2 * limits.HandoverStateBytes)
@@ -35,9 +35,9 @@
 		return nil
 	}
 	p.conn = conn
-	text, err := p.request(kindTake, p.positions)
+	position, err := p.request(kindTake, p.positions)
 	if err == nil {
-		p.DiscoveryPosition, err = strconv.ParseInt(string(text), 10, 64)
+		p.DiscoveryPosition, err = strconv.ParseInt(string(position), 10, 64)
 	}
 	if err != nil {
 		log.Warn("predecessor handshake failed", logging.KeyError, err)
@@ -52,36 +52,36 @@
 		positions: make(chan []byte, 1), states: make(chan []byte, 1)}
 }
 
-// Ended returns a channel that is closed as the predecessor ends.
+// Ended returns a channel that is closed when the predecessor ends.
 func (p *Predecessor) Ended() <-chan struct{} { return p.ended }
 
-// AnnounceReady tells the predecessor that this process takes clients from now on, and returns the state to go on
-// from. After an error the predecessor may have been told all the same.
+// AnnounceReady notifies the predecessor that this process accepts clients from now on, and returns the state to start
+// from. The predecessor may have been notified even if AnnounceReady returns an error.
 func (p *Predecessor) AnnounceReady() (State, error) {
-	text, err := p.request(kindReady, p.states)
+	encoded, err := p.request(kindReady, p.states)
 	if err != nil {
 		return State{}, err
 	}
-	s, err := decode(text)
+	s, err := decode(encoded)
 	if err != nil {
-		return State{}, fmt.Errorf("state: %w", err)
+		return State{}, fmt.Errorf("decode state of predecessor: %w", err)
 	}
 	return s, nil
 }
 
-// Close ends the connection, which tells the predecessor that this process does not take over.
+// Close closes the connection, by which the predecessor notices that this process has ended or does not take over.
 func (p *Predecessor) Close() { p.conn.Close() }
 
 // request sends a message and waits for its answer.
-func (p *Predecessor) request(kind string, answer <-chan []byte) ([]byte, error) {
+func (p *Predecessor) request(kind string, answers <-chan []byte) ([]byte, error) {
 	if err := p.conn.Send(appendMessage(nil, kind, nil)); err != nil {
 		return nil, err
 	}
 	timer := time.NewTimer(p.limits.HandoverTimeout)
 	defer timer.Stop()
 	select {
-	case text := <-answer:
-		return text, nil
+	case body := <-answers:
+		return body, nil
 	case <-p.ended:
 	case <-timer.C:
 	}
@@ -102,7 +102,7 @@
 	}
 }
 
-// handle passes an answer on to the request that waits for it.
+// handle passes an answer on to the call of request that waits for it.
 func (p *Predecessor) handle(m message) error {
 	if m.version != version {
 		return errMalformed
@@ -119,7 +119,7 @@
 	select {
 	case answers <- append([]byte(nil), m.body...):
 		return nil
-	default: // it was answered before
+	default: // a second answer to the same request
 		return errMalformed
 	}
 }
--- a/internal/handover/successor.go
+++ b/internal/handover/successor.go
@@ -7,7 +7,7 @@
 	"hillknot/internal/netio"
 )
 
-// successor is the predecessor's end of the connection to a successor. Netio calls its methods one after the other.
+// successor is the predecessor's end of the connection to a successor. Calls of its methods by package netio do not overlap.
 type successor struct {
 	listener *SuccessorListener
 	conn     *netio.Conn
@@ -28,36 +28,36 @@
 	}
 }
 
-// handle acts on a message and answers it. A successor sends TAKE, then READY, each once.
+// handle processes a message and answers it. A successor sends TAKE, then READY, each once.
 func (s *successor) handle(m message) error {
 	switch {
 	case m.version != version:
 		return fmt.Errorf("version %d: %w", m.version, errMalformed)
 	case string(m.kind) == kindTake && s.stage == NoSuccessor:
 		s.stage = SuccessorStarting
-		s.listener.count(1, 0)
+		s.listener.adjustCounts(1, 0)
 		position := s.listener.process.DiscoveryPosition()
 		return s.conn.Send(appendMessage(nil, kindAt, strconv.AppendInt(nil, position, 10)))
 	case string(m.kind) == kindReady && s.stage == SuccessorStarting:
 		s.stage = SuccessorReady
 		state := encode(s.listener.process.State())
 		if len(state) > s.listener.limits.HandoverStateBytes {
-			state = nil // the successor can't read that, and goes on without a state
+			state = nil // the successor can't read a state over the limit, and starts without one
 		}
-		s.listener.count(0, 1)
+		s.listener.adjustCounts(0, 1)
 		return s.conn.Send(appendMessage(nil, kindState, state))
 	}
 	return errMalformed
 }
 
-// Closed implements netio.Handler: the successor has ended. One that was ready had taken our place on the path,
-// which is ours again.
+// Closed implements netio.Handler. It is called when the successor has ended. A ready successor listened on the path in
+// place of this process, which then listens there again.
 func (s *successor) Closed() {
 	switch s.stage {
 	case SuccessorStarting:
-		s.listener.count(-1, 0)
+		s.listener.adjustCounts(-1, 0)
 	case SuccessorReady:
-		s.listener.count(-1, -1)
+		s.listener.adjustCounts(-1, -1)
 		s.listener.reopen()
 	}
 }
