--- a/internal/frontend/dns/names.go
+++ b/internal/frontend/dns/names.go
@@ -33,11 +33,11 @@
 }
 
 // parseLabel returns the id of the endpoint that a label names. An empty label stands for any endpoint, and returns 0.
-func parseLabel(text string) (id balancer.EndpointID, ok bool) {
-	if text == "" {
+func parseLabel(label string) (id balancer.EndpointID, ok bool) {
+	if label == "" {
 		return 0, true
 	}
-	digits, hasPrefix := strings.CutPrefix(text, labelPrefix)
+	digits, hasPrefix := strings.CutPrefix(label, labelPrefix)
 	n, err := strconv.ParseUint(digits, 16, 64)
 	return balancer.EndpointID(n), hasPrefix && err == nil && len(digits) == 16
 }
--- a/internal/frontend/dns/query.go
+++ b/internal/frontend/dns/query.go
@@ -13,16 +13,16 @@
 
 // query is a parsed query. Its raw question is a slice of the buffer that the query was read from.
 type query struct {
-	id, flags uint16
-	question  []byte
-	name      string // in lower case, without the last dot
-	qtype     uint16
-	qclass    uint16
-	edns      bool
-	version   uint8
-	size      int          // of the longest reply over UDP that the resolver accepts, in bytes
-	subnet    netip.Prefix // of the client, if hasSubnet
-	hasSubnet bool
+	id, flags   uint16
+	question    []byte
+	name        string // in lower case, without the last dot
+	qtype       uint16
+	qclass      uint16
+	edns        bool
+	ednsVersion uint8
+	size        int          // of the longest reply over UDP that the resolver accepts, in bytes
+	subnet      netip.Prefix // of the client, if hasSubnet is set
+	hasSubnet   bool
 }
 
 // parseQuery reads a query. If the message is too short for a header, or is a response, ok is false, and no reply may be sent.
@@ -69,7 +69,7 @@
 		if name != "" || q.edns {
 			return 0, errMalformed
 		}
-		q.edns, q.version = true, b[i+5]
+		q.edns, q.ednsVersion = true, b[i+5]
 		q.size = min(max(int(binary.BigEndian.Uint16(b[i+2:])), plainUDPSize), maxUDPSize)
 		return end, q.readOptions(b[i+10 : end])
 	}
--- a/internal/frontend/dns/resolve.go
+++ b/internal/frontend/dns/resolve.go
@@ -53,7 +53,7 @@
 	switch {
 	case q.flags&opcodeMask != 0:
 		return codeNotImp
-	case q.edns && q.version != 0:
+	case q.edns && q.ednsVersion != 0:
 		return codeBadVers
 	case !inZone || q.qclass != classIN && q.qclass != classANY:
 		return codeRefused
--- a/internal/frontend/dns/server_test.go
+++ b/internal/frontend/dns/server_test.go
@@ -20,7 +20,7 @@
 )
 
 func TestQueryParser(t *testing.T) {
-	gen := func(t *rapid.T) []byte {
+	drawQuery := func(t *rapid.T) []byte {
 		m := new(dns.Msg)
 		m.SetQuestion(rapid.StringMatching(`([a-zA-Z0-9-]{1,20}\.){1,4}`).Draw(t, "name"), rapid.Uint16().Draw(t, "type"))
 		o := &dns.OPT{Hdr: dns.RR_Header{Name: ".", Rrtype: dns.TypeOPT, Class: 1400}}
@@ -32,7 +32,7 @@
 		}
 		return b
 	}
-	parsertest.Run(t, gen, func(buf []byte) (int, int, error) {
+	parsertest.Run(t, drawQuery, func(buf []byte) (int, int, error) {
 		// The parser gets a whole datagram, which holds no length: a cut message is malformed, and bytes after it are ignored.
 		if _, _, err := parseQuery(buf); err != nil {
 			return 0, 0, nil
@@ -84,7 +84,7 @@
 
 const zoneName = "scores.example.org"
 
-// start runs a server that names at most so many endpoints in an answer.
+// start runs a server that names at most maxAnswers endpoints in an answer.
 func start(t *testing.T, maxAnswers int) *testServer {
 	t.Helper()
 	s := prepare(t, maxAnswers)
--- a/internal/frontend/dns/transport_test.go
+++ b/internal/frontend/dns/transport_test.go
@@ -34,7 +34,7 @@
 
 // After a temporary read error of any kind, the front end keeps running without a busy loop, and answers the queries that have
 // arrived. Any read error once ended the whole router.
-func TestReadErrorsPass(t *testing.T) {
+func TestTemporaryReadErrorsDoNotEndServe(t *testing.T) {
 	const span, maxReads = 100 * time.Millisecond, 20 // reads
 	for _, errno := range readErrors {
 		t.Run(errno.Error(), func(t *testing.T) {
@@ -62,7 +62,7 @@
 }
 
 // Serve returns the error of a UDP socket that can't be read any more, and queries over TCP are still answered.
-func TestUnreadableSocketLeavesTCP(t *testing.T) {
+func TestUnreadableUDPSocketDoesNotStopTCP(t *testing.T) {
 	for _, errno := range []syscall.Errno{syscall.EBADF, syscall.ENOTSOCK, syscall.EINVAL, syscall.EFAULT} {
 		s := prepare(t, 1)
 		s.failReads(errno, time.Hour)
