--- a/internal/extension/orderfailover/orders.go
+++ b/internal/extension/orderfailover/orders.go
@@ -9,12 +9,12 @@
 
 // Replicate implements core.OrderFailover.
 func (e *Extension) Replicate(q *core.Request, timeLeft time.Duration) error {
-	return e.coordinator.Replicate(e.core.LoopTime(), order(q, q.Txn, timeLeft))
+	return e.coordinator.Replicate(e.core.LoopTime(), failoverOrder(q, q.Txn, timeLeft))
 }
 
 // Claim implements core.OrderFailover.
 func (e *Extension) Claim(id balancer.RequestID, q *core.Request, timeLeft time.Duration) {
-	e.coordinator.Claim(e.core.LoopTime(), uint64(id), order(q, q.ResumesTxn, timeLeft))
+	e.coordinator.Claim(e.core.LoopTime(), uint64(id), failoverOrder(q, q.ResumesTxn, timeLeft))
 	e.carryOutActions()
 }
 
@@ -27,16 +27,17 @@
 	e.carryOutActions()
 }
 
-// UseSendPermission implements core.OrderFailover. It reads the clock anew, as the order is written right after.
+// UseSendPermission implements core.OrderFailover. It reads the clock again instead of using the loop time, because the
+// order is written immediately afterwards.
 func (e *Extension) UseSendPermission(txn string) bool {
 	allowed := e.coordinator.UseSendPermission(e.core.CurrentTime(), txn)
 	e.reportSteps()
 	return allowed
 }
 
-// Finish implements core.OrderFailover. The outcome is on its way to the replica before the client gets it.
+// Finish implements core.OrderFailover. It sends the outcome to the replica before the client gets it.
 func (e *Extension) Finish(txn string, a core.Answer, mayHaveRun bool) (hold bool) {
-	hold = e.coordinator.Finish(e.core.LoopTime(), txn, outcome(a, mayHaveRun))
+	hold = e.coordinator.Finish(e.core.LoopTime(), txn, failoverOutcome(a, mayHaveRun))
 	e.Flush()
 	return hold
 }
--- a/internal/frontend/admin/metrics.go
+++ b/internal/frontend/admin/metrics.go
@@ -30,8 +30,8 @@
 		{"dispatches", "Attempts written whole to page caches.", "counter", snapshot.AttemptsWritten},
 		{"violations", "Rules that did not hold, as the router checks them; 0 in a router that is well.", "counter", snapshot.RuleViolations},
 		{"concurrent", "Requests taken and not ended.", "gauge", uint64(snapshot.OpenRequests)},
-		{"targets", "Page caches on the list.", "gauge", uint64(snapshot.Endpoints)},
-		{"targets_disabled", "Page caches on the list that the router avoids.", "gauge", uint64(snapshot.AvoidedEndpoints)},
+		{"targets", "Page caches on the list.", "gauge", uint64(snapshot.PageCaches)},
+		{"targets_disabled", "Page caches on the list that the router avoids.", "gauge", uint64(snapshot.AvoidedPageCaches)},
 	} {
 		b = fmt.Appendf(appendHeader(b, f.name, f.help, f.kind), "app_%s %d\n", f.name, f.value)
 	}
