--- a/internal/discovery/backoff.go
+++ b/internal/discovery/backoff.go
@@ -2,7 +2,8 @@
 
 import "time"
 
-// backoff is the pause between connections to a service that sends nothing: it doubles up to a bound.
+// backoff computes the pause before the next connection to the service. The pause doubles, up to a bound, with each
+// connection that received nothing.
 type backoff struct {
 	initial, longest time.Duration
 	current          time.Duration
@@ -12,13 +13,13 @@
 	return backoff{initial: initial, longest: longest, current: initial}
 }
 
-// next returns the pause after a connection that brought nothing.
+// next doubles the pause and returns it. It is called after a connection that received nothing.
 func (b *backoff) next() time.Duration {
 	b.current = min(2*b.current, b.longest)
 	return b.current
 }
 
-// reset returns the pause after a connection that brought something.
+// reset sets the pause back to the initial one and returns it. It is called after a connection that received something.
 func (b *backoff) reset() time.Duration {
 	b.current = b.initial
 	return b.current
--- a/internal/discovery/connection.go
+++ b/internal/discovery/connection.go
@@ -16,13 +16,14 @@
 	pacer    pacer
 	response response
 	parser   eventParser
-	received chan struct{} // holds a value when something has come since it was last read
-	closed   chan struct{}
+	received chan struct{} // holds a value once bytes have arrived since the channel was last read
+	closed   chan struct{} // closed when the connection ends
 
-	caughtUp bool // all that the service had sent was read at least once; Watcher.mu guards it
+	// caughtUp is set once everything that the service had sent over this connection was read. Watcher.mu guards it.
+	caughtUp bool
 }
 
-// connect opens a connection to the service at an address.
+// connect opens a connection to the service at an address. The request is not sent yet.
 func (w *Watcher) connect(address string) (*connection, error) {
 	c := &connection{
 		watcher:  w,
@@ -42,7 +43,7 @@
 	return c, nil
 }
 
-// appendWatchRequest appends the HTTP request for the events that follow a position.
+// appendWatchRequest appends the HTTP request for the events after a position.
 func appendWatchRequest(b []byte, address string, position int64) []byte {
 	b = append(b, "GET /journal HTTP/1.1\r\nHost: "...)
 	b = append(b, address...)
@@ -55,7 +56,7 @@
 func (c *connection) Consume(buf []byte) (used, want int, err error) {
 	select {
 	case c.received <- struct{}{}:
-	default: // the one before has not been seen yet
+	default: // watch has not taken the previous value yet
 	}
 	c.pacer.pause()
 	readAt := clock.Now()
@@ -73,7 +74,7 @@
 // Closed implements netio.Handler.
 func (c *connection) Closed() { close(c.closed) }
 
-// receive takes the data of an event that has come under an id, which is its position.
+// receive parses an event and hands it to the watcher. The id of a server-sent event is its position.
 func (c *connection) receive(id, data []byte) error {
 	e, parseErr := c.parser.parse(data)
 	if position, err := strconv.ParseInt(string(id), 10, 64); err == nil {
@@ -82,15 +83,17 @@
 	return c.watcher.receive(e, parseErr)
 }
 
-// maxBurst is how many reads in quick succession are consumed without a pause.
+// maxBurst is how many reads of a burst are consumed without a pause. Reads belong to a burst while each follows the
+// previous one within pacer.interval.
 const maxBurst = 16
 
-// pacer has what comes in quick succession be consumed together: a release publishes thousands of changes, and each by
-// itself would wake the whole router. What comes after a pause is consumed at once.
+// pacer delays the reads of a long burst, so that several events are consumed in one read: a release publishes thousands
+// of changes, and each event consumed separately would wake the whole router. The first read after a quiet interval is
+// never delayed.
 type pacer struct {
-	interval time.Duration // between two reads of a long burst
-	last     time.Duration // when something was consumed last
-	burst    int           // reads in quick succession so far
+	interval time.Duration // minimum between two reads of a long burst
+	last     time.Duration // reading of package clock at the latest read
+	burst    int           // reads of the current burst so far, up to maxBurst
 }
 
 // pause waits until the next input may be consumed.
--- a/internal/discovery/event.go
+++ b/internal/discovery/event.go
@@ -10,37 +10,38 @@
 	"hillknot/internal/jsonfields"
 )
 
-// event is one event of the service's log.
+// event is one event of the service's event log.
 type event struct {
-	position  int64
+	position  int64 // in the event log; 0: the event has none
 	kind      eventKind
-	endpoints endpointList // of eventEndpoints
-	purge     purge        // of eventPurge
+	endpoints endpointList // set for eventEndpoints
+	purge     purge        // set for eventPurge
 }
 
-// eventKind is what an event is about.
+// eventKind is the kind of an event.
 type eventKind uint8
 
 const (
-	eventEmpty     eventKind = iota // nothing that concerns a router
-	eventEndpoints                  // the list of endpoints, or changes to it
-	eventPurge                      // cached copies that are outdated
+	eventEmpty     eventKind = iota // holds nothing that concerns a router
+	eventEndpoints                  // holds the endpoint list, or changes to it
+	eventPurge                      // invalidates cached copies
 )
 
-// endpointList is the list of endpoints, or changes to it.
+// endpointList is the complete endpoint list, or changes to it.
 type endpointList struct {
-	complete bool // endpoints that are not named are removed
+	complete bool // endpoints that are not in updates are removed
 	updates  []core.EndpointUpdate
 }
 
 // purge is the invalidation of the cached copies of an object, or of all objects of a group.
 type purge struct {
-	scope purgeScope
-	key   uint64        // the object or the group
-	stamp clock.Stamp   // when the service published it
-	at    time.Duration // when that was, on the core's clock
+	scope       purgeScope
+	key         uint64        // the object or the group, as scope says
+	stamp       clock.Stamp   // when the service published it, by the service's wall clock
+	publishedAt time.Duration // the same moment as a reading of package clock; set by convertStamps
 }
 
+// purgeScope is what the key of a purge names.
 type purgeScope uint8
 
 const (
@@ -48,7 +49,7 @@
 	purgeGroup
 )
 
-// apply hands the event to the handler.
+// apply calls the method of the handler that fits the event. An empty event calls none.
 func (e *event) apply(handler EventHandler) {
 	switch {
 	case e.kind == eventEndpoints && e.endpoints.complete:
@@ -56,16 +57,17 @@
 	case e.kind == eventEndpoints:
 		handler.UpdateEndpoints(e.endpoints.updates)
 	case e.kind == eventPurge && e.purge.scope == purgeGroup:
-		handler.PurgeGroup(e.purge.key, e.purge.at)
+		handler.PurgeGroup(e.purge.key, e.purge.publishedAt)
 	case e.kind == eventPurge:
-		handler.PurgeObject(e.purge.key, e.purge.at)
+		handler.PurgeObject(e.purge.key, e.purge.publishedAt)
 	}
 }
 
-// setTimes turns the stamps of an event that arrived at now, with the own wall clock at wall, into times of the core's
-// clock, once and for all. Changes are no older than earliest, the latest moment at which the service had not published
-// them yet. A complete list also tells of starts that are long past.
-func (e *event) setTimes(now, wall, earliest time.Duration) {
+// convertStamps converts the stamps of an event, which are wall clock times of the service, to readings of package clock.
+// It is called once for an event, which arrived at now, when this machine's wall clock read wall. A change or a purge is
+// dated no earlier than earliest, the latest moment at which the service had not published it yet. This bound does not
+// apply to a complete list, as its endpoints may have started long before.
+func (e *event) convertStamps(now, wall, earliest time.Duration) {
 	if e.endpoints.complete {
 		earliest = 0
 	}
@@ -75,13 +77,13 @@
 		}
 	}
 	if e.kind == eventPurge {
-		e.purge.at = e.purge.stamp.Date(now, wall, earliest)
+		e.purge.publishedAt = e.purge.stamp.Date(now, wall, earliest)
 	}
 }
 
-// parseStart reads the events that the configuration of a router brings. It returns them with the position of the
-// latest.
-func parseStart(o jsonfields.Object) (events []event, last int64, err error) {
+// parseKnownEvents reads the events that the configuration of a router holds. It returns them with the position of the
+// latest event, which the configuration states separately.
+func parseKnownEvents(o jsonfields.Object) (events []event, last int64, err error) {
 	for _, entry := range o.Objects("entries") {
 		events = append(events, readEvent(entry))
 	}
@@ -89,7 +91,8 @@
 	return events, last, o.Err()
 }
 
-// readEvent reads an event. What is wrong with it is told by the Err of its object.
+// readEvent reads an event. The object's Err returns the faults. Where an event holds both endpoints and a purge, its kind
+// is eventEndpoints.
 func readEvent(o jsonfields.Object) event {
 	e := event{position: o.Int("pos", 0)}
 	if o.Has("hosts") {
@@ -122,25 +125,25 @@
 	}
 	object, err := strconv.ParseUint(o.String("name", ""), 16, 64)
 	if err != nil {
-		o.Fail("name", "is no object")
+		o.Fail("name", "is not a hexadecimal object id")
 	}
 	p.scope, p.key = purgeObject, object
 	return p
 }
 
-// endpointStates are the states of endpoints, by their words on the wire.
+// endpointStates maps the words on the wire to the states of an endpoint.
 var endpointStates = map[string]balancer.EndpointState{
 	"ready":    balancer.InService,
 	"draining": balancer.Draining,
 	"gone":     balancer.Removed,
 }
 
-// readEndpoint reads one instance of a list.
+// readEndpoint reads one instance of an endpoint list.
 func readEndpoint(o jsonfields.Object) core.EndpointUpdate {
 	o.Require("instanceId", "lifecycle")
 	state, ok := endpointStates[o.String("lifecycle", "")]
 	if !ok {
-		o.Fail("lifecycle", "is no state that is known")
+		o.Fail("lifecycle", "is not a known state")
 	}
 	return core.EndpointUpdate{
 		ID:         o.String("instanceId", ""),
--- a/internal/discovery/eventstream.go
+++ b/internal/discovery/eventstream.go
@@ -2,25 +2,26 @@
 
 import "bytes"
 
-// eventStream reads server-sent events. It is fed what comes in, cut anywhere.
+// eventStream parses server-sent events. Its input may be split at any byte.
 type eventStream struct {
-	maxLine int // bytes of a line, and of an event's data
-	receive func(id, data []byte) error
-	partial []byte // start of a line whose end has not come
-	eventID []byte // of the latest event
-	data    []byte
-	hasData bool // the event has data
-	started bool // an event has begun that is not complete yet
+	maxLine int                         // bytes; the maximum of a line, and of an event's data
+	receive func(id, data []byte) error // is called with each event that has data
+	partial []byte                      // start of a line whose end was not fed yet
+	eventID []byte                      // the latest id; an event without one keeps that of the event before
+	data    []byte                      // of the current event
+	hasData bool                        // the current event has a data line, which may be empty
+	started bool                        // the current event has begun, and is not complete yet
 }
 
-// maxRetainedBuffer is how large a buffer may be, in bytes, to be used again. One that grew for a complete list of a
-// large cluster is released.
+// maxRetainedBuffer is the largest capacity, in bytes, of a buffer that is used again. A buffer that grew for the complete
+// endpoint list of a large installation is released.
 const maxRetainedBuffer = 16 << 10
 
-// atBoundary returns whether all that was fed is complete: no line and no event is cut.
+// atBoundary reports whether the input so far ends between two events, with no incomplete line or event.
 func (s *eventStream) atBoundary() bool { return !s.started && len(s.partial) == 0 }
 
-// feed splits into lines. Only a line that is cut is copied.
+// feed splits the input into lines and parses them. Only a line that is split over several calls is copied. It returns
+// errLineTooLong, or the error of receive.
 func (s *eventStream) feed(buf []byte) error {
 	for len(buf) > 0 {
 		line, rest, complete := bytes.Cut(buf, []byte("\n"))
@@ -35,7 +36,7 @@
 			s.partial = append(s.partial, line...)
 			line = s.partial
 		}
-		if err := s.line(bytes.TrimSuffix(line, []byte("\r"))); err != nil {
+		if err := s.parseLine(bytes.TrimSuffix(line, []byte("\r"))); err != nil {
 			return err
 		}
 		s.partial, buf = reusable(s.partial), rest
@@ -43,8 +44,8 @@
 	return nil
 }
 
-// line reads a line: a field of an event, a comment, or the empty line that ends an event.
-func (s *eventStream) line(line []byte) error {
+// parseLine parses a line without its end: a field of an event, a comment, or the empty line that ends an event.
+func (s *eventStream) parseLine(line []byte) error {
 	if len(line) == 0 {
 		return s.endEvent()
 	}
@@ -60,7 +61,7 @@
 	return nil
 }
 
-// endEvent hands the event on, if it has data.
+// endEvent passes the current event to receive if it has data, and starts the next one.
 func (s *eventStream) endEvent() error {
 	id, data, hasData := s.eventID, s.data, s.hasData
 	s.data, s.hasData, s.started = reusable(s.data), false, false
@@ -70,14 +71,14 @@
 	return s.receive(id, data)
 }
 
-// addData adds a line of data to the event. A long one that is the event's first is taken over with the buffer that it
-// was gathered in, and not copied.
+// addData appends a data line to the current event. If the first data line of an event is long and was collected in
+// s.partial, the event takes over that buffer, which saves a copy.
 func (s *eventStream) addData(value []byte) error {
 	if s.hasData {
 		s.data = append(s.data, '\n')
 	}
-	gathered := len(s.partial) >= len(value)
-	if gathered && !s.hasData && len(value) > maxRetainedBuffer {
+	collected := len(s.partial) >= len(value)
+	if collected && !s.hasData && len(value) > maxRetainedBuffer {
 		s.data, s.partial = value, nil
 	} else {
 		s.data = append(s.data, value...)
@@ -89,7 +90,7 @@
 	return nil
 }
 
-// reusable returns a buffer emptied, or nil where it is too large to be kept.
+// reusable returns the buffer with length 0, or nil if it is too large to be kept.
 func reusable(buf []byte) []byte {
 	if cap(buf) > maxRetainedBuffer {
 		return nil
--- a/internal/discovery/eventstream_test.go
+++ b/internal/discovery/eventstream_test.go
@@ -10,8 +10,9 @@
 	"hillknot/internal/testutil/parsertest"
 )
 
-// collect feeds the chunks as a connection would: what is not used comes again with what follows.
-func collect(chunks [][]byte) string {
+// collectEvents feeds the chunks to a response as a connection does: bytes that were not used are fed again, together with
+// the next chunk. It returns the events as text, with " failed" behind them if the response ended with an error.
+func collectEvents(chunks [][]byte) string {
 	var found strings.Builder
 	r := newResponse(200, func(id, data []byte) error {
 		fmt.Fprintf(&found, "%s=%q;", id, data)
@@ -29,7 +30,7 @@
 	return found.String()
 }
 
-// drawResponse draws a response with events, in chunks or not.
+// drawResponse draws a response with events, which is chunked or not.
 func drawResponse(t *rapid.T) []byte {
 	value := rapid.StringMatching(`[a-z:{} ]{0,9}`)
 	body := ""
@@ -47,10 +48,11 @@
 	return []byte(out)
 }
 
-func TestResponse(t *testing.T) {
-	parsertest.Chunks(t, drawResponse, collect)
+// A response gives the same events wherever its input is split; a malformed one is an error.
+func TestResponseReadsEventsInAnyChunks(t *testing.T) {
+	parsertest.Chunks(t, drawResponse, collectEvents)
 	chunked := responseHeader + "transfer-encoding: Chunked\r\n\r\n9;x=1\r\nid: 4\ndat\r\n9\r\na: {}\r\n\r\n\r\n1\r\n\n\r\n"
-	if got := collect([][]byte{[]byte(chunked)}); got != `4="{}";` {
+	if got := collectEvents([][]byte{[]byte(chunked)}); got != `4="{}";` {
 		t.Errorf("got %q", got)
 	}
 	for _, bad := range []string{
@@ -58,7 +60,7 @@
 		"what\r\n\r\n",
 		responseHeader + "\r\ndata:" + strings.Repeat("x", 300),
 	} {
-		if got := collect([][]byte{[]byte(bad)}); !strings.HasSuffix(got, "failed") {
+		if got := collectEvents([][]byte{[]byte(bad)}); !strings.HasSuffix(got, "failed") {
 			t.Errorf("%q: got %q, want a failure", bad, got)
 		}
 	}
--- a/internal/discovery/golden_test.go
+++ b/internal/discovery/golden_test.go
@@ -18,15 +18,15 @@
 	"hillknot/internal/testutil/golden"
 )
 
-// The journal is the operators' and does not change with this code: the files of testdata/golden are in its form, as
-// commit 86ccf0f reads it.
+// The operators define the journal, and its form does not change with this code. The files in testdata/golden have this
+// form, as commit 86ccf0f reads it.
 //
-// What has to stay in the code: no name of a type or field, but the keys of parseStart, readEvent, readEndpointList,
+// Names of types and fields may change. What must stay are the keys of parseStart, readEvent, readEndpointList,
 // readPurge and readEndpoint ("entries", "pos", "hosts", "reset", "instances", "instanceId", "hostPort", "machineType",
 // "zone", "cell", "weight", "lifecycle", "startedAtMs", "expire", "stamp", "name", "set"), the words of endpointStates
 // ("ready", "draining", "gone"), the text instancesKey, and the request of appendWatchRequest.
 
-// goldenEvents are the events of the stream.
+// goldenEvents are the events of the golden streams and of start.json.
 var goldenEvents = []event{
 	{position: 41, kind: eventEndpoints, endpoints: endpointList{complete: true, updates: []core.EndpointUpdate{
 		{ID: "edge-7", Addr: "127.0.0.1:7001", Kind: "box", Zone: "west", Cell: 3, Weight: 1.5, State: balancer.InService,
@@ -43,7 +43,7 @@
 	{position: 45},
 }
 
-// An HTTP answer with the stream, cut anywhere, gives the events.
+// A golden HTTP response gives the golden events, in one piece or in small ones.
 func TestGoldenStream(t *testing.T) {
 	for _, name := range []string{"stream.hex", "stream-chunked.hex"} {
 		for _, size := range []int{1 << 20, 1, 7} {
@@ -75,15 +75,16 @@
 	}
 }
 
-// A list that is too long to be parsed whole reads the same, and so do the events of a router's configuration.
+// The instances of a list that is too long for a single pass, and the events of a router's configuration, are read
+// correctly.
 func TestGoldenEvents(t *testing.T) {
 	text := golden.Read(t, "list-long.json")
 	if len(text) <= maxSinglePass {
-		t.Fatalf("%d bytes are parsed whole", len(text))
+		t.Fatalf("%d bytes are parsed in a single pass", len(text))
 	}
 	e, err := new(eventParser).parse(text)
 	if err != nil || e.position != 46 || e.kind != eventEndpoints || !e.endpoints.complete || len(e.endpoints.updates) != 120 {
-		t.Fatalf("read %d hosts at %d, %v", len(e.endpoints.updates), e.position, err)
+		t.Fatalf("read %d hosts at position %d, %v", len(e.endpoints.updates), e.position, err)
 	}
 	for i, h := range e.endpoints.updates {
 		want := core.EndpointUpdate{ID: "edge-" + strconv.Itoa(i), Addr: "127.0.0.1:" + strconv.Itoa(7000+i), Kind: "box", Zone: "west",
@@ -96,14 +97,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	evs, last, err := parseStart(jsonfields.FromValue(v))
-	if err != nil || last != 45 || !reflect.DeepEqual(evs, goldenEvents) {
-		t.Errorf("read %+v up to %d, %v; want %+v", evs, last, err, goldenEvents)
+	events, last, err := parseKnownEvents(jsonfields.FromValue(v))
+	if err != nil || last != 45 || !reflect.DeepEqual(events, goldenEvents) {
+		t.Errorf("read %+v up to %d, %v; want %+v", events, last, err, goldenEvents)
 	}
 }
 
-// A key or a word that is not the journal's is an error: none was renamed.
-func TestGoldenUnparseStart(t *testing.T) {
+// An event is rejected if a required key is renamed: this shows that the code still reads the key under its outer name.
+func TestGoldenRenamedKeyIsRejected(t *testing.T) {
 	for _, name := range []string{"instanceId", "lifecycle", "stamp"} {
 		var errs []error
 		for _, text := range strings.Split(string(golden.Read(t, "events.txt")), "\n") {
@@ -111,7 +112,7 @@
 			errs = append(errs, err)
 		}
 		if errors.Join(errs...) == nil {
-			t.Errorf("no event needs %q", name)
+			t.Errorf("no event requires %q", name)
 		}
 	}
 }
--- a/internal/discovery/helpers_test.go
+++ b/internal/discovery/helpers_test.go
@@ -12,10 +12,11 @@
 	"hillknot/internal/jsonfields"
 )
 
-// responseHeader is the start of a response of the discovery service, up to its last header.
+// responseHeader is the start of a response of the discovery service: the status line and one header. The empty line that
+// ends the headers is missing.
 const responseHeader = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n"
 
-// testLimits are the limits of a watcher that connects again after so long.
+// testLimits returns the limits of a watcher that connects again after the duration retry.
 func testLimits(retry time.Duration) config.Limits {
 	return config.Limits{
 		ConnectTimeout:      10 * time.Second,
@@ -36,20 +37,20 @@
 	return jsonfields.FromValue(v)
 }
 
-// startWatcher runs a new watcher until the test ends. It must be called after the service is set up, so that it ends
-// before that does.
+// startWatcher runs a new watcher until the test ends. It must be called after the service is set up, so that the watcher
+// ends before the service.
 func startWatcher(t *testing.T, handler EventHandler, address string, limits config.Limits, start jsonfields.Object) *Watcher {
 	t.Helper()
 	w, err := New(handler, address, limits, start)
 	if err != nil {
 		t.Fatal(err)
 	}
-	run(t, w)
+	runWatcher(t, w)
 	return w
 }
 
-// run runs a watcher until the test ends.
-func run(t *testing.T, w *Watcher) {
+// runWatcher runs a watcher until the test ends.
+func runWatcher(t *testing.T, w *Watcher) {
 	t.Helper()
 	stop, done := make(chan struct{}), make(chan struct{})
 	go func() {
@@ -62,7 +63,7 @@
 	})
 }
 
-// listen returns a listener for a service that the test plays.
+// listen returns a listener on which the test acts as the service.
 func listen(t *testing.T) net.Listener {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -73,7 +74,7 @@
 	return ln
 }
 
-// acceptWatch accepts the watcher's connection.
+// acceptWatch accepts the connection of the watcher.
 func acceptWatch(t *testing.T, ln net.Listener) net.Conn {
 	t.Helper()
 	conn, err := ln.Accept()
--- a/internal/discovery/longlist.go
+++ b/internal/discovery/longlist.go
@@ -7,11 +7,12 @@
 
 var (
 	instancesKey     = []byte(`"instances":[`)
-	errTruncatedList = errors.New("the list of instances is truncated")
+	errTruncatedList = errors.New("list of instances is truncated or malformed")
 )
 
-// splitInstances cuts the instances of a list out of an event: envelope is the event without them. It knows the form
-// that the service writes, with nothing between key and list; an event in another form must be parsed at once.
+// splitInstances splits an event into its instances and the envelope, which is the event with an empty list of instances.
+// It recognizes the form that the service writes, which has no space between key and list. For any other form ok is false,
+// and the event must be parsed in a single pass.
 func splitInstances(text []byte) (envelope, instances []byte, ok bool) {
 	at := bytes.Index(text, instancesKey)
 	if at < 0 {
@@ -25,13 +26,14 @@
 	return append(bytes.Clone(text[:begin]), text[end:]...), bytes.TrimSpace(text[begin:end]), true
 }
 
-// cutObject cuts the first object off a list of objects, with the comma that follows it.
+// cutObject splits a list of objects into its first object and the rest without the comma between them. It returns
+// errTruncatedList if the object has no end, or if neither the end of the list nor a comma and more follow it.
 func cutObject(list []byte) (object, rest []byte, err error) {
 	depth, quoted := 0, false
 	for i := 0; i < len(list); i++ {
 		switch c := list[i]; {
 		case quoted && c == '\\':
-			i++ // what follows is a part of the string
+			i++ // the escaped character is part of the string
 		case c == '"':
 			quoted = !quoted
 		case quoted:
@@ -47,7 +49,8 @@
 	return nil, nil, errTruncatedList
 }
 
-// afterComma returns the rest of a list after the comma that follows an object.
+// afterComma returns what follows the comma at the start of list, or nil if list is empty. It returns errTruncatedList if
+// list begins otherwise, or nothing follows the comma.
 func afterComma(list []byte) ([]byte, error) {
 	list = bytes.TrimSpace(list)
 	if len(list) == 0 {
--- a/internal/discovery/parse.go
+++ b/internal/discovery/parse.go
@@ -6,21 +6,23 @@
 	"hillknot/internal/jsonfields"
 )
 
-// eventParser reads events from their JSON text. Its memory is used again for the next one, so that changes of the
-// list, which come by thousands in a release, cost little. The zero value is ready.
+// eventParser parses events from JSON text. It reuses its memory from one event to the next, which keeps the thousands of
+// endpoint changes in a release cheap. The zero value is ready to use.
 type eventParser struct{ json fastjson.Parser }
 
-// maxSinglePass is how many bytes of an event are parsed at once. A longer one is a list of a large cluster: its
-// instances are parsed one by one, as all at once would take ten times the memory of the text.
+// maxSinglePass is the length, in bytes, up to which an event is parsed in a single pass. A longer event is the endpoint
+// list of a large installation. Its instances are parsed one by one, because a single pass would take ten times the memory
+// of the text.
 const maxSinglePass = 16 << 10
 
-// parse reads one event. Nothing of the text is kept.
+// parse parses one event. The event does not refer to the text. An error comes from the JSON parser, from jsonfields, or is
+// errTruncatedList.
 func (p *eventParser) parse(text []byte) (event, error) {
 	if len(text) > maxSinglePass {
 		if envelope, instances, ok := splitInstances(text); ok {
 			return p.parseInstances(envelope, instances)
 		}
-		p = &eventParser{} // memory for a long event is not kept
+		p = &eventParser{} // a parser of its own, so that p does not keep the memory for a long event
 	}
 	o, err := p.object(text)
 	if err != nil {
@@ -30,7 +32,7 @@
 	return e, o.Err()
 }
 
-// parseInstances reads an event whose instances were cut out.
+// parseInstances parses an event that splitInstances has split.
 func (p *eventParser) parseInstances(envelope, instances []byte) (event, error) {
 	o, err := p.object(envelope)
 	if err != nil {
@@ -58,6 +60,7 @@
 	return e, nil
 }
 
+// object parses one JSON object. It is valid until the next call.
 func (p *eventParser) object(text []byte) (jsonfields.Object, error) {
 	v, err := p.json.ParseBytes(text)
 	if err != nil {
--- a/internal/discovery/parse_test.go
+++ b/internal/discovery/parse_test.go
@@ -16,7 +16,7 @@
 	"hillknot/internal/jsonfields"
 )
 
-// largeEvent is an event with a long list, whose texts hold all that could be taken for an end of a line.
+// largeEvent returns an event with a long list. Its strings hold whatever could be mistaken for the end of an instance.
 func largeEvent(t *testing.T, rnd *rand.Rand, hosts int) []byte {
 	t.Helper()
 	odd := []string{"a", `b"c`, `}{`, `],[`, `\`, `\"`, "ö", `"instances":[`}
@@ -39,13 +39,13 @@
 	return fmt.Appendf(nil, `{"pos":%d,"hosts":{"generation":7,"reset":true,"instances":%s}}`, hosts, lines)
 }
 
-// A long list that is parsed one instance at a time is the same as one that is parsed at once.
-func TestParseLongListByInstance(t *testing.T) {
+// A long list gives the same event parsed one instance at a time as in a single pass.
+func TestParseLongListMatchesSinglePass(t *testing.T) {
 	p := &eventParser{}
 	for seed := range uint64(20) {
 		text := largeEvent(t, rand.New(rand.NewPCG(seed, 3)), 300)
 		if _, _, ok := splitInstances(text); !ok {
-			t.Fatal("not parsed by instance")
+			t.Fatal("the event can't be split into instances")
 		}
 		got, err := p.parse(text)
 		want := readEvent(jsonfields.FromValue(fastjson.MustParseBytes(text)))
@@ -55,8 +55,8 @@
 	}
 }
 
-// A long list that is cut, or damaged anywhere, is an error or reads as it does when parsed at once; nothing panics.
-func TestParseDamagedLongList(t *testing.T) {
+// A long list that is truncated or damaged is an error, or gives the same event as in a single pass; nothing panics.
+func TestParseDamagedLongListMatchesSinglePass(t *testing.T) {
 	rnd := rand.New(rand.NewPCG(1, 4))
 	text := largeEvent(t, rnd, 300)
 	for range 2000 {
@@ -70,14 +70,14 @@
 		v, singlePassErr := fastjson.ParseBytes(bad)
 		if singlePassErr != nil {
 			if err == nil {
-				t.Fatalf("read, though it is no JSON: %v", singlePassErr)
+				t.Fatalf("no error for malformed JSON: %v", singlePassErr)
 			}
 			continue
 		}
 		o := jsonfields.FromValue(v)
 		want := readEvent(o)
 		if (err == nil) != (o.Err() == nil) || err == nil && !reflect.DeepEqual(got, want) {
-			t.Fatalf("%v, at once: %v", err, o.Err())
+			t.Fatalf("error %v, in a single pass: %v", err, o.Err())
 		}
 	}
 }
@@ -104,7 +104,7 @@
 		`{"pos":"x"}`:                                                            "pos",
 	} {
 		if _, err := new(eventParser).parse([]byte(text)); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%s: error %v, want %q named", text, err, want)
+			t.Errorf("%s: error %v, want one that names %q", text, err, want)
 		}
 	}
 }
--- a/internal/discovery/response.go
+++ b/internal/discovery/response.go
@@ -9,23 +9,24 @@
 
 var (
 	errMalformedResponse = errors.New("malformed HTTP response")
-	errLineTooLong       = errors.New("line over the limit")
+	errLineTooLong       = errors.New("line exceeds the size limit")
 )
 
-// statusError is a status of an HTTP response that is not 200.
+// statusError is an HTTP status other than 200.
 type statusError string
 
 func (e statusError) Error() string { return fmt.Sprintf("HTTP status %q", string(e)) }
 
-// response reads an HTTP/1.1 response whose body is an event stream, in chunks or up to the end of the connection. It
-// is fed what comes in, cut anywhere.
+// response parses an HTTP/1.1 response whose body is an event stream. The body is chunked, or extends to the end of the
+// connection. The input may be split at any byte.
 type response struct {
-	maxLine        int // bytes of the header, and of a line of the body
+	maxLine        int // bytes; the maximum of the status line with the headers, and of a line of the body
 	state          responseState
-	chunkRemaining int // bytes left of this chunk, with its line end; 0: a chunk size follows
+	chunkRemaining int // bytes left of the current chunk, including its final line end; 0: a chunk size follows
 	events         eventStream
 }
 
+// responseState is the part of the response that comes next.
 type responseState uint8
 
 const (
@@ -37,16 +38,16 @@
 const (
 	crlf = "\r\n"
 
-	maxChunkHeader = 64 // bytes of a chunk size with its extensions
-	maxChunkBits   = 30 // of a chunk size
+	maxChunkHeader = 64 // bytes of the line with a chunk size and its extensions
+	maxChunkBits   = 30 // bits of a chunk size
 )
 
-// newResponse returns a reader that hands each event to receive.
+// newResponse returns a parser that calls receive with each event. maxLine is in bytes.
 func newResponse(maxLine int, receive func(id, data []byte) error) response {
 	return response{maxLine: maxLine, events: eventStream{maxLine: maxLine, receive: receive}}
 }
 
-// consume reads what it can and returns how many bytes that was.
+// consume parses as much of the input as is complete, and returns the number of bytes used. An error ends the response.
 func (r *response) consume(buf []byte) (int, error) {
 	used := 0
 	if r.state == readingHeader {
@@ -69,7 +70,7 @@
 	return used, nil
 }
 
-// readHeader reads the status line and the headers. It returns 0 where they are not complete yet.
+// readHeader parses the status line and the headers, and returns their length in bytes; 0 if they are not complete yet.
 func (r *response) readHeader(buf []byte) (int, error) {
 	end := bytes.Index(buf, []byte(crlf+crlf))
 	if end < 0 {
@@ -108,8 +109,8 @@
 	return nil
 }
 
-// readChunkPart reads a chunk's size, or what has come of its data, and returns how many bytes that was; 0 where the
-// size is not complete yet.
+// readChunkPart parses the size of a chunk, or the available part of its data, and returns the number of bytes used; 0 if
+// the line with the size is not complete yet.
 func (r *response) readChunkPart(buf []byte) (int, error) {
 	if r.chunkRemaining == 0 {
 		return r.readChunkSize(buf)
@@ -117,12 +118,13 @@
 	n := min(len(buf), r.chunkRemaining)
 	r.chunkRemaining -= n
 	data := buf[:n]
-	if r.chunkRemaining < len(crlf) { // the last bytes are the chunk's line end
+	if r.chunkRemaining < len(crlf) { // buf reaches into the line end that follows the data
 		data = data[:max(n-(len(crlf)-r.chunkRemaining), 0)]
 	}
 	return n, r.events.feed(data)
 }
 
+// readChunkSize parses the line with the size of a chunk, and returns its length in bytes; 0 if it is not complete yet.
 func (r *response) readChunkSize(buf []byte) (int, error) {
 	end := bytes.IndexByte(buf, '\n')
 	if end < 0 {
@@ -133,7 +135,7 @@
 	}
 	digits, _, _ := bytes.Cut(bytes.TrimSpace(buf[:end]), []byte(";"))
 	size, err := strconv.ParseUint(string(digits), 16, maxChunkBits)
-	if err != nil || size == 0 { // 0 ends the response: the service must be called again
+	if err != nil || size == 0 { // size 0 ends the response: the watcher must connect again
 		return 0, errMalformedResponse
 	}
 	r.chunkRemaining = int(size) + len(crlf)
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -1,9 +1,9 @@
-// Package discovery watches the operators' discovery service, which the settings and the wire call the journal. It
-// publishes the list of endpoints (page caches) and the purges of objects as a log of events with positions, over
+// Package discovery watches the operators' discovery service, which the settings and the wire call the journal. The
+// service publishes the list of endpoints (page caches) and the purges of objects as a log of events with positions, over
 // server-sent events.
 //
-// A Watcher keeps one connection and connects again whenever that ends or falls silent, from the latest event on. It
-// delivers each event once and in order to an EventHandler.
+// A Watcher keeps one connection open. When the connection ends or falls silent, the Watcher connects again and resumes
+// after the latest delivered event. It delivers each event once and in order to an EventHandler.
 package discovery
 
 import (
@@ -22,8 +22,8 @@
 
 var log = logging.For("discovery")
 
-// EventHandler receives the events, as core.Core does. The Watcher calls PostWatchEvent from any goroutine, and all
-// other methods from the functions that it posts there.
+// EventHandler receives the events; core.Core implements it. The Watcher calls PostWatchEvent from any goroutine, and the
+// other methods only from the functions that it passes to PostWatchEvent.
 type EventHandler interface {
 	PostWatchEvent(f func())
 	ReplaceEndpoints(all []core.EndpointUpdate)
@@ -37,57 +37,57 @@
 	handler EventHandler
 	limits  config.Limits
 
-	mu      sync.Mutex
-	target  target
-	events  eventLog
-	current *connection // that is open; nil: none
-	// caughtUpAt is the latest moment at which all that the service had sent was read. What is read later was published
-	// later.
+	mu       sync.Mutex
+	target   target
+	delivery deliveryState
+	current  *connection // the open connection; nil: none
+	// caughtUpAt is the latest moment, as a reading of package clock, at which everything that the service had sent was
+	// read. Events that are read later were published later.
 	caughtUpAt time.Duration
 }
 
-// target is the address of the service.
+// target is the address of the service that is watched.
 type target struct {
 	address string
-	changed chan struct{} // closed when another address replaces this one
+	changed chan struct{} // closed when SetAddress replaces this target
 }
 
-// New returns a watcher that has delivered the events of the configuration, which are those of the service up to the
-// start of the process. Run goes on from there.
+// New returns a watcher, and delivers the events that start holds. These come from the configuration, and are the events
+// of the service up to the start of the process. Run resumes after them. An error names the faulty key of start.
 func New(handler EventHandler, address string, limits config.Limits, start jsonfields.Object) (*Watcher, error) {
-	events, last, err := parseStart(start)
+	events, last, err := parseKnownEvents(start)
 	if err != nil {
 		return nil, err
 	}
 	w := &Watcher{
-		handler: handler,
-		limits:  limits,
-		target:  target{address: address, changed: make(chan struct{})},
-		events:  eventLog{advanced: make(chan struct{})},
+		handler:  handler,
+		limits:   limits,
+		target:   target{address: address, changed: make(chan struct{})},
+		delivery: deliveryState{advanced: make(chan struct{})},
 	}
 	for _, e := range events {
 		w.deliver(e)
 	}
-	w.events.last = max(last, w.events.last)
-	w.caughtUpAt = clock.Now() // the events of the start may be of any age, all others are published from now on
+	w.delivery.last = max(last, w.delivery.last)
+	w.caughtUpAt = clock.Now() // the events of start may have any age; all others are published from now on
 	return w, nil
 }
 
-// Position is the position of the latest event that was delivered.
+// Position returns the position of the latest delivered event; 0: none.
 func (w *Watcher) Position() int64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.events.last
+	return w.delivery.last
 }
 
-// WaitForPosition waits until the event at a position is delivered, and returns whether that happened before the
-// timeout and before cancel was closed.
+// WaitForPosition waits until the event at a position is delivered. It reports whether that happened before the timeout
+// ended and before cancel was closed.
 func (w *Watcher) WaitForPosition(position int64, timeout time.Duration, cancel <-chan struct{}) bool {
 	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	for {
 		w.mu.Lock()
-		last, advanced := w.events.last, w.events.advanced
+		last, advanced := w.delivery.last, w.delivery.advanced
 		w.mu.Unlock()
 		if last >= position {
 			return true
@@ -102,7 +102,8 @@
 	}
 }
 
-// SetAddress continues the watch at another address, at once and from the latest event on.
+// SetAddress makes Run connect to another address at once, and resume there after the latest delivered event. It does
+// nothing if the address is the same.
 func (w *Watcher) SetAddress(address string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -112,8 +113,8 @@
 	}
 }
 
-// HasBacklog returns whether the service has, or may have, published what is not delivered yet: while there is no
-// connection, and until the first bytes on one are read.
+// HasBacklog reports whether the service has published, or may have published, events that are not delivered yet. They are
+// possible while there is no connection, and until the first bytes on a connection are read.
 func (w *Watcher) HasBacklog() bool {
 	w.mu.Lock()
 	c := w.current
@@ -122,9 +123,9 @@
 	return !caughtUp || c.conn.HasUnreadInput()
 }
 
-// Run watches until stop is closed, and returns after its connection is closed. It may be called once. It connects
-// again at once where the address has changed, after limits.DiscoveryBackoffMin where a connection brought something,
-// and with a growing backoff otherwise.
+// Run watches until stop is closed, and returns after its connection is closed. It may be called once. It connects again
+// at once if the address has changed, after limits.DiscoveryBackoffMin if the connection received something, and
+// otherwise after a backoff that doubles up to limits.DiscoveryBackoffMax.
 func (w *Watcher) Run(stop <-chan struct{}) {
 	retry := newBackoff(w.limits.DiscoveryBackoffMin, w.limits.DiscoveryBackoffMax)
 	for {
@@ -148,21 +149,21 @@
 	}
 }
 
-// resumePoint returns where to connect, and the position of the latest event.
+// resumePoint returns the address to connect to, and the position of the latest delivered event.
 func (w *Watcher) resumePoint() (target, int64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.target, w.events.last
+	return w.target, w.delivery.last
 }
 
-// setCurrent notes the connection that is open, or that there is none.
+// setCurrent records the open connection; nil: there is none.
 func (w *Watcher) setCurrent(c *connection) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.current = c
 }
 
-// noteCaughtUp notes that all that the service had sent over a connection by then has been read.
+// noteCaughtUp records that everything that the service had sent over a connection was read at a given time.
 func (w *Watcher) noteCaughtUp(c *connection, at time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -170,11 +171,11 @@
 	c.caughtUp = true
 }
 
-// errSilent says that the service has sent nothing for limits.DiscoverySilence.
+// errSilent says that the service sent nothing for limits.DiscoverySilence.
 var errSilent = errors.New("discovery service is silent")
 
-// watch reads events over one connection until that ends or falls silent, the address changes or stop is closed. It
-// returns whether anything was received.
+// watch receives events over one connection until the connection ends or falls silent, the address changes, or stop is
+// closed. It reports whether any bytes were received. The error is nil if the address changed or stop was closed.
 func (w *Watcher) watch(service target, position int64, stop <-chan struct{}) (received bool, err error) {
 	c, err := w.connect(service.address)
 	if err != nil {
@@ -196,7 +197,7 @@
 		case <-c.closed:
 			return received, fmt.Errorf("connection ended: %w", netio.ErrClosed)
 		case <-silence.C:
-			return received, fmt.Errorf("%w: nothing for %v", errSilent, w.limits.DiscoverySilence)
+			return received, fmt.Errorf("%w: received nothing for %v", errSilent, w.limits.DiscoverySilence)
 		case <-service.changed:
 			return received, nil
 		case <-stop:
@@ -205,14 +206,14 @@
 	}
 }
 
-// receive delivers an event that was read, or failed to be read with parseErr. It returns an error where the connection
-// is to be ended, so that the next one asks for the event again.
+// receive delivers, drops or skips an event; parseErr is set if the event could not be parsed. It returns a
+// *missingEventError if the connection must end, so that the next one requests the event again.
 func (w *Watcher) receive(e event, parseErr error) error {
 	w.mu.Lock()
-	last := w.events.last
-	fate := w.events.decide(e.position, parseErr == nil)
+	last := w.delivery.last
+	action := w.delivery.decide(e.position, parseErr == nil)
 	w.mu.Unlock()
-	switch fate {
+	switch action {
 	case deliverEvent:
 	case dropDuplicate:
 		return nil
@@ -226,18 +227,18 @@
 	return nil
 }
 
-// deliver posts an event to the handler, once: an old connection may still bring what a new one has brought. The first
-// event holds the complete list.
+// deliver posts an event to the handler unless the event was delivered before: an old connection may still receive an event
+// that the new one has received. The first event holds the complete list, also where it does not say so.
 func (w *Watcher) deliver(e event) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if e.position <= w.events.last {
+	if e.position <= w.delivery.last {
 		return
 	}
-	if e.kind == eventEndpoints && w.events.last == 0 {
+	if e.kind == eventEndpoints && w.delivery.last == 0 {
 		e.endpoints.complete = true
 	}
-	e.setTimes(clock.Now(), clock.Wall(), w.caughtUpAt)
-	w.events.advance(e.position)
+	e.convertStamps(clock.Now(), clock.Wall(), w.caughtUpAt)
+	w.delivery.advance(e.position)
 	w.handler.PostWatchEvent(func() { e.apply(w.handler) })
 }
--- a/internal/discovery/watcher_test.go
+++ b/internal/discovery/watcher_test.go
@@ -11,7 +11,7 @@
 	"hillknot/internal/jsonfields"
 )
 
-// recorder records what events tell.
+// recorder records the endpoints and purges that a watcher delivers.
 type recorder struct{ events chan string }
 
 func newRecorder() *recorder { return &recorder{events: make(chan string, 100)} }
@@ -42,7 +42,7 @@
 	return server.Listener.Addr().String()
 }
 
-// The watcher connects again when the connection ends, from the latest event on, and delivers none twice.
+// When the connection ends, the watcher connects again and resumes after the latest event. It delivers no event twice.
 func TestWatcherResumesAfterLatestEvent(t *testing.T) {
 	requests := make(chan string, 100)
 	address := serve(t, func(w http.ResponseWriter, r *http.Request) {
@@ -81,12 +81,12 @@
 			t.Errorf("got %q, want %q", got, want)
 		}
 	case <-time.After(20 * time.Second):
-		t.Fatalf("no %q", want)
+		t.Fatalf("got nothing for 20 s, want %q", want)
 	}
 }
 
-// A service that has moved is connected to at its new address at once, from the latest event on, though the old one
-// stays open and goes on sending; what both send is delivered once.
+// When the address of the service changes, the watcher connects to the new address at once and resumes after the latest
+// event, although the old service stays open. An event that both services send is delivered once.
 func TestWatcherFollowsNewAddress(t *testing.T) {
 	requests := make(chan string, 100)
 	serveEvents := func(name string, last int) string {
@@ -110,8 +110,8 @@
 	expect(t, handler.events, "true 0 3")
 }
 
-// Until the first bytes of the service are read there may be events: a router that was stopped as it connected must not
-// take what it knows for all that there is.
+// Until the first bytes of the service are read, there may be events: a router that was stopped while it connected must not
+// assume that it has read all of them.
 func TestWatcherHasBacklogUntilServiceIsRead(t *testing.T) {
 	ln := listen(t)
 	w, err := New(newRecorder(), ln.Addr().String(), testLimits(time.Millisecond), jsonfields.Object{})
@@ -121,16 +121,16 @@
 	if !w.HasBacklog() {
 		t.Error("no backlog before the first connection")
 	}
-	run(t, w)
+	runWatcher(t, w)
 	conn := acceptWatch(t, ln)
 	time.Sleep(20 * time.Millisecond)
 	if !w.HasBacklog() {
-		t.Error("no backlog on a connection on which nothing has come")
+		t.Error("no backlog on a connection that has received nothing")
 	}
 	send(t, conn, responseHeader+"\r\n: here\n\n")
 	for end := time.Now().Add(20 * time.Second); w.HasBacklog(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("still a backlog, and all is read")
+			t.Fatal("still a backlog 20 s after the service was read")
 		}
 	}
 }
