--- a/internal/jsonfields/errors.go
+++ b/internal/jsonfields/errors.go
@@ -7,11 +7,11 @@
 	"github.com/valyala/fastjson"
 )
 
-// KeyError says what is wrong with one key.
+// KeyError describes a problem with one key.
 type KeyError struct {
-	Location string // file, line and column of the key in what a person wrote; empty: unknown
+	Location string // file, line and column of the key; empty: unknown
 	Key      string // the whole path, as in "settings.profiles[0].name"
-	Problem  string // as in "is no number"
+	Problem  string // worded to follow the key, as in "is not a number"
 }
 
 // Error implements error.
@@ -23,17 +23,18 @@
 	return fmt.Sprintf("%skey %q %s", location, e.Key, e.Problem)
 }
 
-// maxErrors bounds the errors that are kept of a document.
+// maxErrors is the maximum number of errors that are kept for a document.
 const maxErrors = 100
 
-// errorList holds the errors of a document: the first one of each key.
+// errorList holds the errors of a document: the first error of each key.
 type errorList struct {
 	errors   []error
-	seen     map[string]bool
-	location func(key string) string // nil: locations are unknown
-	readKeys map[string]bool         // the keys that were asked for; nil: they are not kept
+	seen     map[string]bool         // keys that have an error
+	location func(key string) string // returns the location of a key; nil: locations are unknown
+	readKeys map[string]bool         // paths of the keys that were looked up; nil: they are not recorded
 }
 
+// add records an error of a key, unless the key already has one or the list is full.
 func (l *errorList) add(key, problem string) {
 	if l.seen[key] || len(l.errors) == maxErrors {
 		return
@@ -49,23 +50,23 @@
 	l.errors = append(l.errors, e)
 }
 
-// markRead keeps that a key of an object was asked for. The path is written out only where that is kept.
+// markRead records that a key of an object was looked up. The path is built only if such keys are recorded.
 func (l *errorList) markRead(o Object, name string) {
 	if l.readKeys != nil {
-		l.readKeys[o.key(name)] = true
+		l.readKeys[o.keyPath(name)] = true
 	}
 }
 
-// FromValue returns the object that a document holds.
+// FromValue returns the object that a document consists of. Err returns an error if the document is of another type.
 func FromValue(v *fastjson.Value) Object {
 	o := Object{value: v, errors: &errorList{}}
 	if v.Type() != fastjson.TypeObject {
-		o.Fail("", "is no object")
+		o.Fail("", "is not an object")
 	}
 	return o
 }
 
-// Err returns the errors met in the document so far: nil, a *KeyError, or several of them joined.
+// Err returns the errors found so far in the whole document: nil, a *KeyError, or several of them joined.
 func (o Object) Err() error {
 	switch {
 	case o.errors == nil || len(o.errors.errors) == 0:
@@ -76,24 +77,24 @@
 	return errors.Join(o.errors.errors...)
 }
 
-// Fail reports a problem with a key, worded to follow the key's name, as in "is no number".
+// Fail records a problem with a key, worded to follow the key's name, as in "is not a number".
 func (o Object) Fail(name, problem string) {
 	if o.errors != nil {
-		o.errors.add(o.key(name), problem)
+		o.errors.add(o.keyPath(name), problem)
 	}
 }
 
-// TrackLocations makes errors name the location of their key, which is empty for keys that stand elsewhere, and keeps
-// which keys are read from now on.
+// TrackLocations makes later errors name the location of their key, and records which keys are read from now on. location
+// returns an empty string for a key that the tracked file does not hold.
 func (o Object) TrackLocations(location func(key string) string) {
 	o.errors.location, o.errors.readKeys = location, map[string]bool{}
 }
 
-// WasRead tells whether a key was asked for since TrackLocations.
+// WasRead reports whether the key with a path was looked up since TrackLocations, whether or not the document holds it.
 func (o Object) WasRead(key string) bool { return o.errors.readKeys[key] }
 
-// key writes out the whole path of a key.
-func (o Object) key(name string) string {
+// keyPath returns the whole path of a key of the object; an empty name stands for the object itself.
+func (o Object) keyPath(name string) string {
 	switch path := o.path.text(o.index); {
 	case path == "":
 		return name
--- a/internal/jsonfields/jsonfields.go
+++ b/internal/jsonfields/jsonfields.go
@@ -1,5 +1,6 @@
-// Package jsonfields reads typed values out of parsed JSON. It keeps the errors met, the first one of each key, which
-// name the faulty key by its whole path, so that a reader is a plain list of fields with one check at its end.
+// Package jsonfields reads typed values from parsed JSON. It collects errors, the first one of each key, and each error
+// names the faulty key by its whole path. A caller reads all its fields one after the other, and checks for errors once at
+// the end.
 package jsonfields
 
 import (
@@ -11,35 +12,36 @@
 	"github.com/valyala/fastjson"
 )
 
-// Object is a JSON object being read. The zero value reads as one without any key.
+// Object is a JSON object that is read. The zero value reads as an object without keys, and drops errors.
 type Object struct {
 	value  *fastjson.Value
-	path   *path  // nil: the document itself
-	index  string // index in a list, as "[3]"; empty: none
+	path   *path  // path of the object, or of the list that holds it; nil: the document itself
+	index  string // index in that list, as "[3]"; empty: the object is in no list
 	errors *errorList
 }
 
-// path is where an object stands: under a key of another. It is written out only for an error.
+// path locates a value: under a key of a parent object. Its text is built only when it is needed, mostly for an error.
 type path struct {
-	parent *path
-	index  string // index of that other in a list
-	name   string
+	parent *path  // of the parent object; nil: the document itself
+	index  string // of the parent object in a list; empty: it is in no list
+	name   string // key in the parent object
 }
 
-// text writes a path out, with an index behind it.
-func (p *path) text(at string) string {
+// text returns the path as text, followed by suffix, which is the index of an object in a list or empty.
+func (p *path) text(suffix string) string {
 	if p == nil {
-		return at
+		return suffix
 	}
 	if up := p.parent.text(p.index); up != "" {
-		return up + "." + p.name + at
+		return up + "." + p.name + suffix
 	}
-	return p.name + at
+	return p.name + suffix
 }
 
-// Has tells whether a key is there and not null.
+// Has reports whether a key is present and not null.
 func (o Object) Has(name string) bool { return o.get(name) != nil }
 
+// get returns the value under a key, or nil if it is absent or null.
 func (o Object) get(name string) *fastjson.Value {
 	if o.errors != nil {
 		o.errors.markRead(o, name)
@@ -51,7 +53,7 @@
 	return v
 }
 
-// Require reports the keys that are absent.
+// Require records an error for each key that is absent or null.
 func (o Object) Require(names ...string) {
 	for _, n := range names {
 		if !o.Has(n) {
@@ -60,44 +62,48 @@
 	}
 }
 
-// Object returns the object under a key.
+// Object returns the object under a key. If the key is absent, the result has no keys.
 func (o Object) Object(name string) Object {
-	sub := Object{path: o.under(name), errors: o.errors}
+	sub := Object{path: o.childPath(name), errors: o.errors}
 	if v := o.get(name); v != nil {
 		if sub.value = v; v.Type() != fastjson.TypeObject {
-			o.Fail(name, "is no object")
+			o.Fail(name, "is not an object")
 		}
 	}
 	return sub
 }
 
-// Objects returns the objects in the array under a key.
+// Objects returns the objects in the list under a key.
 func (o Object) Objects(name string) []Object {
 	var out []Object
-	under := o.under(name)
+	elementsPath := o.childPath(name)
 	for i, v := range o.array(name) {
-		sub := Object{value: v, path: under, index: indexText(i), errors: o.errors}
+		sub := Object{value: v, path: elementsPath, index: formatIndex(i), errors: o.errors}
 		if v.Type() != fastjson.TypeObject {
-			sub.Fail("", "is no object")
+			sub.Fail("", "is not an object")
 		}
 		out = append(out, sub)
 	}
 	return out
 }
 
-// under returns the path of what stands under a key.
-func (o Object) under(name string) *path { return &path{parent: o.path, index: o.index, name: name} }
+// childPath returns the path of the value under a key.
+func (o Object) childPath(name string) *path {
+	return &path{parent: o.path, index: o.index, name: name}
+}
 
-// indexText writes the index of an object in a list; those of short lists need no memory.
-func indexText(i int) string {
-	if i < len(shortIndexTexts) {
-		return shortIndexTexts[i]
+// formatIndex returns the text of an index in a list, as "[3]". Small indexes need no allocation.
+func formatIndex(i int) string {
+	if i < len(shortIndexes) {
+		return shortIndexes[i]
 	}
 	return "[" + strconv.Itoa(i) + "]"
 }
 
-var shortIndexTexts = [...]string{"[0]", "[1]", "[2]", "[3]", "[4]", "[5]", "[6]", "[7]"}
+// shortIndexes are the texts of the smallest indexes.
+var shortIndexes = [...]string{"[0]", "[1]", "[2]", "[3]", "[4]", "[5]", "[6]", "[7]"}
 
+// array returns the values in the list under a key.
 func (o Object) array(name string) []*fastjson.Value {
 	v := o.get(name)
 	if v == nil {
@@ -105,12 +111,12 @@
 	}
 	a, err := v.Array()
 	if err != nil {
-		o.Fail(name, "is no list")
+		o.Fail(name, "is not a list")
 	}
 	return a
 }
 
-// String returns the string under a key, or def where there is none.
+// String returns the string under a key, or def if there is none.
 func (o Object) String(name, def string) string {
 	v := o.get(name)
 	if v == nil {
@@ -122,12 +128,12 @@
 func (o Object) string(name string, v *fastjson.Value) string {
 	b, err := v.StringBytes()
 	if err != nil {
-		o.Fail(name, "is no string")
+		o.Fail(name, "is not a string")
 	}
 	return string(b)
 }
 
-// Strings returns the strings in the array under a key.
+// Strings returns the strings in the list under a key.
 func (o Object) Strings(name string) []string {
 	var out []string
 	for _, v := range o.array(name) {
@@ -136,7 +142,7 @@
 	return out
 }
 
-// Number returns the number under a key, or def where there is none.
+// Number returns the number under a key, or def if there is none. It must be finite.
 func (o Object) Number(name string, def float64) float64 {
 	v := o.get(name)
 	if v == nil {
@@ -148,13 +154,13 @@
 func (o Object) number(name string, v *fastjson.Value) float64 {
 	f, err := v.Float64()
 	if err != nil || math.IsNaN(f) || math.IsInf(f, 0) {
-		o.Fail(name, "is no number")
+		o.Fail(name, "is not a number")
 		return 0
 	}
 	return f
 }
 
-// Numbers returns the numbers in the array under a key.
+// Numbers returns the numbers in the list under a key.
 func (o Object) Numbers(name string) []float64 {
 	var out []float64
 	for _, v := range o.array(name) {
@@ -163,7 +169,7 @@
 	return out
 }
 
-// Int returns the whole number under a key, or def where there is none.
+// Int returns the whole number under a key, or def if there is none.
 func (o Object) Int(name string, def int64) int64 {
 	v := o.get(name)
 	if v == nil {
@@ -175,12 +181,12 @@
 func (o Object) int(name string, v *fastjson.Value) int64 {
 	n, err := v.Int64()
 	if err != nil {
-		o.Fail(name, "is no whole number")
+		o.Fail(name, "is not a whole number")
 	}
 	return n
 }
 
-// Ints returns the whole numbers in the array under a key.
+// Ints returns the whole numbers in the list under a key.
 func (o Object) Ints(name string) []int64 {
 	var out []int64
 	for _, v := range o.array(name) {
@@ -189,16 +195,17 @@
 	return out
 }
 
-// Count returns the whole number under a key, which may not be under least.
+// Count returns the whole number under a key, or def if there is none. It must be at least least, and fit into 31 bits.
 func (o Object) Count(name string, def, least int) int {
 	n := o.Int(name, int64(def))
 	if n < int64(least) || n > math.MaxInt32 {
-		o.Fail(name, fmt.Sprintf("is %d, which is out of range (%d at least)", n, least))
+		o.Fail(name, fmt.Sprintf("is %d, which is out of range (at least %d)", n, least))
 	}
 	return int(n)
 }
 
-// Duration returns the time under a key, given in units of unit; it may not be negative.
+// Duration returns the duration under a key, or def if there is none. The key holds a whole number of units, which must not
+// be negative.
 func (o Object) Duration(name string, unit, def time.Duration) time.Duration {
 	if !o.Has(name) {
 		return def
@@ -208,13 +215,13 @@
 
 func (o Object) duration(name string, n int64, unit time.Duration) time.Duration {
 	if n < 0 || n > math.MaxInt64/int64(unit) {
-		o.Fail(name, "is no time from 0 up")
+		o.Fail(name, "is not a duration of 0 or more")
 		return 0
 	}
 	return time.Duration(n) * unit
 }
 
-// Durations returns the times in the array under a key.
+// Durations returns the durations in the list under a key, which holds whole numbers of units.
 func (o Object) Durations(name string, unit time.Duration) []time.Duration {
 	var out []time.Duration
 	for _, n := range o.Ints(name) {
@@ -223,7 +230,7 @@
 	return out
 }
 
-// Bool returns the truth value under a key; false where there is none.
+// Bool returns the boolean under a key, or false if there is none.
 func (o Object) Bool(name string) bool {
 	v := o.get(name)
 	if v == nil {
@@ -240,7 +247,7 @@
 	return b
 }
 
-// Bools returns the truth values in the array under a key.
+// Bools returns the booleans in the list under a key.
 func (o Object) Bools(name string) []bool {
 	var out []bool
 	for _, v := range o.array(name) {
