--- a/internal/config/cluster.go
+++ b/internal/config/cluster.go
@@ -10,31 +10,31 @@
 	"hillknot/internal/jsonfields"
 )
 
-// Cluster configures what the router shares with other routers. In the files it is the block fleet.
+// Cluster configures the state that the router shares with other routers. The files call it the block fleet.
 type Cluster struct {
 	Enabled    bool
 	Listen     netip.AddrPort     // for gossip, over UDP and TCP
-	Advertise  netip.AddrPort     // where other routers reach it
-	Peers      []string           // addresses of some other routers, to join by
-	KeyFile    string             // keys of the encrypted gossip
-	State      state.Settings     // its incarnation is set at the start of the process
-	WarmUp     state.BudgetLimits // the budget of endpoints in slow start; a rate of 0: not shared
-	Retries    state.BudgetLimits // the budget of retries; a rate of 0: not shared
-	Location   string             // such as a rack: replicas are kept elsewhere
+	Advertise  netip.AddrPort     // the address at which other routers reach this one
+	Peers      []string           // addresses of some routers of the cluster, through which this one joins
+	KeyFile    string             // path of the file with the keys that encrypt the gossip
+	State      state.Settings     // the incarnation is set at the start of the process
+	WarmUp     state.BudgetLimits // budget of endpoints in slow start; a rate of 0: it is not shared
+	Retries    state.BudgetLimits // budget of retries; a rate of 0: it is not shared
+	Location   string             // such as a rack; replicas are kept at other locations
 	Failover   Failover
-	LedgerFile string // of prepaid credit; it must survive a kill
+	LedgerFile string // path of the ledger of prepaid credit, which must survive a kill of the process
 	Credit     Credit
 }
 
-const maxLocationBytes = 64
+const maxLocationBytes = 64 // of Cluster.Location
 
-// readCluster reads the block fleet, without which the router shares nothing.
+// readCluster reads the block fleet. Without it the router shares no state.
 func readCluster(o jsonfields.Object, name string, classes []balancer.Class) Cluster {
 	if !o.Has("fleet") {
 		return Cluster{}
 	}
 	if !HasCluster {
-		o.Fail("fleet", "needs the build tag cluster, which this program was built without; make build puts one with it at bin/hillknot-cluster")
+		o.Fail("fleet", "needs the build tag cluster, which this program lacks: make build writes bin/hillknot-cluster with it")
 		return Cluster{}
 	}
 	b := o.Object("fleet")
@@ -48,7 +48,7 @@
 	c.Retries = readBudget(b, "retries", c.State.ClusterSize)
 	c.readAddresses(b)
 	if c.Location = b.String("place", ""); len(c.Location) > maxLocationBytes {
-		b.Fail("place", "is over 64 bytes")
+		b.Fail("place", "is longer than 64 bytes")
 	}
 	c.Failover = readFailover(b, c)
 	if c.Credit = readCredit(b, classes); c.Credit.Enabled {
@@ -64,26 +64,26 @@
 	return c
 }
 
-// readAddresses reads where this router and its peers are reached.
+// readAddresses reads the addresses of this router and its peers, and the path of the key file.
 func (c *Cluster) readAddresses(b jsonfields.Object) {
 	c.KeyFile = b.String("key_file", "")
 	c.Peers = b.Strings("peers")
-	c.Listen, _ = netip.ParseAddrPort(address(b, "listen")) // address reports an error
+	c.Listen, _ = netip.ParseAddrPort(readAddress(b, "listen")) // readAddress reports an error
 	c.Advertise = c.Listen
 	if b.Has("advertise") {
-		c.Advertise, _ = netip.ParseAddrPort(address(b, "advertise"))
+		c.Advertise, _ = netip.ParseAddrPort(readAddress(b, "advertise"))
 	}
 	if a := c.Advertise; a.IsValid() && a.Addr().IsUnspecified() {
-		b.Fail("advertise", "must name an address that others can call: listen takes any")
+		b.Fail("advertise", "must be an address that other routers can connect to, and not an unspecified one like 0.0.0.0")
 	}
 	for _, peer := range c.Peers {
 		if _, err := netip.ParseAddrPort(peer); err != nil {
-			b.Fail("peers", fmt.Sprintf("holds %q, which is no address with a port", peer))
+			b.Fail("peers", fmt.Sprintf("holds %q, which is not an address with a port", peer))
 		}
 	}
 }
 
-// validateState reports settings that the shared state can't be run with, under the key that most likely is at fault.
+// validateState reports settings that the shared state does not accept, under the key that is most likely at fault.
 func (c *Cluster) validateState(b jsonfields.Object, name string) {
 	err := c.State.Check()
 	if err == nil {
@@ -102,10 +102,10 @@
 	b.Fail(key, "can't be used: "+err.Error())
 }
 
-const maxBudget = 1e6
+const maxBudget = 1e6 // of a rate (per second) and of a burst
 
-// readBudget reads what all routers together may spend. The least burst is two for each router, so that half of a
-// router's share still allows one.
+// readBudget reads a budget that all routers share. The burst is at least two for each router, so that half of a router's
+// share still allows one.
 func readBudget(b jsonfields.Object, name string, size int) state.BudgetLimits {
 	if !b.Has(name) {
 		return state.BudgetLimits{}
@@ -113,12 +113,12 @@
 	o := b.Object(name)
 	o.Require("rate")
 	leastBurst := 2 * float64(size)
-	t := state.BudgetLimits{Rate: o.Number("rate", 0)}
-	if t.Burst = o.Number("burst", max(t.Rate/4, leastBurst)); t.Burst < leastBurst || t.Burst > maxBudget {
-		o.Fail("burst", fmt.Sprintf("is not from 2 for each of %d routers to a million", size))
+	budget := state.BudgetLimits{Rate: o.Number("rate", 0)}
+	if budget.Burst = o.Number("burst", max(budget.Rate/4, leastBurst)); budget.Burst < leastBurst || budget.Burst > maxBudget {
+		o.Fail("burst", fmt.Sprintf("is out of range (at least 2 for each of %d routers, at most 1000000)", size))
 	}
-	if !(t.Rate > 0 && t.Rate <= maxBudget) {
-		o.Fail("rate", "is not above 0, up to a million")
+	if !(budget.Rate > 0 && budget.Rate <= maxBudget) {
+		o.Fail("rate", "is out of range (above 0, to 1000000)")
 	}
-	return t
+	return budget
 }
--- a/internal/config/cluster_disabled.go
+++ b/internal/config/cluster_disabled.go
@@ -2,5 +2,6 @@
 
 package config
 
-// HasCluster tells whether this program has what routers talk to each other by: it costs every router some MB, used or not.
+// HasCluster reports whether this program contains the code by which routers communicate. It is left out of programs without
+// the build tag cluster because it costs a router some MB of memory even if it is not used.
 const HasCluster = false
--- a/internal/config/cluster_enabled.go
+++ b/internal/config/cluster_enabled.go
@@ -2,5 +2,5 @@
 
 package config
 
-// HasCluster tells whether this program has what routers talk to each other by.
+// HasCluster reports whether this program contains the code by which routers communicate.
 const HasCluster = true
--- a/internal/config/credit.go
+++ b/internal/config/credit.go
@@ -8,24 +8,24 @@
 	"hillknot/internal/jsonfields"
 )
 
-// Credit configures prepaid balances.
+// Credit configures prepaid credit. The files call it the block credit in the block fleet.
 type Credit struct {
 	Enabled       bool
-	TopUpFile     string
-	AllowUnnamed  bool             // requests without an account are free; else they are rejected
-	PacingHorizon time.Duration    // a balance that would last for less is paced to last so long
-	DrawWindow    time.Duration    // the spending of so long is drawn from the ledger at a time
-	Prices        map[string]Price // by class; classes without a price are free
+	TopUpFile     string           // path of the file with the top-ups
+	AllowUnnamed  bool             // requests without an account are free; otherwise they are rejected
+	PacingHorizon time.Duration    // the spending of an account whose balance would be used up sooner is paced to last this long
+	DrawWindow    time.Duration    // each withdrawal from the ledger covers the spending of this time
+	Prices        map[string]Price // by the name of the class; classes without a price are free
 }
 
-// Price is what a request costs, in credits.
+// Price is the price of a request, in credits.
 type Price struct {
 	PerRequest  float64
 	PerMegabyte float64
-	Weight      float64 // of the class, where funds are low
+	Weight      float64 // of the class, while the balance is low
 }
 
-// readCredit reads the block credit, without which requests are free.
+// readCredit reads the block credit. Without it requests are free.
 func readCredit(cluster jsonfields.Object, classes []balancer.Class) Credit {
 	if !cluster.Has("credit") {
 		return Credit{}
@@ -43,18 +43,19 @@
 		c.AllowUnnamed = true
 	case "refuse":
 	default:
-		o.Fail("unnamed", fmt.Sprintf("is %q, neither \"refuse\" nor \"free\"", unnamed))
+		o.Fail("unnamed", fmt.Sprintf("is %q, but must be \"refuse\" or \"free\"", unnamed))
 	}
 	if c.PacingHorizon < time.Second || c.PacingHorizon > 24*time.Hour {
-		o.Fail("rest_s", "is not a second to a day")
+		o.Fail("rest_s", "is out of range (1 second to 1 day)")
 	}
 	if c.DrawWindow < 10*ms || c.DrawWindow > time.Minute {
-		o.Fail("chunk_ms", "is not 10 ms to a minute")
+		o.Fail("chunk_ms", "is out of range (10 ms to 1 minute)")
 	}
 	c.Prices = readPrices(o.Object("prices"), classes)
 	return c
 }
 
+// readPrices reads the prices of the classes. Keys of the block that name no class are not read.
 func readPrices(o jsonfields.Object, classes []balancer.Class) map[string]Price {
 	prices := map[string]Price{}
 	for _, class := range classes {
@@ -69,7 +70,7 @@
 		}
 		for _, key := range []string{"each", "per_mb", "worth"} {
 			if v := p.Number(key, 0); !(v >= 0 && v <= 1e6) {
-				p.Fail(key, "is not 0 to a million")
+				p.Fail(key, "is out of range (0 to 1000000)")
 			}
 		}
 	}
--- a/internal/config/defaults.go
+++ b/internal/config/defaults.go
@@ -12,8 +12,8 @@
 	mB = 1 << 20
 )
 
-// readLimits sets the limits from what the machine is given, from the settings and from the defaults. What follows from several
-// keys is set by validate.
+// readLimits sets the limits from the resources of the machine, the settings and the defaults. Config.validate sets the limits
+// that follow from several keys.
 func readLimits(o jsonfields.Object) Limits {
 	l := defaultLimits()
 	machine := o.Object("limits")
@@ -26,19 +26,19 @@
 	return l
 }
 
-// partition divides the descriptors and the memory of the machine.
+// partition divides the descriptors and the memory of the process among its uses.
 func (l *Limits) partition() {
-	// Clients hold up to a third of the descriptors. The rest of their part is for connections that are not yet known or
-	// on their way out. The listeners, discovery and the poller have what is left of all.
+	// Clients hold up to a third of the descriptors. The rest of their share is for connections that are not counted yet
+	// or are closing. The listeners, discovery and the poller use the descriptors that are left over.
 	l.ClientConns = l.Sockets * 7 / 16
 	l.UpstreamConns = l.Sockets * 5 / 16
 	l.DNSConns = l.Sockets / 32
-	// Objects on their way in and out may take a third of the memory. What an open request holds beside them is small.
+	// Objects that are being received or sent may take a third of the memory. Apart from them, an open request holds little.
 	l.BufferedBytes = l.MemoryMB * mB / 3
 	l.OpenRequests = l.MemoryMB * mB / (64 * kB)
 }
 
-// defaultLimits are the limits that neither the machine nor the settings decide.
+// defaultLimits returns the limits that depend neither on the machine nor on the settings.
 func defaultLimits() Limits {
 	l := Limits{
 		OpenPerConn:  32,
@@ -64,7 +64,8 @@
 		AdminHeaderBytes: 8 * kB,
 		AdminBodyBytes:   8 * kB,
 
-		// A stop that is not noticed must stay well under the 150 ms by which an endpoint may be told too long a time-out.
+		// A stop of the process that goes unnoticed must stay well under 150 ms, the most by which the timeout that an
+		// endpoint is given may be too long.
 		LoopInterval:        50 * ms,
 		LoopSlack:           20 * ms,
 		BacklogPollInterval: 1 * ms,
@@ -92,8 +93,8 @@
 
 // setConnDefaults sets the limits of connections, by the party at the other end.
 func (l *Limits) setConnDefaults() {
-	// A request may take 2 s to be written, and a client that sends none is owed an end within 3 s. Clients close a
-	// connection that was idle for 4 s. The router does so later, so that a request seldom crosses its close.
+	// A client may take 2 s to write a request, and a client that sends none must be disconnected within 3 s. Clients close
+	// a connection that was idle for 4 s. The router closes it later, so that its close seldom crosses a request.
 	l.Client = ConnLimits{
 		MaxPendingBytes: 8 * mB,
 		ReadTimeout:     2500 * ms,
@@ -103,7 +104,7 @@
 		SilentTimeout:   1500 * ms,
 		LingerTimeout:   250 * ms,
 	}
-	// Responses come in one piece, or nearly: a pause of a second inside one says that it has broken off.
+	// A response arrives in one piece or nearly so: a pause of a second inside a response means that it was cut off.
 	l.Upstream = ConnLimits{MaxPendingBytes: 1 * mB, ReadTimeout: time.Second, WriteTimeout: 50 * ms}
 	l.Discovery = ConnLimits{MaxPendingBytes: 64 * kB, ReadTimeout: 2 * time.Second, WriteTimeout: time.Second}
 	shortCall := ConnLimits{
@@ -119,7 +120,7 @@
 	l.AgentCheck.IdleTimeout, l.AgentCheck.SilentTimeout = 5*time.Second, 2*time.Second
 	l.DNS.MaxPendingBytes = 256 * kB
 	l.DNS.IdleTimeout, l.DNS.SilentTimeout = 10*time.Second, 2*time.Second
-	// The connection between two processes of a router stays open, silent, for as long as both run.
+	// The connection between two processes of a router stays open without traffic for as long as both run.
 	l.Handover = ConnLimits{
 		MaxPendingBytes: 2 * mB,
 		ReadTimeout:     time.Second,
@@ -130,8 +131,9 @@
 	}
 }
 
-// shutdownTimeout is how long a router has to answer its open requests after SIGTERM. The platform kills it no sooner
-// than 0.7 s after the longest deadline, taken as 3 s where it is longer; 0.2 s of that are left for the last writes.
+// shutdownTimeout returns how long a router has to answer its open requests after SIGTERM. The platform kills the router no
+// sooner than 0.7 s after the longest deadline, where one above 3 s counts as 3 s. 0.2 s of this time are left for the last
+// writes.
 func shutdownTimeout(longestDeadline time.Duration) time.Duration {
 	return min(longestDeadline, 3*time.Second) + 700*ms - 200*ms
 }
--- a/internal/config/dns.go
+++ b/internal/config/dns.go
@@ -10,16 +10,16 @@
 
 // DNS configures the DNS front end.
 type DNS struct {
-	Listen       string // address for UDP and TCP; empty: the front end is off
-	Names        []string
+	Listen       string   // address for UDP and TCP; empty: the front end is off
+	Names        []string // host names that are answered, in lower case without a final dot
 	TTL          time.Duration
-	TTLOverstay  float64       // resolvers keep an answer for up to this multiple of the TTL
-	ResolverLoad float64       // seconds of service time that the clients of one resolver ask for each second
-	MaxAnswers   int           // endpoints named in one answer
-	Timeout      time.Duration // by then a query is answered
+	TTLOverstay  float64       // resolvers cache an answer for up to this multiple of the TTL
+	ResolverLoad float64       // seconds of service time per second that the clients of one resolver are taken to need
+	MaxAnswers   int           // maximum of endpoints in one answer
+	Timeout      time.Duration // a query is answered within this time
 }
 
-// readDNS reads the block dns, without which the front end is off.
+// readDNS reads the block dns. Without it the front end is off.
 func readDNS(o jsonfields.Object) DNS {
 	if !o.Has("dns") {
 		return DNS{}
@@ -27,7 +27,7 @@
 	d := o.Object("dns")
 	d.Require("listen", "names")
 	c := DNS{
-		Listen: address(d, "listen"), TTL: d.Duration("ttl_s", time.Second, 5*time.Second), TTLOverstay: d.Number("overstay", 2),
+		Listen: readAddress(d, "listen"), TTL: d.Duration("ttl_s", time.Second, 5*time.Second), TTLOverstay: d.Number("overstay", 2),
 		ResolverLoad: d.Number("resolver_load", 0.05), MaxAnswers: d.Count("answers", 2, 1),
 		Timeout: d.Duration("deadline_ms", time.Millisecond, time.Second),
 	}
@@ -35,7 +35,7 @@
 		d.Fail("ttl_s", "is out of range (1 to 3600)")
 	}
 	if c.TTLOverstay < 1 {
-		d.Fail("overstay", "is under 1")
+		d.Fail("overstay", "is below 1")
 	}
 	if c.ResolverLoad <= 0 {
 		d.Fail("resolver_load", "is not above 0")
@@ -44,12 +44,12 @@
 		d.Fail("deadline_ms", "is not above 0")
 	}
 	if c.MaxAnswers > 16 {
-		d.Fail("answers", "is over 16")
+		d.Fail("answers", "is above 16")
 	}
 	for _, n := range d.Strings("names") {
 		n = strings.ToLower(strings.TrimSuffix(n, "."))
 		if !isHostName(n) {
-			d.Fail("names", fmt.Sprintf("holds %q, which is no host name", n))
+			d.Fail("names", fmt.Sprintf("holds %q, which is not a host name", n))
 		}
 		c.Names = append(c.Names, n)
 	}
@@ -59,7 +59,7 @@
 	return c
 }
 
-// isHostName tells whether a name can be queried, also with a label of an endpoint before it.
+// isHostName reports whether a name can be queried, also with the label of an endpoint in front of it.
 func isHostName(n string) bool {
 	if len(n) > 180 {
 		return false
--- a/internal/config/failover.go
+++ b/internal/config/failover.go
@@ -10,13 +10,13 @@
 // Failover configures how orders (requests that are not idempotent) survive the loss of their router.
 type Failover struct {
 	Enabled        bool
-	Strict         bool          // orders that no other router has a replica of are rejected
-	LeaseDuration  time.Duration // of the lease under which a router runs its orders
-	ReplicaTimeout time.Duration // until another router has a replica of an order
-	ClaimTimeout   time.Duration // until the other routers have answered a claim
+	Strict         bool          // an order is rejected if no other router has a replica of it
+	LeaseDuration  time.Duration // how long the lease lasts under which a router runs its orders
+	ReplicaTimeout time.Duration // for another router to store a replica of an order
+	ClaimTimeout   time.Duration // for the other routers to answer a claim
 	Retention      time.Duration // how long replicas and outcomes are kept
-	MaxRecords     int           // replicas that a router keeps
-	MaxBodyBytes   int           // longer bodies are left out of replicas
+	MaxRecords     int           // maximum of replicas that a router keeps
+	MaxBodyBytes   int           // replicas leave out longer bodies
 }
 
 const (
@@ -24,7 +24,7 @@
 	maxFailoverBodyBytes = 16 << 10
 )
 
-// readFailover reads the block takeover, without which orders end with their router.
+// readFailover reads the block takeover. Without it orders do not survive the loss of their router.
 func readFailover(cluster jsonfields.Object, c Cluster) Failover {
 	if !cluster.Has("takeover") {
 		return Failover{}
@@ -45,14 +45,15 @@
 	}
 	f.validate(o)
 	if c.State.Guest {
-		cluster.Fail("takeover", "does not go with guest: every router that takes orders must be one of size")
+		cluster.Fail("takeover", "can't be combined with guest: every router that takes orders must be counted in size")
 	}
 	if c.State.ClusterSize < 2 {
-		cluster.Fail("size", "is 1: with takeover another router has to keep the orders")
+		cluster.Fail("size", "is 1: with takeover, another router must keep replicas of the orders")
 	}
 	return f
 }
 
+// validate reports the values that are out of range.
 func (f Failover) validate(o jsonfields.Object) {
 	for _, c := range []struct {
 		key             string
@@ -65,13 +66,13 @@
 		{"keep_ms", f.Retention, time.Second, 10 * time.Minute},
 	} {
 		if c.value < c.lowest || c.value > c.highest {
-			o.Fail(c.key, fmt.Sprintf("is not %v to %v", c.lowest, c.highest))
+			o.Fail(c.key, fmt.Sprintf("is out of range (%v to %v)", c.lowest, c.highest))
 		}
 	}
 	if f.MaxRecords > maxFailoverRecords {
-		o.Fail("records", "is over a million")
+		o.Fail("records", "is above 1048576")
 	}
 	if f.MaxBodyBytes > maxFailoverBodyBytes {
-		o.Fail("body_bytes", "is over 16384")
+		o.Fail("body_bytes", "is above 16384")
 	}
 }
--- a/internal/config/hcl.go
+++ b/internal/config/hcl.go
@@ -17,32 +17,35 @@
 	"hillknot/internal/jsonfields"
 )
 
-// document is a file that a person wrote, as the same tree that JSON gives, with the place of each key.
+// document is a parsed HCL file: the tree that the same content in JSON would give, and the location of each key.
 type document struct {
-	root   *fastjson.Value
-	places map[string]hcl.Range // by the key's whole path
+	root      *fastjson.Value
+	locations map[string]hcl.Range // by the whole path of the key
 }
 
-// readHCL reads a document: blocks become objects, attributes values. An error names file, line and column.
+// readHCL parses HCL text. Blocks become objects, and attributes become values. An error names the file (name), the line
+// and the column.
 func readHCL(text []byte, name string) (*document, error) {
 	file, diags := hclsyntax.ParseConfig(text, name, hcl.InitialPos)
 	if diags.HasErrors() {
 		return nil, diags
 	}
-	d := &document{places: map[string]hcl.Range{}}
+	d := &document{locations: map[string]hcl.Range{}}
 	var a fastjson.Arena
 	d.root = a.NewObject()
-	return d, d.body(&a, file.Body.(*hclsyntax.Body), d.root, "")
+	return d, d.addBody(&a, file.Body.(*hclsyntax.Body), d.root, "")
 }
 
-func (d *document) body(a *fastjson.Arena, b *hclsyntax.Body, to *fastjson.Value, path string) error {
+// addBody adds the attributes and blocks of an HCL body to a JSON object. path is the path of the body, with a final dot
+// unless it is empty.
+func (d *document) addBody(a *fastjson.Arena, b *hclsyntax.Body, to *fastjson.Value, path string) error {
 	for name, attr := range b.Attributes {
-		d.places[path+name] = attr.SrcRange
+		d.locations[path+name] = attr.SrcRange
 		v, diags := attr.Expr.Value(nil) // there are no variables and no functions
 		if diags.HasErrors() {
 			return diags
 		}
-		j, err := value(a, v)
+		j, err := jsonValue(a, v)
 		if err != nil {
 			return fmt.Errorf("%s: key %q %w", attr.SrcRange, path+name, err)
 		}
@@ -50,15 +53,15 @@
 	}
 	for _, block := range b.Blocks {
 		key := path + block.Type
-		if first, twice := d.places[key]; twice {
-			return fmt.Errorf("%s: key %q stands twice, first at %s", block.DefRange(), key, first)
+		if first, twice := d.locations[key]; twice {
+			return fmt.Errorf("%s: key %q is given twice, first at %s", block.DefRange(), key, first)
 		}
 		if len(block.Labels) > 0 {
 			return fmt.Errorf("%s: key %q takes no label", block.DefRange(), key)
 		}
-		d.places[key] = block.DefRange()
+		d.locations[key] = block.DefRange()
 		sub := a.NewObject()
-		if err := d.body(a, block.Body, sub, key+"."); err != nil {
+		if err := d.addBody(a, block.Body, sub, key+"."); err != nil {
 			return err
 		}
 		to.Set(block.Type, sub)
@@ -66,10 +69,11 @@
 	return nil
 }
 
-// location is where a key stands, or else the block that it should stand in; empty where the document has neither.
+// location returns the location of a key, or else of the innermost block that should hold it; empty if the document has
+// neither.
 func (d *document) location(key string) string {
 	for {
-		if r, ok := d.places[key]; ok {
+		if r, ok := d.locations[key]; ok {
 			return r.String()
 		}
 		i := strings.LastIndexAny(key, ".[")
@@ -80,26 +84,26 @@
 	}
 }
 
-// failUnreadKeys reports the keys that nobody reads: an operator's typing error must not pass unnoticed. Those of the settings are
-// the platform's, of which some are not used.
+// failUnreadKeys reports the keys that nothing has read, so that an operator's typing error does not go unnoticed. Keys
+// below settings are the platform's, and some of them are not used.
 func (d *document) failUnreadKeys(o jsonfields.Object) {
-	for _, key := range slices.Sorted(maps.Keys(d.places)) {
+	for _, key := range slices.Sorted(maps.Keys(d.locations)) {
 		parent := ""
 		if i := strings.LastIndexByte(key, '.'); i >= 0 {
 			parent = key[:i]
 		}
 		if !o.WasRead(key) && (parent == "" || o.WasRead(parent)) && !strings.HasPrefix(key, "settings.") {
-			o.Fail(key, "is no key that is known here")
+			o.Fail(key, "is not a known key")
 		}
 	}
 }
 
-// value turns a value of the document into what JSON has.
-func value(a *fastjson.Arena, v cty.Value) (*fastjson.Value, error) {
+// jsonValue converts a value of the document to JSON. The error is worded to follow the key's name.
+func jsonValue(a *fastjson.Arena, v cty.Value) (*fastjson.Value, error) {
 	t := v.Type()
 	switch {
 	case !v.IsWhollyKnown():
-		return nil, fmt.Errorf("has no value")
+		return nil, fmt.Errorf("has no known value")
 	case v.IsNull():
 		return a.NewNull(), nil
 	case t == cty.String:
@@ -115,7 +119,7 @@
 		list, i := a.NewArray(), 0
 		for it := v.ElementIterator(); it.Next(); i++ {
 			_, e := it.Element()
-			j, err := value(a, e)
+			j, err := jsonValue(a, e)
 			if err != nil {
 				return nil, err
 			}
@@ -126,7 +130,7 @@
 		o := a.NewObject()
 		for it := v.ElementIterator(); it.Next(); {
 			k, e := it.Element()
-			j, err := value(a, e)
+			j, err := jsonValue(a, e)
 			if err != nil {
 				return nil, err
 			}
@@ -134,32 +138,34 @@
 		}
 		return o, nil
 	}
-	return nil, fmt.Errorf("is of a kind that has no place here")
+	return nil, fmt.Errorf("has a value of an unsupported type")
 }
 
-// Convert turns an operator's file in JSON into the same in HCL.
+// Convert returns an operator's file, given in JSON, as HCL with the same meaning.
 func Convert(text []byte) ([]byte, error) {
 	var v map[string]any
 	if err := json.Unmarshal(text, &v); err != nil {
 		return nil, err
 	}
 	f := hclwrite.NewEmptyFile()
-	convert(f.Body(), v)
+	appendHCL(f.Body(), v)
 	return f.Bytes(), nil
 }
 
-func convert(b *hclwrite.Body, v map[string]any) {
+// appendHCL appends the keys of a JSON object to an HCL body, in alphabetical order. Nested objects become
+// blocks, except in lists.
+func appendHCL(b *hclwrite.Body, v map[string]any) {
 	for _, n := range slices.Sorted(maps.Keys(v)) {
 		if sub, ok := v[n].(map[string]any); ok {
-			convert(b.AppendNewBlock(n, nil).Body(), sub)
+			appendHCL(b.AppendNewBlock(n, nil).Body(), sub)
 			continue
 		}
-		b.SetAttributeValue(n, written(v[n]))
+		b.SetAttributeValue(n, hclValue(v[n]))
 	}
 }
 
-// written is a value of JSON as one of HCL.
-func written(v any) cty.Value {
+// hclValue converts a value, as encoding/json decodes it, to an HCL value.
+func hclValue(v any) cty.Value {
 	switch v := v.(type) {
 	case string:
 		return cty.StringVal(v)
@@ -170,13 +176,13 @@
 	case []any:
 		list := make([]cty.Value, len(v))
 		for i, e := range v {
-			list[i] = written(e)
+			list[i] = hclValue(e)
 		}
 		return cty.TupleVal(list)
 	case map[string]any:
 		o := map[string]cty.Value{}
 		for k, e := range v {
-			o[k] = written(e)
+			o[k] = hclValue(e)
 		}
 		return cty.ObjectVal(o)
 	}
--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -2,42 +2,44 @@
 
 import "time"
 
-// Limits are all sizes, counts and times that bound a router. They are set once, at the start, and handed down. Sizes are
-// in bytes where the name or the comment does not say otherwise.
+// Limits holds all sizes, counts and times that bound a router. They are set once, when the configuration is read, and
+// passed on to the packages that need them. Sizes are in bytes unless the name or the comment says otherwise.
 type Limits struct {
-	// The machine.
-	MemoryMB int // of the process
-	Sockets  int // descriptors of the process
+	// Resources of the machine.
+	MemoryMB int // memory of the process, in MB
+	Sockets  int // file descriptors of the process
 
 	// Clients.
 	ClientConns     int
 	OpenPerConn     int           // open requests on one connection
-	OpenRequests    int           // open requests in all
+	OpenRequests    int           // open requests on all connections
 	MessageBytes    int           // of a client's message
 	BodyBytes       int           // of a request's body
-	BadRequests     int           // requests that can't be used, until their connection is closed
-	BufferedBytes   int           // of messages that are incomplete or wait for a slow peer, over all connections
-	LongestDeadline time.Duration // of all classes
-	AnswerMargin    time.Duration // a final answer is sent so long before the client gives up
+	BadRequests     int           // malformed requests on a connection; one more closes it
+	BufferedBytes   int           // of messages that are incomplete or wait for a slow peer, on all connections together
+	LongestDeadline time.Duration // the longest deadline of all classes
+	AnswerMargin    time.Duration // the final answer is sent this long before the client gives up
 
 	// Attempts and connections to endpoints.
-	AttemptGrace        time.Duration // an endpoint is told a longer time-out by this, so that a cancellation ends the attempt; never longer than the client waits
-	ConnsPerEndpoint    int
+	// AttemptGrace is added to the timeout that an endpoint is given, so that the router's cancellation ends the attempt
+	// first. The timeout never exceeds the time for which the client waits.
+	AttemptGrace        time.Duration
+	ConnsPerEndpoint    int // from one router
 	UpstreamConns       int // to all endpoints
 	ResponseLineBytes   int // of the first line of a response
-	ObjectBytes         int // of an object
+	ObjectBytes         int // of one object
 	ConnectTimeout      time.Duration
-	UpstreamIdleTimeout time.Duration // an unused connection is closed after it
-	UpstreamSilence     time.Duration // a connection that owes responses and brings none for so long gets no new request
+	UpstreamIdleTimeout time.Duration // a connection that is unused for longer is closed
+	UpstreamSilence     time.Duration // a connection that has not delivered an awaited response for this long gets no new request
 
 	// Discovery.
-	DiscoveryLineBytes    int           // of one line
-	DiscoverySilence      time.Duration // a watch that brings nothing for so long is broken
-	DiscoveryReadInterval time.Duration // between two reads, where much is to be read
-	DiscoveryBackoffMin   time.Duration // between two connects, at first
-	DiscoveryBackoffMax   time.Duration // between two connects, after many have failed
+	DiscoveryLineBytes    int           // of one line of the event stream
+	DiscoverySilence      time.Duration // a connection that receives nothing for this long is taken for broken
+	DiscoveryReadInterval time.Duration // minimum between two reads of a long burst
+	DiscoveryBackoffMin   time.Duration // pause before the next connection, after one that received something
+	DiscoveryBackoffMax   time.Duration // the same pause after many connections that received nothing
 
-	// Front ends that are off on the platform.
+	// Front ends that the platform does not use.
 	OpenQueries      int // DNS queries without an answer
 	DNSConns         int // of resolvers over TCP
 	AgentCheckConns  int
@@ -46,48 +48,48 @@
 	AdminBodyBytes   int
 
 	// The core's loop.
-	LoopInterval        time.Duration // an iteration begins at least so often
-	LoopSlack           time.Duration // one that is later than the interval by more shows that the process was stopped
-	BacklogPollInterval time.Duration // after a stop, how often the loop looks whether all sockets are read
-	BacklogWait         time.Duration // and how long it waits for that, at most
-	OrderReleaseDelay   time.Duration // how long a rejected order waits until no other router can run it
+	LoopInterval        time.Duration // maximum between the starts of two iterations
+	LoopSlack           time.Duration // an iteration that begins this much later than LoopInterval shows that the process was stopped
+	BacklogPollInterval time.Duration // after a stop, the loop checks at this interval whether all sockets are read
+	BacklogWait         time.Duration // after a stop, the loop waits no longer than this for all sockets to be read
+	OrderReleaseDelay   time.Duration // maximum wait, before an order is rejected, until no other router can run it
 
-	// Shutdown, in spans from SIGTERM on.
-	ShutdownGrace        time.Duration // requests are still taken
-	ShutdownTimeout      time.Duration // until all is answered
-	ShutdownFlush        time.Duration // after ShutdownTimeout, to write the last answers and close the connections
-	ShutdownAnswerMargin time.Duration // open requests are answered so long before ShutdownTimeout
+	// Shutdown. Times are measured from SIGTERM unless the comment says otherwise.
+	ShutdownGrace        time.Duration // new requests are accepted during this time
+	ShutdownTimeout      time.Duration // all requests are answered by then
+	ShutdownFlush        time.Duration // after ShutdownTimeout, for writing the last answers and closing the connections
+	ShutdownAnswerMargin time.Duration // open requests are answered this long before ShutdownTimeout
 
-	// Draining of clients, in spans from its start on.
-	DrainCloseAfterResponse time.Duration // connections close behind a response; load balancers have stopped sending by then
-	DrainCloseIdle          time.Duration // connections that idle for DrainIdleTime close
+	// Draining of clients. Times are measured from the start of the drain, except for DrainIdleTime.
+	DrainCloseAfterResponse time.Duration // connections then close after a response; load balancers have stopped sending
+	DrainCloseIdle          time.Duration // connections that are idle for DrainIdleTime then close
 	DrainIdleTime           time.Duration
-	DrainRejectNew          time.Duration // new requests are rejected
-	DrainCloseAll           time.Duration // connections without an open request close
+	DrainRejectNew          time.Duration // new requests are then rejected
+	DrainCloseAll           time.Duration // connections without an open request then close
 
 	// Hot restart.
-	HandoverConns         int           // processes that may call as successors
-	HandoverStateBytes    int           // of the state that is handed over
-	HandoverTimeout       time.Duration // for a reply of the other process
-	HandoverDiscoveryWait time.Duration // until discovery has brought the events that the predecessor has seen
+	HandoverConns         int           // connections of processes that may be successors
+	HandoverStateBytes    int           // of the handed-over state
+	HandoverTimeout       time.Duration // to wait for a reply of the other process
+	HandoverDiscoveryWait time.Duration // to wait until discovery has delivered the events that the predecessor has seen
 
-	// Connections, by the party at the other end.
+	// Limits of connections, by the party at the other end.
 	Client, Upstream, Discovery, DNS, AgentCheck, Admin, Handover ConnLimits
 }
 
 // ConnLimits bounds the reads and writes of one connection.
 type ConnLimits struct {
-	MaxPendingBytes int           // that may wait to be written
-	ReadTimeout     time.Duration // until the next bytes of a message
-	MessageTimeout  time.Duration // from the first byte of a message to its last; 0: as long as bytes come
-	WriteTimeout    time.Duration // how long a write may block
-	IdleTimeout     time.Duration // of an accepted connection: closed when nothing was read or written for so long
-	SilentTimeout   time.Duration // of an accepted connection: closed when no complete message has come for so long
-	LingerTimeout   time.Duration // how long input is still read, and discarded, after our side was shut; 0: not at all
+	MaxPendingBytes int           // bytes that may wait to be written
+	ReadTimeout     time.Duration // maximum until the next bytes of an incomplete message
+	MessageTimeout  time.Duration // from the first byte of a message to its last; 0: unbounded while bytes arrive
+	WriteTimeout    time.Duration // maximum for which a write may block
+	IdleTimeout     time.Duration // an accepted connection is closed if nothing was read or written for this long
+	SilentTimeout   time.Duration // the same for an accepted connection on which no complete message has arrived yet
+	LingerTimeout   time.Duration // how long input is still read and discarded after the router has shut its side; 0: not at all
 }
 
-// Shared returns the limits of one of two processes of a router: together they may hold what one may. Most of the
-// clients' connections go to the newer process, which accepts the new ones.
+// Shared returns the limits of one of two processes of a router, which together may hold as much as a single process. The
+// newer process gets most of the client connections, because it accepts the new ones.
 func (l Limits) Shared(newer bool) Limits {
 	clientConns := l.ClientConns / 4
 	if newer {
--- a/internal/config/settings/golden_test.go
+++ b/internal/config/settings/golden_test.go
@@ -9,10 +9,10 @@
 	"hillknot/internal/testutil/golden"
 )
 
-// The operators write these settings, and their form does not change with this code. testdata/golden/settings.json is as commit
-// 86ccf0f reads it.
+// The operators write these settings, and their form does not change with this code. testdata/golden/settings.json has the
+// form that commit 86ccf0f reads.
 //
-// What has to stay in the code: no name of a type or field, but the keys and words of Read.
+// Names of types and fields may change. What must stay are the keys and words of Read.
 func TestGoldenSettings(t *testing.T) {
 	got, err := Parse(string(golden.Read(t, "settings.json")))
 	want := balancer.Settings{
--- a/internal/config/settings/settings.go
+++ b/internal/config/settings/settings.go
@@ -1,5 +1,5 @@
-// Package settings reads the operators' settings object into the module's Settings, which is the only
-// type that holds them. The simulator's adapter and the router both read it here.
+// Package settings reads the operators' settings object into balancer.Settings, which is the only type that holds them.
+// The router and the simulator's adapter both use it.
 package settings
 
 import (
@@ -11,7 +11,7 @@
 	"hillknot/internal/jsonfields"
 )
 
-// Parse reads the settings from JSON text.
+// Parse reads the settings from JSON text. An error names the faulty keys, or is one of the JSON parser.
 func Parse(text string) (balancer.Settings, error) {
 	v, err := fastjson.Parse(text)
 	if err != nil {
@@ -22,59 +22,60 @@
 	return s, o.Err()
 }
 
-// Read reads the settings from an object; keys that the module doesn't use are ignored. An error stays
-// with the object.
+// Read reads the settings from an object, which keeps the errors. Keys that package balancer does not use are ignored.
 func Read(o jsonfields.Object) balancer.Settings {
 	const us = time.Microsecond
-	allowed, rules, spec := o.Object("allowed"), o.Object("invariants"), o.Object("specifics")
+	allowed, rules, specifics := o.Object("allowed"), o.Object("invariants"), o.Object("specifics")
 	weights := o.String("weights", "")
 	s := balancer.Settings{
 		Topology: balancer.Topology{
 			Zone: o.String("locality", ""), Zones: o.Strings("dcs"), Kinds: o.Strings("hostTypes"),
-			ParentKind: int(spec.Int("midKind", -1)), OriginKind: int(spec.Int("storeKind", -1)),
+			ParentKind: int(specifics.Int("midKind", -1)), OriginKind: int(specifics.Int("storeKind", -1)),
 		},
 		Capabilities: balancer.Capabilities{
 			Hedging:        allowed.Bool("mayDuplicate"),
 			Cancellation:   allowed.Bool("cancel"),
-			DirectAttempts: spec.Bool("passThroughOk"),
-			CoalesceFills:  spec.Bool("collapses"),
+			DirectAttempts: specifics.Bool("passThroughOk"),
+			CoalesceFills:  specifics.Bool("collapses"),
 			WatchRequired:  o.String("discovery", "") == "ask",
 		},
-		PaceKBps: spec.Number("paceKbPerS", 0), LinkKBps: spec.Numbers("pipeKbPerS"),
+		PaceKBps: specifics.Number("paceKbPerS", 0), LinkKBps: specifics.Numbers("pipeKbPerS"),
 		StaticWeights: weights == "nominal" || weights == "rough",
 		MaxAttempts:   int(allowed.Int("maxAttempts", 0)),
-		PurgeWindow:   spec.Duration("purgeTakesUs", us, 0),
+		PurgeWindow:   specifics.Duration("purgeTakesUs", us, 0),
 		CacheSlowStart: balancer.SlowStartRule{
 			InitialCapacity: rules.Number("coldFrom", 0), WarmUpTime: rules.Duration("coldUs", us, 0),
 			OverloadFactor: rules.Number("overloadFactor", 0), OverloadWindow: rules.Duration("fallUs", us, 0),
 		},
 		ParentSlowStart: balancer.SlowStartRule{
-			InitialCapacity: spec.Number("parentFloor", 0), WarmUpTime: spec.Duration("parentColdUs", us, 0),
-			OverloadFactor: spec.Number("parentBreaksAt", 0), OverloadWindow: rules.Duration("fallUs", us, 0),
+			InitialCapacity: specifics.Number("parentFloor", 0), WarmUpTime: specifics.Duration("parentColdUs", us, 0),
+			OverloadFactor: specifics.Number("parentBreaksAt", 0), OverloadWindow: rules.Duration("fallUs", us, 0),
 		},
 	}
 	if allowed.Bool("retryAfter") {
 		s.MaxRetryAfter = allowed.Duration("maxRetryAfterUs", us, 0)
 	}
-	for _, n := range spec.Ints("instancesByZone") {
+	for _, n := range specifics.Ints("instancesByZone") {
 		s.Topology.RoutersPerZone = append(s.Topology.RoutersPerZone, int(n))
 	}
-	effects := map[string]balancer.Idempotency{"safe": balancer.Idempotent, "keyed": balancer.IdempotentByKey}
-	groups := map[string]balancer.DedupScope{"all": balancer.DedupEverywhere, "zone": balancer.DedupInZone}
-	writes, fresh := spec.Bools("classWrite"), spec.Durations("classFreshUs", us)
-	for i, p := range o.Objects("profiles") {
-		k := balancer.Class{
-			Name: p.String("name", ""), LatencyObjective: p.Duration("promiseUs", us, 0), ObjectiveStretch: p.Number("aimStretch", 0),
-			Deadline: p.Duration("deadlineUs", us, 0), DedupWindow: p.Duration("windowUs", us, 0),
-			Idempotency: effects[p.String("repeat", "")], DedupScope: groups[p.String("group", "")], Weight: p.Number("worth", 0),
+	idempotencies := map[string]balancer.Idempotency{"safe": balancer.Idempotent, "keyed": balancer.IdempotentByKey}
+	dedupScopes := map[string]balancer.DedupScope{"all": balancer.DedupEverywhere, "zone": balancer.DedupInZone}
+	writes, fresh := specifics.Bools("classWrite"), specifics.Durations("classFreshUs", us)
+	for i, profile := range o.Objects("profiles") {
+		class := balancer.Class{
+			Name:             profile.String("name", ""),
+			LatencyObjective: profile.Duration("promiseUs", us, 0), ObjectiveStretch: profile.Number("aimStretch", 0),
+			Deadline: profile.Duration("deadlineUs", us, 0), DedupWindow: profile.Duration("windowUs", us, 0),
+			Idempotency: idempotencies[profile.String("repeat", "")],
+			DedupScope:  dedupScopes[profile.String("group", "")], Weight: profile.Number("worth", 0),
 		}
 		if i < len(writes) {
-			k.Write = writes[i]
+			class.Write = writes[i]
 		}
 		if i < len(fresh) {
-			k.FreshnessLifetime = fresh[i]
+			class.FreshnessLifetime = fresh[i]
 		}
-		s.Classes = append(s.Classes, k)
+		s.Classes = append(s.Classes, class)
 	}
 	return s
 }
