--- a/internal/logging/logging_test.go
+++ b/internal/logging/logging_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// A logger made before the default is set writes to the default of the moment, with its component.
-func TestLoggerFollowsTheDefault(t *testing.T) {
+// A logger that was made before slog.SetDefault writes to the new default logger, with its component.
+func TestLoggerFollowsDefault(t *testing.T) {
 	logger := For("upstream")
 	var out bytes.Buffer
 	before := slog.Default()
--- a/internal/operatorhint/operatorhint.go
+++ b/internal/operatorhint/operatorhint.go
@@ -1,5 +1,5 @@
-// Package operatorhint lets an error carry a hint for the operator: one sentence that says what to do about it.
-// docs/errors.md lists the errors that have one, with their hints.
+// Package operatorhint lets an error carry a hint for the operator: one sentence that says what to do about the error.
+// docs/errors.md lists the errors that have a hint.
 package operatorhint
 
 import (
@@ -12,11 +12,11 @@
 // Error is an error with a hint for the operator.
 type Error interface {
 	error
-	// Hint returns one sentence that says what an operator can do. It is the same for all errors of a type.
+	// Hint returns one sentence that says what an operator can do. All errors of a type return the same sentence.
 	Hint() string
 }
 
-// For returns the hint of the first error in err's chain that has one, or "" if none has.
+// For returns the hint of the first error in err's tree that has one, or "" if none has.
 func For(err error) string {
 	var hinted Error
 	if errors.As(err, &hinted) {
@@ -25,7 +25,8 @@
 	return ""
 }
 
-// Attr returns the attributes of a log line that describe an error: the error itself, and its hint.
+// Attr returns the attributes that describe an error in a log line: the error and its hint. They are a group without a name,
+// which slog writes inline.
 func Attr(err error) slog.Attr {
 	return slog.Group("", slog.Any(logging.KeyError, err), slog.String(logging.KeyHint, For(err)))
 }
--- a/internal/operatorhint/operatorhint_test.go
+++ b/internal/operatorhint/operatorhint_test.go
@@ -14,8 +14,8 @@
 func (hinted) Error() string { return "disk full" }
 func (hinted) Hint() string  { return "Make room." }
 
-// The hint of an error is found through what wraps or joins it.
-func TestFor(t *testing.T) {
+// For finds the hint of an error that is wrapped or joined with others.
+func TestForFindsHint(t *testing.T) {
 	for name, test := range map[string]struct {
 		err  error
 		want string
@@ -27,13 +27,13 @@
 		"nil":     {nil, ""},
 	} {
 		if got := For(test.err); got != test.want {
-			t.Errorf("%s: %q, want %q", name, got, test.want)
+			t.Errorf("%s: hint %q, want %q", name, got, test.want)
 		}
 	}
 }
 
-// Operators look for these keys.
-func TestAttrKeys(t *testing.T) {
+// Operators search log lines for these keys.
+func TestAttrWritesErrorAndHint(t *testing.T) {
 	var line bytes.Buffer
 	slog.New(slog.NewTextHandler(&line, nil)).Error("fault", Attr(hinted{}))
 	if want := "err=\"disk full\" remedy=\"Make room.\"\n"; !strings.HasSuffix(line.String(), want) {
