--- a/internal/simulator/actions.go
+++ b/internal/simulator/actions.go
@@ -8,14 +8,14 @@
 	"hillknot/balancer"
 )
 
-// Bits of the field "manner" of an attempt.
+// Bits of the field "manner" of a LOOK_AND_FILL line.
 const (
 	mannerCoalesce   = 1 << 0
 	mannerCachedOnly = 1 << 1
 	mannerRevalidate = 1 << 3
 )
 
-// AppendAction appends the line of one action of an instance.
+// AppendAction appends the line for an action of an instance.
 func AppendAction(b []byte, instance string, a balancer.Action) []byte {
 	switch a := a.(type) {
 	case balancer.SendAttempt:
@@ -37,6 +37,7 @@
 	return append(b, '\n')
 }
 
+// appendAttempt appends the line for an attempt, without its end.
 func appendAttempt(b []byte, instance string, a balancer.SendAttempt) []byte {
 	b = appendHead(b, "LOOK_AND_FILL", instance)
 	b = appendUint(b, "id", uint64(a.ID))
@@ -58,19 +59,22 @@
 	return appendUint(b, "manner", manner)
 }
 
-// AppendException appends the line that says that the decision code of an instance has failed.
+// AppendException appends the line that reports that the decision code of an instance failed. Line ends in text become
+// spaces.
 func AppendException(b []byte, instance, text string) []byte {
 	b = appendKey(appendHead(b, "EXCEPTION", instance), "noteText")
 	return append(append(b, strings.ReplaceAll(text, "\n", " ")...), '\n')
 }
 
-// AppendDone appends the end of a reply.
+// AppendDone appends the line that ends a reply.
 func AppendDone(b []byte) []byte { return append(b, "FINISHED\n"...) }
 
+// appendHead appends the name of a line and the field with the instance.
 func appendHead(b []byte, name, instance string) []byte {
 	return append(appendKey(append(b, name...), "i"), instance...)
 }
 
+// appendKey appends a tab, the name of a field and an equals sign.
 func appendKey(b []byte, name string) []byte {
 	return append(append(append(b, '\t'), name...), '=')
 }
@@ -79,10 +83,12 @@
 	return strconv.AppendUint(appendKey(b, name), v, 10)
 }
 
+// appendMicros appends a field with a duration in whole microseconds.
 func appendMicros(b []byte, name string, d time.Duration) []byte {
 	return strconv.AppendInt(appendKey(b, name), int64(d/time.Microsecond), 10)
 }
 
+// appendNonzeroMicros is appendMicros for a field that is left out if it is 0.
 func appendNonzeroMicros(b []byte, name string, d time.Duration) []byte {
 	if d == 0 {
 		return b
--- a/internal/simulator/events.go
+++ b/internal/simulator/events.go
@@ -9,7 +9,8 @@
 	"hillknot/internal/config/settings"
 )
 
-// decoders turn the fields of a line into an event of the module, by the line's name.
+// decoders holds, by the name of a line, the function that decodes its fields into an event of package balancer. A decoder
+// that returns nil only validates the line. Errors are kept in the fields.
 var decoders = map[string]func(*Reader, *fields) balancer.Event{
 	"REGISTRY":       (*Reader).endpointUpdate,
 	"NEW_REQUEST":    func(_ *Reader, f *fields) balancer.Event { return f.request() },
@@ -24,8 +25,8 @@
 	"NOTE_FROM": func(_ *Reader, f *fields) balancer.Event { return f.peerNote() },
 }
 
-// event decodes a line.
-func (r *Reader) event(name string, f *fields) (Event, error) {
+// decodeEvent decodes a line of a batch that is neither part of an endpoint list nor the end of the batch.
+func (r *Reader) decodeEvent(name string, f *fields) (Event, error) {
 	ev := Event{Instance: f.text("i", required), Line: r.line}
 	switch name {
 	case "CREATE":
@@ -43,8 +44,9 @@
 	return ev, f.err
 }
 
+// settings decodes the settings with which an instance is created.
 func (f *fields) settings() *balancer.Settings {
-	f.uint("nonce64", 64, required) // a seed; the module draws no random numbers
+	f.uint("nonce64", 64, required) // a seed, which is not needed: package balancer draws no random numbers
 	s, err := settings.Parse(f.text("conf", required))
 	if err != nil {
 		f.fail(fmt.Errorf("conf: %w", err))
@@ -52,7 +54,7 @@
 	return &s
 }
 
-// endpointUpdate refers to a numbered list.
+// endpointUpdate decodes an update that refers to a numbered endpoint list read before.
 func (r *Reader) endpointUpdate(f *fields) balancer.Event {
 	form := f.text("form", required)
 	switch form {
@@ -65,7 +67,7 @@
 	id := f.uint("rosterId", 63, required)
 	list, ok := r.lists[id]
 	if !ok {
-		f.fail(fmt.Errorf("list %d was never given", id))
+		f.fail(fmt.Errorf("list %d was not sent before", id))
 	}
 	return balancer.EndpointUpdate{Complete: form != "INCREMENTAL", Endpoints: list}
 }
@@ -79,7 +81,7 @@
 	}
 }
 
-// purge is of one object where the line names it, else of a group.
+// purge decodes the purge of one object if the line names an object, and otherwise of a group, which it must name.
 func (f *fields) purge() balancer.Purge {
 	byObject := f.has("file")
 	group := optional
@@ -104,14 +106,14 @@
 	return balancer.ResponseStarted{ID: f.requestID(), Attempt: f.attempt(), Endpoint: f.endpointID()}
 }
 
-// healthCheck validates the result of a health check and drops it: the module asks for none.
+// healthCheck validates the result of a health check and drops it: package balancer requests no health checks.
 func (f *fields) healthCheck() balancer.Event {
 	f.endpointID()
 	f.status()
 	return nil
 }
 
-// peerNote validates a message between routers and drops it: those in the simulator share no state.
+// peerNote validates a message from another router and drops it: the routers in the simulator share no state.
 func (f *fields) peerNote() balancer.Event {
 	f.uint("originPeer", 31, required)
 	if content := f.text("content", optional); content != "" && content != "-" {
@@ -159,7 +161,7 @@
 	}
 }
 
-// statuses are the wire's numbers of how an attempt ended.
+// statuses maps the numbers of the field "how" of a line, which says how an attempt ended, to statuses.
 var statuses = map[uint64]balancer.Status{
 	200: balancer.OK,
 	404: balancer.Miss,
--- a/internal/simulator/fields.go
+++ b/internal/simulator/fields.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// presence says whether a field must be there.
+// presence is whether a field must be given.
 type presence bool
 
 const (
@@ -17,18 +17,19 @@
 	optional presence = false
 )
 
-// fields are the name=value pairs of one line. The first error met is kept in err, so that a line is decoded
-// without a check after each field.
+// fields holds the name=value pairs of one line. Its methods decode the fields and keep the first error in err, so that a
+// line can be decoded without a check after each field. A missing field reads as the zero value; a value read is valid only
+// if err is nil.
 type fields struct {
 	values map[string]string
 	err    error
 }
 
-// split parts a line into its name and fields.
-func split(line string) (string, *fields, error) {
+// splitLine splits a line into its name and its fields.
+func splitLine(line string) (string, *fields, error) {
 	name, rest, more := strings.Cut(line, "\t")
 	if name == "" {
-		return "", nil, errors.New("empty message name")
+		return "", nil, errors.New("line has no name")
 	}
 	f := &fields{values: make(map[string]string, 12)}
 	for more {
@@ -37,23 +38,24 @@
 		pair, rest, more = strings.Cut(rest, "\t")
 		key, value, ok := strings.Cut(pair, "=")
 		if !ok || key == "" {
-			return "", nil, fmt.Errorf("%s: %q is no name=value pair", name, pair)
+			return "", nil, fmt.Errorf("%s: %q is not a name=value pair", name, pair)
 		}
-		if endsLine(key) {
+		if extendsToLineEnd(key) {
 			f.values[key] = remainder[len(key)+1:]
 			break
 		}
 		if f.has(key) {
-			return "", nil, fmt.Errorf("%s: field %s given twice", name, key)
+			return "", nil, fmt.Errorf("%s: field %s is given twice", name, key)
 		}
 		f.values[key] = value
 	}
 	return name, f, nil
 }
 
-// endsLine tells whether a field runs to the end of its line, tabs included.
-func endsLine(key string) bool { return key == "conf" || key == "noteText" }
+// extendsToLineEnd reports whether the value of a field extends to the end of its line, including any tabs.
+func extendsToLineEnd(key string) bool { return key == "conf" || key == "noteText" }
 
+// fail keeps an error unless there is one already.
 func (f *fields) fail(err error) {
 	if f.err == nil {
 		f.err = err
@@ -73,6 +75,7 @@
 	return v
 }
 
+// uint decodes an unsigned integer of at most bits bits.
 func (f *fields) uint(name string, bits int, must presence) uint64 {
 	if must == optional && !f.has(name) {
 		return 0
@@ -83,11 +86,12 @@
 	}
 	v, err := strconv.ParseUint(s, 10, bits)
 	if err != nil {
-		f.fail(fmt.Errorf("field %s: %q is no whole number of %d bits", name, s, bits))
+		f.fail(fmt.Errorf("field %s: %q is not an unsigned integer of at most %d bits", name, s, bits))
 	}
 	return v
 }
 
+// hex decodes the hexadecimal id of an object.
 func (f *fields) hex(name string, must presence) uint64 {
 	s := f.text(name, must)
 	if s == "" && must == optional {
@@ -95,11 +99,12 @@
 	}
 	v, err := strconv.ParseUint(s, 16, 64)
 	if err != nil {
-		f.fail(fmt.Errorf("field %s: %q is no object", name, s))
+		f.fail(fmt.Errorf("field %s: %q is not a hexadecimal object id", name, s))
 	}
 	return v
 }
 
+// number decodes an optional finite number.
 func (f *fields) number(name string) float64 {
 	s, ok := f.values[name]
 	if !ok {
@@ -107,14 +112,15 @@
 	}
 	v, err := strconv.ParseFloat(s, 64)
 	if err != nil || math.IsNaN(v) || math.IsInf(v, 0) {
-		f.fail(fmt.Errorf("field %s: %q is no number", name, s))
+		f.fail(fmt.Errorf("field %s: %q is not a number", name, s))
 	}
 	return v
 }
 
-// maxMicros keeps a time in microseconds within a time.Duration.
+// maxMicros is the maximum number of microseconds that a field may hold; a larger one could overflow a time.Duration.
 const maxMicros = math.MaxInt64/1000 - 1
 
+// micros decodes a time in microseconds, which may be negative.
 func (f *fields) micros(name string, must presence) time.Duration {
 	s := f.text(name, must)
 	if s == "" && must == optional {
@@ -125,12 +131,13 @@
 	}
 	v, err := strconv.ParseInt(s, 10, 64)
 	if err != nil || v > maxMicros || v < -maxMicros {
-		f.fail(fmt.Errorf("field %s: %q is no time", name, s))
+		f.fail(fmt.Errorf("field %s: %q is not a number of microseconds in range", name, s))
 		return 0
 	}
 	return time.Duration(v) * time.Microsecond
 }
 
+// flag decodes an optional 0 or 1.
 func (f *fields) flag(name string) bool {
 	switch s := f.values[name]; s {
 	case "1":
@@ -138,7 +145,7 @@
 	case "", "0":
 		return false
 	default:
-		f.fail(fmt.Errorf("field %s: %q is no bool", name, s))
+		f.fail(fmt.Errorf("field %s: %q is not 0 or 1", name, s))
 		return false
 	}
 }
--- a/internal/simulator/golden_test.go
+++ b/internal/simulator/golden_test.go
@@ -10,12 +10,12 @@
 	"hillknot/internal/testutil/golden"
 )
 
-// The operators' drill writes these lines, and their form does not change with this code. testdata/golden/batch.txt
-// is as commit 86ccf0f reads it, with every field that the code reads; whole inputs and the replies to them are in
-// cmd/hillknot-simulator/testdata/golden.
+// The operators' simulator writes these lines, and their form does not change with this code. testdata/golden/batch.txt
+// has the form that commit 86ccf0f reads, with every field that the code reads. Whole inputs and the replies to them are
+// in cmd/hillknot-simulator/testdata/golden.
 //
-// What has to stay in the code: no name of a type or field, but the names of lines and of their fields, and the
-// words and numbers of states, forms and statuses.
+// Names of types and fields may change. What must stay are the names of lines and of their fields, and the words and
+// numbers of states, forms and statuses.
 func TestGoldenBatch(t *testing.T) {
 	b, err := NewReader(bytes.NewReader(golden.Read(t, "batch.txt"))).ReadBatch()
 	if err != nil {
--- a/internal/simulator/reader.go
+++ b/internal/simulator/reader.go
@@ -11,41 +11,41 @@
 	"hillknot/balancer"
 )
 
-// Batch is what one reply answers.
+// Batch is a group of events that is answered with one reply.
 type Batch struct {
 	Now    time.Duration // simulated time
 	Events []Event
 }
 
-// Event is one event of a batch, for one instance of the decision module. At most one of Create, Halt and Event is
-// set; none is for a line that carries nothing for the module.
+// Event is one event of a batch, for one instance of balancer.Balancer. At most one of Create, Halt and Event is set; none is
+// set for a line that was only validated.
 type Event struct {
 	Instance string
-	Line     int                // of the input, for error messages
-	Create   *balancer.Settings // the instance starts, or starts anew
+	Line     int                // line number in the input, from 1, for error messages
+	Create   *balancer.Settings // the instance is created, or created anew, with these settings
 	Halt     bool               // the instance was killed
 	Event    balancer.Event
 }
 
-// Reader reads batches. It keeps the numbered endpoint lists, which later batches may refer to.
+// Reader reads batches. It keeps the numbered endpoint lists, because later batches may refer to them.
 type Reader struct {
 	input *bufio.Reader
-	line  int
-	lists map[uint64][]balancer.Endpoint
+	line  int                            // number of the line read last; 0: none
+	lists map[uint64][]balancer.Endpoint // by number; a later list replaces one with the same number
 }
 
-// NewReader returns a Reader on r.
+// NewReader returns a Reader that reads from r.
 func NewReader(r io.Reader) *Reader {
 	return &Reader{input: bufio.NewReaderSize(r, 1<<16), lists: map[uint64][]balancer.Endpoint{}}
 }
 
-// Line is the number of the line read last.
+// Line returns the number of the line read last, from 1; 0: none was read.
 func (r *Reader) Line() int { return r.line }
 
-// ReadBatch reads the next batch, with its END line. It returns io.EOF when the input ends before a batch begins,
-// and an error that wraps io.ErrUnexpectedEOF when it ends within one.
+// ReadBatch reads the next batch up to its END line. It returns io.EOF if the input ends before a batch begins, and an
+// error that wraps io.ErrUnexpectedEOF if the input ends within a batch. All errors but io.EOF name the line.
 func (r *Reader) ReadBatch() (*Batch, error) {
-	first, err := r.nextNonEmpty()
+	first, err := r.readNonEmptyLine()
 	if errors.Is(err, io.EOF) {
 		return nil, io.EOF
 	}
@@ -62,8 +62,9 @@
 	return b, nil
 }
 
-// next returns the next line without its end; io.EOF only where no byte follows.
-func (r *Reader) next() (string, error) {
+// readLine returns the next line without its line end. It returns io.EOF only if no byte follows; a last line without a
+// line end is returned like any other.
+func (r *Reader) readLine() (string, error) {
 	s, err := r.input.ReadString('\n')
 	if err != nil && (err != io.EOF || s == "") {
 		return "", err
@@ -72,36 +73,38 @@
 	return strings.TrimSuffix(strings.TrimSuffix(s, "\n"), "\r"), nil
 }
 
-func (r *Reader) nextNonEmpty() (string, error) {
-	text, err := r.next()
+// readNonEmptyLine returns the next line that is not empty.
+func (r *Reader) readNonEmptyLine() (string, error) {
+	text, err := r.readLine()
 	for err == nil && text == "" {
-		text, err = r.next()
+		text, err = r.readLine()
 	}
 	return text, err
 }
 
-// nextMessage reads and splits the next line.
-func (r *Reader) nextMessage() (string, *fields, error) {
-	text, err := r.next()
+// readMessage reads the next line and splits it into its name and fields.
+func (r *Reader) readMessage() (string, *fields, error) {
+	text, err := r.readLine()
 	if err != nil {
 		return "", nil, err
 	}
-	return split(text)
+	return splitLine(text)
 }
 
+// readBatch reads a batch into b. first is the CLOCK line, which has been read already.
 func (r *Reader) readBatch(first string, b *Batch) error {
-	name, f, err := split(first)
+	name, f, err := splitLine(first)
 	if err != nil {
 		return err
 	}
 	if name != "CLOCK" {
-		return fmt.Errorf("expected CLOCK, got %q", name)
+		return fmt.Errorf("expected line CLOCK, got %q", name)
 	}
 	if b.Now = f.micros("simTimeUs", required); f.err != nil {
 		return f.err
 	}
 	for {
-		name, f, err := r.nextMessage()
+		name, f, err := r.readMessage()
 		if err != nil {
 			return err
 		}
@@ -113,7 +116,7 @@
 				return err
 			}
 		default:
-			ev, err := r.event(name, f)
+			ev, err := r.decodeEvent(name, f)
 			if err != nil {
 				return fmt.Errorf("%s: %w", name, err)
 			}
@@ -122,7 +125,7 @@
 	}
 }
 
-// readList reads a numbered endpoint list, one ITEM line for each endpoint.
+// readList reads the ITEM lines of a numbered endpoint list, one for each endpoint. f holds the fields of the SHEET line.
 func (r *Reader) readList(f *fields) error {
 	id, count := f.uint("rosterId", 63, required), f.uint("lines", 31, required)
 	if f.err != nil {
@@ -130,12 +133,12 @@
 	}
 	var list []balancer.Endpoint
 	for range count {
-		name, f, err := r.nextMessage()
+		name, f, err := r.readMessage()
 		if err != nil {
 			return err
 		}
 		if name != "ITEM" {
-			return fmt.Errorf("expected ITEM, got %q", name)
+			return fmt.Errorf("expected line ITEM, got %q", name)
 		}
 		e := f.endpoint()
 		if f.err != nil {
--- a/internal/simulator/simulator_test.go
+++ b/internal/simulator/simulator_test.go
@@ -10,21 +10,21 @@
 	"hillknot/balancer"
 )
 
-const sample = `{"allowed":{"maxAttempts":8,"probes":true,"cancel":true},"dcs":["hub","edge"],"discovery":"push",` +
+const sampleSettings = `{"allowed":{"maxAttempts":8,"probes":true,"cancel":true},"dcs":["hub","edge"],"discovery":"push",` +
 	`"hostTypes":["box","mid","store"],"invariants":{"answerSlackUs":8000,"drainGraceUs":500000,"coldFrom":0.2,` +
 	`"coldUs":17000000,"fallUs":1000000,"overloadFactor":4},"locality":"edge","profiles":[{"name":"a",` +
 	`"repeat":"keyed","group":"all","windowUs":6000000,"promiseUs":300000,"deadlineUs":3000000,"worth":3}],` +
 	`"rank":1,"replicasOfMe":3,"specifics":{"midKind":1,"storeKind":2,"classWrite":[true],"classFreshUs":[20000000],` +
 	`"peersFill":"location","noticeTimeUs":300000,"purgeTakesUs":6000000,"someNewKey":[1,2]},"weights":"rough"}`
 
-func read(t *testing.T, text string) (*Batch, error) {
+func readBatch(t *testing.T, text string) (*Batch, error) {
 	t.Helper()
 	return NewReader(strings.NewReader(text)).ReadBatch()
 }
 
-func TestReadBatch(t *testing.T) {
-	b, err := read(t, "CLOCK\tsimTimeUs=8412250\n"+
-		"CREATE\ti=director-3\tnonce64=18446744073709551615\tconf="+sample+"\n"+
+func TestReadBatchDecodesEveryLine(t *testing.T) {
+	b, err := readBatch(t, "CLOCK\tsimTimeUs=8412250\n"+
+		"CREATE\ti=director-3\tnonce64=18446744073709551615\tconf="+sampleSettings+"\n"+
 		"SHEET\trosterId=0\tlines=1\n"+
 		"ITEM\tnode=51530247\tflavor=box\tcapacityHint=1.5\tstripe=2\thall=edge\tstate=in_service\tstartTimeUs=61\n"+
 		"REGISTRY\ti=director-3\tform=SAVED\tindex=41\trosterId=0\n"+
@@ -44,7 +44,7 @@
 		t.Fatal(err)
 	}
 	if b.Now != 8412250*time.Microsecond {
-		t.Errorf("clock %v", b.Now)
+		t.Errorf("time %v", b.Now)
 	}
 	s := b.Events[0].Create
 	if s == nil || s.Topology.ParentKind != 1 || !s.StaticWeights ||
@@ -80,37 +80,37 @@
 	}
 }
 
-func TestMalformed(t *testing.T) {
+func TestReadBatchRejectsMalformedInput(t *testing.T) {
 	for name, c := range map[string]struct{ text, want string }{
-		"no clock":      {"END\n", "line 1"},
-		"bad clock":     {"CLOCK\tsimTimeUs=x\nEND\n", "line 1"},
-		"cut off":       {"CLOCK\tsimTimeUs=1\n", "unexpected EOF"},
-		"unknown event": {"CLOCK\tsimTimeUs=1\nWHAT\ti=director-1\nEND\n", "line 2: WHAT: unknown event"},
-		"missing field": {"CLOCK\tsimTimeUs=1\nGONE\ti=director-1\nEND\n", "line 2: GONE: field id is missing"},
-		"no instance":   {"CLOCK\tsimTimeUs=1\nHALT\nEND\n", "field i is missing"},
-		"big id":        {"CLOCK\tsimTimeUs=1\nGONE\ti=d\tid=4503599627370496\nEND\n", "field id"},
-		"no pair":       {"CLOCK\tsimTimeUs=1\nGONE\ti=d\tid\nEND\n", "no name=value pair"},
-		"twice":         {"CLOCK\tsimTimeUs=1\nGONE\ti=d\tid=1\tid=2\nEND\n", "given twice"},
-		"bad outcome":   {"CLOCK\tsimTimeUs=1\nRESOLVED\ti=d\tid=1\tnode=1\thow=999\nEND\n", "unknown outcome"},
-		"no list":       {"CLOCK\tsimTimeUs=1\nREGISTRY\ti=d\tform=FULL\trosterId=4\nEND\n", "never given"},
-		"short list":    {"CLOCK\tsimTimeUs=1\nSHEET\trosterId=0\tlines=1\nEND\n", "line 3: expected ITEM"},
-		"bad state":     {"CLOCK\tsimTimeUs=1\nSHEET\trosterId=0\tlines=1\nITEM\tnode=1\tstate=odd\nEND\n", "unknown state"},
-		"bad conf":      {"CLOCK\tsimTimeUs=1\nCREATE\ti=d\tnonce64=1\tconf={\nEND\n", "conf"},
-		"bad bytes":     {"CLOCK\tsimTimeUs=1\nNOTE_FROM\ti=d\toriginPeer=1\tcontent=*\nEND\n", "content"},
-		"not a number":  {"CLOCK\tsimTimeUs=1\nNEW_REQUEST\ti=d\tid=1\tgrade=a\tremainingUs=1\tkbytes=NaN\nEND\n", "no number"},
+		"missing CLOCK line":      {"END\n", "line 1"},
+		"malformed time":          {"CLOCK\tsimTimeUs=x\nEND\n", "line 1"},
+		"truncated input":         {"CLOCK\tsimTimeUs=1\n", "unexpected EOF"},
+		"unknown event":           {"CLOCK\tsimTimeUs=1\nWHAT\ti=director-1\nEND\n", "line 2: WHAT: unknown event"},
+		"missing field":           {"CLOCK\tsimTimeUs=1\nGONE\ti=director-1\nEND\n", "line 2: GONE: field id is missing"},
+		"missing instance":        {"CLOCK\tsimTimeUs=1\nHALT\nEND\n", "field i is missing"},
+		"request id over 52 bits": {"CLOCK\tsimTimeUs=1\nGONE\ti=d\tid=4503599627370496\nEND\n", "field id"},
+		"field without a value":   {"CLOCK\tsimTimeUs=1\nGONE\ti=d\tid\nEND\n", "not a name=value pair"},
+		"repeated field":          {"CLOCK\tsimTimeUs=1\nGONE\ti=d\tid=1\tid=2\nEND\n", "is given twice"},
+		"unknown outcome":         {"CLOCK\tsimTimeUs=1\nRESOLVED\ti=d\tid=1\tnode=1\thow=999\nEND\n", "unknown outcome"},
+		"unknown endpoint list":   {"CLOCK\tsimTimeUs=1\nREGISTRY\ti=d\tform=FULL\trosterId=4\nEND\n", "was not sent before"},
+		"truncated endpoint list": {"CLOCK\tsimTimeUs=1\nSHEET\trosterId=0\tlines=1\nEND\n", "line 3: expected line ITEM"},
+		"unknown state":           {"CLOCK\tsimTimeUs=1\nSHEET\trosterId=0\tlines=1\nITEM\tnode=1\tstate=odd\nEND\n", "unknown state"},
+		"malformed settings":      {"CLOCK\tsimTimeUs=1\nCREATE\ti=d\tnonce64=1\tconf={\nEND\n", "conf"},
+		"malformed base64":        {"CLOCK\tsimTimeUs=1\nNOTE_FROM\ti=d\toriginPeer=1\tcontent=*\nEND\n", "content"},
+		"not a number":            {"CLOCK\tsimTimeUs=1\nNEW_REQUEST\ti=d\tid=1\tgrade=a\tremainingUs=1\tkbytes=NaN\nEND\n", "not a number"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			if _, err := read(t, c.text); err == nil || !strings.Contains(err.Error(), c.want) {
-				t.Errorf("error %v, want %q in it", err, c.want)
+			if _, err := readBatch(t, c.text); err == nil || !strings.Contains(err.Error(), c.want) {
+				t.Errorf("error %v, want one that contains %q", err, c.want)
 			}
 		})
 	}
-	if _, err := read(t, ""); err != io.EOF {
-		t.Errorf("empty input: %v, want EOF", err)
+	if _, err := readBatch(t, ""); err != io.EOF {
+		t.Errorf("empty input: error %v, want EOF", err)
 	}
 }
 
-func TestAppendAction(t *testing.T) {
+func TestAppendActionWritesLine(t *testing.T) {
 	for want, a := range map[string]balancer.Action{
 		"LOOK_AND_FILL\ti=d\tid=36\tnode=5\tallowForUs=900000\tfromWhere=7\tadmit=2\tageSpanUs=1500000\tmanner=9\n": balancer.SendAttempt{
 			ID: 36, Endpoint: 5, Timeout: 900 * time.Millisecond, Source: 7, CachePriority: 2, MaxAge: 1500 * time.Millisecond,
@@ -129,7 +129,7 @@
 
 func FuzzReadBatch(f *testing.F) {
 	f.Add("CLOCK\tsimTimeUs=1\nGONE\ti=d\tid=1\nEND\n")
-	f.Add("CLOCK\tsimTimeUs=1\nCREATE\ti=d\tnonce64=1\tconf=" + sample + "\nEND\n")
+	f.Add("CLOCK\tsimTimeUs=1\nCREATE\ti=d\tnonce64=1\tconf=" + sampleSettings + "\nEND\n")
 	f.Add("CLOCK\tsimTimeUs=1\nSHEET\trosterId=0\tlines=4294967295\nEND\n")
 	f.Add("CLOCK\tsimTimeUs=-9223372036854775808\nEND\n")
 	f.Fuzz(func(t *testing.T, text string) {
