--- a/internal/cluster/state/golden_test.go
+++ b/internal/cluster/state/golden_test.go
@@ -9,10 +9,10 @@
 
 // Routers of different releases exchange these messages. The files of testdata/golden were written at commit 86ccf0f.
 //
-// What reaches the bytes: no name of Go. The form is written out by hand in Message.Append; the constants of Kind are
-// sent as numbers, so their order counts. Keys of messages are texts that the callers choose: core has "retries",
-// "cold NODE" for budgets and "hits NODE", "misses NODE", "errors NODE" for counts (tested there), and evidence has
-// the name of the page cache.
+// The bytes depend on no Go names: Message.Append writes the encoded form field by field. The constants of Kind are sent
+// as numbers, so their order must not change. Callers choose the keys of messages: core uses "retries" and "cold NODE" for
+// budgets, and "hits NODE", "misses NODE" and "errors NODE" for counters (tested there); the key of evidence is the name
+// of the page cache.
 
 var goldenMessages = map[string]Message{
 	"message.hex": {Kind: KindHealthEvidence, From: "r1", Process: 1 << 60, Key: "edge-7", Sequence: 300, Shares: 64,
@@ -34,15 +34,15 @@
 			golden.Same(t, name, want.Append(nil))
 			got, rest, err := ParseMessage(append(golden.Read(t, name), "rest"...))
 			if err != nil || got != want || string(rest) != "rest" {
-				t.Errorf("read as %+v, %q, %v; want %+v", got, rest, err, want)
+				t.Errorf("parsed as %+v, %q, %v; want %+v", got, rest, err, want)
 			}
 		})
 	}
 }
 
-// What a router says by itself to all, a count and evidence, under the keys of its queue; and all that it tells one
-// who has heard nothing.
-func TestGoldenSaid(t *testing.T) {
+// The broadcasts of a router, a counter update and evidence, with their replace keys, and the full state that it sends to
+// a router without any shared state.
+func TestGoldenBroadcastsAndFullState(t *testing.T) {
 	s, err := New(Defaults("r1", 11, 2))
 	if err != nil {
 		t.Fatal(err)
@@ -51,15 +51,15 @@
 	s.IncrementCounter("hits edge-7", 129)
 	s.ObserveHealth(time.Second, "edge-7", 3, 0)
 	s.Tick(time.Second)
-	var said []byte
+	var broadcasts []byte
 	for _, l := range s.OutgoingMessages() {
-		said = append(said, l.Recipient+"\n"+l.ReplaceKey+"\n"...)
-		said = append(l.Message.Append(said), '\n')
+		broadcasts = append(broadcasts, l.Recipient+"\n"+l.ReplaceKey+"\n"...)
+		broadcasts = append(l.Message.Append(broadcasts), '\n')
 	}
-	golden.Same(t, "said.hex", said)
-	var whole []byte
+	golden.Same(t, "said.hex", broadcasts)
+	var fullState []byte
 	for _, m := range s.FullState(time.Second) {
-		whole = m.Append(whole)
+		fullState = m.Append(fullState)
 	}
-	golden.Same(t, "whole.hex", whole)
+	golden.Same(t, "whole.hex", fullState)
 }
--- a/internal/core/attempts_test.go
+++ b/internal/core/attempts_test.go
@@ -8,7 +8,7 @@
 	"hillknot/balancer"
 )
 
-// Where an endpoint is silent, the attempt times out and the client is answered before its time is over.
+// If an endpoint does not respond, the attempt times out and the client is answered before its deadline.
 func TestSilentEndpointTimesOut(t *testing.T) {
 	h := newHarness(t)
 	h.submit("order", second)
@@ -19,30 +19,30 @@
 	}
 }
 
-// An endpoint is told the time that the client has left, to the millisecond, and no more. The router still ends the
-// attempt first: its own deadline is a margin earlier.
-func TestAttemptTimeoutIsWhatTheClientHasLeft(t *testing.T) {
+// The timeout that an endpoint is sent is the time that the client has left, to the millisecond, and no more. The router
+// still ends the attempt first, as its own deadline is a margin earlier.
+func TestAttemptTimeoutIsClientTimeLeft(t *testing.T) {
 	const ms = time.Millisecond
 	for _, waited := range []time.Duration{0, 200 * ms, 700 * ms} {
 		h := newHarness(t)
 		h.submitLate("page", second, waited)
 		if a := h.outstanding[0]; a.Timeout != second-waited {
-			t.Errorf("%v after it came in: timeout %v", waited, a.Timeout)
+			t.Errorf("%v after the arrival: timeout %v, want what the client has left", waited, a.Timeout)
 		}
 		h.wait(second - waited - 15*ms - ms)
 		if len(h.outstanding) != 1 {
-			t.Errorf("%v after it came in: timed out too early", waited)
+			t.Errorf("%v after the arrival: the attempt timed out too early", waited)
 		}
 		h.wait(ms)
 		if len(h.outstanding) != 0 {
-			t.Errorf("%v after it came in: still open at the endpoint's deadline", waited)
+			t.Errorf("%v after the arrival: the attempt is open at its deadline", waited)
 		}
 		h.wantOneAnswer("silent", Rejected)
 	}
 }
 
-// What was decided before an endpoint began to drain must not be written after it: neither to it, nor with it as
-// source.
+// An attempt that was decided before an endpoint began to drain must not be written afterwards, neither to that endpoint
+// nor with it as source.
 func TestNoPermitForDrainingEndpoint(t *testing.T) {
 	for _, drained := range []string{"target", "source"} {
 		h := newHarness(t)
@@ -53,11 +53,11 @@
 			e = a.Source
 		}
 		if s, _ := h.core.Permit(a); s != balancer.OK {
-			t.Fatalf("before: %d", s)
+			t.Fatalf("before the drain: status %d", s)
 		}
 		h.core.UpdateEndpoints(draining(e.ID, e.Addr))
 		if s, _ := h.core.Permit(a); !s.NeverRan() {
-			t.Errorf("%s draining: status %d, want one that proves that it never ran", drained, s)
+			t.Errorf("%s draining: status %d, want one that proves that the attempt never ran", drained, s)
 		}
 	}
 }
@@ -71,13 +71,13 @@
 	h.core.CompleteAttempt(a, AttemptResult{Status: balancer.OK})
 	h.core.RunOnce()
 	if len(h.answers) != 0 {
-		t.Errorf("answers %+v", h.answers)
+		t.Errorf("answers %+v after the cancellation, want none", h.answers)
 	}
 }
 
-// Where a client cancels its request as the module decides on it, the module must learn that the attempt was not
-// sent. It once counted such attempts for good, and after some hundreds rejected all other requests.
-func TestCancelAsItIsDecidedReportsNotSent(t *testing.T) {
+// If a client cancels its request while the module decides on it, the module must be told that the attempt was not
+// sent. The module once counted such attempts forever, and after some hundreds of them rejected all other requests.
+func TestCancelDuringDecisionReportsNotSent(t *testing.T) {
 	h := newHarness(t)
 	for range 500 {
 		id := h.core.NewID()
--- a/internal/core/cluster.go
+++ b/internal/core/cluster.go
@@ -7,28 +7,28 @@
 	"hillknot/internal/cluster/state"
 )
 
-// ClusterSettings sets up the state that the routers of a cluster share.
+// ClusterSettings are the settings of the state that the routers of a cluster share.
 type ClusterSettings struct {
 	State   state.Settings
 	WarmUp  state.BudgetLimits // the budget of each endpoint that is warming up; a rate of 0: not shared
 	Retries state.BudgetLimits // the budget of attempts that follow one that may have run; a rate of 0: not shared
 }
 
-// Peers sends to the other routers of the cluster. No method may block.
+// Peers is the connection to the other routers of the cluster. No method may block.
 type Peers interface {
-	// Send sends messages, or drops them where too many wait.
-	Send(letters []state.OutgoingMessage)
-	// PublishFullState sets what a router is sent that knows nothing of this one yet.
-	PublishFullState(all []state.Message)
+	// Send sends messages, or drops them if too many are waiting.
+	Send(messages []state.OutgoingMessage)
+	// PublishFullState sets the messages that are sent to a router that knows nothing of this one yet.
+	PublishFullState(fullState []state.Message)
 	// DroppedMessages returns how many messages were dropped.
 	DroppedMessages() uint64
-	// Alive returns the names of the other routers that are alive, in order, and how many routers own a part of the
-	// budgets.
+	// Alive returns the sorted names of the other routers that are alive, and the number of routers that own a part of
+	// the budgets.
 	Alive() (others []string, owners int)
 }
 
-// ClusterState is the part of this router in the state that the routers of a cluster share. It implements
-// balancer.ClusterState. It belongs to the core's goroutine.
+// ClusterState is this router's part of the state that the routers of a cluster share. It implements
+// balancer.ClusterState, and belongs to the core's goroutine.
 type ClusterState struct {
 	settings ClusterSettings
 	state    *state.State
@@ -47,17 +47,17 @@
 )
 
 // NewClusterState returns the state of a router that has just started. It goes into the settings of the decision
-// module, as its Coordinator, before the core is made.
+// module, as their ClusterState, before the core is made.
 func NewClusterState(settings ClusterSettings) (*ClusterState, error) {
-	own, err := state.New(settings.State)
+	shared, err := state.New(settings.State)
 	if err != nil {
 		return nil, err
 	}
-	return &ClusterState{settings: settings, state: own}, nil
+	return &ClusterState{settings: settings, state: shared}, nil
 }
 
-// JoinCluster begins to share. It is called once, as soon as no predecessor of this process spends from the budgets
-// any more.
+// JoinCluster begins to share state with the peers. It is called once, as soon as no predecessor of this process spends
+// from the budgets any more.
 func (c *Core) JoinCluster(s *ClusterState, peers Peers) {
 	c.extensions.cluster, s.core, s.peers = s, c, peers
 	if s.settings.Retries.Rate > 0 {
@@ -69,7 +69,7 @@
 	s.heartbeat()
 }
 
-// ReceiveGossip takes messages of other routers.
+// ReceiveGossip takes messages from other routers. They are ignored before JoinCluster.
 func (c *Core) ReceiveGossip(msgs []state.Message) {
 	s := c.extensions.cluster
 	if s == nil {
@@ -81,14 +81,15 @@
 	s.flush()
 }
 
-// heartbeat tells the other routers what this one has seen. It calls itself at the interval of the settings.
+// heartbeat sends the other routers what this one has observed, and updates the metrics. It schedules itself at
+// State.TickInterval of the settings.
 func (s *ClusterState) heartbeat() {
 	now := s.core.iteration.now
 	s.core.Schedule(now+s.settings.State.TickInterval, s.heartbeat)
 	s.state.SetPeers(s.peers.Alive())
-	s.core.module.VisitHealth(func(id balancer.EndpointID, failures int, healthyFor time.Duration) {
+	s.core.module.VisitHealth(func(id balancer.EndpointID, consecutiveFailures int, lastResponse time.Duration) {
 		if e := s.endpoint(id); e != nil {
-			s.state.ObserveHealth(now, e.ID, failures, healthyFor)
+			s.state.ObserveHealth(now, e.ID, consecutiveFailures, lastResponse)
 		}
 	})
 	s.state.Tick(now)
@@ -98,25 +99,25 @@
 }
 
 func (s *ClusterState) flush() {
-	if out := s.state.OutgoingMessages(); len(out) > 0 {
-		s.peers.Send(out)
+	if messages := s.state.OutgoingMessages(); len(messages) > 0 {
+		s.peers.Send(messages)
 	}
 }
 
-// updateWarmUp opens the budget of an endpoint that is warming up, or closes that of one that is removed.
+// updateWarmUp opens the budget of an endpoint that is warming up, and closes the budget of an endpoint that is removed.
 func (s *ClusterState) updateWarmUp(e *Endpoint) {
 	now := s.core.iteration.now
-	warmAt := e.startedAt + s.core.policy.warmUp[e.kind]
+	warmUpEnd := e.startedAt + s.core.policy.warmUpTimes[e.kind]
 	switch {
 	case s.settings.WarmUp.Rate <= 0:
 	case e.State == balancer.Removed:
 		s.state.CloseBudget(warmUpBudgetPrefix + e.ID)
-	case e.startedAt > 0 && now < warmAt:
-		s.state.OpenBudget(now, warmUpBudgetPrefix+e.ID, s.settings.WarmUp, warmAt)
+	case e.startedAt > 0 && now < warmUpEnd:
+		s.state.OpenBudget(now, warmUpBudgetPrefix+e.ID, s.settings.WarmUp, warmUpEnd)
 	}
 }
 
-// countResult counts how an attempt ended, over all routers.
+// countResult counts the result of an attempt as a hit, miss or error of its endpoint, in the counters over all routers.
 func (s *ClusterState) countResult(a *Attempt, result AttemptResult) {
 	if a.Endpoint == nil {
 		return
@@ -159,8 +160,8 @@
 	}
 }
 
-// endpoint returns an endpoint, or nil where it is not listed or nothing is shared yet: then the module's own
-// bounds hold alone.
+// endpoint returns the endpoint with an id, or nil if it is not listed or nothing is shared yet. In that case only the
+// module's own bounds hold.
 func (s *ClusterState) endpoint(id balancer.EndpointID) *Endpoint {
 	if s.core == nil {
 		return nil
--- a/internal/core/rules_test.go
+++ b/internal/core/rules_test.go
@@ -7,7 +7,7 @@
 	"hillknot/balancer"
 )
 
-// A violation of each rule that is checked at run time is found and counted.
+// A violation of each rule that is checked at run time is detected and counted.
 func TestRuleViolationsAreCounted(t *testing.T) {
 	for name, breakRule := range map[string]func(h *harness, a *Attempt){
 		"nothing": func(h *harness, a *Attempt) { h.core.AttemptWritten(a) },
@@ -20,7 +20,7 @@
 			h.core.AttemptWritten(a)
 		},
 		"a retry": func(h *harness, a *Attempt) {
-			a.owner.mayHaveRun, a.owner.firstSentAt = true, a.sentAt
+			a.owner.mayHaveRun, a.owner.mayHaveRunSince = true, a.sentAt
 			h.core.AttemptWritten(a)
 		},
 		"a request that is over": func(h *harness, a *Attempt) {
@@ -41,12 +41,12 @@
 			want = 0
 		}
 		if got := h.core.Snapshot().RuleViolations; got != want {
-			t.Errorf("%s: %d violations, want %d", name, got, want)
+			t.Errorf("%s: %d rule violations, want %d", name, got, want)
 		}
 	}
 }
 
-// Attempts that end in all ways violate no rule.
+// Attempts violate no rule, however they end.
 func TestNormalUseBreaksNoRule(t *testing.T) {
 	h := newHarness(t)
 	statuses := []balancer.Status{balancer.OK, balancer.Rejected, balancer.Error, balancer.Reset, balancer.TimedOut}
@@ -62,6 +62,6 @@
 		}
 	}
 	if n := h.core.Snapshot().RuleViolations; n != 0 {
-		t.Errorf("%d violations", n)
+		t.Errorf("%d rule violations, want none", n)
 	}
 }
--- a/internal/extension/orderfailover/convert.go
+++ b/internal/extension/orderfailover/convert.go
@@ -9,8 +9,8 @@
 	"hillknot/internal/core"
 )
 
-// order returns a request as its replica knows it, under the given txn.
-func order(q *core.Request, txn string, timeLeft time.Duration) failover.Order {
+// failoverOrder converts a request to the order that its replica stores, under the given txn.
+func failoverOrder(q *core.Request, txn string, timeLeft time.Duration) failover.Order {
 	return failover.Order{
 		Txn:      txn,
 		Class:    q.Class,
@@ -24,8 +24,8 @@
 	}
 }
 
-// digest returns a hash of what the client asked for. Routers of different releases compare these, so its input never
-// changes.
+// digest returns a hash of everything that the client asked for. Routers of different releases compare these hashes, so the
+// input of the hash must never change.
 func digest(q *core.Request) (sum [sha256.Size]byte) {
 	hash := sha256.New()
 	for _, field := range [][]byte{[]byte(q.Class), []byte(q.ObjectText), []byte(q.Account), q.Body} {
@@ -37,8 +37,9 @@
 	return sum
 }
 
-// outcome returns what an answer tells of its order.
-func outcome(a core.Answer, mayHaveRun bool) failover.Outcome {
+// failoverOutcome converts the answer to an order to the order's outcome. mayHaveRun says whether the order may have
+// run.
+func failoverOutcome(a core.Answer, mayHaveRun bool) failover.Outcome {
 	switch {
 	case a.Verdict == core.Served:
 		return failover.Outcome{Kind: failover.Served, Body: a.Body}
@@ -50,8 +51,8 @@
 	return failover.Outcome{Kind: failover.MayHaveRun}
 }
 
-// answer returns what a client is told of an outcome.
-func answer(o failover.Outcome) core.Answer {
+// clientAnswer converts an order's outcome to the answer that its client gets.
+func clientAnswer(o failover.Outcome) core.Answer {
 	switch o.Kind {
 	case failover.Served:
 		return core.Answer{Verdict: core.Served, Body: o.Body}
