--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -21,6 +21,7 @@
 	AnswerMargin    time.Duration // the final answer is sent this long before the client gives up
 
 	// Attempts and connections to endpoints.
+
 	// AttemptGrace is added to the timeout that an endpoint is given, so that the router's cancellation ends the attempt
 	// first. The timeout never exceeds the time for which the client waits.
 	AttemptGrace        time.Duration
@@ -49,10 +50,10 @@
 
 	// The core's loop.
 	LoopInterval        time.Duration // maximum between the starts of two iterations
-	LoopSlack           time.Duration // an iteration that begins this much later than LoopInterval shows that the process was stopped
+	LoopSlack           time.Duration // an iteration that is late by more than this shows that the process was stopped
 	BacklogPollInterval time.Duration // after a stop, the loop checks at this interval whether all sockets are read
 	BacklogWait         time.Duration // after a stop, the loop waits no longer than this for all sockets to be read
-	OrderReleaseDelay   time.Duration // maximum wait, before an order is rejected, until no other router can run it
+	OrderReleaseDelay   time.Duration // a rejected order waits no longer than this until no other router can run it
 
 	// Shutdown. Times are measured from SIGTERM unless the comment says otherwise.
 	ShutdownGrace        time.Duration // new requests are accepted during this time
@@ -80,12 +81,12 @@
 // ConnLimits bounds the reads and writes of one connection.
 type ConnLimits struct {
 	MaxPendingBytes int           // bytes that may wait to be written
-	ReadTimeout     time.Duration // maximum until the next bytes of an incomplete message
+	ReadTimeout     time.Duration // maximum wait for the next bytes of an incomplete message
 	MessageTimeout  time.Duration // from the first byte of a message to its last; 0: unbounded while bytes arrive
 	WriteTimeout    time.Duration // maximum for which a write may block
 	IdleTimeout     time.Duration // an accepted connection is closed if nothing was read or written for this long
 	SilentTimeout   time.Duration // the same for an accepted connection on which no complete message has arrived yet
-	LingerTimeout   time.Duration // how long input is still read and discarded after the router has shut its side; 0: not at all
+	LingerTimeout   time.Duration // input is read and discarded for this long after the router has shut its side; 0: not at all
 }
 
 // Shared returns the limits of one of two processes of a router, which together may hold as much as a single process. The
--- a/internal/discovery/deliverystate.go
+++ b/internal/discovery/deliverystate.go
@@ -26,7 +26,7 @@
 // decide returns what to do with the event at a position; readable reports whether it could be read. An unreadable event,
 // or one that follows a gap, is requested once more: it may have been damaged in transit, and a draining endpoint or a
 // purge must not be missed. If the second response is the same, the service itself holds the gap or the unreadable event,
-// and delivery continues behind it.
+// and delivery continues after it.
 func (d *deliveryState) decide(position int64, readable bool) decision {
 	inOrder := position == d.last+1 || d.last == 0
 	switch {
--- a/internal/discovery/eventstream.go
+++ b/internal/discovery/eventstream.go
@@ -7,7 +7,7 @@
 	maxLine int                         // bytes; the maximum of a line, and of an event's data
 	receive func(id, data []byte) error // is called with each event that has data
 	partial []byte                      // start of a line whose end was not fed yet
-	eventID []byte                      // the latest id; an event without one keeps that of the event before
+	eventID []byte                      // the latest id; an event without an id has that of the previous event
 	data    []byte                      // of the current event
 	hasData bool                        // the current event has a data line, which may be empty
 	started bool                        // the current event has begun, and is not complete yet
--- a/internal/discovery/eventstream_test.go
+++ b/internal/discovery/eventstream_test.go
@@ -11,7 +11,7 @@
 )
 
 // collectEvents feeds the chunks to a response as a connection does: bytes that were not used are fed again, together with
-// the next chunk. It returns the events as text, with " failed" behind them if the response ended with an error.
+// the next chunk. It returns the events as text, followed by " failed" if the response ended with an error.
 func collectEvents(chunks [][]byte) string {
 	var found strings.Builder
 	r := newResponse(200, func(id, data []byte) error {
--- a/internal/simulator/reader.go
+++ b/internal/simulator/reader.go
@@ -22,7 +22,7 @@
 type Event struct {
 	Instance string
 	Line     int                // line number in the input, from 1, for error messages
-	Create   *balancer.Settings // the instance is created, or created anew, with these settings
+	Create   *balancer.Settings // the instance is created with these settings, or replaced by a new one
 	Halt     bool               // the instance was killed
 	Event    balancer.Event
 }
