--- a/internal/discovery/golden_test.go
+++ b/internal/discovery/golden_test.go
@@ -21,7 +21,7 @@
 // The operators define the journal, and its form does not change with this code. The files in testdata/golden have this
 // form, as commit 86ccf0f reads it.
 //
-// Names of types and fields may change. What must stay are the keys of parseStart, readEvent, readEndpointList,
+// Names of types and fields may change. What must stay are the keys of parseKnownEvents, readEvent, readEndpointList,
 // readPurge and readEndpoint ("entries", "pos", "hosts", "reset", "instances", "instanceId", "hostPort", "machineType",
 // "zone", "cell", "weight", "lifecycle", "startedAtMs", "expire", "stamp", "name", "set"), the words of endpointStates
 // ("ready", "draining", "gone"), the text instancesKey, and the request of appendWatchRequest.
