--- a/loadtest/budget.go
+++ b/loadtest/budget.go
@@ -36,7 +36,7 @@
 
 const (
 	budgetLoadRate    = 25.0 // requests a second on each router
-	brokenFraction    = 0.2  // of the requests fail at the page caches, and may have run
+	failedFraction    = 0.2  // of the requests fail at the page caches, and may have run
 	budgetRequestTime = 10 * time.Millisecond
 	budgetBodySize    = 1 << 10         // bytes
 	leaseExpiryWait   = 3 * time.Second // after it, no share that was lent before the start is valid
@@ -84,24 +84,24 @@
 
 // attemptRecorder records the attempts that page caches are sent, and fails some of them.
 type attemptRecorder struct {
-	mu           sync.Mutex
-	slowStarts   []time.Time     // attempts at the page cache that warms up
-	retries      []time.Time     // attempts that follow one that may have run
-	mayHaveRun   map[string]bool // by request id
-	orderRuns    map[string]int  // by object
-	warming      int             // number of the page cache that warms up; negative: none
-	warmingSince time.Time
-	outlier      int     // number of the page cache that fails all requests, or noOutlier
-	failFraction float64 // of the requests that the others fail
-	outlierCount int     // attempts at the outlier
-	randomState  uint64
+	mu                sync.Mutex
+	slowStartAttempts []time.Time     // attempts at the page cache that warms up
+	retryAttempts     []time.Time     // attempts that follow one that may have run
+	mayHaveRun        map[string]bool // by request id
+	orderRuns         map[string]int  // by object
+	warmingCache      int             // number of the page cache that warms up; negative: none
+	warmingSince      time.Time
+	outlier           int     // number of the page cache that fails all requests, or noOutlier
+	failFraction      float64 // of the requests that the others fail
+	outlierCount      int     // attempts at the outlier
+	randomState       uint64
 }
 
 const noOutlier = -1
 
 func newAttemptRecorder(seed uint64) *attemptRecorder {
-	return &attemptRecorder{mayHaveRun: map[string]bool{}, orderRuns: map[string]int{}, warming: math.MinInt, outlier: noOutlier,
-		failFraction: brokenFraction, randomState: seed}
+	return &attemptRecorder{mayHaveRun: map[string]bool{}, orderRuns: map[string]int{}, warmingCache: math.MinInt, outlier: noOutlier,
+		failFraction: failedFraction, randomState: seed}
 }
 
 // answer records an attempt, and fails it or serves it.
@@ -109,14 +109,14 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := time.Now()
-	if cache == r.warming && now.Sub(r.warmingSince) < slowStart {
-		r.slowStarts = append(r.slowStarts, now)
+	if cache == r.warmingCache && now.Sub(r.warmingSince) < slowStart {
+		r.slowStartAttempts = append(r.slowStartAttempts, now)
 	}
 	if request.Fields["kind"] == classOrder {
 		r.orderRuns[request.Fields["obj"]]++
 	}
 	if r.mayHaveRun[request.ID] {
-		r.retries = append(r.retries, now)
+		r.retryAttempts = append(r.retryAttempts, now)
 	}
 	if cache == r.outlier {
 		r.outlierCount++
@@ -135,11 +135,11 @@
 	return float64(r.randomState>>11) / (1 << 53)
 }
 
-// startWarming forgets the attempts so far: from now on a page cache warms up.
-func (r *attemptRecorder) startWarming(cache int) {
+// startWarmUp forgets the attempts so far: from now on a page cache warms up.
+func (r *attemptRecorder) startWarmUp(cache int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.slowStarts, r.retries, r.warming, r.warmingSince = nil, nil, cache, time.Now()
+	r.slowStartAttempts, r.retryAttempts, r.warmingCache, r.warmingSince = nil, nil, cache, time.Now()
 }
 
 // setOutlier has one page cache fail all requests, and no other any.
--- a/loadtest/budgetfaults.go
+++ b/loadtest/budgetfaults.go
@@ -10,9 +10,9 @@
 
 // budgetFault is a fault that a cluster which shares budgets goes through.
 type budgetFault struct {
-	name     string
-	converge bool // in the end every router sees every other
-	apply    func(*BudgetCluster) error
+	name      string
+	converges bool // in the end every router sees every other
+	apply     func(*BudgetCluster) error
 }
 
 // budgetFaults returns the faults, in the order in which they are applied. Those of the network last until one that heals it.
@@ -72,7 +72,7 @@
 		if err != nil {
 			return nil, fmt.Errorf("%s: %w", fault.name, err)
 		}
-		if fault.converge {
+		if fault.converges {
 			if err := c.waitForMembership(); err != nil {
 				return nil, fmt.Errorf("after %s: %w", fault.name, err)
 			}
@@ -85,7 +85,7 @@
 // runFault applies one fault under load, while a page cache warms up that was not listed before, and counts what it did. The load of one router is
 // double: it wants more than its share.
 func (c *BudgetCluster) runFault(fault budgetFault, unlisted int, length time.Duration) (BudgetResult, error) {
-	c.recorder.startWarming(clusterCaches + 1 + unlisted)
+	c.recorder.startWarmUp(clusterCaches + 1 + unlisted)
 	packets, began := c.packets(), time.Now()
 	c.startLoads(func(router int) float64 {
 		if router == 0 {
@@ -102,7 +102,7 @@
 	time.Sleep(length / 4 * 3)
 	load := c.stopLoads()
 	packetRate := float64(c.packets()-packets) / time.Since(began).Seconds() / float64(len(c.Routers))
-	return c.judge(fault.name, load, packetRate), nil
+	return c.compareWithBudgets(fault.name, load, packetRate), nil
 }
 
 func unlistedCacheName(unlisted int) string { return fmt.Sprintf("s-new-%d", unlisted) }
@@ -113,13 +113,13 @@
 }
 
 // judge compares what page caches were sent during a fault with the budgets.
-func (c *BudgetCluster) judge(fault string, load PipelinedResult, packetRate float64) BudgetResult {
+func (c *BudgetCluster) compareWithBudgets(fault string, load PipelinedResult, packetRate float64) BudgetResult {
 	c.recorder.mu.Lock()
 	defer c.recorder.mu.Unlock()
 	result := BudgetResult{
 		Fault:         fault,
-		SlowStart:     findPeak(c.recorder.slowStarts, slowStartBudget.forRouters(len(c.Routers))),
-		Retries:       findPeak(c.recorder.retries, retryBudget.forRouters(len(c.Routers))),
+		SlowStart:     findPeak(c.recorder.slowStartAttempts, slowStartBudget.forRouters(len(c.Routers))),
+		Retries:       findPeak(c.recorder.retryAttempts, retryBudget.forRouters(len(c.Routers))),
 		Sent:          load.Sent,
 		Answered:      load.Answered(),
 		Disconnected:  load.Disconnected,
--- a/loadtest/cluster.go
+++ b/loadtest/cluster.go
@@ -43,7 +43,7 @@
 const addressRanges = 32
 
 // clusters counts the clusters of this process.
-var clusters atomic.Uint32
+var clusterCount atomic.Uint32
 
 // newCluster makes the network and the keys of a cluster, whose routers the caller starts by start.
 func newCluster(seed uint64) (*Cluster, error) {
@@ -55,7 +55,7 @@
 		Network:    faultnet.New(seed),
 		seed:       seed,
 		keyFile:    filepath.Join(dir, "keys"),
-		rangeIndex: byte(clusters.Add(1) % addressRanges),
+		rangeIndex: byte(clusterCount.Add(1) % addressRanges),
 	}
 	if err := c.writeKeys(generateKey()); err != nil {
 		c.Close()
--- a/loadtest/credit.go
+++ b/loadtest/credit.go
@@ -27,8 +27,8 @@
 	spent       map[string]float64 // by account: what clients were served, at its price
 }
 
-// creditBlocks is the form of the blocks of a router's operator's file.
-const creditBlocks = `  takeover {
+// creditBlocksFormat is the form of the blocks of a router's operator's file.
+const creditBlocksFormat = `  takeover {
     strict = true
   }
   ledger = %q
@@ -80,7 +80,7 @@
 	options := clusterFleet(settings.Routers)
 	options.Answer = c.orders.answer
 	err := c.start(settings.Program, options, func(router int) string {
-		return fmt.Sprintf(creditBlocks, c.filePath(fmt.Sprintf("%d.ledger", router)), c.topupsPath(router), pagePrice, orderPrice)
+		return fmt.Sprintf(creditBlocksFormat, c.filePath(fmt.Sprintf("%d.ledger", router)), c.topupsPath(router), pagePrice, orderPrice)
 	})
 	if err != nil {
 		return err
--- a/loadtest/creditclient.go
+++ b/loadtest/creditclient.go
@@ -20,73 +20,73 @@
 
 // payingClient sends one request after the other on behalf of an account, and counts what it was served.
 type payingClient struct {
-	client *client.Client
-	random *rand.Rand
-	orders bool // it sends orders; otherwise pages
+	client      *client.Client
+	random      *rand.Rand
+	sendsOrders bool // it sends orders; otherwise pages
 
 	mu               sync.Mutex
 	spent            float64 // the price of what it was served
 	served, rejected int
-	recent           int // served since it was read last
+	servedSinceTaken int // served since it was read last
 }
 
 // payingClientOptions describe a client.
 type payingClientOptions struct {
-	account string // empty: none
-	seed    uint64
-	claims  bool // it claims its orders at another router when it has lost the first
-	orders  bool // it sends orders; otherwise pages
+	account      string // empty: none
+	seed         uint64
+	claimsOrders bool // it claims its orders at another router when it has lost the first
+	sendsOrders  bool // it sends orders; otherwise pages
 }
 
 // newPayingClient makes a client.
 func (c *FailoverCluster) newPayingClient(options payingClientOptions) (*payingClient, error) {
 	settings := policy.Defaults()
-	settings.Seed, settings.Claims = options.seed, options.claims
-	w := &payingClient{random: rand.New(rand.NewPCG(options.seed, 6)), orders: options.orders}
+	settings.Seed, settings.Claims = options.seed, options.claimsOrders
+	paying := &payingClient{random: rand.New(rand.NewPCG(options.seed, 6)), sendsOrders: options.sendsOrders}
 	var err error
-	w.client, err = client.New(client.Config{Routers: c.listenAddresses(), Account: options.account, Policy: &settings})
-	return w, err
+	paying.client, err = client.New(client.Config{Routers: c.listenAddresses(), Account: options.account, Policy: &settings})
+	return paying, err
 }
 
 // run sends requests until stop is closed.
-func (w *payingClient) run(stop <-chan struct{}, pause time.Duration) {
+func (c *payingClient) run(stop <-chan struct{}, pause time.Duration) {
 	for {
 		select {
 		case <-stop:
 			return
 		default:
 		}
-		w.doNext()
+		c.doNext()
 		time.Sleep(pause)
 	}
 }
 
 // doNext sends a request and counts its answer.
-func (w *payingClient) doNext() {
+func (c *payingClient) doNext() {
 	request, price := client.Request{Class: classPage, Limit: creditTimeout}, float64(pagePrice)
-	request.Item = w.random.Uint64N(creditItems)
-	if w.orders {
-		request.Class, request.Item, request.Body, price = classOrder, w.random.Uint64(), []byte("order"), orderPrice
+	request.Item = c.random.Uint64N(creditItems)
+	if c.sendsOrders {
+		request.Class, request.Item, request.Body, price = classOrder, c.random.Uint64(), []byte("order"), orderPrice
 	}
-	_, err := w.client.Do(context.Background(), request)
-	w.mu.Lock()
-	defer w.mu.Unlock()
+	_, err := c.client.Do(context.Background(), request)
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	if err != nil {
-		w.rejected++
+		c.rejected++
 		return
 	}
-	w.spent += price
-	w.served++
-	w.recent++
+	c.spent += price
+	c.served++
+	c.servedSinceTaken++
 }
 
-// takeRecent returns how many requests were served since the last call.
-func (w *payingClient) takeRecent() int {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	recent := w.recent
-	w.recent = 0
-	return recent
+// takeServed returns how many requests were served since the last call.
+func (c *payingClient) takeServed() int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	servedSinceTaken := c.servedSinceTaken
+	c.servedSinceTaken = 0
+	return servedSinceTaken
 }
 
 // payingClients are clients that run at the same time, by account.
@@ -101,19 +101,19 @@
 }
 
 // start runs a client of an account until finish.
-func (p *payingClients) start(account string, w *payingClient, pause time.Duration) {
-	p.byAccount[account] = append(p.byAccount[account], w)
-	p.running.Go(func() { w.run(p.stop, pause) })
+func (p *payingClients) start(account string, c *payingClient, pause time.Duration) {
+	p.byAccount[account] = append(p.byAccount[account], c)
+	p.running.Go(func() { c.run(p.stop, pause) })
 }
 
 // servedWithin waits for a time, and returns how many requests of an account were served in it.
 func (p *payingClients) servedWithin(account string, length time.Duration) (served int) {
-	for _, w := range p.byAccount[account] {
-		w.takeRecent()
+	for _, c := range p.byAccount[account] {
+		c.takeServed()
 	}
 	time.Sleep(length)
-	for _, w := range p.byAccount[account] {
-		served += w.takeRecent()
+	for _, c := range p.byAccount[account] {
+		served += c.takeServed()
 	}
 	return served
 }
@@ -138,10 +138,10 @@
 	return true
 }
 
-func (w *payingClient) hasBeenServed() bool {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.served > 0
+func (c *payingClient) hasBeenServed() bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.served > 0
 }
 
 // finish ends all clients, and closes them.
@@ -149,8 +149,8 @@
 	close(p.stop)
 	p.running.Wait()
 	for _, clients := range p.byAccount {
-		for _, w := range clients {
-			_ = w.client.Close(context.Background()) // nothing is in flight
+		for _, c := range clients {
+			_ = c.client.Close(context.Background()) // nothing is in flight
 		}
 	}
 }
--- a/loadtest/creditfaults.go
+++ b/loadtest/creditfaults.go
@@ -9,9 +9,9 @@
 
 // The accounts of the measurement: the funds of one run out in each fault, those of the other never.
 const (
-	poorAccount = "poor"
-	richAccount = "rich"
-	richClients = 4
+	depletedAccount = "poor"
+	ampleAccount    = "rich"
+	ampleClients    = 4
 )
 
 // CreditResult is what a fault did to balances.
@@ -38,26 +38,26 @@
 
 // creditFaults returns the faults, in the order in which they are applied.
 func (c *CreditCluster) creditFaults(length time.Duration) []creditFault {
-	all := make([]int, len(c.Routers))
-	for i := range all {
-		all[i] = i
+	allRouters := make([]int, len(c.Routers))
+	for i := range allRouters {
+		allRouters[i] = i
 	}
-	change := func(apply func()) func() error {
+	withoutError := func(apply func()) func() error {
 		return func() error {
 			apply()
 			return nil
 		}
 	}
 	return []creditFault{
-		{"none", all, change(func() {})},
-		{"two cut off from the rest", all, change(func() { c.Network.Partition([]int{0, 1}) })},
-		{"one isolated", all, change(func() { c.Network.Partition([]int{0}) })},
-		{"one not heard", all, change(func() { c.Network.Block([]int{0}, all) })},
-		{"a third of the packets lost, others late", all, change(func() { c.Network.Impair(0.33, 100*time.Millisecond) })},
-		{"top-up read by half of the fleet", all[:len(all)/2], change(func() {})},
-		{"stopped (SIGSTOP)", all, change(func() { c.Routers[0].stopFor(length / 4) })},
-		{"killed again and again", all, func() error { return c.killRepeatedly(length) }},
-		{"rolling restart (SIGTERM)", all, c.rollingRestart},
+		{"none", allRouters, withoutError(func() {})},
+		{"two cut off from the rest", allRouters, withoutError(func() { c.Network.Partition([]int{0, 1}) })},
+		{"one isolated", allRouters, withoutError(func() { c.Network.Partition([]int{0}) })},
+		{"one not heard", allRouters, withoutError(func() { c.Network.Block([]int{0}, allRouters) })},
+		{"a third of the packets lost, others late", allRouters, withoutError(func() { c.Network.Impair(0.33, 100*time.Millisecond) })},
+		{"top-up read by half of the fleet", allRouters[:len(allRouters)/2], withoutError(func() {})},
+		{"stopped (SIGSTOP)", allRouters, withoutError(func() { c.Routers[0].stopFor(length / 4) })},
+		{"killed again and again", allRouters, func() error { return c.killRepeatedly(length) }},
+		{"rolling restart (SIGTERM)", allRouters, c.rollingRestart},
 	}
 }
 
@@ -81,7 +81,7 @@
 		if only != nil && !slices.Contains(only, fault.name) {
 			continue
 		}
-		if err := c.TopUp("for "+fault.name, poorAccount, amount, fault.readers); err != nil {
+		if err := c.TopUp("for "+fault.name, depletedAccount, amount, fault.readers); err != nil {
 			return results, err
 		}
 		result, err := c.runCreditFault(fault, clients, length)
@@ -103,22 +103,23 @@
 		err = c.measureCreditFault(fault, load, length, &result)
 	}
 	load.finish()
-	c.judgeCredit(load, &result)
+	c.addCreditCounts(load, &result)
 	return result, err
 }
 
 // startCreditLoad starts the clients of both accounts. One in three sends orders.
-func (c *CreditCluster) startCreditLoad(load *payingClients, poorClients int) error {
-	for i := range poorClients + richClients {
-		account := poorAccount
-		if i >= poorClients {
-			account = richAccount
+func (c *CreditCluster) startCreditLoad(load *payingClients, depletedClients int) error {
+	for i := range depletedClients + ampleClients {
+		account := depletedAccount
+		if i >= depletedClients {
+			account = ampleAccount
 		}
-		w, err := c.newPayingClient(payingClientOptions{account: account, seed: c.nextClientSeed(), claims: true, orders: i%3 == 0})
+		paying, err := c.newPayingClient(payingClientOptions{account: account, seed: c.nextClientSeed(), claimsOrders: true,
+			sendsOrders: i%3 == 0})
 		if err != nil {
 			return err
 		}
-		load.start(account, w, creditPause)
+		load.start(account, paying, creditPause)
 	}
 	return nil
 }
@@ -129,34 +130,34 @@
 	if err := load.awaitFirstServed(); err != nil {
 		return err
 	}
-	before := load.servedWithin(richAccount, length/4)
+	before := load.servedWithin(ampleAccount, length/4)
 	if err := fault.apply(); err != nil {
 		return err
 	}
 	time.Sleep(length / 2)
 	c.Network.Heal()
 	for range 40 {
-		if load.servedWithin(poorAccount, 500*time.Millisecond) == 0 {
+		if load.servedWithin(depletedAccount, 500*time.Millisecond) == 0 {
 			break
 		}
 	}
-	result.ServedAfterEmpty = load.servedWithin(poorAccount, time.Second)
-	after := load.servedWithin(richAccount, length/4)
+	result.ServedAfterEmpty = load.servedWithin(depletedAccount, time.Second)
+	after := load.servedWithin(ampleAccount, length/4)
 	result.FundedRatio = float64(after) / math.Max(float64(before), 1)
 	return nil
 }
 
-// judgeCredit compares what clients were served with what was funded.
-func (c *CreditCluster) judgeCredit(load *payingClients, result *CreditResult) {
+// addCreditCounts compares what clients were served with what was funded.
+func (c *CreditCluster) addCreditCounts(load *payingClients, result *CreditResult) {
 	for account, clients := range load.byAccount {
-		for _, w := range clients {
-			c.spent[account] += w.spent
-			result.Served += w.served
-			result.Rejected += w.rejected
+		for _, paying := range clients {
+			c.spent[account] += paying.spent
+			result.Served += paying.served
+			result.Rejected += paying.rejected
 		}
 		result.MaxSpentRatio = math.Max(result.MaxSpentRatio, c.spent[account]/c.funded[account])
 	}
 	result.OrdersRunTwice = c.orders.runTwice()
-	result.Funded, result.Spent = c.funded[poorAccount], c.spent[poorAccount]
+	result.Funded, result.Spent = c.funded[depletedAccount], c.spent[depletedAccount]
 	result.Stranded = 1 - result.Spent/result.Funded
 }
--- a/loadtest/creditmeasure.go
+++ b/loadtest/creditmeasure.go
@@ -16,17 +16,17 @@
 // MeasureCredit compares how many pages a second are served without and with balances, and runs a cluster through all faults.
 // It writes a table.
 func MeasureCredit(settings ClusterSettings, out io.Writer) error {
-	free, err := freePageRate(settings)
+	freeRate, err := freePageRate(settings)
 	if err != nil {
 		return err
 	}
-	paid, err := paidPageRate(settings)
+	paidRate, err := paidPageRate(settings)
 	if err != nil {
 		return err
 	}
 	_, _ = fmt.Fprintf(out, "pages a second of %d clients, one after the other: %.0f free, %.0f paid for, %.3f\n", creditRateClients,
-		free, paid, paid/free)
-	c, err := StartCreditCluster(settings, map[string]float64{poorAccount: 100, richAccount: 1e6})
+		freeRate, paidRate, paidRate/freeRate)
+	c, err := StartCreditCluster(settings, map[string]float64{depletedAccount: 100, ampleAccount: 1e6})
 	if err != nil {
 		return err
 	}
@@ -59,13 +59,13 @@
 
 // paidPageRate measures pages a second that a cluster serves on an account with funds.
 func paidPageRate(settings ClusterSettings) (float64, error) {
-	c, err := StartCreditCluster(settings, map[string]float64{richAccount: 1e9})
+	c, err := StartCreditCluster(settings, map[string]float64{ampleAccount: 1e9})
 	if err != nil {
 		return 0, err
 	}
 	defer c.Close()
 	time.Sleep(time.Second) // every router has a share of the balance
-	return c.pageRate(richAccount, settings.FaultLength)
+	return c.pageRate(ampleAccount, settings.FaultLength)
 }
 
 // pageRate measures how many pages a second clients get that each send one request after the other.
@@ -74,11 +74,11 @@
 	load := newPayingClients()
 	defer load.finish()
 	for i := range creditRateClients {
-		w, err := c.newPayingClient(payingClientOptions{account: account, seed: uint64(i) + 1})
+		paying, err := c.newPayingClient(payingClientOptions{account: account, seed: uint64(i) + 1})
 		if err != nil {
 			return 0, err
 		}
-		load.start(account, w, 0)
+		load.start(account, paying, 0)
 	}
 	time.Sleep(length / 4)
 	return float64(load.servedWithin(account, length)) / length.Seconds(), nil
--- a/loadtest/failover.go
+++ b/loadtest/failover.go
@@ -15,8 +15,8 @@
 // FailoverCluster is a cluster whose routers take over each other's orders.
 type FailoverCluster struct {
 	*Cluster
-	orders  *orderRecorder
-	clients uint64 // made so far; each has a seed of its own
+	orders      *orderRecorder
+	clientCount uint64 // made so far; each has a seed of its own
 }
 
 const (
@@ -60,8 +60,8 @@
 
 // nextClient returns the number of the next client, from 1.
 func (c *FailoverCluster) nextClient() uint64 {
-	c.clients++
-	return c.clients
+	c.clientCount++
+	return c.clientCount
 }
 
 // nextClientSeed returns the seed of the next client.
--- a/loadtest/failoverclient.go
+++ b/loadtest/failoverclient.go
@@ -19,7 +19,7 @@
 )
 
 // call is a request of a client, and what became of it.
-type call struct {
+type requestRecord struct {
 	order    bool
 	item     uint64
 	start    time.Time
@@ -37,75 +37,76 @@
 	client *client.Client
 	random *rand.Rand
 
-	mu     sync.Mutex
-	router string // that was tried last
-	open   *call  // nil: none is
-	done   []*call
+	mu      sync.Mutex
+	router  string         // that was tried last
+	current *requestRecord // nil: none is
+	records []*requestRecord
 }
 
 // newClaimingClient makes the next client of the cluster.
 func (c *FailoverCluster) newClaimingClient() (*claimingClient, error) {
 	seed := c.nextClientSeed()
-	w := &claimingClient{orders: c.orders, random: rand.New(rand.NewPCG(seed, 8))}
+	claiming := &claimingClient{orders: c.orders, random: rand.New(rand.NewPCG(seed, 8))}
 	options := policy.Defaults()
 	options.Seed, options.Claims = seed, true
 	var err error
-	w.client, err = client.New(client.Config{Routers: c.listenAddresses(), Policy: &options, Observer: func(o client.Observation) {
-		if o.What != client.Tried {
-			return
-		}
-		w.mu.Lock()
-		defer w.mu.Unlock()
-		w.router = o.Router
-	}})
-	return w, err
+	claiming.client, err = client.New(client.Config{Routers: c.listenAddresses(), Policy: &options,
+		Observer: func(o client.Observation) {
+			if o.What != client.Tried {
+				return
+			}
+			claiming.mu.Lock()
+			defer claiming.mu.Unlock()
+			claiming.router = o.Router
+		}})
+	return claiming, err
 }
 
 // run sends requests until stop is closed, of which a fraction are orders, with pauses up to a maximum.
-func (w *claimingClient) run(stop <-chan struct{}, orderFraction float64, maxPause time.Duration) {
+func (c *claimingClient) run(stop <-chan struct{}, orderFraction float64, maxPause time.Duration) {
 	for {
 		select {
 		case <-stop:
 			return
 		default:
 		}
-		w.doNext(orderFraction)
-		time.Sleep(time.Duration(w.random.Int64N(int64(maxPause) + 1)))
+		c.doNext(orderFraction)
+		time.Sleep(time.Duration(c.random.Int64N(int64(maxPause) + 1)))
 	}
 }
 
 // doNext draws a request, sends it and records what became of it.
-func (w *claimingClient) doNext(orderFraction float64) {
-	request := client.Request{Class: classPage, Item: w.random.Uint64N(failoverItems), Limit: failoverTimeout}
-	isOrder := w.random.Float64() < orderFraction
+func (c *claimingClient) doNext(orderFraction float64) {
+	request := client.Request{Class: classPage, Item: c.random.Uint64N(failoverItems), Limit: failoverTimeout}
+	isOrder := c.random.Float64() < orderFraction
 	if isOrder {
-		request.Class, request.Item, request.Body = classOrder, w.random.Uint64(), []byte("order")
+		request.Class, request.Item, request.Body = classOrder, c.random.Uint64(), []byte("order")
 	}
-	k := &call{order: isOrder, item: request.Item, start: time.Now()}
-	w.mu.Lock()
-	w.router, w.open = "", k
-	w.mu.Unlock()
-	_, err := w.client.Do(context.Background(), request)
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	k.duration, k.err = time.Since(k.start), err
-	w.open, w.done = nil, append(w.done, k)
+	record := &requestRecord{order: isOrder, item: request.Item, start: time.Now()}
+	c.mu.Lock()
+	c.router, c.current = "", record
+	c.mu.Unlock()
+	_, err := c.client.Do(context.Background(), request)
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	record.duration, record.err = time.Since(record.start), err
+	c.current, c.records = nil, append(c.records, record)
 }
 
 // routersLost marks the open call where its router is among those that are being lost.
-func (w *claimingClient) routersLost(addresses []string) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	k := w.open
-	if k == nil || !slices.Contains(addresses, w.router) || failoverTimeout-time.Since(k.start) < minTimeRemaining {
+func (c *claimingClient) routersLost(addresses []string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	record := c.current
+	if record == nil || !slices.Contains(addresses, c.router) || failoverTimeout-time.Since(record.start) < minTimeRemaining {
 		return
 	}
-	k.inFlight = true
-	k.sentToBackend = k.order && w.orders.ran(k.item) > 0
+	record.inFlight = true
+	record.sentToBackend = record.order && c.orders.ran(record.item) > 0
 }
 
 // close closes the client. Call it after run has returned.
-func (w *claimingClient) close() { _ = w.client.Close(context.Background()) } // nothing is in flight
+func (c *claimingClient) close() { _ = c.client.Close(context.Background()) } // nothing is in flight
 
 // claimingClients are clients that run at the same time.
 type claimingClients struct {
@@ -117,18 +118,18 @@
 // startClaimingClients starts a number of clients. The caller ends them by finish and closes them.
 func (c *FailoverCluster) startClaimingClients(count int, orderFraction float64, maxPause time.Duration) (
 	*claimingClients, error) {
-	all := &claimingClients{stop: make(chan struct{})}
+	load := &claimingClients{stop: make(chan struct{})}
 	for range count {
-		w, err := c.newClaimingClient()
+		claiming, err := c.newClaimingClient()
 		if err != nil {
-			all.finish()
-			all.close()
+			load.finish()
+			load.close()
 			return nil, err
 		}
-		all.clients = append(all.clients, w)
-		all.running.Go(func() { w.run(all.stop, orderFraction, maxPause) })
+		load.clients = append(load.clients, claiming)
+		load.running.Go(func() { claiming.run(load.stop, orderFraction, maxPause) })
 	}
-	return all, nil
+	return load, nil
 }
 
 // finish stops sending, and waits for the open calls.
@@ -139,13 +140,13 @@
 
 // routersLost marks the calls that are open on routers that are being lost.
 func (a *claimingClients) routersLost(addresses []string) {
-	for _, w := range a.clients {
-		w.routersLost(addresses)
+	for _, c := range a.clients {
+		c.routersLost(addresses)
 	}
 }
 
 func (a *claimingClients) close() {
-	for _, w := range a.clients {
-		w.close()
+	for _, c := range a.clients {
+		c.close()
 	}
 }
--- a/loadtest/failovercost.go
+++ b/loadtest/failovercost.go
@@ -62,12 +62,12 @@
 // measureCost measures orders for a time, then reads for the same time.
 func (c *FailoverCluster) measureCost(length time.Duration) (cost failoverCost, err error) {
 	packets := c.Network.PacketsForwarded.Load()
-	orders, err := c.callDurations(length, 1)
+	orders, err := c.requestDurations(length, 1)
 	if err != nil {
 		return cost, err
 	}
 	packets = c.Network.PacketsForwarded.Load() - packets
-	reads, err := c.callDurations(length, 0)
+	reads, err := c.requestDurations(length, 0)
 	if err != nil {
 		return cost, err
 	}
@@ -79,8 +79,8 @@
 	}, nil
 }
 
-// callDurations returns how long the calls of a few clients took, of which a fraction are orders.
-func (c *FailoverCluster) callDurations(length time.Duration, orderFraction float64) ([]time.Duration, error) {
+// requestDurations returns how long the calls of a few clients took, of which a fraction are orders.
+func (c *FailoverCluster) requestDurations(length time.Duration, orderFraction float64) ([]time.Duration, error) {
 	load, err := c.startClaimingClients(costClients, orderFraction, 0)
 	if err != nil {
 		return nil, err
@@ -89,9 +89,9 @@
 	load.finish()
 	load.close()
 	var durations []time.Duration
-	for _, w := range load.clients {
-		for _, k := range w.done[min(len(w.done), costWarmUp):] {
-			durations = append(durations, k.duration)
+	for _, claiming := range load.clients {
+		for _, record := range claiming.records[min(len(claiming.records), costWarmUp):] {
+			durations = append(durations, record.duration)
 		}
 	}
 	return durations, nil
--- a/loadtest/failoverfaults.go
+++ b/loadtest/failoverfaults.go
@@ -19,7 +19,7 @@
 )
 
 // faultScript does something to a cluster under load. It calls lost right before it takes routers away.
-type faultScript func(lost func(routers ...int)) error
+type faultScript func(markLost func(routers ...int)) error
 
 // failoverFault is a fault that a cluster goes through.
 type failoverFault struct {
@@ -29,23 +29,23 @@
 
 // failoverFaults returns the faults, in the order in which they are applied. Those of the network last until one that heals it.
 func (c *FailoverCluster) failoverFaults(length time.Duration) []failoverFault {
-	network := func(apply func()) faultScript {
+	withNetworkFault := func(apply func()) faultScript {
 		return func(func(...int)) error {
 			apply()
 			time.Sleep(length)
 			return nil
 		}
 	}
-	healed := func(apply func()) faultScript { return network(func() { c.Network.Heal(); apply() }) }
+	withHealedNetwork := func(apply func()) faultScript { return withNetworkFault(func() { c.Network.Heal(); apply() }) }
 	return []failoverFault{
-		{"none", network(func() {})},
-		{"two killed at once", func(lost func(...int)) error { return c.killPairs(lost, length) }},
-		{"stopped for longer than a lease", func(lost func(...int)) error { return c.stopThree(lost, length) }},
-		{"two cut off from the rest", network(func() { c.Network.Partition([]int{0, 1}) })},
-		{"one isolated", healed(func() { c.Network.Partition([]int{0}) })},
-		{"one not heard", healed(func() { c.Network.Block([]int{0}, c.others(0)) })},
-		{"one deaf", healed(func() { c.Network.Block(c.others(0), []int{0}) })},
-		{"a third of the packets lost, others late", healed(func() { c.Network.Impair(0.33, 100*time.Millisecond) })},
+		{"none", withNetworkFault(func() {})},
+		{"two killed at once", func(markLost func(...int)) error { return c.killPairs(markLost, length) }},
+		{"stopped for longer than a lease", func(markLost func(...int)) error { return c.stopThree(markLost, length) }},
+		{"two cut off from the rest", withNetworkFault(func() { c.Network.Partition([]int{0, 1}) })},
+		{"one isolated", withHealedNetwork(func() { c.Network.Partition([]int{0}) })},
+		{"one not heard", withHealedNetwork(func() { c.Network.Block([]int{0}, c.others(0)) })},
+		{"one deaf", withHealedNetwork(func() { c.Network.Block(c.others(0), []int{0}) })},
+		{"a third of the packets lost, others late", withHealedNetwork(func() { c.Network.Impair(0.33, 100*time.Millisecond) })},
 		{"keys rotated", func(func(...int)) error { c.Network.Heal(); return c.rotateKeys() }},
 		{"rolling restart (SIGTERM)", func(func(...int)) error { return c.rollingRestart() }},
 		{"drawn from the seed", func(func(...int)) error {
@@ -55,9 +55,9 @@
 }
 
 // killPairs kills two routers at once, three times.
-func (c *FailoverCluster) killPairs(lost func(...int), length time.Duration) error {
+func (c *FailoverCluster) killPairs(markLost func(...int), length time.Duration) error {
 	for i := range 3 {
-		if err := c.killAndStart(lost, length/8, i, (i+1)%len(c.Routers)); err != nil {
+		if err := c.killAndStart(markLost, length/8, i, (i+1)%len(c.Routers)); err != nil {
 			return err
 		}
 		time.Sleep(length / 5)
@@ -66,9 +66,9 @@
 }
 
 // stopThree stops three routers, one after the other.
-func (c *FailoverCluster) stopThree(lost func(...int), length time.Duration) error {
+func (c *FailoverCluster) stopThree(markLost func(...int), length time.Duration) error {
 	for i := range 3 {
-		lost(i)
+		markLost(i)
 		c.Routers[i].stopFor(length / 4)
 		time.Sleep(length / 12)
 	}
@@ -76,8 +76,8 @@
 }
 
 // killAndStart kills routers at once, and starts them again after a delay.
-func (c *FailoverCluster) killAndStart(lost func(...int), delay time.Duration, routers ...int) error {
-	lost(routers...)
+func (c *FailoverCluster) killAndStart(markLost func(...int), delay time.Duration, routers ...int) error {
+	markLost(routers...)
 	for _, i := range routers {
 		c.Routers[i].Kill()
 	}
@@ -110,9 +110,9 @@
 // RunKills kills one router after the other, so many times, and starts each again.
 func (c *FailoverCluster) RunKills(count int, interval time.Duration, clients int) (FailoverResult, error) {
 	random := rand.New(rand.NewPCG(c.seed, 4))
-	return c.runFault(failoverFault{"kill and restart, one after the other", func(lost func(...int)) error {
+	return c.runFault(failoverFault{"kill and restart, one after the other", func(markLost func(...int)) error {
 		for range count {
-			if err := c.killAndStart(lost, interval/3, random.IntN(len(c.Routers))); err != nil {
+			if err := c.killAndStart(markLost, interval/3, random.IntN(len(c.Routers))); err != nil {
 				return err
 			}
 			time.Sleep(interval/2 + time.Duration(random.Int64N(int64(interval/3))))
@@ -140,8 +140,8 @@
 	})
 	load.finish()
 	time.Sleep(100 * time.Millisecond) // what was on its way to a page cache has arrived
-	for _, w := range load.clients {
-		result.add(w.done, c.orders.ran)
+	for _, claiming := range load.clients {
+		result.add(claiming.records, c.orders.ran)
 	}
 	return result, err
 }
--- a/loadtest/failoverresult.go
+++ b/loadtest/failoverresult.go
@@ -30,28 +30,28 @@
 func (r FailoverResult) Broken() bool { return r.RunTwice+r.Contradictions > 0 }
 
 // add counts calls.
-func (r *FailoverResult) add(calls []*call, ran func(item uint64) int) {
-	for _, k := range calls {
-		if k.order {
-			r.addOrder(k, ran(k.item))
+func (r *FailoverResult) add(records []*requestRecord, ran func(item uint64) int) {
+	for _, record := range records {
+		if record.order {
+			r.addOrder(record, ran(record.item))
 		} else {
-			r.addRead(k)
+			r.addRead(record)
 		}
 	}
 }
 
-func (r *FailoverResult) addRead(k *call) {
-	served := k.err == nil
+func (r *FailoverResult) addRead(record *requestRecord) {
+	served := record.err == nil
 	r.Reads++
 	r.ReadsServed += countIf(served)
-	r.ReadsInFlight += countIf(k.inFlight)
-	r.ReadsInFlightServed += countIf(k.inFlight && served)
+	r.ReadsInFlight += countIf(record.inFlight)
+	r.ReadsInFlightServed += countIf(record.inFlight && served)
 }
 
-func (r *FailoverResult) addOrder(k *call, ran int) {
+func (r *FailoverResult) addOrder(record *requestRecord, ran int) {
 	r.Orders++
 	r.RunTwice += countIf(ran > 1)
-	served, mayHaveRun := k.err == nil, errors.Is(k.err, client.ErrMayHaveRun)
+	served, mayHaveRun := record.err == nil, errors.Is(record.err, client.ErrMayHaveRun)
 	switch {
 	case served:
 		r.Served++
@@ -59,14 +59,14 @@
 	case mayHaveRun:
 		r.MayHaveRun++
 	default:
-		rejected := errors.Is(k.err, client.ErrRefused)
+		rejected := errors.Is(record.err, client.ErrRefused)
 		r.Rejected += countIf(rejected)
 		r.OtherErrors += countIf(!rejected)
 		r.Contradictions += countIf(ran > 0)
 	}
 	switch {
-	case !k.inFlight:
-	case k.sentToBackend:
+	case !record.inFlight:
+	case record.sentToBackend:
 		r.SentInFlight++
 		r.SentInFlightServed += countIf(served)
 	default:
--- a/loadtest/faultsequence.go
+++ b/loadtest/faultsequence.go
@@ -13,7 +13,7 @@
 type faultPhase struct {
 	name  string
 	until int                // in units of time since the start
-	begin func(*Fleet) error // changes the fleet as the phase begins; nil: it changes nothing
+	apply func(*Fleet) error // changes the fleet as the phase begins; nil: it changes nothing
 }
 
 // setBackend returns a change of how the endpoints behave.
@@ -107,8 +107,8 @@
 	start, begin := time.Now(), time.Duration(0)
 	for _, phase := range faultPhases {
 		time.Sleep(begin - time.Since(start))
-		if phase.begin != nil {
-			if err := phase.begin(f); err != nil {
+		if phase.apply != nil {
+			if err := phase.apply(f); err != nil {
 				return err
 			}
 		}
--- a/loadtest/orderkills.go
+++ b/loadtest/orderkills.go
@@ -54,19 +54,19 @@
 		return OrderResult{}, err
 	}
 	fleet.Backend.Set(BackendLoad{Delay: ordersDelay})
-	stop, ended := make(chan struct{}), make(chan error, 1)
-	go func() { ended <- fleet.killAlternately(unit, stop) }()
+	stop, killErr := make(chan struct{}), make(chan error, 1)
+	go func() { killErr <- fleet.killAlternately(unit, stop) }()
 	outcomes := sendOpenLoop(requester, ordersRate, ordersLength*unit, 1, onlyOrders)
 	close(stop)
-	err = <-ended
+	err = <-killErr
 	requester.close()
 	time.Sleep(200 * time.Millisecond) // what was on its way to the page cache has arrived
 	fleet.Close()
-	return judgeOrders(outcomes, fleet.Backend), err
+	return countOrderResults(outcomes, fleet.Backend), err
 }
 
-// judgeOrders compares what clients were told with what ran at the endpoints.
-func judgeOrders(outcomes []outcome, backend *Backend) (r OrderResult) {
+// countOrderResults compares what clients were told with what ran at the endpoints.
+func countOrderResults(outcomes []outcome, backend *Backend) (r OrderResult) {
 	for _, o := range outcomes {
 		r.Sent++
 		ran := backend.ran(o.item)
--- a/loadtest/outlier.go
+++ b/loadtest/outlier.go
@@ -35,10 +35,10 @@
 		}
 	}
 	c.stopLoads()
-	failed := fmt.Sprint(c.recorder.outlierAttempts())
+	errorCount := fmt.Sprint(c.recorder.outlierAttempts())
 	return c.waitForMetrics(func(metrics string) bool {
 		match := outlierErrorsMetric.FindStringSubmatch(metrics)
-		return match != nil && match[1] == failed
+		return match != nil && match[1] == errorCount
 	})
 }
 
--- a/loadtest/pipelinedload.go
+++ b/loadtest/pipelinedload.go
@@ -15,7 +15,7 @@
 	pipelinedTimeout     = 1500 * time.Millisecond
 	pipelinedItems       = 4000 // different pages
 	pipelinedOrderEvery  = 20   // one request in so many is an order
-	settleTimeout        = 4 * time.Second
+	answerTimeout        = 4 * time.Second
 )
 
 // PipelinedResult is what became of requests that were sent down connections until these closed.
@@ -137,7 +137,7 @@
 // finish waits for the answers that are due on the open connection, and closes it.
 func (l *pipelinedLoad) finish() {
 	if l.conn == nil || !l.countDisconnected(l.conn) {
-		l.settle()
+		l.awaitAnswers()
 	}
 	if l.conn != nil {
 		_ = l.conn.Close() // all is answered, or will never be
@@ -145,8 +145,8 @@
 }
 
 // settle waits for the answers that are due, for a bounded time, and counts those that did not come.
-func (l *pipelinedLoad) settle() {
-	for end := time.Now().Add(settleTimeout); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
+func (l *pipelinedLoad) awaitAnswers() {
+	for end := time.Now().Add(answerTimeout); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
 		l.mu.Lock()
 		due := len(l.inFlight)
 		l.mu.Unlock()
--- a/loadtest/purge.go
+++ b/loadtest/purge.go
@@ -22,10 +22,10 @@
 }
 
 const (
-	purgeConns      = 12 // of clients, each for one request of a round
-	purgeFirstConns = 4  // that send before the router is stopped
-	purgeLateConns  = 8  // from here on they send after the purge
-	purgeTimeout    = 3 * time.Second
+	purgeConns            = 12 // of clients, each for one request of a round
+	purgeConnsBeforeStop  = 4  // that send before the router is stopped
+	purgeConnsBeforePurge = 8  // from here on they send after the purge
+	purgeTimeout          = 3 * time.Second
 )
 
 // PurgeDuringStop stops a router's process, as the scheduler may, while requests are in flight. It sends the router a purge
@@ -69,17 +69,17 @@
 	}
 	defer requests.close()
 	time.Sleep(5 * time.Millisecond)
-	if err := requests.send(0, purgeFirstConns); err != nil {
+	if err := requests.send(0, purgeConnsBeforeStop); err != nil {
 		return err
 	}
 	time.Sleep(time.Duration(round%8) * 200 * time.Microsecond) // the stop hits each round at another point
 	router.Signal(syscall.SIGSTOP)
 	time.Sleep(50 * time.Millisecond)
-	if err := requests.send(purgeFirstConns, purgeLateConns); err != nil {
+	if err := requests.send(purgeConnsBeforeStop, purgeConnsBeforePurge); err != nil {
 		return err
 	}
 	f.publishPurge(objectName(requests.item), recorder.markPurged())
-	if err := requests.send(purgeLateConns, purgeConns); err != nil {
+	if err := requests.send(purgeConnsBeforePurge, purgeConns); err != nil {
 		return err
 	}
 	time.Sleep(600 * time.Millisecond)
--- a/loadtest/reconnect.go
+++ b/loadtest/reconnect.go
@@ -9,13 +9,13 @@
 
 // The restart of a router under many clients.
 const (
-	reconnectClients = 300
-	reconnectRate    = 5 // requests a second of each client
-	reconnectLength  = 8 * time.Second
-	reconnectKillAt  = 2 * time.Second
-	reconnectDown    = 500 * time.Millisecond
-	reconnectStagger = 200 * time.Millisecond // within which the clients start
-	reconnectWindow  = 100 * time.Millisecond // in which reconnects are counted
+	reconnectClients  = 300
+	reconnectRate     = 5 // requests a second of each client
+	reconnectLength   = 8 * time.Second
+	reconnectKillAt   = 2 * time.Second
+	reconnectDowntime = 500 * time.Millisecond
+	reconnectStagger  = 200 * time.Millisecond // within which the clients start
+	reconnectWindow   = 100 * time.Millisecond // in which reconnects are counted
 )
 
 var errNoReconnect = errors.New("nobody came back")
@@ -35,7 +35,7 @@
 		}
 		p5, p95 := r.delays[count*5/100].Seconds(), r.delays[count*95/100].Seconds()
 		c.printf("| %s | %d | %.2f s (%.2f to %.2f) | %.0f%% | %.1f%% |\n", kind.name, count, p95-p5, p5, p95,
-			100*float64(r.mostInWindow())/float64(count), 100*r.servedAfterKill())
+			100*float64(r.maxInWindow())/float64(count), 100*r.servedAfterKill())
 	}
 	c.printf("\n")
 	return nil
@@ -72,7 +72,7 @@
 	time.Sleep(reconnectKillAt)
 	r.markKilled()
 	fleet.Routers[0].Kill()
-	time.Sleep(reconnectDown)
+	time.Sleep(reconnectDowntime)
 	err = fleet.Routers[0].Start()
 	running.Wait()
 	slices.Sort(r.delays)
@@ -119,8 +119,8 @@
 	r.outcomes = append(r.outcomes, outcomes...)
 }
 
-// mostInWindow returns the highest number of reconnects in any window of time.
-func (r *reconnectRecorder) mostInWindow() (most int) {
+// maxInWindow returns the highest number of reconnects in any window of time.
+func (r *reconnectRecorder) maxInWindow() (most int) {
 	for i, first := range r.delays {
 		n := 0
 		for n < len(r.delays)-i && r.delays[i+n] < first+reconnectWindow {
--- a/loadtest/routerconfig.go
+++ b/loadtest/routerconfig.go
@@ -14,9 +14,9 @@
 
 // How a page cache warms up after its start.
 const (
-	warmUpFrom = 0.21             // of its capacity
-	slowStart  = 18 * time.Second // until it has all of it
-	fallWindow = 2 * time.Second  // overloaded for so long, it falls
+	warmUpFrom     = 0.21             // of its capacity
+	slowStart      = 18 * time.Second // until it has all of it
+	overloadWindow = 2 * time.Second  // overloaded for so long, it falls
 )
 
 // routerConfig is the configuration file of a router.
@@ -68,7 +68,7 @@
 type routerInvariants struct {
 	WarmUpFrom     float64 `json:"coldFrom"`
 	SlowStart      int64   `json:"coldUs"`
-	Fall           int64   `json:"fallUs"`
+	OverloadWindow int64   `json:"fallUs"`
 	OverloadFactor int     `json:"overloadFactor"`
 }
 
@@ -107,7 +107,7 @@
 			Machines: []string{machineSmall, machineOrigin},
 			Allowed: routerAllowed{Cancel: true, ConnectTimeout: micros(400 * time.Millisecond), Keepalive: micros(30 * second),
 				MaxAttempts: 6, RetryAfter: f.options.RetryAfter, MaxRetryAfter: micros(500 * time.Millisecond)},
-			Invariants: routerInvariants{WarmUpFrom: warmUpFrom, SlowStart: micros(slowStart), Fall: micros(fallWindow),
+			Invariants: routerInvariants{WarmUpFrom: warmUpFrom, SlowStart: micros(slowStart), OverloadWindow: micros(overloadWindow),
 				OverloadFactor: f.options.OverloadFactor},
 			Classes: []routerClass{
 				{classScore, "safe", micros(400 * time.Millisecond), micros(5 * second), 2},
--- a/loadtest/scale.go
+++ b/loadtest/scale.go
@@ -54,9 +54,9 @@
 		if day == dayRelist { // the bound is for a discovery service that sends changes
 			bound.listBytes = max(bound.listBytes, use.listBytes)
 		}
-		over := use.exceeds(bound)
-		exceeded += len(over)
-		_, _ = fmt.Fprintf(out, "| %s | %d | %d | %s | %s |\n", day, seed, size, use.cells(bound), strings.Join(over, ", "))
+		exceededNames := use.exceededFigures(bound)
+		exceeded += len(exceededNames)
+		_, _ = fmt.Fprintf(out, "| %s | %d | %d | %s | %s |\n", day, seed, size, use.cells(bound), strings.Join(exceededNames, ", "))
 	}
 	return exceeded, nil
 }
@@ -87,7 +87,7 @@
 }
 
 // exceeds names the figures that exceed a bound.
-func (u resourceUse) exceeds(bound resourceUse) (names []string) {
+func (u resourceUse) exceededFigures(bound resourceUse) (names []string) {
 	for _, figure := range []struct {
 		name     string
 		exceeded bool
--- a/loadtest/soak.go
+++ b/loadtest/soak.go
@@ -40,7 +40,7 @@
 		if err != nil {
 			return fmt.Errorf("seed %d: %w", seed, err)
 		}
-		violations := s.judge()
+		violations := s.checkInvariants()
 		total += len(violations)
 		_, _ = fmt.Fprintf(out, "seed %d: %s; %d broken\n", seed, s.summary(), len(violations))
 		for _, violation := range violations[:min(len(violations), soakMaxPrinted)] {
@@ -64,17 +64,17 @@
 	history    *soakHistory
 	soakCaches []*soakCache // the last one is the origin
 
-	mu            sync.Mutex
-	faults        []injectedFault  // in the order of their ends
-	processErrors []string         // routers that ended, or did not start, as they should
-	claimed       map[*Router]bool // routers that a fault has for itself
-	draining      map[*soakCache]bool
+	mu             sync.Mutex
+	faults         []injectedFault  // in the order of their ends
+	processErrors  []string         // routers that ended, or did not start, as they should
+	routersInUse   map[*Router]bool // routers that a fault has for itself
+	drainingCaches map[*soakCache]bool
 }
 
 // runSoak runs one seed from its start to the last answer.
 func runSoak(settings SoakSettings, seed uint64) (*soakRun, error) {
-	s := &soakRun{settings: settings, start: time.Now(), history: newSoakHistory(), claimed: map[*Router]bool{},
-		draining: map[*soakCache]bool{}}
+	s := &soakRun{settings: settings, start: time.Now(), history: newSoakHistory(), routersInUse: map[*Router]bool{},
+		drainingCaches: map[*soakCache]bool{}}
 	for i := range settings.Caches + 1 {
 		cache, err := newSoakCache(endpointName(i), s.history, seed+uint64(i))
 		if err != nil {
@@ -144,23 +144,23 @@
 		}
 	}
 	return fmt.Sprintf("%d requests, %d served, %d rejected, %d failed, %d attempts, %d faults (%s)", len(h.requests), served,
-		rejected, failed, len(h.attempts), len(s.faults), countKinds(s.faults))
+		rejected, failed, len(h.attempts), len(s.faults), formatKindCounts(s.faults))
 }
 
 // printFaults prints what was done, and when, since the start of the seed.
 func (s *soakRun) printFaults(out io.Writer) {
 	for _, fault := range s.faults {
 		_, _ = fmt.Fprintf(out, "    %6.3f to %6.3f: %s\n", fault.begun.Sub(s.start).Seconds(), fault.ended.Sub(s.start).Seconds(),
-			fault.what)
+			fault.description)
 	}
 }
 
-// countKinds counts faults by their first word.
-func countKinds(faults []injectedFault) string {
+// formatKindCounts counts faults by their first word.
+func formatKindCounts(faults []injectedFault) string {
 	counts := map[string]int{}
 	var order []string
 	for _, fault := range faults {
-		kind, _, _ := strings.Cut(fault.what, " ")
+		kind, _, _ := strings.Cut(fault.description, " ")
 		if counts[kind] == 0 {
 			order = append(order, kind)
 		}
--- a/loadtest/soakcache.go
+++ b/loadtest/soakcache.go
@@ -15,10 +15,10 @@
 	name    string
 	history *soakHistory
 
-	mu     sync.Mutex
-	random *rand.Rand
-	mode   cacheMode
-	until  time.Time // after it the mode is healthy again
+	mu      sync.Mutex
+	random  *rand.Rand
+	mode    cacheMode
+	modeEnd time.Time // after it the mode is healthy again
 }
 
 // cacheMode is how a page cache answers.
@@ -57,14 +57,14 @@
 func (c *soakCache) misbehave(mode cacheMode, length time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.mode, c.until = mode, time.Now().Add(length)
+	c.mode, c.modeEnd = mode, time.Now().Add(length)
 }
 
 // drawAnswer returns how the page cache answers a request now, and after how long.
 func (c *soakCache) drawAnswer() (cacheMode, time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if time.Now().After(c.until) {
+	if time.Now().After(c.modeEnd) {
 		c.mode = modeHealthy
 	}
 	return c.mode, time.Duration(soakMinAnswerMillis+c.random.IntN(soakAnswerSpreadMillis)) * time.Millisecond
--- a/loadtest/soakclient.go
+++ b/loadtest/soakclient.go
@@ -64,7 +64,7 @@
 // useConn uses a connection until it ends, stop is closed, or there were enough requests.
 func (c *soakClient) useConn(conn net.Conn, stop <-chan struct{}) {
 	usage := c.drawUsage()
-	s := &soakConn{conn: conn, client: c, inFlight: map[uint64]*soakRequest{}, ended: make(chan struct{})}
+	s := &soakConn{conn: conn, client: c, inFlight: map[uint64]*soakRequest{}, readerDone: make(chan struct{})}
 	if usage == usageSlowReader {
 		s.conn, s.readsSlowly = slowReader{conn}, true
 	}
@@ -85,16 +85,16 @@
 			return
 		}
 	}
-	s.settle()
+	s.awaitAnswers()
 }
 
 // soakConn is one connection of a client.
 type soakConn struct {
-	conn     net.Conn
-	client   *soakClient
-	inFlight map[uint64]*soakRequest // by message id; guarded by the history's lock
-	over     bool                    // the connection has ended; guarded by the history's lock
-	ended    chan struct{}           // closed when all answers are read
+	conn       net.Conn
+	client     *soakClient
+	inFlight   map[uint64]*soakRequest // by message id; guarded by the history's lock
+	connEnded  bool                    // the connection has ended; guarded by the history's lock
+	readerDone chan struct{}           // closed when all answers are read
 
 	readsSlowly bool
 }
@@ -102,7 +102,7 @@
 // close closes the connection, and waits for the end of its reader.
 func (s *soakConn) close() {
 	_ = s.conn.Close() // it may be closed already
-	<-s.ended
+	<-s.readerDone
 }
 
 // misbehave carries out an action, and reports whether that ends the use of the connection.
@@ -116,7 +116,7 @@
 	case actionPartial:
 		next := rpc.AppendRequest(nil, id+1, &rpc.Request{Method: classPage, TimeoutMillis: 1000})
 		_, _ = s.conn.Write(next[:len(next)/2]) // the reader notes the end of the connection
-		s.settle()
+		s.awaitAnswers()
 		return true
 	case actionMalformed:
 		s.abandonAll()
@@ -143,7 +143,7 @@
 	c.history.update(func() {
 		c.history.requests[request.txn] = request
 		s.inFlight[id] = request
-		if s.over { // it crosses the end, and nobody reads it
+		if s.connEnded { // it crosses the end, and nobody reads it
 			request.disconnected = request.sent
 		}
 	})
@@ -173,8 +173,8 @@
 }
 
 // settle waits until all is answered, for a bounded time.
-func (s *soakConn) settle() {
-	for end := time.Now().Add(settleTimeout); time.Now().Before(end) && s.due() > 0; {
+func (s *soakConn) awaitAnswers() {
+	for end := time.Now().Add(answerTimeout); time.Now().Before(end) && s.due() > 0; {
 		time.Sleep(10 * time.Millisecond)
 	}
 }
@@ -193,7 +193,7 @@
 
 // read records answers until the connection ends. An answered request stays in flight here, so that a second answer is seen.
 func (s *soakConn) read() {
-	defer close(s.ended)
+	defer close(s.readerDone)
 	readResponses(s.conn, func(header rpc.ResponseHeader) {
 		s.client.history.update(func() {
 			if request := s.inFlight[header.ID]; request != nil {
@@ -202,7 +202,7 @@
 		})
 	})
 	s.client.history.update(func() {
-		s.over = true
+		s.connEnded = true
 		for _, request := range s.inFlight {
 			if len(request.answers) == 0 {
 				request.disconnected = time.Now()
--- a/loadtest/soakfaults.go
+++ b/loadtest/soakfaults.go
@@ -10,7 +10,7 @@
 // injectedFault is a fault that was injected.
 type injectedFault struct {
 	begun, ended time.Time
-	what         string // its first word is the kind
+	description  string // its first word is the kind
 }
 
 // soakFault injects one fault and waits for its end. It returns what it did, of which the first word is the kind; empty: it
@@ -24,17 +24,17 @@
 		s.pauseDiscovery, s.breakDiscovery}
 	for time.Now().Before(until) {
 		begun := time.Now()
-		if what := faults[random.IntN(len(faults))](random); what != "" {
+		if description := faults[random.IntN(len(faults))](random); description != "" {
 			s.mu.Lock()
-			s.faults = append(s.faults, injectedFault{begun, time.Now(), what})
+			s.faults = append(s.faults, injectedFault{begun, time.Now(), description})
 			s.mu.Unlock()
 		}
 		time.Sleep(time.Duration(20+random.IntN(300)) * time.Millisecond)
 	}
 }
 
-// reportProcess records that a router did not end or start as it should.
-func (s *soakRun) reportProcess(format string, args ...any) {
+// reportProcessError records that a router did not end or start as it should.
+func (s *soakRun) reportProcessError(format string, args ...any) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.processErrors = append(s.processErrors, fmt.Sprintf(format, args...))
@@ -44,16 +44,16 @@
 func (s *soakRun) withRouter(random *rand.Rand, inject func(*Router) string) string {
 	r := s.Routers[random.IntN(len(s.Routers))]
 	s.mu.Lock()
-	taken := s.claimed[r]
-	s.claimed[r] = true
+	inUse := s.routersInUse[r]
+	s.routersInUse[r] = true
 	s.mu.Unlock()
-	if taken {
+	if inUse {
 		return ""
 	}
 	defer func() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		delete(s.claimed, r)
+		delete(s.routersInUse, r)
 	}()
 	return inject(r)
 }
@@ -88,7 +88,7 @@
 	address := r.ListenAddress
 	s.history.update(func() { s.history.starts[address] = append(s.history.starts[address], time.Now()) })
 	if err := r.Start(); err != nil {
-		s.reportProcess("%s: not started again: %v", address, err)
+		s.reportProcessError("%s: not started again: %v", address, err)
 	}
 }
 
@@ -124,10 +124,10 @@
 func (s *soakRun) drainCache(random *rand.Rand) string {
 	cache := s.soakCaches[random.IntN(s.settings.Caches)]
 	s.mu.Lock()
-	taken := s.draining[cache]
-	s.draining[cache] = true
+	alreadyDraining := s.drainingCaches[cache]
+	s.drainingCaches[cache] = true
 	s.mu.Unlock()
-	if taken {
+	if alreadyDraining {
 		return ""
 	}
 	state := []string{stateDraining, stateGone}[random.IntN(2)]
@@ -135,7 +135,7 @@
 	time.Sleep(time.Duration(1000+random.IntN(3000)) * time.Millisecond)
 	s.publishReturn(cache)
 	s.mu.Lock()
-	delete(s.draining, cache)
+	delete(s.drainingCaches, cache)
 	s.mu.Unlock()
 	return state + " " + cache.name
 }
--- a/loadtest/soakhistory.go
+++ b/loadtest/soakhistory.go
@@ -100,8 +100,8 @@
 	return last
 }
 
-// receivedBy returns when a router should have received, as seen at a time, an event that was published at another.
-func (h *soakHistory) receivedBy(router string, published, now time.Time) time.Time {
+// receiptTime returns when a router should have received, as seen at a time, an event that was published at another.
+func (h *soakHistory) receiptTime(router string, published, now time.Time) time.Time {
 	at := published.Add(soakEventDelay)
 	if start := h.lastStart(router, now); !start.IsZero() {
 		at = later(at, start.Add(soakReconnectDelay))
--- a/loadtest/soakcrowd.go
+++ b/loadtest/soakidle.go
@@ -22,13 +22,13 @@
 func holdIdleConns(address string, stop <-chan struct{}) {
 	var clients sync.WaitGroup
 	for range soakIdleClients {
-		clients.Go(func() { idleClient(address, stop) })
+		clients.Go(func() { runIdleClient(address, stop) })
 	}
 	clients.Wait()
 }
 
-// idleClient holds one connection after the other, and sends nothing.
-func idleClient(address string, stop <-chan struct{}) {
+// runIdleClient holds one connection after the other, and sends nothing.
+func runIdleClient(address string, stop <-chan struct{}) {
 	for {
 		select {
 		case <-stop:
--- a/loadtest/soakshutdown.go
+++ b/loadtest/soakshutdown.go
@@ -95,11 +95,11 @@
 	select {
 	case err := <-exited:
 		if err != nil {
-			s.reportProcess("%s: exit after SIGTERM: %v", r.ListenAddress, err)
+			s.reportProcessError("%s: exit after SIGTERM: %v", r.ListenAddress, err)
 		}
 	case <-time.After(soakExitTimeout - time.Since(terminated)):
 		r.Signal(syscall.SIGKILL)
-		s.reportProcess("%s: killed %v after SIGTERM", r.ListenAddress, time.Since(terminated))
+		s.reportProcessError("%s: killed %v after SIGTERM", r.ListenAddress, time.Since(terminated))
 		<-exited
 	}
 }
--- a/loadtest/soakusage.go
+++ b/loadtest/soakusage.go
@@ -17,17 +17,17 @@
 )
 
 const (
-	soakPipelineDepth  = 8
-	soakPipelinePause  = 400 * time.Millisecond
-	soakRestLength     = 5 * time.Second        // the router ends idle connections after it
-	soakRestSpread     = 100 * time.Millisecond // around it
-	soakSlowReadBytes  = 8 << 10                // read at a time by a client that reads slowly
-	soakSlowReadPause  = 20 * time.Millisecond
-	soakSteadyOfUsages = 2 // of so many connections, one is used steadily, and the others in any way
+	soakPipelineDepth = 8
+	soakPipelinePause = 400 * time.Millisecond
+	soakRestLength    = 5 * time.Second        // the router ends idle connections after it
+	soakRestSpread    = 100 * time.Millisecond // around it
+	soakSlowReadBytes = 8 << 10                // read at a time by a client that reads slowly
+	soakSlowReadPause = 20 * time.Millisecond
+	soakSteadyEvery   = 2 // of so many connections, one is used steadily, and the others in any way
 )
 
 func (c *soakClient) drawUsage() connUsage {
-	if c.random.IntN(soakSteadyOfUsages) == 0 {
+	if c.random.IntN(soakSteadyEvery) == 0 {
 		return usageSteady
 	}
 	return connUsage(c.random.IntN(int(usageCount)))
@@ -50,7 +50,7 @@
 	select {
 	case <-stop:
 		return false
-	case <-s.ended:
+	case <-s.readerDone:
 		return false
 	case <-time.After(length):
 		return true
@@ -64,7 +64,7 @@
 	if s.wait(soakRestLength-soakRestSpread+spread, stop) {
 		s.send(2)
 	}
-	s.settle()
+	s.awaitAnswers()
 }
 
 // pipeline sends many requests at once, and again after a pause.
@@ -77,7 +77,7 @@
 			break
 		}
 	}
-	s.settle()
+	s.awaitAnswers()
 }
 
 // slowReader is a connection whose bytes are read slowly.
--- a/loadtest/stepkill.go
+++ b/loadtest/stepkill.go
@@ -18,8 +18,8 @@
 }
 
 const (
-	stepKillTimeout   = 2500 * time.Millisecond // of the order, its claim included
-	stepKillAftermath = 300 * time.Millisecond  // after which all that was to run has run
+	stepKillTimeout    = 2500 * time.Millisecond // of the order, its claim included
+	stepKillSettleTime = 300 * time.Millisecond  // after which all that was to run has run
 )
 
 // KillAtStep starts a router anew with an entry of its environment that has it killed at a step of an order, sends it one, and
@@ -45,14 +45,14 @@
 	if result.Answer, err = requestOnce(other.ListenAddress, &claim); err != nil {
 		return result, fmt.Errorf("claim: %w", err)
 	}
-	time.Sleep(stepKillAftermath)
+	time.Sleep(stepKillSettleTime)
 	result.Executions = c.orders.ran(item)
 	_ = router.wait() // it says that the process was killed
-	all, err := c.Timeline(killed)
+	events, err := c.Timeline(killed)
 	if err != nil {
 		return result, err
 	}
-	result.Timeline = all.About(result.Txn)
+	result.Timeline = events.About(result.Txn)
 	return result, router.Start()
 }
 
