--- a/loadtest/backend.go
+++ b/loadtest/backend.go
@@ -12,31 +12,31 @@
 	backendMinDelay   = 5 * time.Millisecond
 	backendScoreSize  = 24 << 10 // bytes
 	backendPageSize   = 4 << 10  // bytes
-	backendQueueTime  = 0.25     // seconds of work that wait at most
-	backendMaxWork    = 0.5      // seconds of work, rejections included
-	backendRejectCost = 0.1      // of the work of a request
+	backendQueueTime  = 0.25     // seconds of work that can be queued
+	backendMaxWork    = 0.5      // seconds of queued work at most, rejections included
+	backendRejectCost = 0.1      // of a rejection, as a fraction of the work of a served request
 )
 
-// Backend is how all endpoints of a fleet answer. It counts what they were sent.
+// Backend answers requests on behalf of all endpoints of a fleet, and counts them.
 type Backend struct {
-	OnRequest func(fakes.Request) // called with each request; set it before the first one; nil: not called
+	OnRequest func(fakes.Request) // called with each request unless nil; set it before the first request
 
 	mu         sync.Mutex
 	load       BackendLoad
-	work       float64        // requests that wait to be done
-	updated    time.Time      // when work was computed
+	work       float64        // queued work, in requests
+	updated    time.Time      // when work was last computed
 	Requests   int            // read it after the fleet is closed
-	Executions map[string]int // of orders, by object; read it after the fleet is closed
+	Executions map[string]int // how often each order ran, by object; read it after the fleet is closed
 }
 
-// ran returns how often an order ran. Call it after the fleet is closed.
+// ran returns how often the order of an item ran. Call it after the fleet is closed.
 func (b *Backend) ran(item uint64) int { return b.Executions[objectName(item)] }
 
-// BackendLoad says how endpoints behave.
+// BackendLoad describes how the endpoints of a fleet behave.
 type BackendLoad struct {
 	RejectAll bool
-	Delay     time.Duration // of each answer, in addition to the least one
-	Rate      float64       // requests a second that they can do; 0: any number
+	Delay     time.Duration // of each answer, in addition to backendMinDelay
+	Rate      float64       // requests a second that the endpoints can serve; 0: no limit
 }
 
 // Set changes how the endpoints behave.
@@ -46,7 +46,7 @@
 	b.load, b.work, b.updated = load, 0, time.Now()
 }
 
-// answer answers a request.
+// answer counts a request, and returns the reply to it.
 func (b *Backend) answer(request fakes.Request) fakes.Reply {
 	if b.OnRequest != nil {
 		b.OnRequest(request)
@@ -70,8 +70,8 @@
 		Fields: fmt.Sprintf("res=%s,version=1,stamp=%d", result, time.Now().UnixMilli())}
 }
 
-// admit queues a request, and returns how long it waits for its turn. It is not admitted where the queue is full; to reject a
-// request is work, too.
+// admit queues a request, and returns how long it waits in the queue. The request is not admitted if the endpoints reject all
+// requests or the queue is full. With a limited rate, a rejection adds work to the queue as well.
 func (b *Backend) admit() (wait time.Duration, admitted bool) {
 	rate := b.load.Rate
 	if rate <= 0 {
--- a/loadtest/endpoints.go
+++ b/loadtest/endpoints.go
@@ -13,7 +13,7 @@
 	MachineType     string `json:"machineType,omitempty"`
 	State           string `json:"lifecycle"`
 	Weight          int    `json:"weight,omitempty"`
-	StartedAtMillis int64  `json:"startedAtMs"` // Unix time; 0: before the list
+	StartedAtMillis int64  `json:"startedAtMs"` // Unix time; 0: started before the list was sent
 }
 
 const (
@@ -27,18 +27,18 @@
 	stateGone     = "gone"
 )
 
-// endpointName is the name of an endpoint by its number in the fleet.
+// endpointName returns the name of an endpoint by its number in the fleet.
 func endpointName(number int) string { return fmt.Sprintf("s-%d", number+1) }
 
-// newEndpoint describes a page cache.
+// newEndpoint returns a page cache as the discovery service lists it.
 func newEndpoint(id, address, state string) endpoint {
 	return endpoint{ID: id, Address: address, Zone: zoneEdge, MachineType: machineSmall, State: state, Weight: 1}
 }
 
-// endpointList is an event of the discovery service.
+// endpointList is an event of the discovery service about endpoints.
 type endpointList struct {
 	Generation int        `json:"generation"`
-	Reset      bool       `json:"reset"` // it is the complete list
+	Reset      bool       `json:"reset"` // the list is complete, rather than a change
 	Endpoints  []endpoint `json:"instances"`
 }
 
@@ -47,7 +47,7 @@
 	return `"hosts":` + string(mustMarshal(endpointList{Generation: generation, Reset: complete, Endpoints: endpoints}))
 }
 
-// mustMarshal encodes what holds only strings and numbers, which can't fail.
+// mustMarshal encodes a value as JSON. The value must consist of strings, numbers and booleans, whose encoding can't fail.
 func mustMarshal(v any) []byte {
 	text, err := json.Marshal(v)
 	if err != nil {
--- a/loadtest/fleet.go
+++ b/loadtest/fleet.go
@@ -10,43 +10,45 @@
 	"hillknot/internal/testutil/fakes"
 )
 
-// firstEventPosition is that of the fake discovery service; position 1 is the list that a router starts with.
+// firstEventPosition is the position of the first event of the fake discovery service. Position 1 is the endpoint list that a
+// router starts with.
 const firstEventPosition = 2
 
-// Fleet is some routers of one location with page caches, an origin and a discovery service, all on loopback.
+// Fleet is a number of routers of one location with page caches, an origin and a discovery service, all on loopback.
 type Fleet struct {
 	Backend *Backend
 	Routers []*Router
 
 	options   FleetOptions
-	dir       string         // of all files of the routers
-	caches    []*fakes.Cache // those on the list, the origin, the unlisted ones
+	dir       string         // holds all files of the routers
+	caches    []*fakes.Cache // page caches on the list, then the origin, then unlisted page caches
 	discovery *fakes.Discovery
 }
 
-// FleetOptions describe a fleet.
+// FleetOptions describes a fleet.
 type FleetOptions struct {
 	Routers        int
-	RetryAfter     bool // routers tell the clients that they reject how long to stay away
-	Caches         int  // page caches on the list, beside which there is an origin
-	UnlistedCaches int  // page caches that are not on the list yet
-	KnownRouters   int  // how many routers each router takes the location to have, itself included
-	OverloadFactor int  // a page cache that warms up may be sent this multiple of its capacity
+	RetryAfter     bool // rejections of routers tell the client how long to stay away
+	Caches         int  // page caches on the endpoint list, not counting the origin
+	UnlistedCaches int  // page caches that are not on the endpoint list at first
+	KnownRouters   int  // number of routers in the location according to the configuration of each router, itself included
+	OverloadFactor int  // a page cache that warms up may receive this multiple of its capacity
 	Sockets        int  // descriptors that a router may hold; 0: the default
 
 	Answer   func(cache int, request fakes.Request) fakes.Reply // nil: Backend answers
-	Operator func(router int, ip string) (string, error)        // the text of a router's operator's file; nil: none
-	// Address returns the addresses of page caches that the caller runs, the origin's last. Nil: the fleet runs them.
+	Operator func(router int, ip string) (string, error)        // returns the text of a router's operator's file; nil: no file
+	// Address returns the address of a page cache that the caller runs; the last page cache is the origin. Nil: the fleet
+	// runs them.
 	Address  func(cache int) string
-	LogLevel string // the least level that routers log; empty: error
+	LogLevel string // minimum level that routers log; empty: error
 }
 
-// independentFleet describes routers that do not know each other.
+// independentFleet returns the options of a fleet whose routers do not know each other.
 func independentFleet(routers int, retryAfter bool) FleetOptions {
 	return FleetOptions{Routers: routers, RetryAfter: retryAfter, Caches: 2, KnownRouters: 1, OverloadFactor: 4}
 }
 
-// StartFleet starts a fleet whose routers run a program. The caller closes it.
+// StartFleet starts a fleet whose routers run the given program. The caller closes the fleet.
 func StartFleet(program string, options FleetOptions) (*Fleet, error) {
 	f := &Fleet{Backend: &Backend{Executions: map[string]int{}}, options: options}
 	if err := f.start(program); err != nil {
@@ -56,7 +58,7 @@
 	return f, nil
 }
 
-// start starts all parts; those that were started before an error are left to Close.
+// start starts all parts. After an error, Close ends the parts that were started.
 func (f *Fleet) start(program string) (err error) {
 	if f.dir, err = os.MkdirTemp("", "hillknot-loadtest-"); err != nil {
 		return err
@@ -97,7 +99,7 @@
 	return nil
 }
 
-// endpoints returns the list of page caches and the origin.
+// endpoints returns the endpoint list: the listed page caches, then the origin.
 func (f *Fleet) endpoints() []endpoint {
 	var list []endpoint
 	for i := range f.options.Caches + 1 {
@@ -114,7 +116,7 @@
 	return list
 }
 
-// newRouter writes the files of a router, which the caller starts.
+// newRouter makes a router and writes its files. The caller starts the router.
 func (f *Fleet) newRouter(program string, number int, endpoints []endpoint) (*Router, error) {
 	ip := randomLoopbackIP()
 	r := &Router{
@@ -146,7 +148,7 @@
 	return r, os.WriteFile(r.configPath, config, 0o600)
 }
 
-// rollingRestart restarts one router after the other on SIGTERM.
+// rollingRestart restarts one router after another with SIGTERM.
 func (f *Fleet) rollingRestart() error {
 	for _, r := range f.Routers {
 		r.Signal(syscall.SIGTERM)
@@ -173,30 +175,31 @@
 	if f.discovery != nil {
 		f.discovery.Close()
 	}
-	_ = os.RemoveAll(f.dir) // what stays is in the folder of temporary files
+	_ = os.RemoveAll(f.dir) // files that can't be removed stay in the folder of temporary files
 }
 
-// Publish has the discovery service send an event. The text is what follows "pos" in its data.
+// Publish makes the discovery service send an event. The formatted text follows the field "pos" in the data of the event.
 func (f *Fleet) Publish(format string, args ...any) { f.discovery.Publish(format, args...) }
 
-// publishEndpoints has the discovery service send a change of some endpoints.
+// publishEndpoints makes the discovery service send a change of some endpoints.
 func (f *Fleet) publishEndpoints(endpoints ...endpoint) {
 	f.Publish("%s", endpointsEvent(1, false, endpoints))
 }
 
-// publishPurge has the discovery service send that copies of an object from before a time are invalid.
+// publishPurge makes the discovery service send a purge: copies of an object from before a time are invalid.
 func (f *Fleet) publishPurge(object string, at time.Time) {
 	f.Publish(`"expire":{"name":%q,"stamp":%d}`, object, at.UnixMilli())
 }
 
-// listCache has the discovery service add an unlisted page cache, which has just started, to the list under a name.
+// listCache makes the discovery service add an unlisted page cache to the endpoint list under a name, as one that has just
+// started.
 func (f *Fleet) listCache(unlisted int, name string) {
 	e := newEndpoint(name, f.caches[f.options.Caches+1+unlisted].Addr(), stateReady)
 	e.StartedAtMillis = time.Now().UnixMilli()
 	f.publishEndpoints(e)
 }
 
-// listenAddresses returns the addresses at which the routers take clients.
+// listenAddresses returns the addresses at which the routers accept clients.
 func (f *Fleet) listenAddresses() (addresses []string) {
 	for _, r := range f.Routers {
 		addresses = append(addresses, r.ListenAddress)
--- a/loadtest/pipelinedload.go
+++ b/loadtest/pipelinedload.go
@@ -11,23 +11,23 @@
 )
 
 const (
-	pipelinedMaxInFlight = 31 // requests on a connection: a client may have no more in flight
+	pipelinedMaxInFlight = 31 // requests on a connection; a client may not have more in flight
 	pipelinedTimeout     = 1500 * time.Millisecond
-	pipelinedItems       = 4000 // different pages
-	pipelinedOrderEvery  = 20   // one request in so many is an order
+	pipelinedItems       = 4000 // number of different pages
+	pipelinedOrderEvery  = 20   // one request in this many is an order
 	answerTimeout        = 4 * time.Second
 )
 
-// PipelinedResult is what became of requests that were sent down connections until these closed.
+// PipelinedResult counts the outcomes of requests that were sent on connections until these closed.
 type PipelinedResult struct {
 	Sent                     int
 	Served, Rejected, Failed int
-	Disconnected             int // in flight on a connection as it closed
+	Disconnected             int // in flight on a connection when it closed
 	Unanswered               int // without an answer, on a connection that stayed open
 	AnsweredTwice            int
 }
 
-// Answered is how many requests got a final answer.
+// Answered returns how many requests got a final answer.
 func (r PipelinedResult) Answered() int { return r.Served + r.Rejected + r.Failed }
 
 // add adds the counts of another result.
@@ -41,24 +41,24 @@
 	r.AnsweredTwice += other.AnsweredTwice
 }
 
-// pipelinedLoad sends a router requests at a steady rate over one connection, whatever comes back, and checks that each gets
-// one final answer. It opens a new connection when that has closed.
+// pipelinedLoad sends requests to a router at a steady rate over one connection, without waiting for answers, and checks that
+// each request gets one final answer. When the connection has closed, it opens a new one.
 type pipelinedLoad struct {
 	address    string
 	rate       float64       // requests a second
 	stopped    chan struct{} // closed by stop
 	goroutines sync.WaitGroup
 
-	conn net.Conn // of the goroutine of run; nil: none is open
+	conn net.Conn // used only by the goroutine of run; nil: none is open
 
 	mu       sync.Mutex
 	random   *rand.Rand
 	inFlight map[uint64]bool // by message id
-	ended    net.Conn        // the connection that was read to its end last
+	ended    net.Conn        // the last connection that was read to its end
 	result   PipelinedResult
 }
 
-// startPipelinedLoad starts to send. The requests follow from the seed. The caller ends it by stop.
+// startPipelinedLoad starts to send requests, which follow from the seed. The caller ends the load with stop.
 func startPipelinedLoad(address string, rate float64, seed uint64) *pipelinedLoad {
 	l := &pipelinedLoad{address: address, rate: rate, stopped: make(chan struct{}), random: rand.New(rand.NewPCG(seed, 3)),
 		inFlight: map[uint64]bool{}}
@@ -66,7 +66,7 @@
 	return l
 }
 
-// stop stops sending, waits for the answers that are due for a bounded time, and returns the counts.
+// stop stops sending, waits up to answerTimeout for the answers that are due, and returns the counts.
 func (l *pipelinedLoad) stop() PipelinedResult {
 	close(l.stopped)
 	l.goroutines.Wait()
@@ -88,7 +88,7 @@
 	}
 }
 
-// send sends a request, unless the router is down or too many are in flight.
+// send sends a request, unless the router is down or too many requests are in flight.
 func (l *pipelinedLoad) send(id uint64) {
 	if l.conn == nil && !l.connect() {
 		return
@@ -99,14 +99,14 @@
 	}
 	_, err := l.conn.Write(rpc.AppendRequest(nil, id, request))
 	if err != nil {
-		_ = l.conn.Close() // its reader has ended, or does now
+		_ = l.conn.Close() // so that its reader ends, if it has not yet
 	}
 	if l.countDisconnected(l.conn) || err != nil {
 		l.conn = nil
 	}
 }
 
-// connect opens a connection; it reports false where the router is down.
+// connect opens a connection, and reports whether the router accepted it.
 func (l *pipelinedLoad) connect() bool {
 	conn, err := net.DialTimeout("tcp", l.address, 200*time.Millisecond)
 	if err != nil {
@@ -117,7 +117,7 @@
 	return true
 }
 
-// nextRequest draws a request and counts it as sent, unless too many are in flight.
+// nextRequest draws a request and counts it as sent, unless too many requests are in flight.
 func (l *pipelinedLoad) nextRequest(id uint64) (request *rpc.Request, admitted bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -140,11 +140,11 @@
 		l.awaitAnswers()
 	}
 	if l.conn != nil {
-		_ = l.conn.Close() // all is answered, or will never be
+		_ = l.conn.Close() // no further answer is expected
 	}
 }
 
-// settle waits for the answers that are due, for a bounded time, and counts those that did not come.
+// awaitAnswers waits up to answerTimeout for the answers that are due, and counts the requests that got none.
 func (l *pipelinedLoad) awaitAnswers() {
 	for end := time.Now().Add(answerTimeout); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
 		l.mu.Lock()
@@ -160,7 +160,8 @@
 	clear(l.inFlight)
 }
 
-// countDisconnected reports whether a connection has ended, and counts what was in flight on it since the last count.
+// countDisconnected reports whether a connection has ended. If so, it counts the requests that were in flight on it since the
+// last count.
 func (l *pipelinedLoad) countDisconnected(conn net.Conn) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -175,14 +176,14 @@
 // read counts the answers on a connection until it ends.
 func (l *pipelinedLoad) read(conn net.Conn) {
 	readResponses(conn, l.countAnswer)
-	_ = conn.Close() // the next request comes on a new connection
+	_ = conn.Close() // the next request is sent on a new connection
 	l.mu.Lock()
 	l.ended = conn
 	l.mu.Unlock()
 	l.countDisconnected(conn)
 }
 
-// countAnswer counts one answer.
+// countAnswer counts an answer. An answer without a request in flight counts as a second answer to it.
 func (l *pipelinedLoad) countAnswer(header rpc.ResponseHeader) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/loadtest/responses.go
+++ b/loadtest/responses.go
@@ -17,8 +17,8 @@
 	exchangeBuffer    = 64 << 10  // bytes, for one response
 )
 
-// readResponses calls handle with the header of each response that comes on a connection, until the connection ends or brings
-// what is not a response.
+// readResponses calls handle with the header of each response on a connection, until the connection ends or data arrives that
+// is not a response.
 func readResponses(conn net.Conn, handle func(rpc.ResponseHeader)) {
 	buf := make([]byte, 0, responseBuffer)
 	for {
@@ -41,7 +41,7 @@
 	}
 }
 
-// parseResponse parses the response at the start of a buffer. The size is 0 where the response is not complete.
+// parseResponse parses the response at the start of a buffer. The size is 0 if the response is not complete.
 func parseResponse(buf []byte) (header rpc.ResponseHeader, size int, err error) {
 	header, progress, err := rpc.ParseResponseHeader(buf, maxResponseHeader, maxResponseBody)
 	if err != nil || progress.Consumed == 0 || header.Kind != rpc.ResponseBody {
@@ -58,16 +58,16 @@
 	return header, bodyEnd + trailer.Consumed, nil
 }
 
-// errRejected says that a router rejected a request.
+// errRejected means that a router rejected a request.
 var errRejected = errors.New("rejected")
 
-// errorCode is an error that a router answered with.
+// errorCode is the error code of a response.
 type errorCode string
 
 // Error implements error.
 func (c errorCode) Error() string { return "failed: " + string(c) }
 
-// responseError returns why a response does not serve its request; nil: it does.
+// responseError returns the error that a response reports, or nil if it serves its request.
 func responseError(header rpc.ResponseHeader) error {
 	switch {
 	case header.Kind == rpc.ResponseBody:
@@ -101,5 +101,5 @@
 	return rpc.ResponseHeader{}, io.ErrShortBuffer
 }
 
-// objectName is the name of an item towards endpoints.
+// objectName returns the name under which endpoints know an item.
 func objectName(item uint64) string { return fmt.Sprintf("%016x", item) }
--- a/loadtest/router.go
+++ b/loadtest/router.go
@@ -15,7 +15,7 @@
 )
 
 const (
-	startAttempts     = 200 // connections that are tried until a router accepts one
+	startAttempts     = 200 // maximum number of connections that are tried until a router accepts one
 	startInterval     = 10 * time.Millisecond
 	adminPort         = 7055
 	metricsTimeout    = time.Second
@@ -23,9 +23,9 @@
 	routerLogFileName = "log"
 )
 
-// Router is a router's process, which can be ended and started again.
+// Router is a router whose process can be ended and started again.
 type Router struct {
-	ListenAddress string // at which it takes clients
+	ListenAddress string // at which it accepts clients
 
 	name         string // in the logs and timelines of a cluster
 	ipAddress    string
@@ -33,17 +33,17 @@
 	dir          string // of its files
 	configPath   string
 	operatorPath string   // empty: it has no operator's file
-	logLevel     string   // the least level that it logs; empty: error
-	env          []string // of its next process, in addition to the environment of this one
+	logLevel     string   // minimum level that it logs; empty: error
+	env          []string // environment of its next process, in addition to that of this process
 
 	process *exec.Cmd
 }
 
-// routerName is the name of a router by its number in the fleet.
+// routerName returns the name of a router by its number in the fleet.
 func routerName(number int) string { return fmt.Sprintf("lab-%d", number) }
 
-// randomLoopbackIP draws an IP address for a router of its own, so that no connection of another process can be given the
-// router's port while it is down.
+// randomLoopbackIP returns a random loopback address. Each router has an IP address of its own, so that no connection of
+// another process can be given the router's port while the router is down.
 func randomLoopbackIP() string {
 	n := rand.Uint32()
 	return fmt.Sprintf("127.%d.%d.%d", 64+(n>>16)&63, n>>8&255, 1+n%254)
@@ -71,7 +71,7 @@
 
 func (r *Router) logPath() string { return filepath.Join(r.dir, routerLogFileName) }
 
-// waitUntilAccepting waits until the router accepts a connection; the error has what it logged.
+// waitUntilAccepting waits until the router accepts a connection. The error contains the log of the router.
 func (r *Router) waitUntilAccepting() error {
 	for range startAttempts {
 		if conn, err := net.Dial("tcp", r.ListenAddress); err == nil {
@@ -80,29 +80,29 @@
 		time.Sleep(startInterval)
 	}
 	logged, _ := os.ReadFile(r.logPath()) // it may have logged nothing
-	return fmt.Errorf("router %s does not accept: %s", r.ListenAddress, logged)
+	return fmt.Errorf("router %s does not accept connections; it logged: %s", r.ListenAddress, logged)
 }
 
-// started reports whether a process was started, be it that it has ended.
+// started reports whether a process was started. It may have ended since.
 func (r *Router) started() bool { return r.process != nil && r.process.Process != nil }
 
 // Signal sends the process a signal.
 func (r *Router) Signal(s syscall.Signal) { _ = r.process.Process.Signal(s) } // it may have ended
 
-// stopFor stops the process for a time, and lets it continue.
+// stopFor stops the process for a length of time, and then lets it continue.
 func (r *Router) stopFor(length time.Duration) {
 	r.Signal(syscall.SIGSTOP)
 	time.Sleep(length)
 	r.Signal(syscall.SIGCONT)
 }
 
-// wait waits for the end of the process; the error says that its exit status is not 0.
+// wait waits for the end of the process. It returns an error if the exit status is not 0.
 func (r *Router) wait() error { return r.process.Wait() }
 
 // Kill ends the process at once, and waits for its end.
 func (r *Router) Kill() {
 	r.Signal(syscall.SIGKILL)
-	_ = r.wait() // it says that the process was killed
+	_ = r.wait() // the error says that the process was killed
 }
 
 // restart kills the process and starts it again.
@@ -111,7 +111,7 @@
 	return r.Start()
 }
 
-// metrics returns the metrics that the router exports; empty where it does not answer.
+// metrics returns the metrics that the router exports, or an empty string if it does not answer.
 func (r *Router) metrics() string {
 	client := http.Client{Timeout: metricsTimeout}
 	response, err := client.Get(fmt.Sprintf("http://%s:%d/status/metrics", r.ipAddress, adminPort))
--- a/loadtest/routerconfig.go
+++ b/loadtest/routerconfig.go
@@ -14,9 +14,9 @@
 
 // How a page cache warms up after its start.
 const (
-	warmUpFrom     = 0.21             // of its capacity
-	slowStart      = 18 * time.Second // until it has all of it
-	overloadWindow = 2 * time.Second  // overloaded for so long, it falls
+	warmUpFrom     = 0.21             // fraction of its capacity at the start
+	slowStart      = 18 * time.Second // until it has its full capacity
+	overloadWindow = 2 * time.Second  // a page cache that is overloaded for this long fails
 )
 
 // routerConfig is the configuration file of a router.
@@ -29,12 +29,12 @@
 	Settings  routerSettings `json:"settings"`
 }
 
-// routerLimits are the limits of a router's machine; what is 0 has its default.
+// routerLimits holds the limits of a router's machine. A limit of 0 has its default.
 type routerLimits struct {
 	Sockets int `json:"sockets,omitempty"` // descriptors
 }
 
-// knownEvents are the events that a router has at its start.
+// knownEvents are the events of the discovery service that a router has at its start.
 type knownEvents struct {
 	Position int          `json:"pos"`
 	Events   []knownEvent `json:"entries"`
@@ -45,7 +45,7 @@
 	Endpoints endpointList `json:"hosts"`
 }
 
-// routerSettings are the settings of the decision module. Times are in microseconds.
+// routerSettings holds the settings of the decision module. Times are in microseconds.
 type routerSettings struct {
 	Locality   string           `json:"locality"`
 	Zones      []string         `json:"dcs"`
