--- a/loadtest/budgetfaults.go
+++ b/loadtest/budgetfaults.go
@@ -8,14 +8,15 @@
 	"hillknot/internal/testutil/faultnet"
 )
 
-// budgetFault is a fault that a cluster which shares budgets goes through.
+// budgetFault is a fault that is applied to a cluster which shares budgets.
 type budgetFault struct {
 	name      string
-	converges bool // in the end every router sees every other
+	converges bool // after the fault, every router has to see every other again
 	apply     func(*BudgetCluster) error
 }
 
-// budgetFaults returns the faults, in the order in which they are applied. Those of the network last until one that heals it.
+// budgetFaults returns the faults, in the order in which they are applied. A fault of the network lasts until a later one
+// heals the network.
 func budgetFaults(settings ClusterSettings) []budgetFault {
 	return []budgetFault{
 		{"none", true, func(*BudgetCluster) error { return nil }},
@@ -37,14 +38,14 @@
 	}
 }
 
-// blockOutbound has no router receive from the first one, which receives from all.
+// blockOutbound blocks what the first router sends to the others. It still receives what they send.
 func (c *BudgetCluster) blockOutbound() error {
 	c.Network.Heal()
 	c.Network.Block([]int{0}, c.others(0))
 	return nil
 }
 
-// restartTwo kills two routers, and starts each again at once.
+// restartTwo kills two routers, one after the other, and starts each again at once.
 func (c *BudgetCluster) restartTwo() error {
 	c.Network.Heal()
 	for _, r := range c.Routers[:2] {
@@ -55,7 +56,7 @@
 	return nil
 }
 
-// BudgetFaults runs a cluster that shares budgets through the faults that are named, or all.
+// BudgetFaults runs a cluster that shares budgets through the faults named in only, or through all if only is nil.
 func BudgetFaults(settings ClusterSettings, only []string) ([]BudgetResult, error) {
 	faults := budgetFaults(settings)
 	c, err := startBudgetCluster(settings, len(faults))
@@ -82,8 +83,8 @@
 	return results, nil
 }
 
-// runFault applies one fault under load, while a page cache warms up that was not listed before, and counts what it did. The load of one router is
-// double: it wants more than its share.
+// runFault applies one fault under load while a newly listed page cache warms up, and compares the attempts with the budgets.
+// The first router has twice the load of the others, so that it needs more than its share.
 func (c *BudgetCluster) runFault(fault budgetFault, unlisted int, length time.Duration) (BudgetResult, error) {
 	c.recorder.startWarmUp(clusterCaches + 1 + unlisted)
 	packets, began := c.packets(), time.Now()
@@ -107,12 +108,12 @@
 
 func unlistedCacheName(unlisted int) string { return fmt.Sprintf("s-new-%d", unlisted) }
 
-// packets returns how many packets the routers have sent each other so far.
+// packets returns how many packets the routers have sent each other so far, dropped ones included.
 func (c *BudgetCluster) packets() uint64 {
 	return c.Network.PacketsForwarded.Load() + c.Network.PacketsDropped.Load()
 }
 
-// judge compares what page caches were sent during a fault with the budgets.
+// compareWithBudgets compares the attempts that page caches received during a fault with the budgets.
 func (c *BudgetCluster) compareWithBudgets(fault string, load PipelinedResult, packetRate float64) BudgetResult {
 	c.recorder.mu.Lock()
 	defer c.recorder.mu.Unlock()
--- a/loadtest/budgetresult.go
+++ b/loadtest/budgetresult.go
@@ -7,16 +7,16 @@
 	"time"
 )
 
-// BudgetResult is what one fault did to shared budgets.
+// BudgetResult holds what was measured while one fault was applied to a cluster that shares budgets.
 type BudgetResult struct {
 	Fault              string
 	SlowStart, Retries Peak
-	Sent, Answered     int // requests; those with a final answer
-	Disconnected       int // requests on connections that a kill ended
+	Sent, Answered     int // requests, and those of them that got a final answer
+	Disconnected       int // requests in flight on connections that a kill closed
 	Unanswered         int
 	AnsweredTwice      int
 	OrdersRunTwice     int
-	PacketRate         float64 // packets a second that each router sent to others
+	PacketRate         float64 // packets a second that each router sent to the others
 }
 
 // Broken reports whether a budget was overspent, a request lost or answered twice, or an order run twice.
@@ -24,23 +24,23 @@
 	return r.SlowStart.Utilization > 1 || r.Retries.Utilization > 1 || r.Unanswered+r.AnsweredTwice+r.OrdersRunTwice > 0
 }
 
-// Peak is the highest use of a budget in any window of time.
+// Peak is the highest utilization of a budget in any window of time.
 type Peak struct {
 	Utilization float64 // Count as a fraction of Bound
 	Count       int     // attempts in that window
-	Bound       float64 // attempts that the budget allows there
+	Bound       float64 // attempts that the budget allows in that window
 	Window      time.Duration
-	Attempts    int // in all
+	Attempts    int // in total
 }
 
 const (
-	// clockDrift is by how much the clocks of routers may differ in speed.
+	// clockDrift is the fraction by which the clocks of routers may differ in speed.
 	clockDrift = 0.02
-	// arrivalJitter is by how much attempts may come closer together than they were sent.
+	// arrivalJitter is how much closer together attempts may arrive than they were sent.
 	arrivalJitter = 50 * time.Millisecond
 )
 
-// findPeak compares attempts with a budget in windows of three lengths.
+// findPeak returns the highest utilization of a budget by attempts, over windows of three lengths.
 func findPeak(attempts []time.Time, b budget) (peak Peak) {
 	slices.SortFunc(attempts, time.Time.Compare)
 	peak.Attempts = len(attempts)
@@ -60,8 +60,8 @@
 	return peak
 }
 
-// MeasureBudgets runs a cluster that shares budgets through all faults, and writes a table. It then compares how often a page
-// cache that fails everything is tried, by routers that share nothing and by a cluster.
+// MeasureBudgets runs a cluster that shares budgets through all faults, and writes a table. It then counts the attempts at a
+// page cache that fails all requests, first by routers that share no state, then by a cluster.
 func MeasureBudgets(settings ClusterSettings, out io.Writer) error {
 	results, err := BudgetFaults(settings, nil)
 	if err != nil {
--- a/loadtest/cluster.go
+++ b/loadtest/cluster.go
@@ -12,40 +12,40 @@
 	"hillknot/internal/testutil/faultnet"
 )
 
-// ClusterSettings set up a measurement of a cluster.
+// ClusterSettings holds the settings of a measurement of a cluster.
 type ClusterSettings struct {
-	Program     string // the router, built with the tag cluster
+	Program     string // path of the router's program, built with the tag cluster
 	Routers     int
 	FaultLength time.Duration // how long each fault lasts
 	Seed        uint64        // of the faults and the load
 }
 
-// Cluster is a fleet whose routers share state over a network with faults.
+// Cluster is a fleet whose routers share state over a network that can inject faults.
 type Cluster struct {
 	*Fleet
 	Network *faultnet.Network
 
 	keyFile    string
-	loads      []*pipelinedLoad // that run
+	loads      []*pipelinedLoad // running loads
 	seed       uint64
-	rangeIndex byte // of the proxies' addresses; other clusters of the process have other ranges
+	rangeIndex byte // selects the address range of the proxies, which differs from those of other clusters of the process
 }
 
 const (
 	clusterPort   = 7946
 	clusterCaches = 4
-	// unboundedOverload is an OverloadFactor under which only the cluster bounds what a page cache that warms up is sent.
+	// unboundedOverload is an OverloadFactor so high that only the cluster limits the attempts at a page cache that warms up.
 	unboundedOverload = 1000
 	convergeTimeout   = 20 * time.Second // for all routers of a cluster to agree
 )
 
-// addressRanges is how many clusters of a process can run at a time.
+// addressRanges is how many clusters can run in a process at the same time.
 const addressRanges = 32
 
-// clusters counts the clusters of this process.
+// clusterCount counts the clusters that this process has made.
 var clusterCount atomic.Uint32
 
-// newCluster makes the network and the keys of a cluster, whose routers the caller starts by start.
+// newCluster makes the network and the key file of a cluster. The caller starts the routers with start.
 func newCluster(seed uint64) (*Cluster, error) {
 	dir, err := os.MkdirTemp("", "hillknot-keys-")
 	if err != nil {
@@ -70,8 +70,8 @@
 		OverloadFactor: unboundedOverload}
 }
 
-// start starts the routers. A router takes part in the cluster where there are blocks for the block fleet of its operator's
-// file; without any, all routers are independent.
+// start starts the routers. A router takes part in the cluster if blocks returns text for the block fleet of its operator's
+// file. If blocks returns an empty string, the router is independent.
 func (c *Cluster) start(program string, options FleetOptions, blocks func(router int) string) (err error) {
 	options.Operator = func(router int, ip string) (string, error) {
 		return c.operatorFile(router, ip, options.Routers, blocks(router))
@@ -80,7 +80,7 @@
 	return err
 }
 
-// operatorFile connects a router to the network, and returns the text of its operator's file.
+// operatorFile adds a router to the network, and returns the text of its operator's file.
 func (c *Cluster) operatorFile(router int, ip string, routers int, blocks string) (string, error) {
 	listen := netip.AddrPortFrom(netip.MustParseAddr(ip), clusterPort)
 	if err := c.Network.AddProcess(c.proxyAddress(router), listen); err != nil {
@@ -106,14 +106,15 @@
 `, listen, c.proxyAddress(router), strings.Join(peers, ", "), c.keyFile, routers, blocks), nil
 }
 
-// proxyAddress is the address at which the other routers reach a router.
+// proxyAddress returns the address at which the other routers reach a router.
 func (c *Cluster) proxyAddress(router int) netip.AddrPort {
 	pid := os.Getpid()
 	ip := netip.AddrFrom4([4]byte{127, 63 - c.rangeIndex, byte(pid>>8&63 + 1), byte(1 + router)})
 	return netip.AddrPortFrom(ip, uint16(20000+pid%20000))
 }
 
-// waitForMembership waits until every router sees every other. Before that, no bound on what they share says anything.
+// waitForMembership waits until every router sees every other. Before that, measuring the bounds on shared state says nothing
+// about the cluster.
 func (c *Cluster) waitForMembership() error {
 	line := fmt.Sprintf("app_fleet_others %d\n", len(c.Routers)-1)
 	if err := c.waitForMetrics(func(metrics string) bool { return strings.Contains(metrics, line) }); err != nil {
@@ -128,7 +129,7 @@
 		metrics := r.metrics()
 		for end := time.Now().Add(convergeTimeout); !condition(metrics); metrics = r.metrics() {
 			if time.Now().After(end) {
-				return fmt.Errorf("router %s shows %s", r.ListenAddress, metrics)
+				return fmt.Errorf("router %s has metrics that do not satisfy the condition: %s", r.ListenAddress, metrics)
 			}
 			time.Sleep(50 * time.Millisecond)
 		}
@@ -143,7 +144,7 @@
 	}
 }
 
-// stopLoads stops all loads, and returns the sum of their counts.
+// stopLoads stops all loads, and returns the sums of their counts.
 func (c *Cluster) stopLoads() (total PipelinedResult) {
 	for _, load := range c.loads {
 		total.add(load.stop())
@@ -152,7 +153,7 @@
 	return total
 }
 
-// runSchedule applies a schedule of faults.
+// runSchedule applies the steps of a schedule of faults.
 func (c *Cluster) runSchedule(steps []faultnet.Step) error {
 	for _, step := range steps {
 		time.Sleep(step.Delay)
@@ -188,10 +189,10 @@
 		c.Fleet.Close()
 	}
 	c.Network.Close()
-	_ = os.RemoveAll(filepath.Dir(c.keyFile)) // what stays is in the folder of temporary files
+	_ = os.RemoveAll(filepath.Dir(c.keyFile)) // files that can't be removed stay in the folder of temporary files
 }
 
-// closeAfter closes the cluster after an error of its start, and returns that.
+// closeAfter closes the cluster after an error of its start, and returns that error.
 func (c *Cluster) closeAfter(err error) error {
 	c.Close()
 	return err
--- a/loadtest/clusterkeys.go
+++ b/loadtest/clusterkeys.go
@@ -16,14 +16,14 @@
 	keyReloadTime = 200 * time.Millisecond
 )
 
-// generateKey returns a new key as it stands in the key file.
+// generateKey returns a new random key in hexadecimal, as it is written to the key file.
 func generateKey() string {
 	key := make([]byte, keySize)
-	_, _ = rand.Read(key) // it never fails
+	_, _ = rand.Read(key) // crypto/rand never returns an error
 	return hex.EncodeToString(key)
 }
 
-// writeKeys replaces the key file.
+// writeKeys replaces the contents of the key file.
 func (c *Cluster) writeKeys(keys ...string) error {
 	return replaceFile(c.keyFile, strings.Join(keys, "\n")+"\n")
 }
@@ -36,7 +36,8 @@
 	return os.Rename(path+".new", path)
 }
 
-// rotateKeys gives the routers a new key while they run: first all accept it, then all use it, then all reject the old one.
+// rotateKeys replaces the key of the routers while they run: first all accept the new key, then all use it, then all reject
+// the old one.
 func (c *Cluster) rotateKeys() error {
 	text, err := os.ReadFile(c.keyFile)
 	if err != nil {
--- a/loadtest/credit.go
+++ b/loadtest/credit.go
@@ -15,19 +15,19 @@
 	orderPrice = 3
 )
 
-// creditOrderTime is how long an order takes at least.
+// creditOrderTime is the minimum duration of an order.
 const creditOrderTime = 10 * time.Millisecond
 
 // CreditCluster is a cluster whose routers share the balances of prepaid accounts.
 type CreditCluster struct {
 	*FailoverCluster
 	routerNames []string
-	topups      []string           // blocks of the file of top-ups
+	topups      []string           // blocks of the top-up files
 	funded      map[string]float64 // by account
-	spent       map[string]float64 // by account: what clients were served, at its price
+	spent       map[string]float64 // by account: the price of the requests that were served
 }
 
-// creditBlocksFormat is the form of the blocks of a router's operator's file.
+// creditBlocksFormat is the format of the blocks in the block fleet of a router's operator's file.
 const creditBlocksFormat = `  takeover {
     strict = true
   }
@@ -47,7 +47,8 @@
   }
 `
 
-// StartCreditCluster starts a cluster that shares the balances of accounts, each funded with an amount.
+// StartCreditCluster starts a cluster whose routers share the balances of accounts. The map holds the initial funds of each
+// account, in credits.
 func StartCreditCluster(settings ClusterSettings, accounts map[string]float64) (*CreditCluster, error) {
 	cluster, err := newCluster(settings.Seed)
 	if err != nil {
@@ -64,7 +65,7 @@
 	return c, nil
 }
 
-// startRouters writes the top-ups and starts the routers.
+// startRouters writes the top-up files and starts the routers.
 func (c *CreditCluster) startRouters(settings ClusterSettings, accounts map[string]float64) error {
 	for i := range settings.Routers {
 		c.routerNames = append(c.routerNames, strconv.Quote(routerName(i)))
@@ -88,29 +89,29 @@
 	return c.waitForMembership()
 }
 
-// filePath returns the path of a file beside the keys.
+// filePath returns the path of a file in the folder of the key file.
 func (c *CreditCluster) filePath(name string) string {
 	return filepath.Join(filepath.Dir(c.keyFile), name)
 }
 
-// topupsPath is the path of the file of top-ups that a router reads.
+// topupsPath returns the path of the top-up file that a router reads.
 func (c *CreditCluster) topupsPath(router int) string {
 	return c.filePath(fmt.Sprintf("topups.hcl.%d", router))
 }
 
-// addTopup adds a top-up to the file, which writeTopups writes.
+// addTopup adds a top-up to the text that writeTopups writes.
 func (c *CreditCluster) addTopup(id, account string, amount float64) {
 	c.topups = append(c.topups, fmt.Sprintf("topup %q {\n  account = %q\n  amount  = %g\n}\n", id, account, amount))
 	c.funded[account] += amount
 }
 
-// writeTopups writes the file of top-ups that a router reads.
+// writeTopups writes the top-up file that a router reads.
 func (c *CreditCluster) writeTopups(router int) error {
 	text := "among = [" + strings.Join(c.routerNames, ", ") + "]\n" + strings.Join(c.topups, "")
 	return replaceFile(c.topupsPath(router), text)
 }
 
-// TopUp tops an account up, which only some routers read.
+// TopUp tops up an account. Only the routers in readers receive the new top-up file.
 func (c *CreditCluster) TopUp(id, account string, amount float64, readers []int) error {
 	c.addTopup(id, account, amount)
 	for _, i := range readers {
--- a/loadtest/creditclient.go
+++ b/loadtest/creditclient.go
@@ -14,31 +14,31 @@
 
 const (
 	creditTimeout = time.Second // of a request
-	creditItems   = 4000        // different pages
+	creditItems   = 4000        // number of different pages
 	creditPause   = 10 * time.Millisecond
 )
 
-// payingClient sends one request after the other on behalf of an account, and counts what it was served.
+// payingClient sends one request after another on behalf of an account, and counts the answers.
 type payingClient struct {
 	client      *client.Client
 	random      *rand.Rand
 	sendsOrders bool // it sends orders; otherwise pages
 
 	mu               sync.Mutex
-	spent            float64 // the price of what it was served
+	spent            float64 // price of the requests that were served
 	served, rejected int
-	servedSinceTaken int // served since it was read last
+	servedSinceTaken int // served since the last call of takeServed
 }
 
-// payingClientOptions describe a client.
+// payingClientOptions describes a paying client.
 type payingClientOptions struct {
 	account      string // empty: none
 	seed         uint64
-	claimsOrders bool // it claims its orders at another router when it has lost the first
+	claimsOrders bool // it claims an order at another router when it has lost the first one
 	sendsOrders  bool // it sends orders; otherwise pages
 }
 
-// newPayingClient makes a client.
+// newPayingClient makes a client that sends requests to all routers of the cluster.
 func (c *FailoverCluster) newPayingClient(options payingClientOptions) (*payingClient, error) {
 	settings := policy.Defaults()
 	settings.Seed, settings.Claims = options.seed, options.claimsOrders
@@ -89,7 +89,7 @@
 	return servedSinceTaken
 }
 
-// payingClients are clients that run at the same time, by account.
+// payingClients are clients that run at the same time.
 type payingClients struct {
 	byAccount map[string][]*payingClient
 	stop      chan struct{}
@@ -100,13 +100,13 @@
 	return &payingClients{byAccount: map[string][]*payingClient{}, stop: make(chan struct{})}
 }
 
-// start runs a client of an account until finish.
+// start runs a client of an account until finish is called.
 func (p *payingClients) start(account string, c *payingClient, pause time.Duration) {
 	p.byAccount[account] = append(p.byAccount[account], c)
 	p.running.Go(func() { c.run(p.stop, pause) })
 }
 
-// servedWithin waits for a time, and returns how many requests of an account were served in it.
+// servedWithin waits for a length of time, and returns how many requests of an account were served meanwhile.
 func (p *payingClients) servedWithin(account string, length time.Duration) (served int) {
 	for _, c := range p.byAccount[account] {
 		c.takeServed()
@@ -118,7 +118,7 @@
 	return served
 }
 
-// awaitFirstServed waits until a request of each account is served: on a busy machine the clients take a while to connect.
+// awaitFirstServed waits until a request of each account has been served. On a busy machine, clients take a while to connect.
 func (p *payingClients) awaitFirstServed() error {
 	const timeout, interval = 20 * time.Second, 10 * time.Millisecond
 	for deadline := time.Now().Add(timeout); time.Now().Before(deadline); time.Sleep(interval) {
@@ -126,7 +126,7 @@
 			return nil
 		}
 	}
-	return fmt.Errorf("an account had no request served within %v", timeout)
+	return fmt.Errorf("no request of an account was served within %v", timeout)
 }
 
 func (p *payingClients) eachServed() bool {
@@ -144,7 +144,7 @@
 	return c.served > 0
 }
 
-// finish ends all clients, and closes them.
+// finish stops all clients, and closes them.
 func (p *payingClients) finish() {
 	close(p.stop)
 	p.running.Wait()
--- a/loadtest/creditfaults.go
+++ b/loadtest/creditfaults.go
@@ -7,29 +7,29 @@
 	"time"
 )
 
-// The accounts of the measurement: the funds of one run out in each fault, those of the other never.
+// The accounts of the measurement. The funds of depletedAccount run out in each fault, those of ampleAccount never.
 const (
 	depletedAccount = "poor"
 	ampleAccount    = "rich"
 	ampleClients    = 4
 )
 
-// CreditResult is what a fault did to balances.
+// CreditResult holds what was measured while one fault was applied to a cluster that shares balances.
 type CreditResult struct {
 	Fault            string
-	Funded, Spent    float64 // of the account that ran out, since the start; spent is the price of what clients were served
-	MaxSpentRatio    float64 // the highest of spent over funded, of any account
+	Funded, Spent    float64 // credits of depletedAccount since the start; Spent is the price of served requests
+	MaxSpentRatio    float64 // maximum of spent over funded credits of any account
 	Served, Rejected int
 	OrdersRunTwice   int
-	ServedAfterEmpty int     // served in a second after half a second without any
-	Stranded         float64 // the fraction of what was funded that nobody could spend in the end
-	FundedRatio      float64 // what the account with funds was served, over what it was before the other ran out
+	ServedAfterEmpty int     // requests of depletedAccount served in a second after half a second without any
+	Stranded         float64 // fraction of the funds of depletedAccount that no client could spend by the end
+	FundedRatio      float64 // requests of ampleAccount served after the other account ran out, relative to those before the fault
 }
 
 // Broken reports whether more was spent than was funded, or an order ran twice.
 func (r CreditResult) Broken() bool { return r.MaxSpentRatio > 1 || r.OrdersRunTwice > 0 }
 
-// creditFault is a fault that a cluster which shares balances goes through, after a top-up.
+// creditFault is a fault that is applied to a cluster which shares balances, after a top-up.
 type creditFault struct {
 	name    string
 	readers []int // the routers that read the top-up
@@ -61,7 +61,7 @@
 	}
 }
 
-// killRepeatedly restarts two routers in turn.
+// killRepeatedly kills and restarts two routers alternately, six times in total.
 func (c *CreditCluster) killRepeatedly(length time.Duration) error {
 	for i := range 6 {
 		if err := c.Routers[i%2].restart(); err != nil {
@@ -72,8 +72,8 @@
 	return nil
 }
 
-// RunCreditFaults runs the cluster under load through the faults that are named, or all. Before each, the account that runs
-// out is topped up by an amount.
+// RunCreditFaults runs the cluster under load through the faults named in only, or through all if only is nil. Before each
+// fault, depletedAccount is topped up by an amount in credits.
 func (c *CreditCluster) RunCreditFaults(length time.Duration, clients int, amount float64, only []string) (
 	[]CreditResult, error) {
 	var results []CreditResult
@@ -93,8 +93,8 @@
 	return results, nil
 }
 
-// runCreditFault runs clients of both accounts during a fault, until the funds of one have run out. The network is healed
-// before that.
+// runCreditFault runs clients of both accounts during a fault, then heals the network and waits until the funds of
+// depletedAccount have run out.
 func (c *CreditCluster) runCreditFault(fault creditFault, clients int, length time.Duration) (CreditResult, error) {
 	result := CreditResult{Fault: fault.name}
 	load := newPayingClients()
@@ -107,7 +107,7 @@
 	return result, err
 }
 
-// startCreditLoad starts the clients of both accounts. One in three sends orders.
+// startCreditLoad starts the clients of both accounts. One client in three sends orders.
 func (c *CreditCluster) startCreditLoad(load *payingClients, depletedClients int) error {
 	for i := range depletedClients + ampleClients {
 		account := depletedAccount
@@ -124,7 +124,8 @@
 	return nil
 }
 
-// measureCreditFault applies a fault, and measures what is served before it and after the funds have run out.
+// measureCreditFault applies a fault, and measures how many requests are served before the fault and after the funds of
+// depletedAccount have run out.
 func (c *CreditCluster) measureCreditFault(fault creditFault, load *payingClients, length time.Duration,
 	result *CreditResult) error {
 	if err := load.awaitFirstServed(); err != nil {
@@ -147,7 +148,7 @@
 	return nil
 }
 
-// addCreditCounts compares what clients were served with what was funded.
+// addCreditCounts adds the counts of all clients to the result, and compares the spent credits with the funded ones.
 func (c *CreditCluster) addCreditCounts(load *payingClients, result *CreditResult) {
 	for account, clients := range load.byAccount {
 		for _, paying := range clients {
--- a/loadtest/creditmeasure.go
+++ b/loadtest/creditmeasure.go
@@ -13,8 +13,8 @@
 	creditTopup        = 1500 // credits before each fault
 )
 
-// MeasureCredit compares how many pages a second are served without and with balances, and runs a cluster through all faults.
-// It writes a table.
+// MeasureCredit compares how many pages a second are served without and with balances, runs a cluster that shares balances
+// through all faults, and writes a table of the results.
 func MeasureCredit(settings ClusterSettings, out io.Writer) error {
 	freeRate, err := freePageRate(settings)
 	if err != nil {
@@ -47,7 +47,7 @@
 	}
 }
 
-// freePageRate measures pages a second that independent routers serve.
+// freePageRate measures how many pages a second independent routers serve.
 func freePageRate(settings ClusterSettings) (float64, error) {
 	c, err := startWithoutFailover(settings)
 	if err != nil {
@@ -57,18 +57,18 @@
 	return c.pageRate("", settings.FaultLength)
 }
 
-// paidPageRate measures pages a second that a cluster serves on an account with funds.
+// paidPageRate measures how many pages a second a cluster serves on an account with funds.
 func paidPageRate(settings ClusterSettings) (float64, error) {
 	c, err := StartCreditCluster(settings, map[string]float64{ampleAccount: 1e9})
 	if err != nil {
 		return 0, err
 	}
 	defer c.Close()
-	time.Sleep(time.Second) // every router has a share of the balance
+	time.Sleep(time.Second) // until every router has a share of the balance
 	return c.pageRate(ampleAccount, settings.FaultLength)
 }
 
-// pageRate measures how many pages a second clients get that each send one request after the other.
+// pageRate measures how many pages a second are served to clients that each send one request after another.
 func (c *FailoverCluster) pageRate(account string, length time.Duration) (float64, error) {
 	c.orders.answerPagesQuickly()
 	load := newPayingClients()
--- a/loadtest/outlier.go
+++ b/loadtest/outlier.go
@@ -14,8 +14,9 @@
 
 var outlierErrorsMetric = regexp.MustCompile(`app_fleet_count\{of="errors s-1"\} (\d+)`)
 
-// CheckOutlierAgreement has a page cache fail everything until every router takes it for an outlier, and then answer
-// everything until none does and all have the same count of its errors. The error says what was not agreed on in time.
+// CheckOutlierAgreement makes a page cache fail all requests until every router considers it an outlier. It then makes the
+// page cache serve all requests until no router considers it an outlier and all routers have the same count of its errors.
+// The error says on what the routers did not agree in time.
 func CheckOutlierAgreement(settings ClusterSettings) error {
 	c, err := startBudgetCluster(settings, 0)
 	if err != nil {
@@ -31,7 +32,7 @@
 		c.recorder.setOutlier(outlier)
 		agreed := func(metrics string) bool { return metrics != "" && strings.Contains(metrics, outlierMetric) == failing }
 		if err := c.waitForMetrics(agreed); err != nil {
-			return fmt.Errorf("a page cache that is an outlier: %v: %w", failing, err)
+			return fmt.Errorf("not all routers agree that a page cache is an outlier: %v: %w", failing, err)
 		}
 	}
 	c.stopLoads()
@@ -42,8 +43,8 @@
 	})
 }
 
-// countOutlierAttempts counts how often routers try a page cache that fails everything, be it that they share what they learn
-// or that they share nothing.
+// countOutlierAttempts counts the attempts of routers at a page cache that fails all requests. If shared is set, the routers
+// share what they learn about page caches; otherwise they share no state.
 func countOutlierAttempts(settings ClusterSettings, shared bool) (int, error) {
 	c, err := startForOutlier(settings, shared)
 	if err != nil {
