--- a/loadtest/failover.go
+++ b/loadtest/failover.go
@@ -16,17 +16,17 @@
 type FailoverCluster struct {
 	*Cluster
 	orders      *orderRecorder
-	clientCount uint64 // made so far; each has a seed of its own
+	clientCount uint64 // made so far; each has its own seed
 }
 
 const (
 	failoverOrderTime = 30 * time.Millisecond
 	failoverBlock     = "  takeover {\n    strict = true\n  }\n"
-	orderStepMessage  = "order step" // of the log lines of a timeline
+	orderStepMessage  = "order step" // message of the log lines of which a timeline consists
 )
 
-// StartFailoverCluster starts a cluster whose routers take over each other's orders. The least level that routers log is
-// error where logLevel is empty; a Timeline needs debug.
+// StartFailoverCluster starts a cluster whose routers take over each other's orders. The routers log from logLevel on, or
+// from error if it is empty; Timeline needs debug.
 func StartFailoverCluster(settings ClusterSettings, logLevel string) (*FailoverCluster, error) {
 	c, err := newFailoverCluster(settings, logLevel, failoverBlock)
 	if err != nil {
@@ -43,7 +43,7 @@
 	return newFailoverCluster(settings, "", "")
 }
 
-// newFailoverCluster starts routers with blocks for the block fleet of their operator's files.
+// newFailoverCluster starts routers whose operator's files contain the given blocks in their block fleet.
 func newFailoverCluster(settings ClusterSettings, logLevel, blocks string) (*FailoverCluster, error) {
 	cluster, err := newCluster(settings.Seed)
 	if err != nil {
@@ -67,7 +67,8 @@
 // nextClientSeed returns the seed of the next client.
 func (c *FailoverCluster) nextClientSeed() uint64 { return c.seed<<32 + c.nextClient() }
 
-// Timeline returns what the routers logged of the steps of orders, with some faults. It needs the log level debug.
+// Timeline returns the steps of orders that the routers logged, together with the given faults, in order of time. The routers
+// must log at the level debug.
 func (c *FailoverCluster) Timeline(faults ...timeline.Event) (timeline.Timeline, error) {
 	events := slices.Clone(faults)
 	for _, r := range c.Routers {
@@ -90,17 +91,17 @@
 	return timeline.ReadLog(r.name, orderStepMessage, file)
 }
 
-// orderRecorder answers as all page caches of a cluster do, and records which orders they ran.
+// orderRecorder answers requests on behalf of all page caches of a cluster, and records which orders ran.
 type orderRecorder struct {
 	mu         sync.Mutex
-	runs       map[string]int // by object
-	orderTime  time.Duration  // that an order takes at least
+	runs       map[string]int // by object: how often the order ran
+	orderTime  time.Duration  // minimum duration of an order
 	quickPages bool           // pages are small and answered at once
 	random     *rand.Rand
 }
 
 const (
-	orderTimeSpread = 20 * time.Millisecond // an order takes up to so much longer
+	orderTimeSpread = 20 * time.Millisecond // upper bound of the random time that is added to the duration of an order
 	slowPageTime    = 20 * time.Millisecond
 	slowPageSize    = 1 << 10 // bytes
 	quickPageSize   = 64      // bytes
@@ -110,7 +111,7 @@
 	return &orderRecorder{runs: map[string]int{}, orderTime: orderTime, random: rand.New(rand.NewPCG(seed, 9))}
 }
 
-// answer answers a request; that to an order, which runs, comes after the time that it takes.
+// answer returns the reply to a request. An order counts as run at once; its reply is delayed by the duration of the order.
 func (r *orderRecorder) answer(_ int, request fakes.Request) fakes.Reply {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -128,14 +129,14 @@
 	return reply
 }
 
-// ran returns how often an order ran.
+// ran returns how often the order of an item ran.
 func (r *orderRecorder) ran(item uint64) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.runs[objectName(item)]
 }
 
-// answerPagesQuickly has pages from now on small and without delay.
+// answerPagesQuickly makes all pages from now on small and answers them without delay.
 func (r *orderRecorder) answerPagesQuickly() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -154,7 +155,7 @@
 	return count
 }
 
-// randomItem draws the item of an order, which no other order has; number is that of its client.
+// randomItem returns an item for an order that no other order has. It consists of the number of the client and random bits.
 func (r *orderRecorder) randomItem(number uint64) uint64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/loadtest/failoverclient.go
+++ b/loadtest/failoverclient.go
@@ -13,12 +13,13 @@
 
 const (
 	failoverTimeout = 2 * time.Second // of a request
-	failoverItems   = 4000            // different pages
-	// minTimeLeft is how much of a request's time has to be left as its router is lost, so that another router can answer it.
+	failoverItems   = 4000            // number of different pages
+	// minTimeRemaining is how much of a request's timeout has to remain when its router is lost, so that another router can
+	// answer it.
 	minTimeRemaining = 500 * time.Millisecond
 )
 
-// call is a request of a client, and what became of it.
+// requestRecord holds a request of a client and its outcome.
 type requestRecord struct {
 	order    bool
 	item     uint64
@@ -26,20 +27,20 @@
 	duration time.Duration
 	err      error
 
-	inFlight      bool // on a router as that was lost, with enough time left
-	sentToBackend bool // it was, by then
+	inFlight      bool // on a router when it was lost, with at least minTimeRemaining left
+	sentToBackend bool // the order had reached a page cache by then
 }
 
-// claimingClient sends one request after the other by a client of the library that claims its orders at another router when
-// it has lost the first. What it observes belongs to the one call that is open.
+// claimingClient sends one request after another with a client of the library that claims an order at another router when it
+// has lost the first one. Everything it observes belongs to the one request in flight.
 type claimingClient struct {
 	orders *orderRecorder
 	client *client.Client
 	random *rand.Rand
 
 	mu      sync.Mutex
-	router  string         // that was tried last
-	current *requestRecord // nil: none is
+	router  string         // that was tried last for the current request
+	current *requestRecord // in flight; nil: none
 	records []*requestRecord
 }
 
@@ -62,7 +63,7 @@
 	return claiming, err
 }
 
-// run sends requests until stop is closed, of which a fraction are orders, with pauses up to a maximum.
+// run sends requests until stop is closed. A fraction of them are orders. Between requests it pauses for up to maxPause.
 func (c *claimingClient) run(stop <-chan struct{}, orderFraction float64, maxPause time.Duration) {
 	for {
 		select {
@@ -75,7 +76,7 @@
 	}
 }
 
-// doNext draws a request, sends it and records what became of it.
+// doNext draws a request, sends it and records its outcome.
 func (c *claimingClient) doNext(orderFraction float64) {
 	request := client.Request{Class: classPage, Item: c.random.Uint64N(failoverItems), Limit: failoverTimeout}
 	isOrder := c.random.Float64() < orderFraction
@@ -93,7 +94,7 @@
 	c.current, c.records = nil, append(c.records, record)
 }
 
-// routersLost marks the open call where its router is among those that are being lost.
+// routersLost marks the current request if its router is among those that are being lost and enough of its timeout remains.
 func (c *claimingClient) routersLost(addresses []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -115,7 +116,7 @@
 	running sync.WaitGroup
 }
 
-// startClaimingClients starts a number of clients. The caller ends them by finish and closes them.
+// startClaimingClients starts a number of clients. The caller stops them with finish and then closes them.
 func (c *FailoverCluster) startClaimingClients(count int, orderFraction float64, maxPause time.Duration) (
 	*claimingClients, error) {
 	load := &claimingClients{stop: make(chan struct{})}
@@ -132,13 +133,13 @@
 	return load, nil
 }
 
-// finish stops sending, and waits for the open calls.
+// finish stops sending, and waits for the requests in flight.
 func (a *claimingClients) finish() {
 	close(a.stop)
 	a.running.Wait()
 }
 
-// routersLost marks the calls that are open on routers that are being lost.
+// routersLost marks the requests that are in flight on routers that are being lost.
 func (a *claimingClients) routersLost(addresses []string) {
 	for _, c := range a.clients {
 		c.routersLost(addresses)
--- a/loadtest/failovercost.go
+++ b/loadtest/failovercost.go
@@ -9,19 +9,20 @@
 
 const (
 	costClients = 8
-	costWarmUp  = 10 // calls of each client that are not counted: they open connections
+	costWarmUp  = 10 // requests of each client that are not counted, because they open connections
 
 	latencyPrecision = 10 * time.Microsecond
 )
 
-// failoverCost is what clients get from a cluster without faults, and what its routers send each other for that.
+// failoverCost holds the latencies and rates that clients see in a cluster without faults, and the packets that its routers
+// exchange.
 type failoverCost struct {
 	orders, reads latencies
-	readRate      float64 // reads a second, of a few clients that send one after the other
-	packetRate    float64 // packets a second that each router sends to others while clients order
+	readRate      float64 // reads a second of costClients clients, each with one request in flight
+	packetRate    float64 // packets a second that each router sends to the others while clients send orders
 }
 
-// latencies are quantiles of the times that requests took.
+// latencies holds quantiles of the durations of requests.
 type latencies struct{ p50, p99 time.Duration }
 
 func newLatencies(durations []time.Duration) (l latencies) {
@@ -33,7 +34,7 @@
 	return l
 }
 
-// measureFailoverCost compares the cost without and with failover.
+// measureFailoverCost measures the cost without and with failover, and writes a line for each.
 func measureFailoverCost(settings ClusterSettings, out io.Writer) error {
 	for _, enabled := range []bool{false, true} {
 		c, err := startForCost(settings, enabled)
@@ -59,7 +60,7 @@
 	return startWithoutFailover(settings)
 }
 
-// measureCost measures orders for a time, then reads for the same time.
+// measureCost measures orders for a length of time, then reads for the same length.
 func (c *FailoverCluster) measureCost(length time.Duration) (cost failoverCost, err error) {
 	packets := c.Network.PacketsForwarded.Load()
 	orders, err := c.requestDurations(length, 1)
@@ -79,7 +80,7 @@
 	}, nil
 }
 
-// requestDurations returns how long the calls of a few clients took, of which a fraction are orders.
+// requestDurations returns the durations of the requests of costClients clients. A fraction of the requests are orders.
 func (c *FailoverCluster) requestDurations(length time.Duration, orderFraction float64) ([]time.Duration, error) {
 	load, err := c.startClaimingClients(costClients, orderFraction, 0)
 	if err != nil {
--- a/loadtest/failoverfaults.go
+++ b/loadtest/failoverfaults.go
@@ -12,22 +12,24 @@
 
 const (
 	failoverClients = 24 // of MeasureFailover
-	// routersSettle is for how long routers have to be up so that no client waits for what was before.
+	// routersSettle is how long routers have to be up so that no client waits because of what happened before.
 	routersSettle = 4 * time.Second
-	// killInterval is about the time from one kill of MeasureFailover to the next.
+	// killInterval is the approximate time between two kills of MeasureFailover.
 	killInterval = 600 * time.Millisecond
 )
 
-// faultScript does something to a cluster under load. It calls lost right before it takes routers away.
+// faultScript applies a fault to a cluster under load. It calls markLost with the numbers of routers right before it kills or
+// stops them.
 type faultScript func(markLost func(routers ...int)) error
 
-// failoverFault is a fault that a cluster goes through.
+// failoverFault is a fault that is applied to a cluster whose routers take over each other's orders.
 type failoverFault struct {
 	name   string
 	script faultScript
 }
 
-// failoverFaults returns the faults, in the order in which they are applied. Those of the network last until one that heals it.
+// failoverFaults returns the faults, in the order in which they are applied. A fault of the network lasts until a later one
+// heals the network.
 func (c *FailoverCluster) failoverFaults(length time.Duration) []failoverFault {
 	withNetworkFault := func(apply func()) faultScript {
 		return func(func(...int)) error {
@@ -54,7 +56,7 @@
 	}
 }
 
-// killPairs kills two routers at once, three times.
+// killPairs kills two routers at once and starts them again, three times.
 func (c *FailoverCluster) killPairs(markLost func(...int), length time.Duration) error {
 	for i := range 3 {
 		if err := c.killAndStart(markLost, length/8, i, (i+1)%len(c.Routers)); err != nil {
@@ -65,7 +67,7 @@
 	return nil
 }
 
-// stopThree stops three routers, one after the other.
+// stopThree stops the processes of three routers for a while, one after another.
 func (c *FailoverCluster) stopThree(markLost func(...int), length time.Duration) error {
 	for i := range 3 {
 		markLost(i)
@@ -75,7 +77,7 @@
 	return nil
 }
 
-// killAndStart kills routers at once, and starts them again after a delay.
+// killAndStart kills routers at the same time, and starts them again after a delay.
 func (c *FailoverCluster) killAndStart(markLost func(...int), delay time.Duration, routers ...int) error {
 	markLost(routers...)
 	for _, i := range routers {
@@ -90,7 +92,8 @@
 	return nil
 }
 
-// RunFailoverFaults runs the cluster under load through the faults that are named, or all. The network is healed in the end.
+// RunFailoverFaults runs the cluster under load through the faults named in only, or through all if only is nil. At the end
+// it heals the network.
 func (c *FailoverCluster) RunFailoverFaults(length time.Duration, clients int, only []string) ([]FailoverResult, error) {
 	var results []FailoverResult
 	for _, fault := range c.failoverFaults(length) {
@@ -107,7 +110,7 @@
 	return results, nil
 }
 
-// RunKills kills one router after the other, so many times, and starts each again.
+// RunKills kills one random router after another, count times, and starts each again.
 func (c *FailoverCluster) RunKills(count int, interval time.Duration, clients int) (FailoverResult, error) {
 	random := rand.New(rand.NewPCG(c.seed, 4))
 	return c.runFault(failoverFault{"kill and restart, one after the other", func(markLost func(...int)) error {
@@ -121,7 +124,7 @@
 	}}, clients)
 }
 
-// runFault runs clients during a fault, and counts what they got.
+// runFault runs clients during a fault, and counts the outcomes of their requests.
 func (c *FailoverCluster) runFault(fault failoverFault, clients int) (FailoverResult, error) {
 	result := FailoverResult{Fault: fault.name}
 	load, err := c.startClaimingClients(clients, 0.5, 20*time.Millisecond)
@@ -139,18 +142,18 @@
 		load.routersLost(addresses)
 	})
 	load.finish()
-	time.Sleep(100 * time.Millisecond) // what was on its way to a page cache has arrived
+	time.Sleep(100 * time.Millisecond) // until requests on their way to a page cache have arrived
 	for _, claiming := range load.clients {
 		result.add(claiming.records, c.orders.ran)
 	}
 	return result, err
 }
 
-// RollingRestart restarts one independent router after the other on SIGTERM under load, and counts what clients got. With
-// discoveryDown, the discovery service is down meanwhile.
+// RollingRestart restarts one independent router after another with SIGTERM under load, and counts the outcomes of requests.
+// If discoveryDown is set, the discovery service is down meanwhile.
 //
-// Beside the library's clients, which leave a router that announces its shutdown, others go on sending down each open
-// connection, many requests at a time: what these got is the second result.
+// The first result is that of clients of the library, which leave a router that announces its shutdown. The second result is
+// that of other clients, which keep sending on each open connection, with many requests in flight.
 func RollingRestart(settings ClusterSettings, discoveryDown bool) (FailoverResult, PipelinedResult, error) {
 	c, err := startWithoutFailover(settings)
 	if err != nil {
@@ -165,7 +168,8 @@
 	return result, c.stopLoads(), err
 }
 
-// MeasureFailover measures what failover costs, and what faults and a number of kills do to orders. It writes a table.
+// MeasureFailover measures the cost of failover and the outcomes of orders during faults and a number of kills. It writes a
+// table.
 func MeasureFailover(settings ClusterSettings, kills int, out io.Writer) error {
 	if err := measureFailoverCost(settings, out); err != nil {
 		return err
--- a/loadtest/failoverresult.go
+++ b/loadtest/failoverresult.go
@@ -9,27 +9,28 @@
 	"hillknot/client"
 )
 
-// FailoverResult is what a fault did to orders and reads. What was in flight was so on a router as that was lost.
+// FailoverResult counts the outcomes of orders and reads during a fault. InFlight in the name of a field means that the
+// request was in flight on a router when that router was lost.
 type FailoverResult struct {
 	Fault string
-	Kills int // losses of routers
+	Kills int // times that one or more routers were lost
 
-	Orders, Served, Rejected, MayHaveRun, OtherErrors int // orders, and how they ended for their clients
+	Orders, Served, Rejected, MayHaveRun, OtherErrors int // orders, and their outcomes as clients saw them
 	RunTwice                                          int // orders that ran more than once
-	Contradictions                                    int // orders that ran, or did not, other than their client was told
+	Contradictions                                    int // orders whose client was told the opposite of whether they ran
 
 	Reads, ReadsServed                 int
 	ReadsInFlight, ReadsInFlightServed int
 
-	UnsentInFlight, UnsentInFlightResolved int // orders that no page cache had got; those told as run or not run
-	UnsentMayHaveRun                       int // those told as may have run
-	SentInFlight, SentInFlightServed       int // orders that a page cache had got
+	UnsentInFlight, UnsentInFlightResolved int // orders that no page cache had received; those answered as run or not run
+	UnsentMayHaveRun                       int // those of UnsentInFlight that were answered as may have run
+	SentInFlight, SentInFlightServed       int // orders that a page cache had received, and those of them that were served
 }
 
-// Broken reports whether an order ran twice, or a client was told what is not so.
+// Broken reports whether an order ran twice, or a client was told a wrong outcome.
 func (r FailoverResult) Broken() bool { return r.RunTwice+r.Contradictions > 0 }
 
-// add counts calls.
+// add counts the outcomes of requests. ran returns how often an order ran.
 func (r *FailoverResult) add(records []*requestRecord, ran func(item uint64) int) {
 	for _, record := range records {
 		if record.order {
@@ -76,7 +77,7 @@
 	}
 }
 
-// countIf is 1 where a condition holds, else 0.
+// countIf returns 1 if a condition holds, and 0 otherwise.
 func countIf(condition bool) int {
 	if condition {
 		return 1
--- a/loadtest/stepkill.go
+++ b/loadtest/stepkill.go
@@ -9,21 +9,21 @@
 	"hillknot/internal/testutil/timeline"
 )
 
-// StepKillResult is what became of an order whose router was killed at a step, and which its client then claimed.
+// StepKillResult is the outcome of an order whose router was killed at a step, and which was then claimed at another router.
 type StepKillResult struct {
 	Txn        string
-	Answer     string // to the claim: served, failed, rejected; empty: another error
+	Answer     string // to the claim: served, failed or rejected; empty: another error
 	Executions int
 	Timeline   timeline.Timeline // of the order, in all routers
 }
 
 const (
 	stepKillTimeout    = 2500 * time.Millisecond // of the order, its claim included
-	stepKillSettleTime = 300 * time.Millisecond  // after which all that was to run has run
+	stepKillSettleTime = 300 * time.Millisecond  // after the answer to the claim, until all attempts have run
 )
 
-// KillAtStep starts a router anew with an entry of its environment that has it killed at a step of an order, sends it one, and
-// claims that at another router. The router is started once more in the end.
+// KillAtStep restarts a router with an entry in its environment by which it is killed at a step of an order. It sends the
+// router an order, and claims the order at another router. At the end it starts the killed router again.
 func (c *FailoverCluster) KillAtStep(victim int, env string) (result StepKillResult, err error) {
 	router := c.Routers[victim]
 	if err := c.restartWithEnv(router, env); err != nil {
@@ -35,7 +35,7 @@
 	result.Txn = objectName(order.Txn)
 	deadline := time.Now().Add(stepKillTimeout)
 	if answer, err := requestOnce(router.ListenAddress, order); err == nil {
-		return result, fmt.Errorf("the router that was to be killed answers %q", answer)
+		return result, fmt.Errorf("the router should have been killed, but it answered %q", answer)
 	}
 	killed := timeline.Event{Node: router.name, Time: time.Duration(time.Now().UnixNano()), Action: "killed", Fault: true}
 	claim := *order
@@ -47,7 +47,7 @@
 	}
 	time.Sleep(stepKillSettleTime)
 	result.Executions = c.orders.ran(item)
-	_ = router.wait() // it says that the process was killed
+	_ = router.wait() // the error says that the process was killed
 	events, err := c.Timeline(killed)
 	if err != nil {
 		return result, err
@@ -67,7 +67,7 @@
 	return c.waitForMembership()
 }
 
-// requestOnce sends a router a request on a connection of its own, and returns the name of its answer.
+// requestOnce sends a request to a router on a new connection, and returns the name of the answer.
 func requestOnce(address string, request *rpc.Request) (string, error) {
 	conn, err := net.DialTimeout("tcp", address, time.Second)
 	if err != nil {
@@ -81,7 +81,7 @@
 	return answerName(header), nil
 }
 
-// answerName names an answer; empty: one that is not expected.
+// answerName returns the name of an answer, or an empty string if the answer is not an expected one.
 func answerName(header rpc.ResponseHeader) string {
 	if header.Kind == rpc.ResponseBody {
 		return "served"
