--- a/loadtest/clientkinds.go
+++ b/loadtest/clientkinds.go
@@ -14,7 +14,7 @@
 
 // requester is a client of any kind.
 type requester interface {
-	// send sends a request, and returns how many attempts that took and why it was not served.
+	// send sends a request, and returns the number of attempts. The error says why the request was not served.
 	send(ctx context.Context, request client.Request) (attempts int, err error)
 	close()
 }
@@ -30,11 +30,11 @@
 	plainKind   = clientKind{"plain", newPlainClient}
 	libraryKind = clientKind{"library", newLibraryClient}
 
-	// clientKinds are the kinds that are compared.
+	// clientKinds are the kinds that CompareClients compares.
 	clientKinds = []clientKind{plainKind, libraryKind}
 )
 
-// start starts a fleet and a client of it. The caller closes both.
+// start starts a fleet and a client of this kind for it. The caller closes both.
 func (k clientKind) start(program string, options FleetOptions) (*Fleet, requester, error) {
 	fleet, err := StartFleet(program, options)
 	if err != nil {
@@ -48,7 +48,7 @@
 	return fleet, r, nil
 }
 
-// libraryClient is a client of the client library.
+// libraryClient sends requests with the client library.
 type libraryClient struct{ client *client.Client }
 
 // libraryCloseTimeout bounds how long a client of the library takes to close.
@@ -73,21 +73,21 @@
 func (l libraryClient) close() {
 	ctx, cancel := context.WithTimeout(context.Background(), libraryCloseTimeout)
 	defer cancel()
-	_ = l.client.Close(ctx) // what it withdraws is counted already
+	_ = l.client.Close(ctx) // the requests that it withdraws are counted already
 }
 
-// plainClient is the client that a tool would have without a library: a pool of connections, each for one request at a time,
-// routers in turn, and up to two immediate retries after any error.
+// plainClient is the client that a program would have without the library: a pool of connections with one request at a time
+// on each, routers in round-robin order, and up to two immediate retries after any error.
 type plainClient struct {
 	routers   []string
 	connected func()
 
 	mu   sync.Mutex
-	next int // index of the router that was used last, before it is reduced
+	next int // index of the router that was used last, modulo the number of routers
 	idle map[string][]net.Conn
 }
 
-// plainMaxAttempts is the number of attempts of a plain client for a request.
+// plainMaxAttempts is the maximum number of attempts of a plain client for a request.
 const plainMaxAttempts = 3
 
 func newPlainClient(_ uint64, routers []string, connected func()) (requester, error) {
@@ -141,7 +141,7 @@
 	return conn, err
 }
 
-// takeIdle takes an idle connection from the pool; nil: there is none.
+// takeIdle removes an idle connection from the pool and returns it, or nil if there is none.
 func (p *plainClient) takeIdle(address string) net.Conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/loadtest/clients.go
+++ b/loadtest/clients.go
@@ -9,10 +9,10 @@
 // ClientParts are the names of the parts of CompareClients.
 var ClientParts = []string{"storms", "restart", "orders", "minute"}
 
-// ClientSettings set up the comparison of clients.
+// ClientSettings holds the settings of CompareClients.
 type ClientSettings struct {
-	Program string // the router
-	Quick   bool   // most times are a fifth of what they are otherwise
+	Program string // path of the router's program
+	Quick   bool   // shortens most times to a fifth
 	Only    string // one of ClientParts; empty: all
 }
 
@@ -42,13 +42,13 @@
 // clientComparison is a run of CompareClients.
 type clientComparison struct {
 	program string
-	unit    time.Duration // of the times of most parts
+	unit    time.Duration // unit of time of most parts
 	out     io.Writer
 }
 
 func (c *clientComparison) printf(format string, args ...any) {
-	_, _ = fmt.Fprintf(c.out, format, args...) // a table that can't be printed is no fault of what is measured
+	_, _ = fmt.Fprintf(c.out, format, args...) // a failure to print does not affect the measurement
 }
 
-// units returns a number of units of time.
+// units returns the duration of n units of time.
 func (c *clientComparison) units(n int) time.Duration { return time.Duration(n) * c.unit }
--- a/loadtest/faultsequence.go
+++ b/loadtest/faultsequence.go
@@ -6,17 +6,17 @@
 	"time"
 )
 
-// faultSequenceRate is in requests a second.
+// faultSequenceRate is the rate of the client, in requests a second.
 const faultSequenceRate = 150
 
-// faultPhase is a part of the sequence of faults.
+// faultPhase is a phase of the sequence of faults.
 type faultPhase struct {
 	name  string
-	until int                // in units of time since the start
-	apply func(*Fleet) error // changes the fleet as the phase begins; nil: it changes nothing
+	until int                // end of the phase, in units of time since the start
+	apply func(*Fleet) error // changes the fleet at the start of the phase; nil: no change
 }
 
-// setBackend returns a change of how the endpoints behave.
+// setBackend returns a function that changes how the endpoints behave.
 func setBackend(load BackendLoad) func(*Fleet) error {
 	return func(f *Fleet) error {
 		f.Backend.Set(load)
@@ -24,7 +24,7 @@
 	}
 }
 
-// signalRouter returns a signal to a router.
+// signalRouter returns a function that sends a signal to a router.
 func signalRouter(router int, signal syscall.Signal) func(*Fleet) error {
 	return func(f *Fleet) error {
 		f.Routers[router].Signal(signal)
@@ -32,7 +32,7 @@
 	}
 }
 
-// faultPhases are sixty units of time in which one fault follows another.
+// faultPhases is the sequence of faults, one after another. It takes sixty units of time.
 var faultPhases = []faultPhase{
 	{"calm", 5, nil},
 	{"a router hangs", 13, signalRouter(0, syscall.SIGSTOP)},
@@ -46,7 +46,7 @@
 	{"calm", 60, setBackend(BackendLoad{})},
 }
 
-// faultSequence measures what requests earn during the sequence of faults.
+// faultSequence measures the weight that requests earn during the sequence of faults.
 func (c *clientComparison) faultSequence() error {
 	length := c.units(faultPhases[len(faultPhases)-1].until)
 	c.printf("| bad minute (%v), %d requests/s, 3 routers | worth earned of worth asked | tries per request "+
@@ -73,14 +73,14 @@
 	return nil
 }
 
-// faultSequenceResult is what became of the requests of one client.
+// faultSequenceResult holds the outcomes of the requests of one client.
 type faultSequenceResult struct {
 	outcomes        []outcome
 	backendRequests int
 	ordersRunTwice  int
 }
 
-// runFaultSequence has one client of a kind send requests during the sequence.
+// runFaultSequence sends requests with one client of a kind during the sequence of faults.
 func (c *clientComparison) runFaultSequence(kind clientKind, length time.Duration) (*faultSequenceResult, error) {
 	fleet, requester, err := kind.start(c.program, independentFleet(3, true))
 	if err != nil {
@@ -102,7 +102,7 @@
 	return r, faultErr
 }
 
-// runFaultSequence begins the phases at their times.
+// runFaultSequence applies the changes of each phase at its start.
 func (f *Fleet) runFaultSequence(unit time.Duration) error {
 	start, begin := time.Now(), time.Duration(0)
 	for _, phase := range faultPhases {
@@ -117,7 +117,7 @@
 	return nil
 }
 
-// earnedFraction returns which fraction of the weight that requests could have earned they did.
+// earnedFraction returns the weight that requests earned, as a fraction of the weight that they could have earned.
 func earnedFraction(outcomes []outcome) float64 {
 	earned, possible := 0.0, 0.0
 	for _, o := range outcomes {
--- a/loadtest/openloop.go
+++ b/loadtest/openloop.go
@@ -10,9 +10,9 @@
 	"hillknot/client"
 )
 
-// classValue is what the answer to a request of a class is worth.
+// classValue is the value of an answer to a request of a class.
 type classValue struct {
-	weight    float64       // of an answer within the objective; a later one has a tenth of it
+	weight    float64       // of an answer within the objective; a later answer has a tenth of it
 	objective time.Duration // latency
 	deadline  time.Duration
 }
@@ -23,12 +23,12 @@
 	classOrder: {3, 700 * time.Millisecond, 3 * time.Second},
 }
 
-// outcome is what became of one request.
+// outcome holds the outcome of one request.
 type outcome struct {
 	class    string
 	item     uint64
-	due      time.Duration // when it was due, since the start
-	latency  time.Duration // since then
+	due      time.Duration // time from the start until the request was due
+	latency  time.Duration // time from then until the answer
 	attempts int
 	err      error // nil: it was served
 }
@@ -66,9 +66,10 @@
 	return classOrder
 }
 
-// sendOpenLoop sends requests at a steady rate, in requests a second, for a time, whatever becomes of the earlier ones. It
-// waits for all, and returns their outcomes in the order in which they were due. The requests follow from the seed.
-func sendOpenLoop(r requester, rate float64, length time.Duration, seed uint64, class classPicker) []outcome {
+// sendOpenLoop sends requests at a steady rate, in requests a second, for a length of time, without waiting for earlier ones.
+// At the end it waits for all answers, and returns the outcomes in the order in which the requests were due. The requests
+// follow from the seed.
+func sendOpenLoop(r requester, rate float64, length time.Duration, seed uint64, pickClass classPicker) []outcome {
 	random, start := rand.New(rand.NewPCG(seed, 2)), time.Now()
 	var mu sync.Mutex
 	var outcomes []outcome
@@ -79,11 +80,11 @@
 			break
 		}
 		time.Sleep(due - time.Since(start))
-		o := outcome{class: class(random), item: random.Uint64(), due: due}
+		o := outcome{class: pickClass(random), item: random.Uint64(), due: due}
 		requests.Go(func() {
 			request := client.Request{Class: o.class, Item: o.item, Limit: classValues[o.class].deadline}
 			o.attempts, o.err = r.send(context.Background(), request)
-			o.latency = time.Since(start) - o.due // of a request that is sent late, the delay counts, too
+			o.latency = time.Since(start) - o.due // includes the delay of a request that is sent late
 			mu.Lock()
 			defer mu.Unlock()
 			outcomes = append(outcomes, o)
--- a/loadtest/orderkills.go
+++ b/loadtest/orderkills.go
@@ -7,14 +7,14 @@
 	"hillknot/client"
 )
 
-// Orders under kills, in units of time but for the rate.
+// Settings of the orders that are sent while routers are killed.
 const (
-	ordersLength = 20
-	ordersRate   = 100 // a second
-	ordersDelay  = 20 * time.Millisecond
+	ordersLength = 20                    // units of time
+	ordersRate   = 100                   // orders a second
+	ordersDelay  = 20 * time.Millisecond // of each answer, in addition to backendMinDelay
 )
 
-// orders measures what becomes of orders while two routers are killed in turn.
+// orders measures the outcomes of orders while two routers are killed alternately.
 func (c *clientComparison) orders() error {
 	c.printf("| orders, %d/s for %v, routers killed in turn each %v | ran twice or more | told as served, but did not run "+
 		"| told as surely not run, but ran | served | told: may have run |\n| --- | --- | --- | --- | --- | --- |\n",
@@ -31,23 +31,23 @@
 	return nil
 }
 
-// OrderResult is what became of orders.
+// OrderResult counts orders by their outcomes.
 type OrderResult struct {
 	Sent         int
-	RunTwice     int // ran twice or more
-	ServedNotRun int // the client was told that it was served, and it did not run
-	DeniedButRun int // the client was told that it did not run, and it ran
-	Served       int
-	MayHaveRun   int // the client was told that it may have run
+	RunTwice     int // orders that ran twice or more
+	ServedNotRun int // the client was told that the order was served, but it did not run
+	DeniedButRun int // the client was told that the order did not run, but it ran
+	Served       int // the client was told that the order was served, and it ran
+	MayHaveRun   int // the client was told that the order may have run
 }
 
-// OrdersWithRouterKills sends orders by the client library while two routers of a program are killed in turn, each after a
-// unit of time, for twenty units.
+// OrdersWithRouterKills sends orders with the client library while two routers are killed alternately, one after each unit of
+// time, for twenty units. The routers run the given program.
 func OrdersWithRouterKills(program string, unit time.Duration) (OrderResult, error) {
 	return ordersWithRouterKills(program, libraryKind, unit)
 }
 
-// ordersWithRouterKills sends orders by one client of a kind.
+// ordersWithRouterKills sends orders with one client of a kind.
 func ordersWithRouterKills(program string, kind clientKind, unit time.Duration) (OrderResult, error) {
 	fleet, requester, err := kind.start(program, independentFleet(2, false))
 	if err != nil {
@@ -60,12 +60,12 @@
 	close(stop)
 	err = <-killErr
 	requester.close()
-	time.Sleep(200 * time.Millisecond) // what was on its way to the page cache has arrived
+	time.Sleep(200 * time.Millisecond) // until requests on their way to a page cache have arrived
 	fleet.Close()
 	return countOrderResults(outcomes, fleet.Backend), err
 }
 
-// countOrderResults compares what clients were told with what ran at the endpoints.
+// countOrderResults compares what clients were told with the orders that ran at the endpoints.
 func countOrderResults(outcomes []outcome, backend *Backend) (r OrderResult) {
 	for _, o := range outcomes {
 		r.Sent++
@@ -87,7 +87,8 @@
 	return r
 }
 
-// killAlternately kills one router after the other until stop is closed, and starts each again a quarter of the interval later.
+// killAlternately kills one router after another at an interval until stop is closed, and starts each again a quarter of the
+// interval later.
 func (f *Fleet) killAlternately(interval time.Duration, stop <-chan struct{}) error {
 	for i := 0; ; i++ {
 		select {
--- a/loadtest/reconnect.go
+++ b/loadtest/reconnect.go
@@ -7,18 +7,18 @@
 	"time"
 )
 
-// The restart of a router under many clients.
+// Settings of the restart of a router that has many clients.
 const (
 	reconnectClients  = 300
 	reconnectRate     = 5 // requests a second of each client
 	reconnectLength   = 8 * time.Second
 	reconnectKillAt   = 2 * time.Second
 	reconnectDowntime = 500 * time.Millisecond
-	reconnectStagger  = 200 * time.Millisecond // within which the clients start
+	reconnectStagger  = 200 * time.Millisecond // in which all clients start
 	reconnectWindow   = 100 * time.Millisecond // in which reconnects are counted
 )
 
-var errNoReconnect = errors.New("nobody came back")
+var errNoReconnect = errors.New("no client reconnected")
 
 // reconnects measures how the clients of a router that is killed spread their reconnects.
 func (c *clientComparison) reconnects() error {
@@ -44,12 +44,13 @@
 // reconnectRecorder records what clients do before and after their router is killed.
 type reconnectRecorder struct {
 	mu       sync.Mutex
-	killed   time.Time       // zero: it was not yet
-	delays   []time.Duration // of the first reconnect of each client, after the kill
+	killed   time.Time       // zero: not killed yet
+	delays   []time.Duration // from the kill to the first reconnect of each client
 	outcomes []outcome
 }
 
-// measureReconnects kills the router of many clients, and starts it again a little later. The delays of the result are sorted.
+// measureReconnects kills the router of many clients, and starts it again after reconnectDowntime. The delays of the result
+// are sorted.
 func measureReconnects(program string, kind clientKind) (*reconnectRecorder, error) {
 	fleet, err := StartFleet(program, independentFleet(1, false))
 	if err != nil {
@@ -79,7 +80,7 @@
 	return r, err
 }
 
-// newClients makes the clients, whose reconnects are recorded.
+// newClients makes the clients, and has their reconnects recorded.
 func (r *reconnectRecorder) newClients(kind clientKind, routers []string) ([]requester, error) {
 	var clients []requester
 	for i := range reconnectClients {
@@ -119,7 +120,7 @@
 	r.outcomes = append(r.outcomes, outcomes...)
 }
 
-// maxInWindow returns the highest number of reconnects in any window of time.
+// maxInWindow returns the maximum number of reconnects within any reconnectWindow.
 func (r *reconnectRecorder) maxInWindow() (most int) {
 	for i, first := range r.delays {
 		n := 0
@@ -131,7 +132,7 @@
 	return most
 }
 
-// servedAfterKill returns which fraction of the requests that were due after the kill was served.
+// servedAfterKill returns the fraction of the requests due after the kill that were served.
 func (r *reconnectRecorder) servedAfterKill() float64 {
 	served, total := 0, 0
 	for _, o := range r.outcomes {
--- a/loadtest/rejectionstorm.go
+++ b/loadtest/rejectionstorm.go
@@ -6,17 +6,18 @@
 	"time"
 )
 
-// The storm of rejections: when it begins and ends, and for how long requests are sent, in units of time.
+// Settings of the storm of rejections. Its begin, its end and the time for which requests are sent are in units of time.
 const (
 	stormBegin  = 2
 	stormEnd    = 12
 	stormLength = 15
 	stormRate   = 200 // requests a second
-	// stormMargin is left out at either end of the storm: a request that was due there may have been answered outside of it.
+	// stormMargin is excluded at both ends of the storm, because a request due there may have been answered outside of the
+	// storm.
 	stormMargin = 100 * time.Millisecond
 )
 
-// rejectionStorms measures how clients behave while all is rejected, with and without a Retry-After.
+// rejectionStorms measures how clients behave while all requests are rejected, with and without a Retry-After.
 func (c *clientComparison) rejectionStorms() error {
 	c.printf("| storm of refusals, %v, %d requests/s, 2 routers | tries per request in it | refused at once, median "+
 		"| from its end to 95%% served |\n| --- | --- | --- | --- |\n", c.units(stormEnd-stormBegin), stormRate)
@@ -39,7 +40,7 @@
 	return nil
 }
 
-// rejectionStorm has one client send requests while the endpoints reject all for a time.
+// rejectionStorm sends requests with one client while the endpoints reject all requests for a time.
 func (c *clientComparison) rejectionStorm(kind clientKind, retryAfter bool) ([]outcome, error) {
 	fleet, requester, err := kind.start(c.program, independentFleet(2, retryAfter))
 	if err != nil {
@@ -59,7 +60,7 @@
 	return outcomes, nil
 }
 
-// dueBetween returns the outcomes of the requests that were due in a stretch of time.
+// dueBetween returns the outcomes of the requests that were due from one time until before another.
 func dueBetween(outcomes []outcome, from, to time.Duration) (within []outcome) {
 	for _, o := range outcomes {
 		if o.due >= from && o.due < to {
@@ -77,7 +78,7 @@
 	return float64(attempts) / float64(len(outcomes))
 }
 
-// medianRejection describes how long requests took that were not served.
+// medianRejection formats the median latency of the requests that were not served.
 func medianRejection(outcomes []outcome) string {
 	var latencies []time.Duration
 	for _, o := range outcomes {
@@ -94,10 +95,10 @@
 
 const (
 	recoveryStep     = 200 * time.Millisecond
-	recoveryFraction = 0.95 // of the requests of a step, which are served when the fleet has recovered
+	recoveryFraction = 0.95 // of the requests of a step are served once the fleet has recovered
 )
 
-// recoveryTime describes how long after a fault's end requests were served again in each step that followed.
+// recoveryTime formats the time from the end of a fault until requests were served again in every later step.
 func recoveryTime(outcomes []outcome, faultEnd time.Duration) string {
 	served, total := map[int]int{}, map[int]int{}
 	last := 0
