--- a/loadtest/processmonitor.go
+++ b/loadtest/processmonitor.go
@@ -12,19 +12,19 @@
 
 const sampleInterval = 20 * time.Millisecond
 
-// processMonitor samples what a process uses.
+// processMonitor samples the resources that a process uses.
 type processMonitor struct {
 	dir     string // of the process in /proc
 	stop    chan struct{}
 	sampler sync.WaitGroup
 
-	// Of the sampler's goroutine until it has ended.
+	// Maxima over the samples, used only by the sampler's goroutine until it has ended.
 	descriptors int
 	cpu         time.Duration
 	memoryKB    int64
 }
 
-// startProcessMonitor starts to sample a process. The caller ends it by finish.
+// startProcessMonitor starts to sample a process. The caller ends the monitor with finish.
 func startProcessMonitor(pid int) *processMonitor {
 	m := &processMonitor{dir: filepath.Join("/proc", strconv.Itoa(pid)), stop: make(chan struct{})}
 	m.sampler.Go(m.run)
@@ -42,18 +42,18 @@
 	}
 }
 
-// finish takes the last sample, and returns the use of CPU, memory and descriptors.
+// finish takes the last sample, and returns the CPU time, the peak memory and the maximum of open descriptors.
 func (m *processMonitor) finish() (resourceUse, error) {
 	close(m.stop)
 	m.sampler.Wait()
 	m.sample()
 	if m.cpu == 0 || m.memoryKB == 0 {
-		return resourceUse{}, fmt.Errorf("%s can't be read", m.dir)
+		return resourceUse{}, fmt.Errorf("CPU time or memory can't be read from %s", m.dir)
 	}
 	return resourceUse{cpu: m.cpu, memoryMB: float64(m.memoryKB) / 1024, descriptors: m.descriptors}, nil
 }
 
-// sample reads what the process uses now. What can't be read, as of a process that has ended, stays as it was.
+// sample reads the present use of resources. A value that can't be read, as after the end of the process, stays unchanged.
 func (m *processMonitor) sample() {
 	if open, err := os.ReadDir(filepath.Join(m.dir, "fd")); err == nil {
 		m.descriptors = max(m.descriptors, len(open))
@@ -66,9 +66,9 @@
 	}
 }
 
-// parseCPUTime returns the user and system time from the text of /proc/PID/stat; 0: it can't be parsed.
+// parseCPUTime returns the sum of user and system time from the text of /proc/PID/stat, or 0 if it can't be parsed.
 func parseCPUTime(stat string) time.Duration {
-	const userField, systemField, tick = 11, 12, 10 * time.Millisecond // the fields after the name
+	const userField, systemField, tick = 11, 12, 10 * time.Millisecond // indexes of the fields after the process name
 	_, afterName, _ := strings.Cut(stat, ") ")
 	fields := strings.Fields(afterName)
 	if len(fields) <= systemField {
@@ -82,7 +82,8 @@
 	return time.Duration(user+system) * tick
 }
 
-// parsePeakMemory returns the peak of the resident memory, in kB, from the text of /proc/PID/status; 0: it can't be parsed.
+// parsePeakMemory returns the peak of the resident memory, in kB, from the text of /proc/PID/status, or 0 if it can't be
+// parsed.
 func parsePeakMemory(status string) int64 {
 	for line := range strings.Lines(status) {
 		value, found := strings.CutPrefix(line, "VmHWM:")
--- a/loadtest/purge.go
+++ b/loadtest/purge.go
@@ -12,24 +12,25 @@
 	"hillknot/internal/testutil/fakes"
 )
 
-// PurgeResult counts what a router that was stopped requested from endpoints after it continued.
+// PurgeResult counts the requests that a router sent to endpoints for purged objects, after its process was stopped during
+// the purge.
 type PurgeResult struct {
-	Rounds   int // how often the router was stopped, with a purge meanwhile
-	Requests int // for purged objects, after that
-	Stale    int // of these, such that a copy from before the purge would have been accepted
+	Rounds   int // times that the router was stopped, with a purge meanwhile
+	Requests int // for purged objects, after the purge
+	Stale    int // those of Requests that would have accepted a copy from before the purge
 
-	StaleDetails []string // how each of the stale ones came about
+	StaleDetails []string // a description of each stale request
 }
 
 const (
-	purgeConns            = 12 // of clients, each for one request of a round
-	purgeConnsBeforeStop  = 4  // that send before the router is stopped
-	purgeConnsBeforePurge = 8  // from here on they send after the purge
+	purgeConns            = 12 // client connections in a round, each for one request
+	purgeConnsBeforeStop  = 4  // those that send before the router is stopped
+	purgeConnsBeforePurge = 8  // those that send before the purge; the rest send after it
 	purgeTimeout          = 3 * time.Second
 )
 
-// PurgeDuringStop stops a router's process, as the scheduler may, while requests are in flight. It sends the router a purge
-// between further requests, and lets it continue; so many times.
+// PurgeDuringStop stops a router's process while requests are in flight, as the scheduler may do. It sends the router a purge
+// between further requests, and lets the process continue. It repeats this for a number of rounds.
 func PurgeDuringStop(program string, rounds int) (PurgeResult, error) {
 	fleet, err := StartFleet(program, independentFleet(1, true))
 	if err != nil {
@@ -49,17 +50,17 @@
 	return recorder.snapshot(rounds), nil
 }
 
-// waitForDiscovery waits until the discovery service has been called.
+// waitForDiscovery waits until the router has called the discovery service.
 func (f *Fleet) waitForDiscovery() error {
 	for end := time.Now().Add(20 * time.Second); f.discovery.BytesSent() == 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			return fmt.Errorf("router %s does not call the discovery service", f.Routers[0].ListenAddress)
+			return fmt.Errorf("router %s did not call the discovery service in time", f.Routers[0].ListenAddress)
 		}
 	}
 	return nil
 }
 
-// purgeRound stops the router once, and purges an object of its own meanwhile.
+// purgeRound stops the router once, and meanwhile purges an object that belongs to this round alone.
 func (f *Fleet) purgeRound(recorder *purgeRecorder, round int) error {
 	router := f.Routers[0]
 	requests := &purgeRequests{item: uint64(round + 1)}
@@ -72,7 +73,7 @@
 	if err := requests.send(0, purgeConnsBeforeStop); err != nil {
 		return err
 	}
-	time.Sleep(time.Duration(round%8) * 200 * time.Microsecond) // the stop hits each round at another point
+	time.Sleep(time.Duration(round%8) * 200 * time.Microsecond) // the stop comes at a different moment in successive rounds
 	router.Signal(syscall.SIGSTOP)
 	time.Sleep(50 * time.Millisecond)
 	if err := requests.send(purgeConnsBeforeStop, purgeConnsBeforePurge); err != nil {
@@ -107,7 +108,7 @@
 	return nil
 }
 
-// send sends a request on each connection of a range.
+// send sends a request on each connection from index from to index to, which is excluded.
 func (p *purgeRequests) send(from, to int) error {
 	for i := from; i < to; i++ {
 		request := &rpc.Request{Method: classPage, Txn: p.item<<8 | uint64(i), TimeoutMillis: purgeTimeout.Milliseconds(), Item: p.item}
@@ -124,11 +125,11 @@
 	}
 }
 
-// purgeRecorder counts what endpoints are sent for the purged object of a round.
+// purgeRecorder counts the requests that endpoints receive for the purged object of a round.
 type purgeRecorder struct {
 	mu      sync.Mutex
 	object  string
-	purged  time.Time // zero: it is not purged yet
+	purged  time.Time // zero: not purged yet
 	resumed time.Time
 	result  PurgeResult
 }
@@ -139,7 +140,7 @@
 	r.object, r.purged = object, time.Time{}
 }
 
-// markPurged notes that the object is purged, and returns when.
+// markPurged records that the object is purged now, and returns the time.
 func (r *purgeRecorder) markPurged() time.Time {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -153,7 +154,7 @@
 	r.resumed = time.Now()
 }
 
-// record counts a request.
+// record counts a request for the purged object, and checks whether it accepts a copy from before the purge.
 func (r *purgeRecorder) record(request fakes.Request) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -172,7 +173,7 @@
 		request.ID, request.Fields["newer"], sincePurge, time.Since(r.resumed)))
 }
 
-// snapshot returns the counts, after a number of rounds.
+// snapshot returns the counts after a number of rounds.
 func (r *purgeRecorder) snapshot(rounds int) PurgeResult {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/loadtest/scale.go
+++ b/loadtest/scale.go
@@ -7,12 +7,13 @@
 	"time"
 )
 
-// ScaleSettings set up the measurement of one router with more and more page caches on its list, while its own traffic stays
-// the same. What it uses at the usual size bounds what it may use at the others.
+// ScaleSettings holds the settings of MeasureScale, which measures one router with more and more page caches on its endpoint
+// list, while its own traffic stays the same. The resources that it uses at the usual size determine the bounds at the other
+// sizes.
 type ScaleSettings struct {
-	Program string        // the router
+	Program string        // path of the router's program
 	Sizes   []int         // page caches on the list; the first is the usual size
-	Days    []string      // of ScaleDays
+	Days    []string      // those of ScaleDays to run
 	Length  time.Duration // of a day
 	Rate    float64       // requests a second
 	Seeds   []uint64      // of the requests
@@ -34,7 +35,7 @@
 		}
 	}
 	if exceeded > 0 {
-		return fmt.Errorf("%d figures are over their bounds", exceeded)
+		return fmt.Errorf("%d figures exceed their bounds", exceeded)
 	}
 	return nil
 }
@@ -51,7 +52,7 @@
 			usual = use
 		}
 		bound := usual.bound(size)
-		if day == dayRelist { // the bound is for a discovery service that sends changes
+		if day == dayRelist { // the bound applies to a discovery service that sends changes
 			bound.listBytes = max(bound.listBytes, use.listBytes)
 		}
 		exceededNames := use.exceededFigures(bound)
@@ -61,7 +62,7 @@
 	return exceeded, nil
 }
 
-// resourceUse is what a router used on one day.
+// resourceUse holds the resources that a router used on one day, and the outcome of its requests.
 type resourceUse struct {
 	cpu         time.Duration // user and system time of the process
 	memoryMB    float64       // resident, at its peak
@@ -72,8 +73,8 @@
 	unanswered  int           // requests without exactly one final answer
 }
 
-// bound returns what a router may use on a day with so many page caches, given what it uses at the usual size. The factors are
-// the operators'.
+// bound returns the bounds on a router's use on a day with a number of page caches, given its use at the usual size. The
+// factors come from the operators.
 func (u resourceUse) bound(caches int) resourceUse {
 	thousands := float64(caches) / 1000
 	return resourceUse{
@@ -86,7 +87,7 @@
 	}
 }
 
-// exceeds names the figures that exceed a bound.
+// exceededFigures returns the names of the figures that exceed their bounds.
 func (u resourceUse) exceededFigures(bound resourceUse) (names []string) {
 	for _, figure := range []struct {
 		name     string
--- a/loadtest/scaleday.go
+++ b/loadtest/scaleday.go
@@ -13,7 +13,7 @@
 	dayRelist  = "relist"  // the discovery service closes streams, and sends complete lists
 )
 
-// ScaleDays are the days that can be run.
+// ScaleDays are the days that MeasureScale can run.
 var ScaleDays = []string{dayCalm, dayRelease, dayOutage, dayRelist}
 
 // scaleFleet is one router with many page caches.
@@ -22,7 +22,7 @@
 	size int // page caches on the list
 }
 
-// measureDay runs one day, and returns what the router used over it, its start included.
+// measureDay runs one day, and returns the resources that the router used over the day, including its start.
 func measureDay(settings ScaleSettings, day string, size int, seed uint64) (resourceUse, error) {
 	options := independentFleet(1, false)
 	options.Caches = size
@@ -50,7 +50,7 @@
 	return use, nil
 }
 
-// runDay runs the events of a day, and returns at its end.
+// runDay runs the events of a day, and returns at the end of the day.
 func (s *scaleFleet) runDay(day string, length time.Duration) error {
 	end := time.Now().Add(length)
 	var err error
@@ -61,7 +61,7 @@
 	case dayOutage:
 		time.Sleep(length / 6)
 		s.discovery.StartOutage(length / 2)
-		s.replaceCaches(length / 4) // the router hears of it after the outage
+		s.replaceCaches(length / 4) // the router receives the events after the outage
 	case dayRelist:
 		s.discovery.SendSnapshots(s.completeList)
 		for range 5 {
@@ -69,14 +69,14 @@
 			s.discovery.CloseStreams()
 		}
 	default:
-		err = fmt.Errorf("no day %q", day)
+		err = fmt.Errorf("unknown day %q", day)
 	}
 	time.Sleep(time.Until(end))
 	return err
 }
 
-// replaceCaches replaces six in ten page caches within a time, with three events each: one drains, it is gone, and a new one
-// has started at its address.
+// replaceCaches replaces six in ten page caches within a length of time. It publishes three events for each: the page cache
+// drains, it is gone, and a new one has started at its address.
 func (s *scaleFleet) replaceCaches(length time.Duration) {
 	count := s.size * 6 / 10
 	start := time.Now()
@@ -91,10 +91,10 @@
 	}
 }
 
-// completeList returns an event with the complete list, as a discovery service sends that keeps no changes.
+// completeList returns an event with the complete endpoint list, as sent by a discovery service that keeps no changes.
 func (s *scaleFleet) completeList() string { return endpointsEvent(2, true, s.endpoints()) }
 
-// acceptedConnections returns how many connections were opened to page caches.
+// acceptedConnections returns how many connections the page caches have accepted.
 func (s *scaleFleet) acceptedConnections() (count int64) {
 	for _, cache := range s.caches {
 		count += cache.Accepted()
