--- a/loadtest/soak.go
+++ b/loadtest/soak.go
@@ -11,11 +11,12 @@
 	"hillknot/internal/testutil/fakes"
 )
 
-// SoakSettings set up the soak test: router processes with page caches, a discovery service and clients that misbehave, while
-// processes are stopped, restarted and reloaded, several faults at a time. A seed draws all of it. What happened is judged by
-// invariants, from outside.
+// SoakSettings holds the settings of the soak test. It runs router processes with page caches, a discovery service and
+// clients that misbehave, while processes are stopped, restarted and reloaded, several faults at a time. All random choices
+// follow from a seed. What clients, page caches and the discovery service recorded is checked against invariants, from
+// outside of the routers.
 type SoakSettings struct {
-	Program string // the router
+	Program string // path of the router's program
 	Routers int
 	Caches  int
 	Length  time.Duration // of each seed
@@ -23,7 +24,7 @@
 }
 
 const (
-	soakMaxPrinted  = 20                     // violations of a seed that are printed
+	soakMaxPrinted  = 20                     // violations that are printed for a seed, at most
 	soakConcurrency = 3                      // faults at a time
 	soakSettleStart = 500 * time.Millisecond // after the start, for all routers to be ready
 	soakSettleEnd   = time.Second            // after the last fault, before clients stop
@@ -31,8 +32,8 @@
 	soakOverloadFactor = 4 // of a page cache that warms up
 )
 
-// Soak runs each seed, and writes which invariants were violated. The error says that some were, or that a seed could not be
-// run.
+// Soak runs each seed, and writes the violations of invariants. It returns an error if there are any, or if a seed could not
+// be run.
 func Soak(settings SoakSettings, out io.Writer) error {
 	total := 0
 	for _, seed := range settings.Seeds {
@@ -51,7 +52,7 @@
 		}
 	}
 	if total > 0 {
-		return fmt.Errorf("%d invariants are broken", total)
+		return fmt.Errorf("%d violations of invariants", total)
 	}
 	return nil
 }
@@ -62,12 +63,12 @@
 	settings   SoakSettings
 	start      time.Time
 	history    *soakHistory
-	soakCaches []*soakCache // the last one is the origin
+	soakCaches []*soakCache // page caches, then the origin
 
 	mu             sync.Mutex
 	faults         []injectedFault  // in the order of their ends
-	processErrors  []string         // routers that ended, or did not start, as they should
-	routersInUse   map[*Router]bool // routers that a fault has for itself
+	processErrors  []string         // routers that did not exit or start as they should
+	routersInUse   map[*Router]bool // routers that a running fault uses exclusively
 	drainingCaches map[*soakCache]bool
 }
 
@@ -97,7 +98,7 @@
 	return s, nil
 }
 
-// run has clients send requests and faults happen until the length is over, and then waits for the answers that are due.
+// run runs clients and injects faults for the length of a seed, and then waits for the answers that are due.
 func (s *soakRun) run(seed uint64) {
 	stop := make(chan struct{})
 	var clients, faults sync.WaitGroup
@@ -117,7 +118,7 @@
 	clients.Wait()
 }
 
-// soakSockets is how many descriptors a router has in the run of a seed; 0: the default.
+// soakSockets returns how many descriptors a router may hold in the run of a seed; 0: the default.
 func soakSockets(seed uint64) int {
 	if hasIdleClients(seed) {
 		return soakIdleRunSockets
@@ -125,7 +126,7 @@
 	return 0
 }
 
-// summary says how much happened.
+// summary formats the numbers of requests, answers, attempts and faults.
 func (s *soakRun) summary() string {
 	h := s.history
 	h.mu.Lock()
@@ -147,7 +148,7 @@
 		rejected, failed, len(h.attempts), len(s.faults), formatKindCounts(s.faults))
 }
 
-// printFaults prints what was done, and when, since the start of the seed.
+// printFaults prints the faults, with their begin and end in seconds since the start of the seed.
 func (s *soakRun) printFaults(out io.Writer) {
 	for _, fault := range s.faults {
 		_, _ = fmt.Fprintf(out, "    %6.3f to %6.3f: %s\n", fault.begun.Sub(s.start).Seconds(), fault.ended.Sub(s.start).Seconds(),
@@ -155,7 +156,7 @@
 	}
 }
 
-// formatKindCounts counts faults by their first word.
+// formatKindCounts formats how many faults there are of each kind, which is the first word of their description.
 func formatKindCounts(faults []injectedFault) string {
 	counts := map[string]int{}
 	var order []string
--- a/loadtest/soak_test.go
+++ b/loadtest/soak_test.go
@@ -8,12 +8,12 @@
 	"time"
 )
 
-// Routers keep to the rules through faults that overlap, series of signals and restarts, once without and once with a crowd of
-// idle clients. The long run, with more routers and seeds, is `make soak`.
-func TestSoak(t *testing.T) {
+// Routers keep the invariants of the soak test through faults that overlap, series of signals and restarts. Seed 1 runs
+// without idle clients, seed 3 with them. `make soak` is the long run, with more routers and seeds.
+func TestSoakKeepsInvariantsThroughOverlappingFaults(t *testing.T) {
 	program := filepath.Join(t.TempDir(), "hillknot")
 	if out, err := exec.Command("go", "build", "-o", program, "hillknot/cmd/hillknot").CombinedOutput(); err != nil {
-		t.Fatalf("build: %v\n%s", err, out)
+		t.Fatalf("build the router: %v\n%s", err, out)
 	}
 	var report strings.Builder
 	err := Soak(SoakSettings{Program: program, Routers: 8, Caches: 4, Length: 15 * time.Second, Seeds: []uint64{1, 3}}, &report)
--- a/loadtest/soakcache.go
+++ b/loadtest/soakcache.go
@@ -9,7 +9,7 @@
 	"hillknot/internal/testutil/fakes"
 )
 
-// soakCache is a page cache, or the origin, that misbehaves on demand and records the attempts that it reads.
+// soakCache is a page cache, or the origin, that misbehaves on demand and records the attempts that it receives.
 type soakCache struct {
 	*fakes.Server
 	name    string
@@ -18,7 +18,7 @@
 	mu      sync.Mutex
 	random  *rand.Rand
 	mode    cacheMode
-	modeEnd time.Time // after it the mode is healthy again
+	modeEnd time.Time // after this time the mode is healthy again
 }
 
 // cacheMode is how a page cache answers.
@@ -36,10 +36,10 @@
 
 var cacheModeNames = [modeCount]string{"well", "hang", "errors", "full", "twice", "spoilt"}
 
-// String names the mode.
+// String returns the name of the mode.
 func (m cacheMode) String() string { return cacheModeNames[m] }
 
-// The time that an answer takes.
+// The time that an answer takes: the minimum, and the bound of the random time that is added.
 const (
 	soakMinAnswerMillis    = 5
 	soakAnswerSpreadMillis = 40
@@ -53,14 +53,14 @@
 	return c, err
 }
 
-// misbehave sets how the page cache answers for a time.
+// misbehave sets how the page cache answers for a length of time.
 func (c *soakCache) misbehave(mode cacheMode, length time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.mode, c.modeEnd = mode, time.Now().Add(length)
 }
 
-// drawAnswer returns how the page cache answers a request now, and after how long.
+// drawAnswer returns how the page cache answers a request that arrives now, and the random delay of the answer.
 func (c *soakCache) drawAnswer() (cacheMode, time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/loadtest/soakclient.go
+++ b/loadtest/soakclient.go
@@ -8,8 +8,8 @@
 	"hillknot/internal/rpc"
 )
 
-// soakClient sends a router requests on one connection after the other. Now and then it disconnects, cancels, or sends what
-// is not a message.
+// soakClient sends requests to a router on one connection after another. Now and then it disconnects, cancels a request, or
+// sends bytes that are not a message.
 type soakClient struct {
 	address string
 	history *soakHistory
@@ -20,8 +20,8 @@
 const (
 	soakPause          = 60 * time.Millisecond // between two requests, on average
 	soakConnRequests   = 40                    // on a connection, at most
-	soakItems          = 400                   // different pages
-	soakMisbehaveEvery = 40                    // of so many requests, one each is followed by a kind of misbehaviour
+	soakItems          = 400                   // number of different pages
+	soakMisbehaveEvery = 40                    // each kind of misbehaviour follows one request in this many, on average
 	soakRedialPause    = 50 * time.Millisecond
 	soakDialTimeout    = 200 * time.Millisecond
 
@@ -33,11 +33,11 @@
 type clientAction int
 
 const (
-	actionDisconnect clientAction = iota // with all that is in flight
-	actionCancel                         // the request
-	actionMalformed                      // it sends what is not a message, which ends the connection
-	actionPartial                        // it sends half of a message, and waits
-	// All other numbers: nothing.
+	actionDisconnect clientAction = iota // it disconnects, with all requests in flight
+	actionCancel                         // it cancels the request
+	actionMalformed                      // it sends bytes that are not a message, which ends the connection
+	actionPartial                        // it sends half of a message, and waits for the answers that are due
+	// All other values mean that the client does nothing.
 )
 
 func newSoakClient(address string, history *soakHistory, seed uint64) *soakClient {
@@ -61,7 +61,7 @@
 	}
 }
 
-// useConn uses a connection until it ends, stop is closed, or there were enough requests.
+// useConn uses a connection until it ends, stop is closed, or enough requests are sent.
 func (c *soakClient) useConn(conn net.Conn, stop <-chan struct{}) {
 	usage := c.drawUsage()
 	s := &soakConn{conn: conn, client: c, inFlight: map[uint64]*soakRequest{}, readerDone: make(chan struct{})}
@@ -73,7 +73,7 @@
 	s.use(usage, stop)
 }
 
-// sendSteadily sends one request after the other, with pauses.
+// sendSteadily sends one request after another, with pauses.
 func (s *soakConn) sendSteadily(stop <-chan struct{}) {
 	random := s.client.random
 	for id := uint64(1); id <= soakConnRequests; id++ {
@@ -94,18 +94,18 @@
 	client     *soakClient
 	inFlight   map[uint64]*soakRequest // by message id; guarded by the history's lock
 	connEnded  bool                    // the connection has ended; guarded by the history's lock
-	readerDone chan struct{}           // closed when all answers are read
+	readerDone chan struct{}           // closed when the reader has ended
 
 	readsSlowly bool
 }
 
-// close closes the connection, and waits for the end of its reader.
+// close closes the connection, and waits until its reader has ended.
 func (s *soakConn) close() {
 	_ = s.conn.Close() // it may be closed already
 	<-s.readerDone
 }
 
-// misbehave carries out an action, and reports whether that ends the use of the connection.
+// misbehave carries out an action, and reports whether the action ends the use of the connection.
 func (s *soakConn) misbehave(action clientAction, id uint64, request *soakRequest) (done bool) {
 	switch action {
 	case actionDisconnect:
@@ -115,12 +115,12 @@
 		s.cancel(id, request)
 	case actionPartial:
 		next := rpc.AppendRequest(nil, id+1, &rpc.Request{Method: classPage, TimeoutMillis: 1000})
-		_, _ = s.conn.Write(next[:len(next)/2]) // the reader notes the end of the connection
+		_, _ = s.conn.Write(next[:len(next)/2]) // the reader records the end of the connection
 		s.awaitAnswers()
 		return true
 	case actionMalformed:
 		s.abandonAll()
-		_, _ = s.conn.Write([]byte("\xc1 nonsense")) // as above
+		_, _ = s.conn.Write([]byte("\xc1 nonsense")) // the reader records the end here, too
 		return true
 	}
 	return false
@@ -143,15 +143,15 @@
 	c.history.update(func() {
 		c.history.requests[request.txn] = request
 		s.inFlight[id] = request
-		if s.connEnded { // it crosses the end, and nobody reads it
+		if s.connEnded { // the request crosses the end of the connection, so that the router does not read it
 			request.disconnected = request.sent
 		}
 	})
-	_, _ = s.conn.Write(rpc.AppendRequest(nil, id, message)) // the reader reads what has come, and notes the end
+	_, _ = s.conn.Write(rpc.AppendRequest(nil, id, message)) // the reader records the end of the connection after the answers
 	return request
 }
 
-// abandonAll notes that nobody waits for what is in flight.
+// abandonAll records that the client no longer waits for the requests in flight.
 func (s *soakConn) abandonAll() {
 	s.client.history.update(func() {
 		for _, request := range s.inFlight {
@@ -161,7 +161,7 @@
 	})
 }
 
-// cancel cancels a request. It may still be answered.
+// cancel cancels a request, which may still be answered.
 func (s *soakConn) cancel(id uint64, request *soakRequest) {
 	s.client.history.update(func() {
 		if s.inFlight[id] != nil {
@@ -169,18 +169,18 @@
 			delete(s.inFlight, id)
 		}
 	})
-	_, _ = s.conn.Write(rpc.AppendCancel(nil, id)) // a router that has gone needs no cancel
+	_, _ = s.conn.Write(rpc.AppendCancel(nil, id)) // a router that has ended needs no cancel
 }
 
-// settle waits until all is answered, for a bounded time.
+// awaitAnswers waits up to answerTimeout until all requests are answered.
 func (s *soakConn) awaitAnswers() {
-	for end := time.Now().Add(answerTimeout); time.Now().Before(end) && s.due() > 0; {
+	for end := time.Now().Add(answerTimeout); time.Now().Before(end) && s.countDueAnswers() > 0; {
 		time.Sleep(10 * time.Millisecond)
 	}
 }
 
-// due returns how many answers are still to come.
-func (s *soakConn) due() (count int) {
+// countDueAnswers returns how many answers are still due.
+func (s *soakConn) countDueAnswers() (count int) {
 	s.client.history.update(func() {
 		for _, request := range s.inFlight {
 			if len(request.answers) == 0 {
@@ -191,7 +191,8 @@
 	return count
 }
 
-// read records answers until the connection ends. An answered request stays in flight here, so that a second answer is seen.
+// read records answers until the connection ends. An answered request stays in inFlight, so that a second answer is recorded
+// as well.
 func (s *soakConn) read() {
 	defer close(s.readerDone)
 	readResponses(s.conn, func(header rpc.ResponseHeader) {
--- a/loadtest/soakfaults.go
+++ b/loadtest/soakfaults.go
@@ -7,17 +7,18 @@
 	"time"
 )
 
-// injectedFault is a fault that was injected.
+// injectedFault describes a fault that was injected.
 type injectedFault struct {
 	begun, ended time.Time
-	description  string // its first word is the kind
+	description  string // the first word is the kind
 }
 
-// soakFault injects one fault and waits for its end. It returns what it did, of which the first word is the kind; empty: it
-// did nothing.
+// soakFault injects one fault and waits for its end. It returns a description whose first word is the kind of the fault, or
+// an empty string if it did nothing.
 type soakFault func(*rand.Rand) string
 
-// injectFaults injects one fault after the other until a time. Those that stand more often are drawn more often.
+// injectFaults injects one random fault after another until a time. Faults that are listed several times are drawn more
+// often.
 func (s *soakRun) injectFaults(random *rand.Rand, until time.Time) {
 	faults := []soakFault{s.pauseRouter, s.pauseRouter, s.terminateRouter, s.terminateRouter, s.terminateRouter, s.killRouter,
 		s.reloadRouter, s.misbehave, s.misbehave, s.resetCache, s.drainCache, s.drainCache, s.purgeObject, s.purgeObject,
@@ -33,14 +34,14 @@
 	}
 }
 
-// reportProcessError records that a router did not end or start as it should.
+// reportProcessError records that a router did not exit or start as it should.
 func (s *soakRun) reportProcessError(format string, args ...any) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.processErrors = append(s.processErrors, fmt.Sprintf(format, args...))
 }
 
-// withRouter calls inject for a router that no other fault has; empty: it has drawn one that another fault has.
+// withRouter draws a router and calls inject for it. It returns an empty string if another fault uses the router.
 func (s *soakRun) withRouter(random *rand.Rand, inject func(*Router) string) string {
 	r := s.Routers[random.IntN(len(s.Routers))]
 	s.mu.Lock()
@@ -58,20 +59,20 @@
 	return inject(r)
 }
 
-// pauseRouter stops a router's process for a while.
+// pauseRouter stops a router's process for a while, and then lets it continue.
 func (s *soakRun) pauseRouter(random *rand.Rand) string {
 	return s.withRouter(random, func(r *Router) string {
 		length := time.Duration(50+random.IntN(1150)) * time.Millisecond
-		s.noteStop(r)
+		s.recordStop(r)
 		r.Signal(syscall.SIGSTOP)
 		time.Sleep(length)
-		s.noteResume(r)
+		s.recordResume(r)
 		r.Signal(syscall.SIGCONT)
 		return fmt.Sprintf("stop %s for %v", r.ListenAddress, length)
 	})
 }
 
-// killRouter restarts a router by SIGKILL. The requests that it had accepted are lost.
+// killRouter kills a router with SIGKILL and starts it again. The requests that it had accepted are lost.
 func (s *soakRun) killRouter(random *rand.Rand) string {
 	return s.withRouter(random, func(r *Router) string {
 		address := r.ListenAddress
@@ -82,17 +83,17 @@
 	})
 }
 
-// startProcess starts a router from the configuration of its first start: it receives what has changed since when it calls the
-// discovery service.
+// startProcess starts a router with the configuration of its first start. The router receives the changes since then when it
+// calls the discovery service.
 func (s *soakRun) startProcess(r *Router) {
 	address := r.ListenAddress
 	s.history.update(func() { s.history.starts[address] = append(s.history.starts[address], time.Now()) })
 	if err := r.Start(); err != nil {
-		s.reportProcessError("%s: not started again: %v", address, err)
+		s.reportProcessError("%s: did not start again: %v", address, err)
 	}
 }
 
-// reloadRouter has a router reload its configuration, a few times in a row.
+// reloadRouter makes a router reload its configuration, one to six times in a row.
 func (s *soakRun) reloadRouter(random *rand.Rand) string {
 	return s.withRouter(random, func(r *Router) string {
 		for range 1 + random.IntN(6) {
@@ -103,7 +104,7 @@
 	})
 }
 
-// misbehave has a page cache misbehave for a while.
+// misbehave makes a page cache misbehave for a while.
 func (s *soakRun) misbehave(random *rand.Rand) string {
 	cache := s.soakCaches[random.IntN(len(s.soakCaches))]
 	mode := cacheMode(1 + random.IntN(int(modeCount)-1))
@@ -120,7 +121,7 @@
 	return "reset " + cache.name
 }
 
-// drainCache publishes that a page cache drains or is gone, and after a while that it is back as another process.
+// drainCache publishes that a page cache drains or is gone, and after a while that it is back as a new process.
 func (s *soakRun) drainCache(random *rand.Rand) string {
 	cache := s.soakCaches[random.IntN(s.settings.Caches)]
 	s.mu.Lock()
@@ -140,7 +141,7 @@
 	return state + " " + cache.name
 }
 
-// publishDrain publishes that a page cache drains or is gone, and records it right after that.
+// publishDrain publishes that a page cache drains or is gone, and then records that at once.
 func (s *soakRun) publishDrain(cache *soakCache, state string) {
 	s.publishEndpoints(newEndpoint(cache.name, cache.Addr(), state))
 	s.history.update(func() {
@@ -148,7 +149,8 @@
 	})
 }
 
-// publishReturn publishes that a page cache is back, and records it right before that.
+// publishReturn publishes that a page cache is back. It records the end of the drain right before the event, and the start of
+// the new process right after it.
 func (s *soakRun) publishReturn(cache *soakCache) {
 	s.history.update(func() {
 		drains := s.history.drains[cache.name]
@@ -162,7 +164,7 @@
 	})
 }
 
-// purgeObject publishes a purge.
+// purgeObject publishes a purge of a random page.
 func (s *soakRun) purgeObject(random *rand.Rand) string {
 	object := objectName(random.Uint64N(soakItems))
 	at := time.Now()
--- a/loadtest/soakhistory.go
+++ b/loadtest/soakhistory.go
@@ -5,25 +5,25 @@
 	"time"
 )
 
-// soakHistory is all that happened, as clients, page caches and the discovery service saw it.
+// soakHistory records what happened, as clients, page caches and the discovery service saw it.
 type soakHistory struct {
 	mu       sync.Mutex
 	requests map[uint64]*soakRequest // by txn
 	attempts []*soakAttempt
-	drains   map[string][]interval  // by endpoint: from the event that it drains to the one that it is back
-	returns  map[string][]time.Time // by endpoint: when it started anew, which is published at once
-	purges   map[string][]time.Time
-	outages  []interval // of the discovery service, in the order of their starts
-
-	stops  map[string][]interval // by router address: when its process was stopped
-	kills  map[string][]time.Time
-	starts map[string][]time.Time // without the first
+	drains   map[string][]interval  // by endpoint: from the event that it drains to the event that it is back
+	returns  map[string][]time.Time // by endpoint: starts of new processes, each of which is published at once
+	purges   map[string][]time.Time // by object
+	outages  []interval             // of the discovery service, in the order of their starts
+
+	stops  map[string][]interval  // by router address: times for which its process was stopped
+	kills  map[string][]time.Time // by router address
+	starts map[string][]time.Time // by router address, without the first start
 }
 
-// interval is a stretch of time; an end of zero says that it goes on.
+// interval is a period of time. If its end is zero, it has not ended yet.
 type interval struct{ start, end time.Time }
 
-// contains reports whether a moment lies in the interval.
+// contains reports whether a time lies in the interval.
 func (i interval) contains(at time.Time) bool {
 	return !at.Before(i.start) && (i.end.IsZero() || at.Before(i.end))
 }
@@ -35,10 +35,10 @@
 	class        string
 	timeout      time.Duration
 	sent         time.Time
-	abandoned    time.Time // the client cancelled it or closed its connection; zero: it did not
-	disconnected time.Time // the router ended the connection; zero: it did not
+	abandoned    time.Time // when the client cancelled it or closed its connection; zero: it did neither
+	disconnected time.Time // when the router ended the connection; zero: it did not
 	answers      []soakAnswer
-	readSlowly   bool // the client takes its time to read answers
+	readSlowly   bool // the client reads answers slowly
 }
 
 // soakAnswer is an answer to a request.
@@ -47,17 +47,17 @@
 	code     string // of an error; empty: the request was served
 }
 
-// soakAttempt is an attempt as a page cache read it.
+// soakAttempt is an attempt as a page cache received it.
 type soakAttempt struct {
 	txn     uint64
 	class   string
 	object  string
 	cache   string
-	source  string // from which the page cache is to fill
+	source  string // endpoint from which the page cache is to fill
 	timeout time.Duration
 	maxAge  time.Duration // of a copy that the router accepts; 0: any
 	arrived time.Time
-	ended   time.Time // it was answered or cancelled, or its connection ended; zero: it is in flight
+	ended   time.Time // when it was answered or cancelled, or its connection ended; zero: it is in flight
 	ran     bool      // it may have run
 }
 
@@ -73,14 +73,14 @@
 	}
 }
 
-// update changes the history.
+// update runs a function that reads or changes the history while no other does.
 func (h *soakHistory) update(change func()) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	change()
 }
 
-// runningFrom returns the earliest moment, from a time on, at which a router's process was not stopped.
+// runningFrom returns the earliest time, not before the given one, at which a router's process was not stopped.
 func (h *soakHistory) runningFrom(router string, at time.Time) time.Time {
 	for _, stop := range h.stops[router] {
 		if stop.contains(at) && !stop.end.IsZero() {
@@ -90,7 +90,7 @@
 	return at
 }
 
-// lastStart returns when a router was started last before a time; zero: with the test.
+// lastStart returns the last time before another at which a router was restarted; zero: it was not restarted.
 func (h *soakHistory) lastStart(router string, before time.Time) (last time.Time) {
 	for _, start := range h.starts[router] {
 		if start.Before(before) {
@@ -100,7 +100,8 @@
 	return last
 }
 
-// receiptTime returns when a router should have received, as seen at a time, an event that was published at another.
+// receiptTime returns the time by which a router should have received an event that was published at a time. It allows for
+// the last start of the router before now and for outages of the discovery service.
 func (h *soakHistory) receiptTime(router string, published, now time.Time) time.Time {
 	at := published.Add(soakEventDelay)
 	if start := h.lastStart(router, now); !start.IsZero() {
@@ -114,7 +115,7 @@
 	return at
 }
 
-// killedWithin reports whether a router was killed within a stretch of time.
+// killedWithin reports whether a router was killed within a period of time.
 func (h *soakHistory) killedWithin(router string, from, to time.Time) bool {
 	for _, at := range h.kills[router] {
 		if !at.Before(from) && !at.After(to) {
@@ -124,7 +125,7 @@
 	return false
 }
 
-// stoppedWithin returns for how long a router's process was stopped within a stretch of time.
+// stoppedWithin returns for how long a router's process was stopped within a period of time.
 func (h *soakHistory) stoppedWithin(router string, from, to time.Time) (total time.Duration) {
 	for _, stop := range h.stops[router] {
 		end := to
--- a/loadtest/soakidle.go
+++ b/loadtest/soakidle.go
@@ -7,18 +7,18 @@
 )
 
 const (
-	soakIdleRunEvery   = 3   // of so many seeds, one each has a crowd
-	soakIdleRunSockets = 256 // descriptors of a router in a crowd
-	soakIdleClients    = 160 // idle clients of a router, more than it has places for
+	soakIdleRunEvery   = 3   // one seed in this many has idle clients
+	soakIdleRunSockets = 256 // descriptors that a router may hold in a run with idle clients
+	soakIdleClients    = 160 // idle clients of a router, more than it can accept
 	soakIdlePause      = 100 * time.Millisecond
-	soakIdleReadLimit  = 4 << 10 // bytes that an idle client reads at a time
+	soakIdleReadLimit  = 4 << 10 // bytes that an idle client reads at a time, at most
 )
 
 // hasIdleClients reports whether idle clients fill the descriptors of the routers in the run of a seed.
 func hasIdleClients(seed uint64) bool { return seed%soakIdleRunEvery == 0 }
 
-// holdIdleConns has a crowd of idle clients hold connections to a router until stop is closed. One whose connection ends
-// calls again.
+// holdIdleConns runs idle clients that hold connections to a router until stop is closed. A client whose connection ends
+// connects again.
 func holdIdleConns(address string, stop <-chan struct{}) {
 	var clients sync.WaitGroup
 	for range soakIdleClients {
@@ -27,7 +27,7 @@
 	clients.Wait()
 }
 
-// runIdleClient holds one connection after the other, and sends nothing.
+// runIdleClient holds one connection after another until stop is closed, and sends nothing.
 func runIdleClient(address string, stop <-chan struct{}) {
 	for {
 		select {
--- a/loadtest/soakinvariants.go
+++ b/loadtest/soakinvariants.go
@@ -5,27 +5,27 @@
 	"time"
 )
 
-// Tolerances of the invariants: what the operators' rules allow, and by how much later this program may read what a router
-// wrote.
+// Tolerances of the invariants. They hold what the operators' rules allow, and the delay with which this program may read
+// what a router wrote.
 const (
-	soakAnswerTolerance    = 500 * time.Millisecond  // an answer may come so long after the request's timeout
-	soakReadTolerance      = 200 * time.Millisecond  // what was written is read within this
-	soakTimeoutExcess      = 150 * time.Millisecond  // the timeout of an attempt may be so much longer than the client waits
-	soakAbandonedTolerance = 100 * time.Millisecond  // an attempt may start so long after its client has abandoned the request
-	soakDrainTolerance     = 300 * time.Millisecond  // and at a draining endpoint so long after the event
-	soakPurgeTolerance     = 1050 * time.Millisecond // so long after a purge an attempt may still accept any copy
-	soakEventDelay         = 100 * time.Millisecond  // a router has received an event by then, unless the discovery service was down
-	soakReconnectDelay     = 400 * time.Millisecond  // and after an outage or its own start by then
+	soakAnswerTolerance    = 500 * time.Millisecond  // an answer may arrive this long after the request's timeout
+	soakReadTolerance      = 200 * time.Millisecond  // written data is read within this time
+	soakTimeoutExcess      = 150 * time.Millisecond  // an attempt's timeout may exceed the remaining wait of its client by this
+	soakAbandonedTolerance = 100 * time.Millisecond  // an attempt may start this long after its client abandoned the request
+	soakDrainTolerance     = 300 * time.Millisecond  // an attempt may start at a draining endpoint this long after the event
+	soakPurgeTolerance     = 1050 * time.Millisecond // an attempt may still accept any copy this long after a purge
+	soakEventDelay         = 100 * time.Millisecond  // a router receives an event within this time, unless discovery is down
+	soakReconnectDelay     = 400 * time.Millisecond  // a router receives events within this time after an outage or its own start
 	soakStampPrecision     = 2 * time.Millisecond    // stamps are truncated to milliseconds
-	soakPurgeDuration      = 6 * time.Second         // page caches have dropped what was purged
-	soakIdleCloseRace      = 50 * time.Millisecond   // a request may cross the end of an idle connection
-	soakSlowReadTolerance  = 6 * time.Second         // a client that reads slowly has read what was written within this
+	soakPurgeDuration      = 6 * time.Second         // page caches drop purged copies within this time
+	soakIdleCloseRace      = 50 * time.Millisecond   // a request may cross the end of an idle connection within this time
+	soakSlowReadTolerance  = 6 * time.Second         // a client that reads slowly reads written data within this time
 )
 
 // reportViolation reports that an invariant was violated at a time.
 type reportViolation func(at time.Time, format string, args ...any)
 
-// judge returns the invariants that were violated.
+// checkInvariants returns the violations of invariants, each with the time since the start of the seed in seconds.
 func (s *soakRun) checkInvariants() (violations []string) {
 	h := s.history
 	h.mu.Lock()
@@ -53,7 +53,8 @@
 	return append(violations, s.processErrors...)
 }
 
-// checkAnswer checks that a request has one answer, in time.
+// checkAnswer checks that a request got one answer, in time. No answer is due if the client abandoned the request, its router
+// was killed, or the request crossed the end of the connection.
 func (h *soakHistory) checkAnswer(r *soakRequest, report reportViolation) {
 	end := r.sent.Add(r.timeout + soakAnswerTolerance + soakReadTolerance)
 	if r.readSlowly {
@@ -61,62 +62,65 @@
 	}
 	switch {
 	case len(r.answers) > 1:
-		report(r.answers[1].received, "%016x: %d answers", r.txn, len(r.answers))
+		report(r.answers[1].received, "%016x: got %d answers", r.txn, len(r.answers))
 	case len(r.answers) == 1:
 		received := r.answers[0].received
 		if late := received.Sub(end) - h.stoppedWithin(r.router, r.sent, received); late > 0 {
-			report(received, "%016x: answered %v too late", r.txn, late)
+			report(received, "%016x: the answer came %v too late", r.txn, late)
 		}
 	case !r.abandoned.IsZero(): // no answer is due
-	case h.killedWithin(r.router, r.sent.Add(-soakIdleCloseRace), end.Add(time.Second)): // lost with its router
+	case h.killedWithin(r.router, r.sent.Add(-soakIdleCloseRace), end.Add(time.Second)): // the request is lost with its router
 	case !r.disconnected.IsZero() && r.disconnected.Sub(r.sent) < soakIdleCloseRace+soakReadTolerance:
-		// It crossed the end of the connection.
+		// The request crossed the end of the connection.
 	case !r.disconnected.IsZero():
-		report(r.disconnected, "%016x (%s) at %s: the connection ended %v after it was sent, with no answer", r.txn, r.class,
-			r.router, r.disconnected.Sub(r.sent))
+		report(r.disconnected, "%016x (%s) at %s: the connection ended %v after the request was sent, without an answer", r.txn,
+			r.class, r.router, r.disconnected.Sub(r.sent))
 	default:
 		report(end, "%016x (%s) at %s: no answer", r.txn, r.class, r.router)
 	}
 }
 
-// checkAttempt checks that an attempt belongs to a request, and was right to make when it was made.
+// checkAttempt checks that an attempt belongs to a request, and that it was allowed at the time it was made.
 func (h *soakHistory) checkAttempt(a *soakAttempt, report reportViolation) {
 	r := h.requests[a.txn]
 	if r == nil {
-		report(a.arrived, "%016x at %s: no client sent it", a.txn, a.cache)
+		report(a.arrived, "%016x at %s: no client sent this request", a.txn, a.cache)
 		return
 	}
 	sent := r.sent
-	if running := h.runningFrom(r.router, sent); !a.arrived.Before(running) { // a stopped router can't have read it before
+	// A stopped router can't have read the request before its process continued.
+	if running := h.runningFrom(r.router, sent); !a.arrived.Before(running) {
 		sent = running
 	}
 	if left := r.timeout - sent.Sub(r.sent); a.timeout > left+soakTimeoutExcess {
-		report(a.arrived, "%016x at %s: told to wait %v where the client has at most %v", a.txn, a.cache, a.timeout, left)
+		report(a.arrived, "%016x at %s: the timeout of the attempt is %v, but the client waits at most %v", a.txn, a.cache,
+			a.timeout, left)
 	}
 	h.checkAbandoned(r, a, report)
 	h.checkDraining(r, a, report)
 	h.checkPurged(r, a, report)
 }
 
-// checkAbandoned checks that an attempt did not start after its client had abandoned the request. The time that the router was
-// stopped is added: what it wrote before a stop, or before it could read its sockets after one, may be read late.
+// checkAbandoned checks that an attempt did not start after its client had abandoned the request. The time for which the
+// router was stopped is added to the tolerance, because attempts that it wrote before a stop, or after one before it could
+// read its sockets, may be read late.
 func (h *soakHistory) checkAbandoned(r *soakRequest, a *soakAttempt, report reportViolation) {
 	if r.abandoned.IsZero() {
 		return
 	}
 	late := a.arrived.Sub(r.abandoned)
 	if late > soakAbandonedTolerance+soakReadTolerance+h.stoppedWithin(r.router, r.abandoned, a.arrived) {
-		report(a.arrived, "%016x at %s: begun %v after its client left", a.txn, a.cache, late)
+		report(a.arrived, "%016x at %s: the attempt started %v after its client abandoned the request", a.txn, a.cache, late)
 	}
 }
 
-// checkDraining checks that an attempt used no endpoint that drains, neither directly nor as the source.
+// checkDraining checks that an attempt used no endpoint that drains, neither directly nor as the source of a fill.
 func (h *soakHistory) checkDraining(r *soakRequest, a *soakAttempt, report reportViolation) {
 	for _, endpoint := range []string{a.cache, a.source} {
 		for _, drain := range h.drains[endpoint] {
 			known := h.receiptTime(r.router, drain.start, a.arrived)
 			if drain.contains(a.arrived) && a.arrived.Sub(known) > soakDrainTolerance+soakReadTolerance {
-				report(a.arrived, "%016x at %s, filled from %q: %s drains since %v", a.txn, a.cache, a.source, endpoint,
+				report(a.arrived, "%016x at %s, filled from %q: %s has been draining for %v", a.txn, a.cache, a.source, endpoint,
 					a.arrived.Sub(drain.start))
 			}
 		}
@@ -133,7 +137,8 @@
 		known := a.arrived.Sub(h.receiptTime(r.router, purge, a.arrived)) > soakPurgeTolerance+soakReadTolerance
 		acceptsOld := a.maxAge == 0 || a.maxAge > age+soakStampPrecision
 		if known && age < soakPurgeDuration && acceptsOld {
-			report(a.arrived, "%016x at %s: a copy of %v will do, %v after a purge", a.txn, a.cache, a.maxAge, age)
+			report(a.arrived, "%016x at %s: the attempt accepts a copy of age %v (0: any), %v after a purge", a.txn, a.cache,
+				a.maxAge, age)
 		}
 	}
 }
@@ -147,13 +152,13 @@
 				overlap = before.ended.Sub(a.arrived)
 			}
 			if overlap > soakReadTolerance {
-				report(a.arrived, "%016x: out at %s and at %s for %v", a.txn, before.cache, a.cache, overlap)
+				report(a.arrived, "%016x: in flight at both %s and %s for %v", a.txn, before.cache, a.cache, overlap)
 			}
 		}
 	}
 }
 
-// checkOrderRuns checks that an order may have run once at most.
+// checkOrderRuns checks that an order can't have run more than once.
 func checkOrderRuns(attempts []*soakAttempt, report reportViolation) {
 	ran := 0
 	for _, a := range attempts {
--- a/loadtest/soaksession.go
+++ b/loadtest/soaksession.go
@@ -45,7 +45,7 @@
 	}
 }
 
-// skipBody reads the body of a request and its line end; it reports whether both were there.
+// skipBody reads the body of a request and the line end after it, and reports whether both are complete.
 func skipBody(in *bufio.Reader, size string) bool {
 	const lineEnd = "\r\n"
 	n, err := strconv.Atoi(size)
@@ -56,7 +56,7 @@
 	return err == nil
 }
 
-// end ends all attempts of the connection, which is then closed.
+// end records that all attempts in flight on the connection end, because the connection is closed next.
 func (s *soakSession) end() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -67,7 +67,7 @@
 	})
 }
 
-// finish ends the attempt that is in flight under an id, and returns it; nil: there is none.
+// finish records the end of the attempt in flight with a request id, and returns the attempt, or nil if there is none.
 func (s *soakSession) finish(id string) *soakAttempt {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -80,7 +80,7 @@
 	return attempt
 }
 
-// receive records a request, and answers it as the page cache's mode says.
+// receive records an attempt, and answers it according to the mode of the page cache.
 func (s *soakSession) receive(id, fields string) {
 	attempt := parseSoakAttempt(id, fields)
 	attempt.cache = s.cache.name
@@ -95,7 +95,8 @@
 	}
 }
 
-// parseSoakAttempt parses a request that has arrived now. What can't be parsed stays 0, which the judge finds.
+// parseSoakAttempt parses an attempt that has just arrived. A field that can't be parsed stays 0, which the checks of the
+// invariants detect.
 func parseSoakAttempt(id, fields string) *soakAttempt {
 	attempt := &soakAttempt{arrived: time.Now()}
 	attempt.txn, _ = strconv.ParseUint(id, 16, 64)
@@ -119,9 +120,9 @@
 	return attempt
 }
 
-// Some objects are large.
+// The large objects.
 const (
-	soakLargeSuffix = "0" // of the names of large objects, one in sixteen
+	soakLargeSuffix = "0" // the names of large objects, one in sixteen, end in this
 	soakLargeBytes  = 60_000
 )
 
@@ -133,7 +134,7 @@
 	return "hello"
 }
 
-// answer answers a request, unless it is over.
+// answer answers an attempt, unless it has ended.
 func (s *soakSession) answer(id string, mode cacheMode) {
 	attempt := s.finish(id)
 	if attempt == nil {
@@ -151,7 +152,7 @@
 	case modeTruncated:
 		text = text[:len(text)-4]
 	}
-	_, _ = io.WriteString(s.conn, text) // a router that has gone reads nothing
+	_, _ = io.WriteString(s.conn, text) // a router that has ended reads no answer
 	if mode == modeTruncated {
 		_ = s.conn.Close()
 	}
--- a/loadtest/soakshutdown.go
+++ b/loadtest/soakshutdown.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// soakExitTimeout is how long a router has to end after SIGTERM before the platform may kill it: the longest deadline, taken as
-// 3 s, and 0.7 s.
+// soakExitTimeout is how long a router has to end after SIGTERM before the platform may kill it: the longest deadline, taken
+// as 3 s, plus 0.7 s.
 const soakExitTimeout = 3700 * time.Millisecond
 
 // signalStep is one signal of a series, and the time until the next.
@@ -16,16 +16,16 @@
 	wait   time.Duration
 }
 
-// signalSeries is a series of signals that contains SIGTERM.
+// signalSeries is a series of signals, at least one of which is SIGTERM.
 type signalSeries struct {
 	name  string
 	steps []signalStep
 }
 
-// soakSignalGap is the time between two signals of a series that follow each other at once.
+// soakSignalGap is the time between two immediately successive signals of a series.
 const soakSignalGap = 10 * time.Millisecond
 
-// atOnce returns the steps of signals that follow each other at once.
+// atOnce returns the steps of signals that are sent in immediate succession.
 func atOnce(signals ...syscall.Signal) (steps []signalStep) {
 	for _, signal := range signals {
 		steps = append(steps, signalStep{signal, soakSignalGap})
@@ -33,7 +33,7 @@
 	return steps
 }
 
-// drawSignalSeries draws a series of signals after which a router ends.
+// drawSignalSeries returns a random series of signals after which a router ends.
 func drawSignalSeries(random *rand.Rand) signalSeries {
 	const hup, term, stop, resume = syscall.SIGHUP, syscall.SIGTERM, syscall.SIGSTOP, syscall.SIGCONT
 	pause := time.Duration(100+random.IntN(1400)) * time.Millisecond
@@ -49,7 +49,7 @@
 	return series[random.IntN(len(series))]
 }
 
-// send sends the signals of a series to a router, and returns when SIGTERM was sent first.
+// send sends the signals of a series to a router, and returns when the first SIGTERM was sent.
 func (s *soakRun) send(r *Router, series signalSeries) (terminated time.Time) {
 	for _, step := range series.steps {
 		if step.signal == syscall.SIGTERM && terminated.IsZero() {
@@ -57,9 +57,9 @@
 		}
 		switch step.signal {
 		case syscall.SIGSTOP:
-			s.noteStop(r)
+			s.recordStop(r)
 		case syscall.SIGCONT:
-			s.noteResume(r)
+			s.recordResume(r)
 		}
 		r.Signal(step.signal)
 		time.Sleep(step.wait)
@@ -67,10 +67,10 @@
 	return terminated
 }
 
-// terminateRouter restarts a router on SIGTERM, now and then twice in a row.
+// terminateRouter restarts a router with SIGTERM, now and then twice in a row.
 func (s *soakRun) terminateRouter(random *rand.Rand) string {
 	return s.withRouter(random, func(r *Router) string {
-		if random.IntN(3) == 0 { // page caches hang through the whole shutdown
+		if random.IntN(3) == 0 { // some page caches hang through the whole shutdown
 			for _, cache := range s.soakCaches[:1+random.IntN(len(s.soakCaches))] {
 				cache.misbehave(modeHang, soakExitTimeout)
 			}
@@ -78,7 +78,7 @@
 		series := drawSignalSeries(random)
 		s.awaitExit(r, s.send(r, series))
 		s.startProcess(r)
-		if random.IntN(4) == 0 { // the next restart comes as soon as the process is back
+		if random.IntN(4) == 0 { // the next restart comes shortly after the process is back
 			time.Sleep(time.Duration(random.IntN(200)) * time.Millisecond)
 			s.awaitExit(r, s.send(r, signalSeries{steps: atOnce(syscall.SIGTERM)}))
 			s.startProcess(r)
@@ -88,30 +88,32 @@
 	})
 }
 
-// awaitExit waits until a router has ended after SIGTERM, and kills it as the platform may. What that loses is not excused.
+// awaitExit waits until a router has ended after SIGTERM. After soakExitTimeout it kills the router, as the platform may.
+// Requests that are lost by such a kill are not excused.
 func (s *soakRun) awaitExit(r *Router, terminated time.Time) {
 	exited := make(chan error, 1)
 	go func() { exited <- r.wait() }()
 	select {
 	case err := <-exited:
 		if err != nil {
-			s.reportProcessError("%s: exit after SIGTERM: %v", r.ListenAddress, err)
+			s.reportProcessError("%s: failed to exit cleanly after SIGTERM: %v", r.ListenAddress, err)
 		}
 	case <-time.After(soakExitTimeout - time.Since(terminated)):
 		r.Signal(syscall.SIGKILL)
-		s.reportProcessError("%s: killed %v after SIGTERM", r.ListenAddress, time.Since(terminated))
+		s.reportProcessError("%s: still running, so killed %v after SIGTERM", r.ListenAddress, time.Since(terminated))
 		<-exited
 	}
 }
 
-// noteStop records that a router's process is about to be stopped.
-func (s *soakRun) noteStop(r *Router) {
+// recordStop records that a router's process is about to be stopped.
+func (s *soakRun) recordStop(r *Router) {
 	address := r.ListenAddress
 	s.history.update(func() { s.history.stops[address] = append(s.history.stops[address], interval{start: time.Now()}) })
 }
 
-// noteResume records that a stopped process is about to continue: before it does, so that nothing counts as late that is not.
-func (s *soakRun) noteResume(r *Router) {
+// recordResume records that a stopped process is about to continue. It is called before the process continues, so that
+// nothing is counted as late by mistake.
+func (s *soakRun) recordResume(r *Router) {
 	address := r.ListenAddress
 	s.history.update(func() {
 		stops := s.history.stops[address]
--- a/loadtest/soakusage.go
+++ b/loadtest/soakusage.go
@@ -10,20 +10,20 @@
 
 const (
 	usageSteady     connUsage = iota // one request after the other, with pauses
-	usageResting                     // it rests until the router ends the connection, and sends once more about then
+	usageResting                     // a request, a rest until the router ends the connection, and another request about then
 	usagePipelining                  // many requests at once
-	usageSlowReader                  // the same, and it takes its time to read the answers
+	usageSlowReader                  // many requests at once, whose answers are read slowly
 	usageCount
 )
 
 const (
 	soakPipelineDepth = 8
 	soakPipelinePause = 400 * time.Millisecond
-	soakRestLength    = 5 * time.Second        // the router ends idle connections after it
-	soakRestSpread    = 100 * time.Millisecond // around it
-	soakSlowReadBytes = 8 << 10                // read at a time by a client that reads slowly
+	soakRestLength    = 5 * time.Second        // the router ends a connection that is idle for this long
+	soakRestSpread    = 100 * time.Millisecond // maximum deviation from soakRestLength
+	soakSlowReadBytes = 8 << 10                // bytes read at a time by a client that reads slowly
 	soakSlowReadPause = 20 * time.Millisecond
-	soakSteadyEvery   = 2 // of so many connections, one is used steadily, and the others in any way
+	soakSteadyEvery   = 2 // one connection in this many is used steadily, the others in a random way
 )
 
 func (c *soakClient) drawUsage() connUsage {
@@ -33,7 +33,7 @@
 	return connUsage(c.random.IntN(int(usageCount)))
 }
 
-// use sends requests on the connection until it ends, stop is closed, or there were enough.
+// use sends requests on the connection until it ends, stop is closed, or enough requests are sent.
 func (s *soakConn) use(usage connUsage, stop <-chan struct{}) {
 	switch usage {
 	case usageResting:
@@ -45,7 +45,7 @@
 	}
 }
 
-// wait waits for a time, and returns false if the connection has ended or stop is closed.
+// wait waits for a length of time. It reports false if the connection ends or stop is closed meanwhile.
 func (s *soakConn) wait(length time.Duration, stop <-chan struct{}) bool {
 	select {
 	case <-stop:
@@ -57,7 +57,7 @@
 	}
 }
 
-// rest sends a request, and another one about when the router ends the connection.
+// rest sends a request, and another one about the time when the router ends the idle connection.
 func (s *soakConn) rest(stop <-chan struct{}) {
 	s.send(1)
 	spread := time.Duration(s.client.random.Int64N(int64(2 * soakRestSpread)))
@@ -67,7 +67,7 @@
 	s.awaitAnswers()
 }
 
-// pipeline sends many requests at once, and again after a pause.
+// pipeline sends soakPipelineDepth requests at once, and again after each pause.
 func (s *soakConn) pipeline(stop <-chan struct{}) {
 	for first := uint64(1); first <= soakConnRequests; first += soakPipelineDepth {
 		for id := first; id < first+soakPipelineDepth; id++ {
