--- a/internal/core/requests_test.go
+++ b/internal/core/requests_test.go
@@ -8,19 +8,19 @@
 	"hillknot/balancer"
 )
 
-// A request is sent to an endpoint, with a source to fill its cache from, and answered with the result.
+// A request is sent to an endpoint, with a source from which it fills its cache, and is answered with the result.
 func TestRequestIsServed(t *testing.T) {
 	h := newHarness(t)
 	h.submit("page", 3*second)
 	if len(h.outstanding) != 1 || h.outstanding[0].Source == nil {
-		t.Fatalf("attempts %+v", h.outstanding)
+		t.Fatalf("attempts %+v, want one with a source", h.outstanding)
 	}
 	h.finish(h.outstanding[0], AttemptResult{Status: balancer.OK, Detail: balancer.Hit, Body: []byte("x")})
 	h.wait(4 * second)
 	h.wantOneAnswer("served", Served)
 }
 
-// However the attempts end, there is one answer, in time, and never two attempts at once.
+// However its attempts end, a request gets one answer in time, and never has two attempts at once.
 func TestEachRequestGetsOneAnswer(t *testing.T) {
 	for s := balancer.Error; s <= balancer.Miss; s++ {
 		for _, class := range []string{"page", "order"} {
@@ -33,8 +33,8 @@
 					h.finish(h.outstanding[0], AttemptResult{Status: s})
 				}
 			}
-			if len(h.answers) != 1 || h.maxAtOnce != 1 {
-				t.Errorf("%s, status %d: answers %+v, %d attempts at once", class, s, h.answers, h.maxAtOnce)
+			if len(h.answers) != 1 || h.maxConcurrent != 1 {
+				t.Errorf("%s, status %d: answers %+v, %d attempts at once", class, s, h.answers, h.maxConcurrent)
 			}
 			if class == "order" && !s.NeverRan() && (sent != 1 || h.answers[0].Verdict != Failed) {
 				t.Errorf("order, status %d: %d attempts, answers %+v; what may have run is not retried",
@@ -44,17 +44,17 @@
 	}
 }
 
-// A request whose time was over before it was read is rejected at once: nothing is sent.
+// A request whose deadline has passed before it is read is rejected at once, and no attempt is sent.
 func TestExpiredRequestIsRejected(t *testing.T) {
 	h := newHarness(t)
 	h.submitLate("page", second, second)
 	h.wantOneAnswer("too late", Rejected)
-	if h.maxAtOnce != 0 {
-		t.Error("it was forwarded")
+	if h.maxConcurrent != 0 {
+		t.Error("the expired request was sent")
 	}
 }
 
-// After a cancel or a closed connection no answer is given, and the attempt is cancelled.
+// After a cancellation or a closed connection a request is not answered, and its attempt is cancelled.
 func TestCancelledRequestGetsNoAnswer(t *testing.T) {
 	h := newHarness(t)
 	id := h.submit("page", second)
@@ -62,11 +62,11 @@
 	h.core.RunOnce()
 	h.wait(2 * second)
 	if len(h.outstanding) != 0 || len(h.answers) != 0 {
-		t.Errorf("%d attempts open, answers %+v", len(h.outstanding), h.answers)
+		t.Errorf("%d attempts open, answers %+v; want none", len(h.outstanding), h.answers)
 	}
 }
 
-// Over the limit a request is rejected at once, not queued.
+// A request over the limit of open requests is rejected at once, and not queued.
 func TestRequestOverLimitIsRejected(t *testing.T) {
 	h := newHarness(t)
 	for range h.core.limits.OpenRequests {
@@ -79,8 +79,8 @@
 	}
 }
 
-// Page caches know a request by its txn: a second one under the txn of one that is open fails, and the first is
-// served as if nothing had happened.
+// Page caches know a request by its txn. A second request under the txn of an open one fails, and the first is served as
+// usual.
 func TestDuplicateTxnFails(t *testing.T) {
 	h := newHarness(t)
 	for range 2 {
@@ -89,16 +89,16 @@
 	}
 	h.wantOneAnswer("second", Failed)
 	if len(h.outstanding) != 1 {
-		t.Fatalf("%d attempts are open", len(h.outstanding))
+		t.Fatalf("%d attempts are open, want that of the first request", len(h.outstanding))
 	}
 	h.finish(h.outstanding[0], AttemptResult{Status: balancer.OK})
 	if len(h.answers) != 2 || h.answers[1].Verdict != Served {
-		t.Errorf("answers %+v", h.answers)
+		t.Errorf("answers %+v, want the first request served", h.answers)
 	}
 }
 
-// The answer, the client's cancel and the end of its time come in one iteration of the loop, in any order: the
-// client has one answer or, if it cancelled first, none; and no attempt follows.
+// If the result, the client's cancellation and the deadline come in one iteration of the loop, in any order, the client
+// gets one answer or, if it cancelled first, none; and no attempt follows.
 func TestResultCancelAndDeadlineInOneIteration(t *testing.T) {
 	for _, class := range []string{"page", "order"} {
 		for _, status := range []balancer.Status{balancer.OK, balancer.Error, balancer.Rejected} {
@@ -116,12 +116,12 @@
 				for _, f := range steps {
 					h.core.Post(f)
 				}
-				h.now += second // the time is up, too
+				h.now += second // the deadline passes, too
 				h.core.RunOnce()
 				h.wait(2 * second)
-				if len(h.outstanding) > 0 || h.maxAtOnce > 1 {
+				if len(h.outstanding) > 0 || h.maxConcurrent > 1 {
 					t.Errorf("%s, status %d, cancelled first %v: %d attempts open, %d at once",
-						class, status, cancelFirst, len(h.outstanding), h.maxAtOnce)
+						class, status, cancelFirst, len(h.outstanding), h.maxConcurrent)
 				}
 				want := 0
 				if status == balancer.OK && !cancelFirst {
