--- a/loadtest/budget.go
+++ b/loadtest/budget.go
@@ -143,7 +143,8 @@
 	r.slowStartAttempts, r.retryAttempts, r.warmingCache, r.warmingSince = nil, nil, cache, time.Now()
 }
 
-// setOutlier makes one page cache fail all requests, and the others serve all. With noOutlier, no page cache fails.
+// setOutlier makes one page cache fail all requests, and the others serve all. With noOutlier, no page cache fails any
+// request.
 func (r *attemptRecorder) setOutlier(cache int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/loadtest/cluster.go
+++ b/loadtest/cluster.go
@@ -113,8 +113,8 @@
 	return netip.AddrPortFrom(ip, uint16(20000+pid%20000))
 }
 
-// waitForMembership waits until every router sees every other. Before that, measuring the bounds on shared state says nothing
-// about the cluster.
+// waitForMembership waits until every router sees every other. Before that, a check of the bounds on shared state proves
+// nothing.
 func (c *Cluster) waitForMembership() error {
 	line := fmt.Sprintf("app_fleet_others %d\n", len(c.Routers)-1)
 	if err := c.waitForMetrics(func(metrics string) bool { return strings.Contains(metrics, line) }); err != nil {
--- a/loadtest/failoverfaults.go
+++ b/loadtest/failoverfaults.go
@@ -12,8 +12,8 @@
 
 const (
 	failoverClients = 24 // of MeasureFailover
-	// routersSettle is how long routers have to be up so that no client waits because of what happened before.
-	routersSettle = 4 * time.Second
+	// routersSettleTime is how long routers have to be up so that no client waits because of what happened before.
+	routersSettleTime = 4 * time.Second
 	// killInterval is the approximate time between two kills of MeasureFailover.
 	killInterval = 600 * time.Millisecond
 )
@@ -56,7 +56,7 @@
 	}
 }
 
-// killPairs kills two routers at once and starts them again, three times.
+// killPairs kills two routers at once, and starts them again, three times.
 func (c *FailoverCluster) killPairs(markLost func(...int), length time.Duration) error {
 	for i := range 3 {
 		if err := c.killAndStart(markLost, length/8, i, (i+1)%len(c.Routers)); err != nil {
@@ -77,7 +77,7 @@
 	return nil
 }
 
-// killAndStart kills routers at the same time, and starts them again after a delay.
+// killAndStart kills routers at once, and starts them again after a delay.
 func (c *FailoverCluster) killAndStart(markLost func(...int), delay time.Duration, routers ...int) error {
 	markLost(routers...)
 	for _, i := range routers {
@@ -179,7 +179,7 @@
 		return err
 	}
 	defer c.Close()
-	time.Sleep(routersSettle)
+	time.Sleep(routersSettleTime)
 	results, err := c.RunFailoverFaults(settings.FaultLength, failoverClients, nil)
 	if err != nil {
 		return err
