--- a/loadtest/creditmeasure.go
+++ b/loadtest/creditmeasure.go
@@ -13,20 +13,20 @@
 	creditTopup        = 1500 // credits before each fault
 )
 
-// MeasureCredit compares how many pages a second are served without and with balances, and runs a cluster through all faults.
-// It writes a table.
+// MeasureCredit compares how many pages a second are served without and with balances, runs a cluster that shares balances
+// through all faults, and writes a table of the results.
 func MeasureCredit(settings ClusterSettings, out io.Writer) error {
-	free, err := freePageRate(settings)
+	freeRate, err := freePageRate(settings)
 	if err != nil {
 		return err
 	}
-	paid, err := paidPageRate(settings)
+	paidRate, err := paidPageRate(settings)
 	if err != nil {
 		return err
 	}
 	_, _ = fmt.Fprintf(out, "pages a second of %d clients, one after the other: %.0f free, %.0f paid for, %.3f\n", creditRateClients,
-		free, paid, paid/free)
-	c, err := StartCreditCluster(settings, map[string]float64{poorAccount: 100, richAccount: 1e6})
+		freeRate, paidRate, paidRate/freeRate)
+	c, err := StartCreditCluster(settings, map[string]float64{depletedAccount: 100, ampleAccount: 1e6})
 	if err != nil {
 		return err
 	}
@@ -47,7 +47,7 @@
 	}
 }
 
-// freePageRate measures pages a second that independent routers serve.
+// freePageRate measures how many pages a second independent routers serve.
 func freePageRate(settings ClusterSettings) (float64, error) {
 	c, err := startWithoutFailover(settings)
 	if err != nil {
@@ -57,28 +57,28 @@
 	return c.pageRate("", settings.FaultLength)
 }
 
-// paidPageRate measures pages a second that a cluster serves on an account with funds.
+// paidPageRate measures how many pages a second a cluster serves on an account with funds.
 func paidPageRate(settings ClusterSettings) (float64, error) {
-	c, err := StartCreditCluster(settings, map[string]float64{richAccount: 1e9})
+	c, err := StartCreditCluster(settings, map[string]float64{ampleAccount: 1e9})
 	if err != nil {
 		return 0, err
 	}
 	defer c.Close()
-	time.Sleep(time.Second) // every router has a share of the balance
-	return c.pageRate(richAccount, settings.FaultLength)
+	time.Sleep(time.Second) // until every router has a share of the balance
+	return c.pageRate(ampleAccount, settings.FaultLength)
 }
 
-// pageRate measures how many pages a second clients get that each send one request after the other.
+// pageRate measures how many pages a second are served to clients that each send one request after another.
 func (c *FailoverCluster) pageRate(account string, length time.Duration) (float64, error) {
 	c.orders.answerPagesQuickly()
 	load := newPayingClients()
 	defer load.finish()
 	for i := range creditRateClients {
-		w, err := c.newPayingClient(payingClientOptions{account: account, seed: uint64(i) + 1})
+		paying, err := c.newPayingClient(payingClientOptions{account: account, seed: uint64(i) + 1})
 		if err != nil {
 			return 0, err
 		}
-		load.start(account, w, 0)
+		load.start(account, paying, 0)
 	}
 	time.Sleep(length / 4)
 	return float64(load.servedWithin(account, length)) / length.Seconds(), nil
