--- a/internal/testutil/fakes/cache.go
+++ b/internal/testutil/fakes/cache.go
@@ -11,30 +11,31 @@
 	"time"
 )
 
-// Request is a request as an endpoint receives it.
+// Request holds a request that an endpoint received: its id, its fields by name, and its body.
 type Request struct {
 	ID     string
 	Fields map[string]string
 	Body   []byte
 }
 
-// Reply says what an endpoint does with a request.
+// Reply is the scripted reaction of an endpoint to a request.
 type Reply struct {
-	Status     string // DONE, WAIT and so on; empty: it never answers
-	Fields     string // empty: none
+	Status     string // DONE, WAIT and so on; empty: the endpoint never answers
+	Fields     string // NAME=VALUE,NAME=VALUE; empty: none
 	Body       []byte
-	Delay      time.Duration // before the answer; a QUIT meanwhile cancels that
-	Disconnect bool          // it closes the connection instead of answering
+	Delay      time.Duration // before the answer; a QUIT that arrives earlier cancels the answer
+	Disconnect bool          // the endpoint closes the connection instead of answering
 }
 
-// Cache plays an endpoint: a page cache, a parent or the origin.
+// Cache is a fake endpoint: a page cache, a parent or the origin.
 type Cache struct {
 	*Server
 	answer func(Request) Reply
 }
 
-// NewCache starts an endpoint at an address. It calls answer for each complete request: the requests of one connection one
-// after the other, those of several connections at the same time.
+// NewCache starts a fake endpoint that listens at address. The endpoint calls answer for each complete request: one call at a
+// time for the requests of one connection, and concurrent calls for those of several connections. NewCache returns an error if
+// it cannot listen at address.
 func NewCache(address string, answer func(Request) Reply) (*Cache, error) {
 	c := &Cache{answer: answer}
 	var err error
@@ -42,42 +43,42 @@
 	return c, err
 }
 
-// maxRequestBody bounds the body of a request, in bytes.
-const maxRequestBody = 1 << 20
+// maxRequestBodySize is the largest accepted body of a request, in bytes.
+const maxRequestBodySize = 1 << 20
 
-// serve answers the requests of one connection.
+// serve answers the requests of one connection until reading or answering one of them fails.
 func (c *Cache) serve(conn net.Conn) {
-	session := &cacheSession{conn: conn, answer: c.answer, delayed: map[string]*time.Timer{}}
-	defer session.cancelAll()
+	session := &cacheSession{conn: conn, answer: c.answer, delayTimers: map[string]*time.Timer{}}
+	defer session.cancelAllDelayed()
 	for in := bufio.NewReader(conn); ; {
-		if err := session.serveNext(in); err != nil {
-			return // the router has gone, or sent what no router may: either way the connection ends
+		if err := session.serveCommand(in); err != nil {
+			return // the router closed the connection or sent an invalid command, or the reply is to disconnect
 		}
 	}
 }
 
-// cacheSession is the state of one connection of a router.
+// cacheSession holds the state of one connection from a router.
 type cacheSession struct {
 	conn   net.Conn
 	answer func(Request) Reply
 
-	mu      sync.Mutex             // also serializes responses
-	delayed map[string]*time.Timer // of the responses that are still to be sent, by request id
+	mu          sync.Mutex             // guards delayTimers and serializes responses
+	delayTimers map[string]*time.Timer // timers of the responses that are yet to be sent, by request id
 }
 
-// serveNext reads a command and handles it. After an error the connection cannot be used any more.
-func (s *cacheSession) serveNext(in *bufio.Reader) error {
+// serveCommand reads one command and handles it. After an error the connection must not be used any more.
+func (s *cacheSession) serveCommand(in *bufio.Reader) error {
 	line, err := in.ReadString('\n')
 	if err != nil {
 		return err
 	}
 	words := strings.Fields(line)
 	if len(words) < 2 {
-		return fmt.Errorf("malformed command: %q", line)
+		return fmt.Errorf("malformed command %q: want at least 2 words", line)
 	}
 	switch id := words[1]; words[0] {
 	case "QUIT":
-		s.cancel(id)
+		s.cancelDelayed(id)
 		return nil
 	case "NOOP", "INFO":
 		s.send(id, Reply{Status: "FIT"})
@@ -90,14 +91,14 @@
 	return s.reply(request)
 }
 
-// readRequest reads the rest of a request whose first line has been read.
+// readRequest reads the body of a request whose first line consists of words, and returns the request.
 func readRequest(in *bufio.Reader, words []string) (Request, error) {
 	if words[0] != "ASK" || len(words) != 4 {
-		return Request{}, fmt.Errorf("unknown command: %q", words)
+		return Request{}, fmt.Errorf("command %q is not of the form ASK ID FIELDS SIZE", words)
 	}
 	size, err := strconv.ParseUint(words[3], 10, 31)
-	if err != nil || size > maxRequestBody {
-		return Request{}, fmt.Errorf("invalid body length: %q", words[3])
+	if err != nil || size > maxRequestBodySize {
+		return Request{}, fmt.Errorf("body size %q is not a number or exceeds the limit", words[3])
 	}
 	const lineEnd = "\r\n"
 	body := make([]byte, int(size)+len(lineEnd))
@@ -112,7 +113,7 @@
 	return request, nil
 }
 
-// reply answers a request as the script says.
+// reply answers a request as the caller of NewCache scripted it. It returns io.EOF if the connection is to be closed.
 func (s *cacheSession) reply(request Request) error {
 	reply := s.answer(request)
 	switch {
@@ -122,18 +123,18 @@
 	case reply.Delay > 0:
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		s.delayed[request.ID] = time.AfterFunc(reply.Delay, func() { s.send(request.ID, reply) })
+		s.delayTimers[request.ID] = time.AfterFunc(reply.Delay, func() { s.send(request.ID, reply) })
 	default:
 		s.send(request.ID, reply)
 	}
 	return nil
 }
 
-// send sends a response. A router that has gone reads nothing, which is not an error.
+// send sends a response. It ignores write errors, because the router may have closed the connection.
 func (s *cacheSession) send(id string, reply Reply) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	delete(s.delayed, id)
+	delete(s.delayTimers, id)
 	fields := reply.Fields
 	if fields == "" {
 		fields = "-"
@@ -143,21 +144,21 @@
 	_, _ = s.conn.Write(append(response, "\r\n"...))
 }
 
-// cancel drops the delayed response to a request, if there is one.
-func (s *cacheSession) cancel(id string) {
+// cancelDelayed cancels the delayed response to a request, if there is one.
+func (s *cacheSession) cancelDelayed(id string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if timer := s.delayed[id]; timer != nil {
+	if timer := s.delayTimers[id]; timer != nil {
 		timer.Stop()
-		delete(s.delayed, id)
+		delete(s.delayTimers, id)
 	}
 }
 
-// cancelAll drops all delayed responses.
-func (s *cacheSession) cancelAll() {
+// cancelAllDelayed cancels all delayed responses.
+func (s *cacheSession) cancelAllDelayed() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, timer := range s.delayed {
+	for _, timer := range s.delayTimers {
 		timer.Stop()
 	}
 }
--- a/internal/testutil/fakes/discovery.go
+++ b/internal/testutil/fakes/discovery.go
@@ -11,97 +11,100 @@
 	"time"
 )
 
-// keepaliveComment is sent at the start of a stream and once a second while there are no events.
+// The service sends keepaliveComment at the start of a stream, and after each keepaliveInterval if there is no new event to
+// send.
 const (
 	keepaliveComment  = ": here\n\n"
 	keepaliveInterval = time.Second
 )
 
-// Discovery plays the discovery service: it streams its events, from the one after the last that a caller has seen. Its
-// methods may be called by several goroutines at once.
+// Discovery is a fake discovery service. It streams its events to each caller, starting after the last event that the caller
+// has seen. Its methods may be called by several goroutines at once.
 type Discovery struct {
 	server     *http.Server
 	address    string
 	goroutines sync.WaitGroup
 	bytesSent  atomic.Int64
 
-	mu       sync.Mutex
-	events   []string      // their data
-	first    int           // position of the first event
-	appended chan struct{} // closed when the next event is appended
-	cut      chan struct{} // closed when the open streams are to end
-	outage   time.Time     // calls are rejected until then
-	snapshot func() string // nil: streams start without a complete list
+	mu            sync.Mutex
+	events        []string      // the data of each event
+	firstPosition int           // position of the first event
+	appended      chan struct{} // closed when the next event is appended
+	endStreams    chan struct{} // closed when the open streams are to end
+	outageEnd     time.Time     // the service rejects calls until this time
+	snapshot      func() string // returns the data of a complete list; nil: streams start without one
 }
 
-// NewDiscovery starts the service at an address. Its first event has the position first.
-func NewDiscovery(address string, first int) (*Discovery, error) {
-	socket, err := net.Listen("tcp", address)
+// NewDiscovery starts a discovery service that listens at address. Its first event has the position firstPosition. NewDiscovery
+// returns an error if it cannot listen at address.
+func NewDiscovery(address string, firstPosition int) (*Discovery, error) {
+	listener, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, err
 	}
-	d := &Discovery{address: socket.Addr().String(), first: first, appended: make(chan struct{}), cut: make(chan struct{})}
+	d := &Discovery{address: listener.Addr().String(), firstPosition: firstPosition, appended: make(chan struct{}),
+		endStreams: make(chan struct{})}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /journal", d.stream)
 	d.server = &http.Server{Handler: mux}
-	d.goroutines.Go(func() { _ = d.server.Serve(socket) }) // it returns after Close
+	d.goroutines.Go(func() { _ = d.server.Serve(listener) }) // Serve returns an error after Close
 	return d, nil
 }
 
-// Addr returns the address that it listens at.
+// Addr returns the address that the service listens at.
 func (d *Discovery) Addr() string { return d.address }
 
-// BytesSent returns how many bytes of events and comments were sent so far.
+// BytesSent returns the number of bytes of events and comments sent so far.
 func (d *Discovery) BytesSent() int64 { return d.bytesSent.Load() }
 
-// Publish appends an event. The text is what follows "pos" in the event's data.
+// Publish appends an event. The formatted text becomes the part of the event's data that follows the field "pos".
 func (d *Discovery) Publish(format string, args ...any) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	position := d.first + len(d.events)
+	position := d.firstPosition + len(d.events)
 	d.events = append(d.events, fmt.Sprintf(`{"pos":%d,%s}`, position, fmt.Sprintf(format, args...)))
 	close(d.appended)
 	d.appended = make(chan struct{})
 }
 
-// SendSnapshots has each stream from now on start with a complete list. That is an event of its own: snapshot returns what
-// follows "pos" in its data.
+// SendSnapshots makes each new stream publish a complete list when it starts. The list is an event of its own: snapshot returns
+// the part of its data that follows the field "pos".
 func (d *Discovery) SendSnapshots(snapshot func() string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.snapshot = snapshot
 }
 
-// CloseStreams ends the open streams.
+// CloseStreams closes all open streams.
 func (d *Discovery) CloseStreams() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	close(d.cut)
-	d.cut = make(chan struct{})
+	close(d.endStreams)
+	d.endStreams = make(chan struct{})
 }
 
-// StartOutage ends the open streams, and rejects calls for a time.
+// StartOutage closes all open streams, and makes the service reject calls for the given length of time.
 func (d *Discovery) StartOutage(length time.Duration) {
 	d.mu.Lock()
-	d.outage = time.Now().Add(length)
+	d.outageEnd = time.Now().Add(length)
 	d.mu.Unlock()
 	d.CloseStreams()
 }
 
-// Close ends the service, and waits until it accepts no more calls.
+// Close stops the service, and waits until it accepts no more calls.
 func (d *Discovery) Close() {
-	_ = d.server.Close() // what it reports is about connections that are closed
+	_ = d.server.Close() // the error concerns only sockets that are closed anyway
 	d.goroutines.Wait()
 }
 
-// stream sends a caller the events as they come, until it leaves or the streams are cut.
+// stream sends events to a caller as they are published, until the caller disconnects or the streams are closed.
 func (d *Discovery) stream(w http.ResponseWriter, r *http.Request) {
 	lastSeen, err := strconv.Atoi(r.Header.Get("Last-Event-ID"))
 	if err != nil {
 		lastSeen = 0
 	}
 	d.mu.Lock()
-	rejected, snapshot, cut := time.Now().Before(d.outage), d.snapshot, d.cut
+	rejected, snapshot, endStreams := time.Now().Before(d.outageEnd), d.snapshot, d.endStreams
 	d.mu.Unlock()
 	if rejected {
 		http.Error(w, "paused", http.StatusServiceUnavailable)
@@ -128,7 +131,7 @@
 		select {
 		case <-r.Context().Done():
 			return
-		case <-cut:
+		case <-endStreams:
 			return
 		case <-appended:
 		case <-keepalive.C:
@@ -136,21 +139,21 @@
 	}
 }
 
-// eventsFrom formats the events from a position on. It returns the position after the last of them, and a channel that is
-// closed when there are more.
+// eventsFrom formats the events from position on. It returns their text, the position after the last event, and a channel
+// that is closed when the next event is appended.
 func (d *Discovery) eventsFrom(position int) (text string, next int, appended <-chan struct{}) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	var b strings.Builder
-	for ; position-d.first < len(d.events); position++ {
-		if position >= d.first {
-			fmt.Fprintf(&b, "id: %d\ndata: %s\n\n", position, d.events[position-d.first])
+	for ; position-d.firstPosition < len(d.events); position++ {
+		if position >= d.firstPosition {
+			fmt.Fprintf(&b, "id: %d\ndata: %s\n\n", position, d.events[position-d.firstPosition])
 		}
 	}
 	return b.String(), position, d.appended
 }
 
-// write sends text and counts it.
+// write sends text to a caller and adds its length to bytesSent.
 func (d *Discovery) write(w http.ResponseWriter, text string) error {
 	d.bytesSent.Add(int64(len(text)))
 	if _, err := w.Write([]byte(text)); err != nil {
--- a/internal/testutil/fakes/faulty_conn.go
+++ b/internal/testutil/fakes/faulty_conn.go
@@ -7,22 +7,23 @@
 	"syscall"
 )
 
-// ConnFault says when a connection fails, and how.
+// ConnFault describes when and how a connection fails.
 type ConnFault struct {
-	ReadLimit  int  // bytes that can be read before it fails; negative: no limit
-	WriteLimit int  // bytes that can be written before it fails; negative: no limit
-	Stall      bool // a failed connection stays open and transfers nothing; otherwise it is reset
+	ReadLimit  int  // bytes that can be read before the connection fails; negative: no limit
+	WriteLimit int  // bytes that can be written before the connection fails; negative: no limit
+	Stall      bool // true: the failed connection stays open and transfers nothing; false: it is reset
 }
 
-// NewFaultyConn returns a connection that behaves as conn until one of the fault's limits is reached.
+// NewFaultyConn returns a connection that behaves like conn until it reaches one of the limits of fault.
 func NewFaultyConn(conn net.Conn, fault ConnFault) net.Conn {
 	return &faultyConn{Conn: conn, fault: fault, closed: make(chan struct{})}
 }
 
+// faultyConn is a connection that fails at the limits of its fault.
 type faultyConn struct {
 	net.Conn
 	mu     sync.Mutex
-	fault  ConnFault // its limits count down
+	fault  ConnFault // the limits hold the bytes that remain
 	failed bool
 
 	closeOnce sync.Once
@@ -50,7 +51,7 @@
 	return n, err
 }
 
-// countRead counts what was read, and reports whether a write has failed the connection meanwhile.
+// countRead subtracts n bytes from the read limit. It reports whether the connection has failed in the meantime.
 func (c *faultyConn) countRead(n int) (failed bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -74,17 +75,18 @@
 	}
 	n := 0
 	if !c.failed {
-		n, _ = c.Conn.Write(b[:c.fault.WriteLimit]) // the error that is returned is the scripted one
+		n, _ = c.Conn.Write(b[:c.fault.WriteLimit]) // Write returns the scripted error instead
 	}
 	c.fault.WriteLimit, c.failed = 0, true
 	if c.fault.Stall {
-		return len(b), nil // the writer is not to see that nothing is sent
+		return len(b), nil // the writer must not notice that nothing is sent
 	}
 	resetConn(c.Conn)
 	return n, syscall.ECONNRESET
 }
 
-// failRead fails the connection: it resets it, or blocks until it is closed.
+// failRead marks the connection as failed and returns the error of the read. A connection that stalls blocks until Close; any
+// other one is reset.
 func (c *faultyConn) failRead() error {
 	c.mu.Lock()
 	stall := c.fault.Stall
--- a/internal/testutil/fakes/router.go
+++ b/internal/testutil/fakes/router.go
@@ -10,25 +10,26 @@
 )
 
 const (
-	routerReadSize   = 64 << 10 // bytes
-	routerMaxMessage = 1 << 20  // bytes
+	routerReadBufferSize = 64 << 10 // bytes
+	routerMaxMessageSize = 1 << 20  // bytes
 )
 
-// Router plays an edge router: its handler decides what happens with each message.
+// Router is a fake edge router whose handler decides what to do with each message.
 type Router struct {
 	*Server
 	handle func(*Peer, rpc.Message)
 }
 
-// Peer is a client's connection to a fake router. Its methods may be called by several goroutines at once. What they send to
-// a client that has gone is lost without an error.
+// Peer is a client's connection to a fake router. Its methods may be called by several goroutines at once. They don't report
+// errors: what they send on a closed connection is lost.
 type Peer struct {
 	net.Conn
 	mu sync.Mutex // serializes responses
 }
 
-// NewRouter starts a router at an address. It calls handle for the messages of a connection one after the other, each with
-// slices of its own.
+// NewRouter starts a fake router that listens at address. The router calls handle for the messages of a connection one after
+// the other; handle may keep a message, because messages don't share memory. NewRouter returns an error if it cannot listen
+// at address.
 func NewRouter(address string, handle func(*Peer, rpc.Message)) (*Router, error) {
 	r := &Router{handle: handle}
 	var err error
@@ -36,7 +37,8 @@
 	return r, err
 }
 
-// NewReadyRouter is NewRouter for one that reports itself as ready; handle gets all messages but the health checks.
+// NewReadyRouter starts a fake router like NewRouter does, but one that answers health checks as ready. It calls handle for all
+// other messages.
 func NewReadyRouter(address string, handle func(*Peer, rpc.Message)) (*Router, error) {
 	return NewRouter(address, func(p *Peer, m rpc.Message) {
 		if string(m.Method) == "health" {
@@ -47,27 +49,28 @@
 	})
 }
 
-// serve handles the messages of one connection until it ends or a message cannot be parsed.
+// serve handles the messages of one connection until a read fails or a message cannot be parsed.
 func (r *Router) serve(conn net.Conn) {
 	peer := &Peer{Conn: conn}
 	var pending []byte
-	chunk := make([]byte, routerReadSize)
+	chunk := make([]byte, routerReadBufferSize)
 	for {
 		n, err := conn.Read(chunk)
 		if err != nil {
 			return
 		}
-		pending, err = r.handleComplete(peer, append(pending, chunk[:n]...))
+		pending, err = r.handleMessages(peer, append(pending, chunk[:n]...))
 		if err != nil {
 			return
 		}
 	}
 }
 
-// handleComplete handles the complete messages at the start of a buffer, and returns the rest of it.
-func (r *Router) handleComplete(peer *Peer, buf []byte) (rest []byte, err error) {
+// handleMessages handles the complete messages at the start of a buffer, and returns the bytes after them. It returns an
+// error if a message cannot be parsed.
+func (r *Router) handleMessages(peer *Peer, buf []byte) (rest []byte, err error) {
 	for {
-		message, progress, err := rpc.ParseMessage(buf, routerMaxMessage)
+		message, progress, err := rpc.ParseMessage(buf, routerMaxMessageSize)
 		if err != nil {
 			return nil, err
 		}
@@ -79,22 +82,22 @@
 	}
 }
 
-// SendRaw sends bytes as they are.
+// SendRaw sends the bytes unchanged.
 func (p *Peer) SendRaw(b []byte) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	_, _ = p.Write(b) // a client that has gone reads nothing
+	_, _ = p.Write(b) // the client may have closed the connection
 }
 
-// SendBody responds with a body.
+// SendBody answers a request with a body.
 func (p *Peer) SendBody(id uint64, body []byte) { p.SendRaw(rpc.AppendBodyResponse(nil, id, body)) }
 
-// SendError responds with the code of an error.
+// SendError answers a request with an error code.
 func (p *Peer) SendError(id uint64, code string) {
 	p.SendRaw(rpc.AppendErrorResponse(nil, id, code))
 }
 
-// SendThrottled rejects a request. It sends retryAfter, in milliseconds, if that is positive.
+// SendThrottled rejects a request. The answer carries retryAfter, in milliseconds, if it is positive.
 func (p *Peer) SendThrottled(id uint64, retryAfter int) {
 	if retryAfter <= 0 {
 		p.SendError(id, rpc.CodeThrottled)
@@ -104,7 +107,7 @@
 	p.SendRaw(rpc.AppendErrorResponse(nil, id, rpc.CodeThrottled, field))
 }
 
-// SendHealth answers a health check.
+// SendHealth answers a health check; ready says whether the router is ready.
 func (p *Peer) SendHealth(id uint64, ready bool) {
 	p.SendRaw(rpc.AppendHealthResponse(nil, id, ready))
 }
--- a/internal/testutil/fakes/server.go
+++ b/internal/testutil/fakes/server.go
@@ -6,50 +6,51 @@
 	"sync/atomic"
 )
 
-// Server accepts connections, serves each in a goroutine of its own and owns them until Close.
+// Server accepts connections, serves each of them in a goroutine of its own, and closes them when it is closed.
 type Server struct {
-	socket   net.Listener
-	accepted atomic.Int64
+	listener net.Listener
+	accepted atomic.Int64 // connections since Listen
 
 	mu     sync.Mutex
-	conns  map[net.Conn]bool // open ones
+	conns  map[net.Conn]bool // open connections
 	closed bool
 
 	goroutines sync.WaitGroup
 }
 
-// Listen starts a server at an address. It calls serve for each connection, and closes the connection when that returns.
+// Listen starts a server at address. The server calls serve for each connection, and closes the connection when serve returns.
+// Listen returns an error if it cannot listen at address.
 func Listen(address string, serve func(net.Conn)) (*Server, error) {
-	socket, err := net.Listen("tcp", address)
+	listener, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, err
 	}
-	s := &Server{socket: socket, conns: map[net.Conn]bool{}}
-	s.goroutines.Go(func() { s.acceptAll(serve) })
+	s := &Server{listener: listener, conns: map[net.Conn]bool{}}
+	s.goroutines.Go(func() { s.acceptConns(serve) })
 	return s, nil
 }
 
-// acceptAll accepts connections until the server is closed.
-func (s *Server) acceptAll(serve func(net.Conn)) {
+// acceptConns accepts connections until the server is closed or Accept fails.
+func (s *Server) acceptConns(serve func(net.Conn)) {
 	for {
-		conn, err := s.socket.Accept()
+		conn, err := s.listener.Accept()
 		if err != nil {
 			return
 		}
 		s.accepted.Add(1)
-		if !s.add(conn) {
-			_ = conn.Close() // accepted while the server was being closed
+		if !s.addConn(conn) {
+			_ = conn.Close() // the server was closed after the connection was accepted
 			return
 		}
 		s.goroutines.Go(func() {
-			defer s.remove(conn)
+			defer s.removeConn(conn)
 			serve(conn)
 		})
 	}
 }
 
-// add registers a connection; it reports false where the server is closed.
-func (s *Server) add(conn net.Conn) bool {
+// addConn registers an open connection. It reports whether it did: a closed server takes no connections.
+func (s *Server) addConn(conn net.Conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.closed {
@@ -59,19 +60,19 @@
 	return true
 }
 
-// remove closes a connection and forgets it.
-func (s *Server) remove(conn net.Conn) {
-	_ = conn.Close() // mostly it is closed already
+// removeConn closes a connection and unregisters it.
+func (s *Server) removeConn(conn net.Conn) {
+	_ = conn.Close() // the connection is usually closed already
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.conns, conn)
 }
 
-// Accepted returns how many connections were accepted so far.
+// Accepted returns the number of connections accepted so far.
 func (s *Server) Accepted() int64 { return s.accepted.Load() }
 
-// Addr returns the address that it listens at.
-func (s *Server) Addr() string { return s.socket.Addr().String() }
+// Addr returns the address that the server listens at.
+func (s *Server) Addr() string { return s.listener.Addr().String() }
 
 // ResetConns closes all open connections with a TCP reset.
 func (s *Server) ResetConns() {
@@ -82,22 +83,22 @@
 	}
 }
 
-// Close closes the socket and all open connections, and waits until they have been served.
+// Close closes the listener and all open connections, and waits until all goroutines of the server have ended.
 func (s *Server) Close() {
-	_ = s.socket.Close() // this ends acceptAll, and nothing else depends on it
+	_ = s.listener.Close() // this ends acceptConns; nothing else uses the listener
 	s.mu.Lock()
 	s.closed = true
 	for conn := range s.conns {
-		_ = conn.Close() // it may be closed already
+		_ = conn.Close() // the connection may be closed already
 	}
 	s.mu.Unlock()
 	s.goroutines.Wait()
 }
 
-// resetConn closes a connection with a TCP reset where it is one of TCP.
+// resetConn closes a connection; a TCP connection is closed with a reset.
 func resetConn(conn net.Conn) {
 	if tcp, ok := conn.(*net.TCPConn); ok {
-		_ = tcp.SetLinger(0) // fails on a closed connection only
+		_ = tcp.SetLinger(0) // fails only on a closed connection
 	}
-	_ = conn.Close() // it may be closed already
+	_ = conn.Close() // the connection may be closed already
 }
--- a/internal/testutil/faultnet/network.go
+++ b/internal/testutil/faultnet/network.go
@@ -1,6 +1,7 @@
-// Package faultnet is a network between processes on loopback whose faults a test controls: it loses, delays and blocks what
-// the processes send each other over UDP and TCP. Each process listens at one address and advertises another, that of its
-// proxy here, which forwards to it. The sender of a packet or connection is known by its source address.
+// Package faultnet connects processes on loopback through a network whose faults a test controls. The network loses, delays
+// and blocks what the processes send each other over UDP and TCP. Each process listens at one address and advertises another
+// one, the address of its proxy in this package, which forwards to the process. The network identifies the sender of a packet
+// or of a connection by its source address.
 package faultnet
 
 import (
@@ -13,59 +14,63 @@
 	"time"
 )
 
-// packetBufferSize holds the largest UDP packet, in bytes.
+// packetBufferSize is the size of the buffers that packets and chunks of connections are read into, in bytes. It holds the
+// largest UDP packet.
 const packetBufferSize = 64 << 10
 
-// Network forwards what processes send each other. Its methods may be called by several goroutines at once.
+// Network forwards packets and connections between processes. Its methods may be called by several goroutines at once.
 type Network struct {
 	mu        sync.Mutex
 	random    *rand.Rand
-	processes map[netip.Addr]int // their numbers, by the address that they listen at and send from
-	proxies   []*proxy           // by the number of the process
+	processes map[netip.Addr]int // process numbers, by the IP address that the process listens at and sends from
+	proxies   []*proxy           // by process number
 	blocked   map[direction]bool
-	loss      float64 // fraction of the packets that is lost
+	loss      float64 // fraction of the packets and new connections that are lost, from 0 to 1
 	maxDelay  time.Duration
-	relays    map[*relay]bool // open ones
+	relays    map[*relay]bool // open relays
 	closed    bool
 
 	goroutines sync.WaitGroup
 
-	// Packets over UDP, since the network was made.
+	// PacketsForwarded and PacketsDropped count UDP packets since New.
 	PacketsForwarded, PacketsDropped atomic.Uint64
 }
 
-// direction is the way from one process to another. The sender is unknownProcess where its address is not one of a process.
+// direction identifies the traffic from one process to another by their numbers. The sender is unknownProcess if no process
+// has the source address.
 type direction struct{ sender, receiver int }
 
+// unknownProcess is the number of a sender that is not a process of the network.
 const unknownProcess = -1
 
-// reverse returns the way back.
+// reverse returns the opposite direction.
 func (d direction) reverse() direction { return direction{sender: d.receiver, receiver: d.sender} }
 
-// proxy receives what is for one process.
+// proxy receives the packets and connections for one process.
 type proxy struct {
-	target netip.AddrPort // where the process listens
+	target netip.AddrPort // address that the process listens at
 	udp    *net.UDPConn
 	tcp    net.Listener
 }
 
-// New returns a network without processes. All that it draws at random follows from the seed.
+// New returns a network without processes. The seed determines all of its random draws.
 func New(seed uint64) *Network {
 	return &Network{random: rand.New(rand.NewPCG(seed, 1)), processes: map[netip.Addr]int{}, blocked: map[direction]bool{},
 		relays: map[*relay]bool{}}
 }
 
-// AddProcess starts a proxy at an address for the process that listens at target. No two processes may share an IP address.
-// Processes are numbered from 0 in the order in which they are added.
+// AddProcess starts a proxy that listens at address, over UDP and TCP, for the process that listens at target. No two
+// processes may share an IP address. Processes are numbered from 0 in the order in which they are added. AddProcess returns
+// an error if the proxy cannot listen.
 func (n *Network) AddProcess(address, target netip.AddrPort) error {
 	udp, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(address))
 	if err != nil {
-		return fmt.Errorf("faultnet: %w", err)
+		return fmt.Errorf("faultnet: start UDP proxy: %w", err)
 	}
 	tcp, err := net.Listen("tcp", address.String())
 	if err != nil {
-		_ = udp.Close() // the first error is the one to report
-		return fmt.Errorf("faultnet: %w", err)
+		_ = udp.Close() // the error of the TCP listener is the one to return
+		return fmt.Errorf("faultnet: start TCP proxy: %w", err)
 	}
 	p := &proxy{target: target, udp: udp, tcp: tcp}
 	n.mu.Lock()
@@ -78,13 +83,13 @@
 	return nil
 }
 
-// Close closes all proxies and connections, and waits until nothing is forwarded any more, but for packets that are delayed:
-// these are lost.
+// Close closes all proxies and connections, and waits until all goroutines that forward have ended. Packets that are still
+// delayed are lost.
 func (n *Network) Close() {
 	n.mu.Lock()
 	n.closed = true
 	for _, p := range n.proxies {
-		_ = p.udp.Close() // closing ends the goroutines that read, and nothing else depends on it
+		_ = p.udp.Close() // this ends the goroutine that reads; nothing else uses the socket
 		_ = p.tcp.Close()
 	}
 	for r := range n.relays {
@@ -94,8 +99,8 @@
 	n.goroutines.Wait()
 }
 
-// Block drops all that one group of processes sends to another, in this direction alone. Open connections stay open, and
-// what is sent over them is lost.
+// Block drops everything that the processes in from send to those in to, but not what is sent in the opposite direction. Open
+// connections stay open, but the bytes that are sent over them in the blocked direction are lost.
 func (n *Network) Block(from, to []int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -108,14 +113,14 @@
 	}
 }
 
-// Partition separates some processes from all others, in both directions.
+// Partition blocks all traffic between the processes of a group and all others, in both directions.
 func (n *Network) Partition(group []int) {
 	inGroup := map[int]bool{}
 	for _, process := range group {
 		inGroup[process] = true
 	}
 	var others []int
-	for _, process := range n.all() {
+	for _, process := range n.allProcesses() {
 		if !inGroup[process] {
 			others = append(others, process)
 		}
@@ -124,14 +129,15 @@
 	n.Block(others, group)
 }
 
-// Impair sets which fraction of the packets is lost, and by how much the others are delayed at most.
+// Impair sets the fraction of the packets and new connections that are lost, and the largest delay of the other packets. The
+// bytes of connections are delayed by half of maxDelay.
 func (n *Network) Impair(loss float64, maxDelay time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.loss, n.maxDelay = loss, maxDelay
 }
 
-// Heal ends all faults. It closes the connections that were blocked: bytes are missing in them.
+// Heal ends all faults. It closes the connections that are blocked in either direction, because bytes may be missing from them.
 func (n *Network) Heal() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -144,8 +150,8 @@
 	n.loss, n.maxDelay = 0, 0
 }
 
-// all returns the numbers of all processes.
-func (n *Network) all() (numbers []int) {
+// allProcesses returns the numbers of all processes.
+func (n *Network) allProcesses() (numbers []int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for i := range n.proxies {
@@ -154,8 +160,9 @@
 	return numbers
 }
 
-// draw decides whether a packet or a new connection gets through, and by how much it is delayed.
-func (n *Network) draw(d direction) (delay time.Duration, forwarded bool) {
+// drawDelivery draws at random whether a packet or a new connection is forwarded, and by how much a packet is delayed.
+// Nothing is forwarded in a blocked direction.
+func (n *Network) drawDelivery(d direction) (delay time.Duration, forwarded bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.blocked[d] || n.random.Float64() < n.loss {
@@ -167,8 +174,8 @@
 	return delay, true
 }
 
-// sender returns the number of the process that sends from an address, or unknownProcess.
-func (n *Network) sender(address netip.Addr) int {
+// senderNumber returns the number of the process that sends from an IP address, or unknownProcess if there is none.
+func (n *Network) senderNumber(address netip.Addr) int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if number, ok := n.processes[address.Unmap()]; ok {
@@ -177,15 +184,15 @@
 	return unknownProcess
 }
 
-// forwardPackets forwards UDP packets to a process until its proxy is closed.
-func (n *Network) forwardPackets(to int, p *proxy) {
+// forwardPackets forwards the UDP packets that a proxy receives for the process receiver, until the proxy is closed.
+func (n *Network) forwardPackets(receiver int, p *proxy) {
 	buf := make([]byte, packetBufferSize)
 	for {
 		size, source, err := p.udp.ReadFromUDPAddrPort(buf)
 		if err != nil {
 			return
 		}
-		delay, forwarded := n.draw(direction{n.sender(source.Addr()), to})
+		delay, forwarded := n.drawDelivery(direction{n.senderNumber(source.Addr()), receiver})
 		if !forwarded {
 			n.PacketsDropped.Add(1)
 			continue
@@ -200,5 +207,6 @@
 	}
 }
 
-// sendPacket sends the process a packet. Where it does not listen, the packet is lost, as on any network.
+// sendPacket sends a packet to the process of the proxy. The packet is lost without an error if the process does not listen,
+// as on a real network.
 func (p *proxy) sendPacket(packet []byte) { _, _ = p.udp.WriteToUDPAddrPort(packet, p.target) }
--- a/internal/testutil/faultnet/relay.go
+++ b/internal/testutil/faultnet/relay.go
@@ -8,41 +8,42 @@
 )
 
 const (
+	// dialTimeout bounds the time that a proxy takes to connect to its process.
 	dialTimeout = time.Second
-	// blockedHold is for how long a connection that is opened while its direction is blocked stays open, unanswered.
-	blockedHold = 3 * time.Second
+	// blockedHoldTime is how long a new connection that is blocked or lost stays open without an answer.
+	blockedHoldTime = 3 * time.Second
 )
 
-// relay is a TCP connection that is forwarded.
+// relay forwards a TCP connection: it joins the connection from the sender to one to the receiver.
 type relay struct {
-	direction direction // from the process that opened it
-	client    net.Conn  // to that process
-	server    net.Conn  // to the other one
+	direction direction // from the process that opened the connection
+	client    net.Conn  // connection with the process that opened it
+	server    net.Conn  // connection with the process that it was opened to
 }
 
-// close closes both connections. Either may be closed already.
+// close closes both connections, either of which may be closed already.
 func (r *relay) close() {
 	_ = r.client.Close()
 	_ = r.server.Close()
 }
 
-// acceptConnections forwards TCP connections to a process until its proxy is closed.
-func (n *Network) acceptConnections(to int, p *proxy) {
+// acceptConnections accepts and forwards the TCP connections to the process receiver, until its proxy is closed.
+func (n *Network) acceptConnections(receiver int, p *proxy) {
 	for {
 		client, err := p.tcp.Accept()
 		if err != nil {
 			return
 		}
-		n.goroutines.Go(func() { n.forwardConnection(client, to, p.target) })
+		n.goroutines.Go(func() { n.forwardConnection(client, receiver, p.target) })
 	}
 }
 
-// forwardConnection forwards one connection until either end closes it.
-func (n *Network) forwardConnection(client net.Conn, to int, target netip.AddrPort) {
+// forwardConnection forwards one connection to the process receiver, which listens at target, until either end closes it.
+func (n *Network) forwardConnection(client net.Conn, receiver int, target netip.AddrPort) {
 	defer client.Close()
 	source, _ := netip.ParseAddrPort(client.RemoteAddr().String()) // the address of a TCP connection always parses
-	d := direction{n.sender(source.Addr()), to}
-	if _, forwarded := n.draw(d); !forwarded {
+	d := direction{n.senderNumber(source.Addr()), receiver}
+	if _, forwarded := n.drawDelivery(d); !forwarded {
 		holdUnanswered(client)
 		return
 	}
@@ -62,13 +63,13 @@
 	n.copyBytes(r.server, r.client, d)
 }
 
-// holdUnanswered discards what comes on a connection for a while.
+// holdUnanswered discards the bytes that a connection receives, for at most blockedHoldTime.
 func holdUnanswered(conn net.Conn) {
-	_ = conn.SetReadDeadline(time.Now().Add(blockedHold)) // fails on a closed connection only, as the read then does
+	_ = conn.SetReadDeadline(time.Now().Add(blockedHoldTime)) // fails only on a closed connection, as the read then does
 	_, _ = io.Copy(io.Discard, conn)
 }
 
-// addRelay registers an open relay; it reports false where the network is closed.
+// addRelay registers an open relay. It reports whether it did: a closed network takes no relays.
 func (n *Network) addRelay(r *relay) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -79,7 +80,7 @@
 	return true
 }
 
-// removeRelay closes a relay and forgets it.
+// removeRelay closes a relay and unregisters it.
 func (n *Network) removeRelay(r *relay) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -87,8 +88,8 @@
 	delete(n.relays, r)
 }
 
-// copyBytes copies one direction of a connection until either end is closed. It drops what comes while the direction is
-// blocked.
+// copyBytes copies the bytes of one direction of a connection until either end is closed. It drops the bytes that it reads
+// while the direction is blocked, and delays each chunk of the others by half of the largest delay.
 func (n *Network) copyBytes(to, from net.Conn, d direction) {
 	buf := make([]byte, packetBufferSize)
 	for {
--- a/internal/testutil/faultnet/schedule.go
+++ b/internal/testutil/faultnet/schedule.go
@@ -5,47 +5,48 @@
 	"time"
 )
 
-// Step is one fault of a schedule.
+// Step is one step of a schedule: a fault, its targets and the delay before it.
 type Step struct {
-	Delay   time.Duration // after the step before
+	Delay   time.Duration // time since the previous step; for the first one, since the start
 	Fault   Fault
-	Targets []int // the processes that it affects; none for Lossy and Healed
+	Targets []int // numbers of the processes that the fault affects; none for Lossy and Healed
 }
 
 // Fault is a kind of fault.
 type Fault uint8
 
-// The faults of a schedule. Network.Apply applies those of the network; Killed and Paused are for the caller to carry out.
+// The faults of a schedule. Network.Apply applies the faults of the network; the caller has to carry out Killed and Paused.
 const (
 	Healed          Fault = iota // all faults of the network end
-	Partitioned                  // the targets are separated from all others
-	OutboundBlocked              // the target receives from all others, and none receives from it
-	InboundBlocked               // the target receives from no other, and all receive from it
+	Partitioned                  // the targets are separated from all other processes
+	OutboundBlocked              // the target receives from all other processes, but none of them receives from it
+	InboundBlocked               // the target receives from no other process, but all of them receive from it
 	Lossy                        // packets are lost and delayed
-	Killed                       // the target is killed and started again
-	Paused                       // the target is stopped for a while
+	Killed                       // the target is killed and restarted
+	Paused                       // the target is stopped for a time and then resumed
 
 	faultCount
 )
 
 var faultNames = [faultCount]string{"healed", "partitioned", "outbound blocked", "inbound blocked", "lossy", "killed", "paused"}
 
-// String returns the name of the fault.
+// String returns the name of the fault, as in "outbound blocked".
 func (f Fault) String() string { return faultNames[f] }
 
-// Loss and delay while a schedule's step is Lossy.
+// The impairment of the network after a Lossy step: the fraction of the packets and new connections that
+// are lost, and the largest delay of the other packets.
 const (
-	lossyLoss     = 0.3
-	lossyMaxDelay = 200 * time.Millisecond
+	lossyPacketLoss = 0.3
+	lossyMaxDelay   = 200 * time.Millisecond
 )
 
-// Schedule draws faults for a number of processes over a time; mean is the average time between two of them. The same seed
-// gives the same schedule. The last step is Healed.
-func Schedule(seed uint64, processes int, length, mean time.Duration) []Step {
+// Schedule draws a random schedule of faults for processes that are numbered from 0. The steps span at most length, at an
+// average interval of meanInterval. The last step is Healed. The same arguments give the same schedule.
+func Schedule(seed uint64, processes int, length, meanInterval time.Duration) []Step {
 	random := rand.New(rand.NewPCG(seed, 2))
 	var steps []Step
 	for elapsed := time.Duration(0); ; {
-		delay := time.Duration((0.5 + random.Float64()) * float64(mean))
+		delay := time.Duration((0.5 + random.Float64()) * float64(meanInterval))
 		step := Step{Delay: delay, Fault: Fault(random.IntN(int(faultCount)))}
 		if elapsed += delay; elapsed > length {
 			return append(steps, Step{Fault: Healed})
@@ -60,7 +61,7 @@
 	}
 }
 
-// Apply applies a step's fault of the network. Faults add up until a step is Healed.
+// Apply applies the fault of a step to the network; it ignores Killed and Paused. Faults accumulate until a Healed step.
 func (n *Network) Apply(step Step) {
 	switch step.Fault {
 	case Healed:
@@ -68,10 +69,10 @@
 	case Partitioned:
 		n.Partition(step.Targets)
 	case OutboundBlocked:
-		n.Block(step.Targets, n.all())
+		n.Block(step.Targets, n.allProcesses())
 	case InboundBlocked:
-		n.Block(n.all(), step.Targets)
+		n.Block(n.allProcesses(), step.Targets)
 	case Lossy:
-		n.Impair(lossyLoss, lossyMaxDelay)
+		n.Impair(lossyPacketLoss, lossyMaxDelay)
 	}
 }
