--- a/internal/testutil/golden/golden.go
+++ b/internal/testutil/golden/golden.go
@@ -1,8 +1,9 @@
-// Package golden compares bytes that an earlier release wrote with what the code reads and writes now. Only tests use it.
+// Package golden compares bytes that an earlier release wrote with those that the code reads and writes now. Only tests use it.
 //
-// The files are in testdata/golden of the package that is tested. One that ends in .hex holds the bytes in hex, with white
-// space anywhere; all others are the bytes themselves. Nothing here writes a file: a form that changes for a good reason gets
-// a new file, written by hand. The old one stays for as long as stored data or running processes may still have its form.
+// Golden files are in the folder testdata/golden of the tested package. A file whose name ends in .hex holds its bytes in
+// hex, with white space anywhere; any other file holds the bytes themselves. This package writes no files: when a format
+// changes for a good reason, add a new file by hand. The old file stays for as long as stored data or running processes may
+// still use the old format.
 package golden
 
 import (
@@ -16,7 +17,7 @@
 	"testing"
 )
 
-// Read returns the bytes that a file of testdata/golden holds. It fails the test where they cannot be read.
+// Read returns the bytes that the file name of testdata/golden holds. It fails the test if the file cannot be read or decoded.
 func Read(t testing.TB, name string) []byte {
 	t.Helper()
 	text, err := os.ReadFile(filepath.Join("testdata", "golden", name))
@@ -33,36 +34,36 @@
 	return data
 }
 
-// Same fails the test where the bytes that the code writes now differ from those of a file.
+// Same fails the test if got, which holds the bytes that the code writes now, differs from the content of the golden file name.
 func Same(t testing.TB, name string, got []byte) {
 	t.Helper()
 	if want := Read(t, name); !bytes.Equal(got, want) {
-		t.Errorf("%s: the code writes other bytes now:\n got %x\nwant %x", name, got, want)
+		t.Errorf("%s: the code writes bytes that differ from the golden file:\n got %x\nwant %x", name, got, want)
 	}
 }
 
-// Nonzero fails the test where a value, or a field or an element of it, is its zero value, so that no field of a golden message
-// stays untested. It skips fields named _, and those whose path is excepted, as in "Order.Whole".
+// Nonzero fails the test if v, or any field or element of it, is a zero value, so that every field of a golden message is
+// tested. It skips fields named _, and those whose path is in except, as in "Order.Whole".
 func Nonzero(t testing.TB, v any, except ...string) {
 	t.Helper()
-	nonzero(t, reflect.ValueOf(v), "", except)
+	checkNonzero(t, reflect.ValueOf(v), "", except)
 }
 
-// nonzero checks the part of the value that a path leads to.
-func nonzero(t testing.TB, v reflect.Value, path string, except []string) {
+// checkNonzero checks v, the part of the value that is found at path.
+func checkNonzero(t testing.TB, v reflect.Value, path string, except []string) {
 	t.Helper()
 	if slices.Contains(except, path) {
 		return
 	}
 	if v.IsZero() {
-		t.Errorf("%s.%s is zero in the golden value: give it another value", v.Type(), path)
+		t.Errorf("%s.%s is zero in the golden value: set it to a nonzero value", v.Type(), path)
 		return
 	}
 	switch v.Kind() {
 	case reflect.Struct:
 		for i := range v.NumField() {
 			if field := v.Type().Field(i); field.Name != "_" {
-				nonzero(t, v.Field(i), strings.TrimPrefix(path+"."+field.Name, "."), except)
+				checkNonzero(t, v.Field(i), strings.TrimPrefix(path+"."+field.Name, "."), except)
 			}
 		}
 	case reflect.Slice:
@@ -70,7 +71,7 @@
 			return
 		}
 		for i := range v.Len() {
-			nonzero(t, v.Index(i), path, except)
+			checkNonzero(t, v.Index(i), path, except)
 		}
 	}
 }
--- a/internal/testutil/simulation/simulation.go
+++ b/internal/testutil/simulation/simulation.go
@@ -1,5 +1,5 @@
-// Package simulation holds what the simulations in virtual time share: running many seeds, and partitions of a network. Only
-// tests use it.
+// Package simulation holds the functions that simulations in virtual time share: they run many seeds and partition a network.
+// Only tests use it.
 package simulation
 
 import (
@@ -8,7 +8,7 @@
 	"sync"
 )
 
-// ForEachSeed calls run for each seed from 0 to count-1, in as many goroutines as there are processors, and waits for all.
+// ForEachSeed calls run for each seed from 0 to count-1, in GOMAXPROCS goroutines, and waits until all calls have returned.
 func ForEachSeed(count int, run func(seed uint64)) {
 	seeds := make(chan uint64)
 	var workers sync.WaitGroup
@@ -26,13 +26,14 @@
 	workers.Wait()
 }
 
-// Partition divides nodes, numbered from 0, into two groups at random. It sets blocked, by sender and receiver, for all pairs
-// of nodes: those in different groups are blocked in both directions, all others are not.
+// Partition divides nodes, which are numbered from 0, into two groups at random. It sets blocked, whose keys are sender and
+// receiver, for all pairs of nodes: pairs in different groups are blocked in both directions, and all other pairs are not
+// blocked.
 func Partition(random *rand.Rand, nodes int, blocked map[[2]int]bool) {
-	group := random.IntN(1 << nodes) // one bit for each node
+	groupBits := random.IntN(1 << nodes) // bit i is the group of node i
 	for sender := range nodes {
 		for receiver := range nodes {
-			blocked[[2]int{sender, receiver}] = group>>sender&1 != group>>receiver&1
+			blocked[[2]int{sender, receiver}] = groupBits>>sender&1 != groupBits>>receiver&1
 		}
 	}
 }
--- a/internal/testutil/timeline/draw.go
+++ b/internal/testutil/timeline/draw.go
@@ -6,47 +6,47 @@
 	"strings"
 )
 
-// Draw returns the timeline as a table with a column for each node: first those given, then the others in the order of their
-// first events. Times are in milliseconds since the first event. A fault stands between asterisks.
+// Draw returns the timeline as a table with a column for each node: first the given nodes, then the others in the order of
+// their first events. Times are in milliseconds since the first event. Faults are enclosed in asterisks.
 func (t Timeline) Draw(nodes ...string) string {
 	for _, e := range t {
 		if !slices.Contains(nodes, e.Node) {
 			nodes = append(nodes, e.Node)
 		}
 	}
-	table := table{widths: make([]int, len(nodes))}
+	table := textTable{widths: make([]int, len(nodes))}
 	for column, node := range nodes {
 		table.widths[column] = len(node)
 	}
 	for _, e := range t {
 		column := slices.Index(nodes, e.Node)
-		table.widths[column] = max(table.widths[column], len(e.cell()))
+		table.widths[column] = max(table.widths[column], len(e.cellText()))
 	}
 	table.writeRow("ms", nodes)
 	for _, e := range t {
 		cells := make([]string, len(nodes))
-		cells[slices.Index(nodes, e.Node)] = e.cell()
+		cells[slices.Index(nodes, e.Node)] = e.cellText()
 		table.writeRow(fmt.Sprintf("%.1f", (e.Time-t[0].Time).Seconds()*1000), cells)
 	}
 	return table.text.String()
 }
 
-// cell returns the event as it stands in the column of its node.
-func (e Event) cell() string {
+// cellText returns the text of the event in the column of its node.
+func (e Event) cellText() string {
 	if e.Fault {
 		return "*** " + e.Action + " ***"
 	}
 	return strings.TrimPrefix(e.String(), e.Node+" ")
 }
 
-// table formats rows with columns of fixed widths.
-type table struct {
+// textTable formats the rows of a table with columns of fixed widths.
+type textTable struct {
 	widths []int
 	text   strings.Builder
 }
 
-// writeRow appends a row: its label, and a cell for each column.
-func (t *table) writeRow(label string, cells []string) {
+// writeRow appends a row that consists of its label and a cell for each column.
+func (t *textTable) writeRow(label string, cells []string) {
 	var row strings.Builder
 	fmt.Fprintf(&row, "%8s", label)
 	for column, cell := range cells {
