--- a/example/fleet/files.go
+++ b/example/fleet/files.go
@@ -14,13 +14,13 @@
 )
 
 const (
-	keySize    = 32 // bytes
+	keySize    = 32 // length of the key, in bytes
 	keysFile   = "keys"
 	topupsFile = "topups.hcl"
 )
 
-// topups are the top-ups of the accounts: one with enough for a while, and one that runs out soon.
-const topups = `among = ["r1", "r2", "r3"]
+// topupsText is the top-ups file. The account acme has enough funds for a while; the account small runs out of funds soon.
+const topupsText = `among = ["r1", "r2", "r3"]
 
 topup "first" {
   account = "acme"
@@ -33,8 +33,8 @@
 }
 `
 
-// operatorFile is the form of a router's operator's file.
-const operatorFile = `ops = %q
+// operatorFileFormat is the format of a router's operator file.
+const operatorFileFormat = `ops = %q
 
 fleet {
   listen   = %q
@@ -60,18 +60,18 @@
 }
 `
 
-// writeFiles writes the keys, the top-ups and each router's files, and removes what an earlier run has stored: it was
-// written with other keys.
+// writeFiles writes the keys, the top-ups and the files of each router to dir. It removes the ledgers of an earlier run,
+// because they were written with different keys.
 func writeFiles(dir, baseConfig string) error {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return err
 	}
 	key := make([]byte, keySize)
-	_, _ = rand.Read(key) // it never fails
+	_, _ = rand.Read(key) // crypto/rand.Read never returns an error
 	if err := writeFile(filepath.Join(dir, keysFile), hex.EncodeToString(key)+"\n"); err != nil {
 		return err
 	}
-	if err := writeFile(filepath.Join(dir, topupsFile), topups); err != nil {
+	if err := writeFile(filepath.Join(dir, topupsFile), topupsText); err != nil {
 		return err
 	}
 	config, err := readBaseConfig(baseConfig)
@@ -86,9 +86,11 @@
 	return nil
 }
 
+// writeFile writes a file that only its owner can read and write.
 func writeFile(path, text string) error { return os.WriteFile(path, []byte(text), 0o600) }
 
-// readBaseConfig reads the configuration of a single router, without the addresses that several on one machine can't share.
+// readBaseConfig reads the configuration of a single router from path. It removes the addresses that several routers on one
+// machine cannot share.
 func readBaseConfig(path string) (*fastjson.Value, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -96,7 +98,7 @@
 	}
 	config, err := fastjson.ParseBytes(text)
 	if err != nil {
-		return nil, fmt.Errorf("%s: %w", path, err)
+		return nil, fmt.Errorf("parse configuration %s: %w", path, err)
 	}
 	for _, key := range []string{"dns", "agent_check", "ops"} {
 		config.Del(key)
@@ -104,31 +106,32 @@
 	return config, nil
 }
 
-// writeFiles writes the router's configuration and operator's file, and removes its ledger.
+// writeFiles writes the router's configuration and operator file, and removes its ledger, if there is one. It sets the name
+// and the listen address in config.
 func (r router) writeFiles(config *fastjson.Value) error {
 	var arena fastjson.Arena
 	config.Set("name", arena.NewString(r.name()))
 	config.Set("listen", arena.NewString(r.listenAddress()))
-	if err := writeFile(r.file(".json"), config.String()); err != nil {
+	if err := writeFile(r.filePath(".json"), config.String()); err != nil {
 		return err
 	}
-	if err := writeFile(r.file(".hcl"), r.operatorFile()); err != nil {
+	if err := writeFile(r.filePath(".hcl"), r.operatorFileText()); err != nil {
 		return err
 	}
-	if err := os.Remove(r.file(".ledger")); err != nil && !errors.Is(err, fs.ErrNotExist) {
+	if err := os.Remove(r.filePath(".ledger")); err != nil && !errors.Is(err, fs.ErrNotExist) {
 		return err
 	}
 	return nil
 }
 
-// operatorFile returns the text of the router's operator's file.
-func (r router) operatorFile() string {
+// operatorFileText returns the content of the router's operator file.
+func (r router) operatorFileText() string {
 	var peers []string
 	for _, other := range newRouters(r.dir) {
 		if other != r {
 			peers = append(peers, fmt.Sprintf("%q", other.clusterAddress()))
 		}
 	}
-	return fmt.Sprintf(operatorFile, r.opsAddress(), r.clusterAddress(), strings.Join(peers, ", "),
-		filepath.Join(r.dir, keysFile), routerCount, r.file(".ledger"), filepath.Join(r.dir, topupsFile))
+	return fmt.Sprintf(operatorFileFormat, r.opsAddress(), r.clusterAddress(), strings.Join(peers, ", "),
+		filepath.Join(r.dir, keysFile), routerCount, r.filePath(".ledger"), filepath.Join(r.dir, topupsFile))
 }
--- a/example/fleet/main.go
+++ b/example/fleet/main.go
@@ -1,6 +1,6 @@
 // Command fleet starts a cluster of three routers on loopback, which fail over each other's orders and share prepaid
-// balances, with the toy server for all else that they talk to. It writes all files that they need into one folder, starts a
-// router again after it was killed, and ends on Ctrl-C.
+// balances. It also starts the toy server, which plays all other parties that the routers talk to. It writes all files that
+// the routers need into one folder, restarts a router that was killed, and ends on Ctrl-C or SIGTERM.
 package main
 
 import (
@@ -19,15 +19,15 @@
 )
 
 const (
-	routerCount  = 3
-	restartDelay = 3 * time.Second // how long a router that was killed stays away
-	orderTime    = "1s"            // how long the toy server takes for an order
+	routerCount   = 3
+	restartDelay  = 3 * time.Second // time between the end of a router and its restart
+	orderDuration = "1s"            // time that the toy server takes to answer an order
 )
 
 func main() {
-	bin := flag.String("bin", "bin", "the folder of the programs")
-	dir := flag.String("dir", "bin/fleet", "the folder for all that is made")
-	config := flag.String("config", "example/config.json", "the configuration that the routers' are made of")
+	bin := flag.String("bin", "bin", "folder of the programs")
+	dir := flag.String("dir", "bin/fleet", "folder for the files, logs and pids of the routers")
+	config := flag.String("config", "example/config.json", "configuration that those of the routers are based on")
 	flag.Parse()
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
@@ -36,12 +36,12 @@
 	}
 }
 
-// run runs the toy server and the routers until ctx is done.
+// run writes the files of the routers, and runs the toy server and the routers until ctx is done.
 func run(ctx context.Context, bin, dir, baseConfig string) error {
 	if err := writeFiles(dir, baseConfig); err != nil {
 		return err
 	}
-	toy := exec.CommandContext(ctx, filepath.Join(bin, "toy"), "-work", orderTime)
+	toy := exec.CommandContext(ctx, filepath.Join(bin, "toy"), "-work", orderDuration)
 	toy.Stderr = os.Stderr
 	if err := toy.Start(); err != nil {
 		return err
@@ -54,6 +54,6 @@
 	}
 	fmt.Printf("three routers: %s; logs, pids and files in %s\n", strings.Join(addresses, ","), dir)
 	supervisors.Wait()
-	_ = toy.Wait() // ctx has killed it, which is not an error
+	_ = toy.Wait() // the toy server was killed because ctx is done, which is not an error
 	return nil
 }
--- a/example/toy/main.go
+++ b/example/toy/main.go
@@ -1,5 +1,6 @@
-// Command toy plays all that a router talks to, on loopback: the discovery service, two page caches, and the origin that they
-// fill from. It is for trying a router out: it answers at once, and its page caches never evict anything.
+// Command toy plays all parties that a router talks to, on loopback: the discovery service, two page caches, and the origin
+// that they fill from. It serves to try out a router: it answers at once, except for orders if -work is set, and its page
+// caches never evict anything.
 package main
 
 import (
@@ -15,21 +16,21 @@
 	"hillknot/internal/testutil/fakes"
 )
 
-// firstEvent is the position of the first event of the discovery service.
-const firstEvent = 2
+// firstEventPosition is the position of the first event of the discovery service.
+const firstEventPosition = 2
 
 func main() {
-	journal := flag.String("journal", "127.0.0.1:7010", "address of the journal service")
-	caches := flag.String("caches", "127.0.0.2:7001,127.0.0.3:7001", "addresses of the page caches")
-	work := flag.Duration("work", 0, "how long an order takes")
+	discoveryAddress := flag.String("journal", "127.0.0.1:7010", "address of the discovery service")
+	cacheAddresses := flag.String("caches", "127.0.0.2:7001,127.0.0.3:7001", "addresses of the page caches")
+	orderDuration := flag.Duration("work", 0, "time that an order takes")
 	flag.Parse()
-	for _, address := range strings.Split(*caches, ",") {
-		c := &pageCache{cached: map[string]bool{}, orderTime: *work}
+	for _, address := range strings.Split(*cacheAddresses, ",") {
+		c := &pageCache{cached: map[string]bool{}, orderDelay: *orderDuration}
 		if _, err := fakes.NewCache(address, c.answer); err != nil {
 			log.Fatal(err)
 		}
 	}
-	if _, err := fakes.NewDiscovery(*journal, firstEvent); err != nil {
+	if _, err := fakes.NewDiscovery(*discoveryAddress, firstEventPosition); err != nil {
 		log.Fatal(err)
 	}
 	log.Print("toy journal and page caches are up")
@@ -38,15 +39,16 @@
 	<-interrupted
 }
 
-// pageCache is a page cache that never evicts anything.
+// pageCache is a fake page cache that never evicts anything.
 type pageCache struct {
-	orderTime time.Duration
+	orderDelay time.Duration // time before an order is answered
 
 	mu     sync.Mutex
-	cached map[string]bool // by object and part
+	cached map[string]bool // whether a part is cached, by OBJECT/PART
 }
 
-// answer answers a request from the cache, or as if it had been fetched from the source that the request names.
+// answer answers a request from the cache, or else as if it had fetched the part from the source that the request names. It
+// answers LACK if the part is not cached and the request names no source.
 func (c *pageCache) answer(request fakes.Request) fakes.Reply {
 	fields := request.Fields
 	part := fields["obj"] + "/" + fields["seg"]
@@ -64,12 +66,13 @@
 		Body:   []byte("score " + part + "\n"),
 	}
 	if fields["kind"] == "new-arrange" {
-		reply.Delay = c.orderTime
+		reply.Delay = c.orderDelay
 	}
 	return reply
 }
 
-// lookup reports whether a part is cached, and caches it if it may be. What may not be cached is always fetched.
+// lookup reports whether a part is cached, and caches it if it is cacheable. A part that is not cacheable never counts as
+// cached.
 func (c *pageCache) lookup(part string, cacheable bool) (hit bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
