--- a/cmd/hillknot-loadtest/clusters.go
+++ b/cmd/hillknot-loadtest/clusters.go
@@ -8,8 +8,8 @@
 	"hillknot/loadtest"
 )
 
-// clusterFlags adds the flags of a measurement of a cluster to its command.
-func clusterFlags(c *cobra.Command, settings *loadtest.ClusterSettings, faultLength time.Duration) {
+// addClusterFlags adds the flags of a measurement of a cluster to its command.
+func addClusterFlags(c *cobra.Command, settings *loadtest.ClusterSettings, faultLength time.Duration) {
 	c.Flags().StringVar(&settings.Program, "router", "bin/hillknot-cluster", "the router `PROGRAM`, built with the tag cluster")
 	c.Flags().IntVar(&settings.Routers, "routers", 7, "how many routers")
 	c.Flags().DurationVar(&settings.FaultLength, "each", faultLength, "how long each fault lasts")
@@ -25,7 +25,7 @@
 			return loadtest.MeasureBudgets(settings, cmd.OutOrStdout())
 		},
 	}
-	clusterFlags(c, &settings, 8*time.Second)
+	addClusterFlags(c, &settings, 8*time.Second)
 	return c
 }
 
@@ -39,7 +39,7 @@
 			return loadtest.MeasureFailover(settings, kills, cmd.OutOrStdout())
 		},
 	}
-	clusterFlags(c, &settings, 8*time.Second)
+	addClusterFlags(c, &settings, 8*time.Second)
 	c.Flags().IntVar(&kills, "kills", 1000, "how many kills, one after the other")
 	return c
 }
@@ -53,6 +53,6 @@
 			return loadtest.MeasureCredit(settings, cmd.OutOrStdout())
 		},
 	}
-	clusterFlags(c, &settings, 4*time.Second)
+	addClusterFlags(c, &settings, 4*time.Second)
 	return c
 }
--- a/cmd/hillknot-loadtest/single.go
+++ b/cmd/hillknot-loadtest/single.go
@@ -9,8 +9,8 @@
 	"hillknot/loadtest"
 )
 
-// routerFlag adds the flag that names the router's program.
-func routerFlag(c *cobra.Command, program *string) {
+// addRouterFlag adds the flag that names the router's program.
+func addRouterFlag(c *cobra.Command, program *string) {
 	c.Flags().StringVar(program, "router", "bin/hillknot", "the router `PROGRAM`")
 }
 
@@ -23,7 +23,7 @@
 			return loadtest.CompareClients(settings, cmd.OutOrStdout())
 		},
 	}
-	routerFlag(c, &settings.Program)
+	addRouterFlag(c, &settings.Program)
 	c.Flags().BoolVar(&settings.Quick, "quick", false, "in a fifth of the time, to see that it runs")
 	c.Flags().StringVar(&settings.Only, "only", "", "one `PART` of "+strings.Join(loadtest.ClientParts, ", "))
 	return c
@@ -42,7 +42,7 @@
 			return loadtest.MeasureScale(settings, cmd.OutOrStdout())
 		},
 	}
-	routerFlag(c, &settings.Program)
+	addRouterFlag(c, &settings.Program)
 	c.Flags().IntSliceVar(&settings.Sizes, "sizes", []int{200, 800, 3200}, "page caches on the list; the first is the usual size")
 	c.Flags().StringSliceVar(&settings.Days, "days", loadtest.ScaleDays, "what is measured")
 	c.Flags().DurationVar(&settings.Length, "length", 12*time.Second, "of a day")
@@ -54,21 +54,21 @@
 // soakCommand runs routers through faults that overlap.
 func soakCommand() *cobra.Command {
 	var settings loadtest.SoakSettings
-	first, count := uint64(1), 50
+	firstSeed, count := uint64(1), 50
 	c := &cobra.Command{
 		Use: "soak", Short: "Run router processes through overlapping faults, judged by invariants", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			for i := range count {
-				settings.Seeds = append(settings.Seeds, first+uint64(i))
+				settings.Seeds = append(settings.Seeds, firstSeed+uint64(i))
 			}
 			return loadtest.Soak(settings, cmd.OutOrStdout())
 		},
 	}
-	routerFlag(c, &settings.Program)
+	addRouterFlag(c, &settings.Program)
 	c.Flags().IntVar(&settings.Routers, "routers", 24, "how many routers")
 	c.Flags().IntVar(&settings.Caches, "caches", 6, "how many page caches")
 	c.Flags().DurationVar(&settings.Length, "length", 12*time.Second, "of each seed")
-	c.Flags().Uint64Var(&first, "seed", first, "the first")
+	c.Flags().Uint64Var(&firstSeed, "seed", firstSeed, "the first")
 	c.Flags().IntVar(&count, "seeds", count, "how many seeds")
 	return c
 }
--- a/cmd/hillknot-simulator/golden_test.go
+++ b/cmd/hillknot-simulator/golden_test.go
@@ -37,7 +37,7 @@
 }
 
 // The recorded input has every event that the program knows, every status and remark, and the replies have every action.
-func TestGoldenIsComplete(t *testing.T) {
+func TestGoldenCoversEveryEventAndAction(t *testing.T) {
 	input, replies := string(golden.Read(t, "input.txt")), string(golden.Read(t, "replies.txt"))
 	for _, word := range []string{"CLOCK\t", "END\n", "SHEET\t", "ITEM\t", "CREATE\t", "HALT\t", "form=FULL", "form=SAVED", "form=INCREMENTAL", "form=FAILED", "NEW_REQUEST\t",
 		"WITHDRAWN_COPY\ti=director-1\tfile=", "WITHDRAWN_COPY\ti=director-2\tsetNo=", "RESOLVED\t", "CHECKED\t", "GONE\t", "HEADERS\t", "REMINDER\t", "NOTE_FROM\t",
@@ -56,7 +56,7 @@
 }
 
 // What the recorded replies lack: the exception of an instance that fails, and a time limit.
-func TestGoldenRare(t *testing.T) {
+func TestGoldenRareActions(t *testing.T) {
 	lines := appendActions(nil, nil, simulator.Event{Instance: "director-1", Event: balancer.ClientAborted{ID: 1}}, 1)
 	lines = simulator.AppendAction(lines, "director-1", balancer.SendAttempt{ID: 36, Attempt: 4, Endpoint: 5, Timeout: 900_000_000, Source: 7, CachePriority: 3, MaxAge: 1_500_000_000,
 		Coalesce: true, CachedOnly: true, Revalidate: true, MayHaveRun: true})
--- a/cmd/hillknot-simulator/main.go
+++ b/cmd/hillknot-simulator/main.go
@@ -24,7 +24,7 @@
 
 // run answers batches until the input ends. A reply is written only when its batch is complete.
 func run(in io.Reader, out io.Writer) error {
-	reader, w := simulator.NewReader(in), bufio.NewWriterSize(out, 1<<16)
+	reader, writer := simulator.NewReader(in), bufio.NewWriterSize(out, 1<<16)
 	h := host{instances: map[string]*balancer.Balancer{}}
 	for {
 		batch, err := reader.ReadBatch()
@@ -37,10 +37,10 @@
 		if err := h.handle(batch); err != nil {
 			return err
 		}
-		if _, err := w.Write(h.reply); err != nil {
+		if _, err := writer.Write(h.reply); err != nil {
 			return fmt.Errorf("write reply: %w", err)
 		}
-		if err := w.Flush(); err != nil {
+		if err := writer.Flush(); err != nil {
 			return fmt.Errorf("write reply: %w", err)
 		}
 	}
--- a/cmd/hillknot-simulator/main_test.go
+++ b/cmd/hillknot-simulator/main_test.go
@@ -5,19 +5,19 @@
 	"testing"
 )
 
-const conf = `{"allowed":{"maxAttempts":8},"dcs":["hub","edge"],"hostTypes":["box","mid","store"],"locality":"edge",` +
+const settingsJSON = `{"allowed":{"maxAttempts":8},"dcs":["hub","edge"],"hostTypes":["box","mid","store"],"locality":"edge",` +
 	`"profiles":[{"name":"a","repeat":"safe","promiseUs":300000,"deadlineUs":3000000,"worth":1}],` +
 	`"specifics":{"midKind":1,"storeKind":2,"passThroughOk":true}}`
 
-const start = "CREATE\ti=director-1\tnonce64=1\tconf=" + conf + "\n" +
+const createInstance = "CREATE\ti=director-1\tnonce64=1\tconf=" + settingsJSON + "\n" +
 	"SHEET\trosterId=0\tlines=2\nITEM\tnode=5\tflavor=box\thall=edge\tstate=in_service\n" +
 	"ITEM\tnode=7\tflavor=mid\thall=hub\tstate=in_service\n" +
 	"REGISTRY\ti=director-1\tform=SAVED\tindex=1\trosterId=0\n"
 
-func TestRun(t *testing.T) {
+func TestRunWritesOneReplyPerBatch(t *testing.T) {
 	var out strings.Builder
-	err := run(strings.NewReader("CLOCK\tsimTimeUs=1\n"+start+"END\n\nCLOCK\tsimTimeUs=2000\n"+
-		"HALT\ti=director-1\n"+start+
+	err := run(strings.NewReader("CLOCK\tsimTimeUs=1\n"+createInstance+"END\n\nCLOCK\tsimTimeUs=2000\n"+
+		"HALT\ti=director-1\n"+createInstance+
 		"NEW_REQUEST\ti=director-1\tid=36\tgrade=a\tfile=0a\tremainingUs=240000\nEND\n"), &out)
 	if err != nil {
 		t.Fatal(err)
@@ -28,9 +28,9 @@
 	}
 }
 
-func TestRunRejects(t *testing.T) {
+func TestRunReportsLineOfFault(t *testing.T) {
 	for name, text := range map[string]string{
-		"malformed":    "CLOCK\tsimTimeUs=1\n" + start + "WHAT\ti=director-1\nEND\n",
+		"malformed":    "CLOCK\tsimTimeUs=1\n" + createInstance + "WHAT\ti=director-1\nEND\n",
 		"not created":  "CLOCK\tsimTimeUs=1\nGONE\ti=director-1\tid=1\nEND\n",
 		"bad settings": "CLOCK\tsimTimeUs=1\nCREATE\ti=director-1\tnonce64=1\tconf={}\nEND\n",
 	} {
--- a/cmd/hillknot/bad_clients_test.go
+++ b/cmd/hillknot/bad_clients_test.go
@@ -66,7 +66,7 @@
 		"garbage":         {[]byte("\xc1\xc1\xc1"), "Failed"},
 		"a huge message":  {[]byte("\x94\x00\x02\xa4page\x92\x80\xc6\xff\xff\xff\xff"), "Failed"},
 		"its own id":      {encodeRequest(1, "page", "", map[string]string{"txn": "00000000000000ff"}), "Failed"},
-		"too many faults": {manyFaults(), "Failed"},
+		"too many faults": {unusableRequests(), "Failed"},
 		"a flood":         {append([]byte{0xc1}, make([]byte, 1<<20)...), "Failed"},
 	} {
 		t.Run(strings.ReplaceAll(name, " ", "-"), func(t *testing.T) {
@@ -99,8 +99,8 @@
 	}
 }
 
-// manyFaults are more unusable requests than a connection may send.
-func manyFaults() (all []byte) {
+// unusableRequests are more unusable requests than a connection may send.
+func unusableRequests() (all []byte) {
 	for id := 2; id < 100; id++ {
 		all = append(all, encodeRequest(id, "no such class", "", nil)...)
 	}
--- a/cmd/hillknot/cancel_test.go
+++ b/cmd/hillknot/cancel_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// leaving has the client of request 1 leave, in each way that there is, and returns once the router knows.
-var leaving = map[string]func(*testClient){
+// waysToLeave has the client of request 1 leave, in each way that there is, and returns once the router knows.
+var waysToLeave = map[string]func(*testClient){
 	"cancels": func(client *testClient) {
 		client.cancel(1)
 		client.expectReady(2)
@@ -25,7 +25,7 @@
 // Once a client has left, nothing but a cancel is sent for its request: not while a connection is coming up, not while the
 // request waits for capacity, and not where an attempt fails and a retry would follow.
 func TestNothingIsSentForAClientThatLeft(t *testing.T) {
-	for name, leave := range leaving {
+	for name, leave := range waysToLeave {
 		t.Run(name+" during a connect", func(t *testing.T) { testLeaveDuringConnect(t, leave) })
 		t.Run(name+" while it waits for room", func(t *testing.T) { testLeaveWhileQueued(t, leave) })
 		t.Run(name+" as it fails", func(t *testing.T) { testLeaveAsAttemptFails(t, leave) })
--- a/cmd/hillknot/clock_test.go
+++ b/cmd/hillknot/clock_test.go
@@ -14,11 +14,11 @@
 // older than the latest contact before it.
 func TestPurgeIgnoresClockSteps(t *testing.T) {
 	for _, step := range clockSteps {
-		t.Run(step.String(), func(t *testing.T) { testPurgeStamped(t, step) })
+		t.Run(step.String(), func(t *testing.T) { testPurgeWithClockStep(t, step) })
 	}
 }
 
-func testPurgeStamped(t *testing.T, step time.Duration) {
+func testPurgeWithClockStep(t *testing.T, step time.Duration) {
 	r := newTestRouter(t, 2)
 	r.configure(6000*millisecond, "settings", "specifics", "purgeTakesUs")
 	r.start()
@@ -30,7 +30,7 @@
 	watch.write(": here\n\n")
 	time.Sleep(20 * time.Millisecond) // not read together with what follows
 	watch.sendPurge(3, object, time.Now().Add(step))
-	watch.sendEndpoints(4, false, late.listed("ready"))
+	watch.sendEndpoints(4, false, late.listEntry("ready"))
 	client := r.dial()
 	r.waitForEndpoint(client, 1, late)
 	client.request(object, "page", nil)
@@ -47,11 +47,11 @@
 // An endpoint that has just started is cold, and warms up from then on, whatever the wall clocks say.
 func TestWarmUpIgnoresClockSteps(t *testing.T) {
 	for _, step := range append([]time.Duration{0}, clockSteps...) {
-		t.Run(step.String(), func(t *testing.T) { testStartStamped(t, step) })
+		t.Run(step.String(), func(t *testing.T) { testWarmUpWithClockStep(t, step) })
 	}
 }
 
-func testStartStamped(t *testing.T, step time.Duration) {
+func testWarmUpWithClockStep(t *testing.T, step time.Duration) {
 	r := newTestRouter(t, 2)
 	r.configure(jsonMap{
 		"coldFrom":       0.1,
@@ -66,7 +66,7 @@
 	late := r.newEndpoint("late")
 	watch.write(": here\n\n")
 	time.Sleep(20 * time.Millisecond)
-	listedAt, host := time.Now(), late.listed("ready")
+	listedAt, host := time.Now(), late.listEntry("ready")
 	host["startedAtMs"] = listedAt.Add(step).UnixMilli()
 	watch.sendEndpoints(2, false, host)
 	if n := r.countRequestsAt(client, 201, 200, late); n > 12 { // a warm one would get a third
--- a/cmd/hillknot/cluster.go
+++ b/cmd/hillknot/cluster.go
@@ -26,8 +26,8 @@
 	members, err := membership.New(cfg.Name, cfg.Cluster,
 		func(msgs []state.Message) { c.Post(func() { c.ReceiveGossip(msgs) }) },
 		membership.PacketHandlers{
-			Orders: func(packet []byte) { c.Post(func() { received.orderPacket(packet) }) },
-			Credit: func(packet []byte) { c.Post(func() { received.creditPacket(packet) }) },
+			Orders: func(packet []byte) { c.Post(func() { received.receiveOrderPacket(packet) }) },
+			Credit: func(packet []byte) { c.Post(func() { received.receiveCreditPacket(packet) }) },
 		})
 	if err != nil {
 		return nil, err
@@ -64,13 +64,13 @@
 	credit *prepaidcredit.Extension
 }
 
-func (r *packetReceivers) orderPacket(packet []byte) {
+func (r *packetReceivers) receiveOrderPacket(packet []byte) {
 	if r.orders != nil {
 		r.orders.Receive(packet)
 	}
 }
 
-func (r *packetReceivers) creditPacket(packet []byte) {
+func (r *packetReceivers) receiveCreditPacket(packet []byte) {
 	if r.credit != nil {
 		r.credit.ReceivePacket(packet)
 	}
@@ -101,17 +101,17 @@
 	settings.Prices = map[string]credit.Price{}
 	for class, price := range block.Prices {
 		settings.Prices[class] = credit.Price{
-			PerRequest:  millionths(price.PerRequest),
-			PerMegabyte: millionths(price.PerMegabyte),
+			PerRequest:  toMillionths(price.PerRequest),
+			PerMegabyte: toMillionths(price.PerMegabyte),
 			Weight:      price.Weight,
 		}
 	}
-	extension := prepaidcredit.Settings{TopUpFile: block.TopUpFile, AllowUnnamed: block.AllowUnnamed}
-	return prepaidcredit.Open(c, cfg.Cluster.LedgerFile, settings, extension, m)
+	extensionSettings := prepaidcredit.Settings{TopUpFile: block.TopUpFile, AllowUnnamed: block.AllowUnnamed}
+	return prepaidcredit.Open(c, cfg.Cluster.LedgerFile, settings, extensionSettings, m)
 }
 
-// millionths returns an amount of credits in millionths.
-func millionths(credits float64) int64 { return int64(math.Round(credits * 1e6)) }
+// toMillionths returns an amount of credits in millionths.
+func toMillionths(credits float64) int64 { return int64(math.Round(credits * 1e6)) }
 
 // failoverSettings returns the settings of order failover: the configuration's, over the defaults for the longest time that
 // an order of any class may take.
--- a/cmd/hillknot/cluster_test.go
+++ b/cmd/hillknot/cluster_test.go
@@ -9,7 +9,7 @@
 
 // Routers that share budgets spend no more than these together, lose no request and run no order twice, while some are
 // cut off, cut one way, killed and stopped.
-func TestBudgetsHoldUnderFaults(t *testing.T) {
+func TestSharedBudgetsHoldUnderFaults(t *testing.T) {
 	inParallel(t)
 	settings := loadtest.ClusterSettings{Program: program(t), Routers: 5, FaultLength: 3 * time.Second, Seed: 1}
 	results, err := loadtest.BudgetFaults(settings, []string{
--- a/cmd/hillknot/descriptors_test.go
+++ b/cmd/hillknot/descriptors_test.go
@@ -16,7 +16,7 @@
 
 // Idle clients hold all the descriptors that they can while discovery is down: the router still reaches it as it comes back,
 // and endpoints, and answers; it does not spin, and does not crash.
-func TestIdleClientsLeaveDescriptors(t *testing.T) {
+func TestIdleClientsLeaveDescriptorsForDiscoveryAndEndpoints(t *testing.T) {
 	r := newTestRouter(t, 3)
 	discoveryAddress := r.discovery.Addr().String()
 	r.discovery.Close()
@@ -46,7 +46,7 @@
 		t.Errorf("%v of processor time in half a second without requests", used)
 	}
 	watch := r.restartDiscovery(discoveryAddress)
-	watch.sendEndpoints(2, true, r.endpoints[2].listed("ready"))
+	watch.sendEndpoints(2, true, r.endpoints[2].listEntry("ready"))
 	for i := range 20 {
 		attempt := serveNewClient(100 + i)
 		if attempt.endpoint != r.endpoints[2] && i > 0 { // the first may have been decided before
--- a/cmd/hillknot/discovery_test.go
+++ b/cmd/hillknot/discovery_test.go
@@ -19,7 +19,7 @@
 			r := newTestRouter(t, 2).start()
 			sendDamaged(r.acceptWatch("1"))
 			watch := r.acceptWatch("1")
-			watch.sendEndpoints(2, false, r.endpoints[0].listed("draining"))
+			watch.sendEndpoints(2, false, r.endpoints[0].listEntry("draining"))
 			watch.sendEndpoints(3, false)
 			r.expectFirstEndpointDrained(watch, 1)
 		})
@@ -33,7 +33,7 @@
 	r.acceptWatch("1").write(unreadable)
 	watch := r.acceptWatch("1")
 	watch.write(unreadable)
-	watch.sendEndpoints(3, false, r.endpoints[0].listed("draining"))
+	watch.sendEndpoints(3, false, r.endpoints[0].listEntry("draining"))
 	r.expectFirstEndpointDrained(watch, 1)
 }
 
@@ -42,13 +42,13 @@
 	r := newTestRouter(t, 2).start()
 	r.acceptWatch("1") // and nothing more, while the connection stays open
 	watch := r.acceptWatch("1")
-	watch.sendEndpoints(2, false, r.endpoints[0].listed("draining"))
+	watch.sendEndpoints(2, false, r.endpoints[0].listEntry("draining"))
 	watch.sendEndpoints(3, false)
 	r.expectFirstEndpointDrained(watch, 1)
 }
 
 // Discovery is down at the start, and sends a drain right after its return.
-func TestDrainIsHeardWhenDiscoveryReturns(t *testing.T) {
+func TestDrainIsAppliedWhenDiscoveryReturns(t *testing.T) {
 	r := newTestRouter(t, 2)
 	address := r.discovery.Addr().String()
 	r.discovery.Close()
@@ -56,7 +56,7 @@
 	client := r.dial()
 	r.serveOne(client, 1, "page") // it serves meanwhile
 	watch := r.restartDiscovery(address)
-	watch.sendEndpoints(2, false, r.endpoints[0].listed("draining"))
+	watch.sendEndpoints(2, false, r.endpoints[0].listEntry("draining"))
 	watch.sendEndpoints(3, false)
 	r.expectFirstEndpointDrained(watch, 2)
 }
@@ -71,7 +71,7 @@
 	r.writeConfig()
 	r.signals <- syscall.SIGHUP
 	watch := r.acceptWatch("1")
-	watch.sendEndpoints(2, false, r.endpoints[0].listed("draining"))
+	watch.sendEndpoints(2, false, r.endpoints[0].listEntry("draining"))
 	watch.sendEndpoints(3, false)
 	const stale = "id: 2\ndata: {\"pos\":2,\"hosts\":{\"instances\":[]}}\n\nid: 4\n"
 	_, _ = io.WriteString(old, stale) // fails if the router has ended it
@@ -83,13 +83,13 @@
 func TestRemovedEndpointGetsNoRequests(t *testing.T) {
 	r := newTestRouter(t, 2).start()
 	watch := r.acceptWatch("1")
-	watch.sendEndpoints(2, true, r.endpoints[1].listed("ready"))
+	watch.sendEndpoints(2, true, r.endpoints[1].listEntry("ready"))
 	watch.sendEndpoints(3, false)
 	r.expectFirstEndpointDrained(watch, 1)
 }
 
 // An endpoint begins to drain while a request that was decided for it waits for a connection: the request moves on unwritten.
-func TestDrainBetweenDecisionAndWrite(t *testing.T) {
+func TestDrainBeforeWriteMovesRequestToAnotherEndpoint(t *testing.T) {
 	r := newTestRouter(t, 1)
 	release := r.endpoints[0].holdConnections()
 	defer release()
@@ -100,7 +100,7 @@
 	client.expectReady(9) // it has been decided
 	next := r.newEndpoint("s-next")
 	r.endpoints = append(r.endpoints, next)
-	watch.sendEndpoints(2, false, r.endpoints[0].listed("draining"), next.listed("ready"))
+	watch.sendEndpoints(2, false, r.endpoints[0].listEntry("draining"), next.listEntry("ready"))
 	probe := r.dial()
 	for id, known := 2, false; !known; id++ { // until the list is known; before, it is rejected when its time is up
 		probe.request(id, "page", map[string]string{"limit": "60"})
@@ -141,7 +141,7 @@
 	r.t.Helper()
 	late := r.newEndpoint("late")
 	r.endpoints = append(r.endpoints, late)
-	watch.sendEndpoints(4, false, late.listed("ready"))
+	watch.sendEndpoints(4, false, late.listEntry("ready"))
 	client := r.dial()
 	r.waitForEndpoint(client, id, late)
 	for id += 100; id < 120; id++ {
--- a/cmd/hillknot/failover_test.go
+++ b/cmd/hillknot/failover_test.go
@@ -16,9 +16,9 @@
 	"hillknot/loadtest"
 )
 
-// killAtKey is the environment variable that names a step of an order at which the router's process is killed, how many
+// killAtVariable is the environment variable that names a step of an order at which the router's process is killed, how many
 // milliseconds after it, and a step, or none, at which it pauses first: "STEP,MS,STEP".
-const killAtKey = "HILLKNOT_TEST_KILL_AT"
+const killAtVariable = "HILLKNOT_TEST_KILL_AT"
 
 // stepPause is how long a router pauses at a step, so that the other routers hold its records before it goes on: it forces
 // the order of events that a case is about. On a busy machine the confirmation came after 6 ms, and once after more than
@@ -27,7 +27,7 @@
 
 // init arms the kill in a process that plays a router.
 func init() {
-	fields := strings.Split(os.Getenv(killAtKey), ",")
+	fields := strings.Split(os.Getenv(killAtVariable), ",")
 	if len(fields) != 3 {
 		return
 	}
@@ -46,7 +46,7 @@
 
 // Where a router is killed between any two steps of an order, another one runs the order once, or tells the client its result,
 // or that it may have run; and nothing else.
-func TestKillBetweenStepsOfAnOrder(t *testing.T) {
+func TestOrderRunsAtMostOnceWhenRouterIsKilledBetweenSteps(t *testing.T) {
 	cluster, err := loadtest.StartFailoverCluster(loadtest.ClusterSettings{Program: program(t), Routers: 4, Seed: 1}, "debug")
 	if err != nil {
 		t.Fatal(err)
@@ -54,8 +54,8 @@
 	defer cluster.Close()
 	time.Sleep(3500 * time.Millisecond) // all are up for longer than an order's client waits
 	for _, c := range []struct {
-		step       string // at which the router is killed
-		delay      int    // in milliseconds, after the step
+		killStep   string // at which the router is killed
+		delayMS    int    // in milliseconds, after the step
 		pauseStep  string // at which it pauses; empty: none
 		answer     string
 		executions int
@@ -89,9 +89,9 @@
 			Never: []string{"* sent T"},
 		}},
 	} {
-		t.Run(strings.ReplaceAll(c.step, " ", "-"), func(t *testing.T) {
+		t.Run(strings.ReplaceAll(c.killStep, " ", "-"), func(t *testing.T) {
 			victim := len(cluster.Routers) - 1 // all others stay up
-			killed, err := cluster.KillAtStep(victim, killAtKey+"="+fmt.Sprintf("%s,%d,%s", c.step, c.delay, c.pauseStep))
+			killed, err := cluster.KillAtStep(victim, killAtVariable+"="+fmt.Sprintf("%s,%d,%s", c.killStep, c.delayMS, c.pauseStep))
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -115,7 +115,7 @@
 }
 
 // Orders outlive their routers, once, through kills, stops, cuts and restarts.
-func TestOrdersOutliveTheirRouters(t *testing.T) {
+func TestOrdersSurviveRouterFailures(t *testing.T) {
 	inParallel(t)
 	cluster, err := loadtest.StartFailoverCluster(loadtest.ClusterSettings{Program: program(t), Routers: 5, Seed: 1}, "")
 	if err != nil {
@@ -180,7 +180,7 @@
 
 // Routers that are restarted one after the other (of nine, a tenth at a time) answer what they took, also while discovery is
 // down: no order runs twice, no answer contradicts what ran, and nearly nothing is lost.
-func TestRollingRestart(t *testing.T) {
+func TestRollingRestartLosesAlmostNoRequests(t *testing.T) {
 	inParallel(t)
 	for discoveryDown, routers := range map[bool]int{false: 9, true: 3} {
 		settings := loadtest.ClusterSettings{Program: program(t), Routers: routers, Seed: 1}
--- a/cmd/hillknot/fragments_test.go
+++ b/cmd/hillknot/fragments_test.go
@@ -10,13 +10,13 @@
 )
 
 const (
-	fragmentRounds     = 4
-	requestsPerRound   = 20   // of each client: 32 requests may be open on a connection
-	firstHealthID      = 9000 // ids from here on are health requests
-	healthPerRound     = 40
-	maxFragmentBytes   = 4000
-	maxOwnBodyBytes    = 3000
-	clientIDMultiplier = 1000 // the thousands of an id name the client
+	fragmentRounds         = 4
+	requestsPerRound       = 20   // of each client: 32 requests may be open on a connection
+	firstHealthID          = 9000 // ids from here on are health requests
+	healthRequestsPerRound = 40
+	maxFragmentBytes       = 4000
+	maxTaggedBodyBytes     = 3000
+	clientIDMultiplier     = 1000 // the thousands of an id name the client
 )
 
 // Two clients' requests come in fragments of any size, in turn, over buffers that are used again: each endpoint gets each
@@ -38,7 +38,7 @@
 	for round := range fragmentRounds {
 		sendFragments(rnd, clients, encodeTaggedRequests(rnd, len(clients), round))
 		for i, client := range clients {
-			for n := range healthPerRound { // the buffers are used again
+			for n := range healthRequestsPerRound { // the buffers are used again
 				client.write(encodeRequest(firstHealthID+n, "health", strings.Repeat("z", 3000), nil))
 			}
 			release[i]()
@@ -57,7 +57,7 @@
 	for n := range requestsPerRound {
 		for i := range encoded {
 			id := clientIDMultiplier*i + round*requestsPerRound + n + 1
-			body := fmt.Sprintf("%d-%s", id, strings.Repeat(string(rune('a'+i)), rnd.IntN(maxOwnBodyBytes)))
+			body := fmt.Sprintf("%d-%s", id, strings.Repeat(string(rune('a'+i)), rnd.IntN(maxTaggedBodyBytes)))
 			fields := map[string]string{"unique": fmt.Sprint("k", id), "limit": "3000"}
 			encoded[i] = append(encoded[i], encodeRequest(id, "filed", body, fields)...)
 		}
--- a/cmd/hillknot/frontendfailure_test.go
+++ b/cmd/hillknot/frontendfailure_test.go
@@ -37,7 +37,7 @@
 }
 
 // A router whose operators' address fails serves its clients all the same. It once ended at once, with all that was open.
-func TestRouterServesOnWithoutAdminFrontEnd(t *testing.T) {
+func TestRouterKeepsServingWhenAdminFrontEndFails(t *testing.T) {
 	clients, admin := startRouter(t, minimalConfig, unreachableAddress)
 	conn, err := net.Dial("tcp", clients.String())
 	if err != nil {
@@ -58,7 +58,7 @@
 }
 
 // A router that can't accept clients any more answers what is open, and ends with an error.
-func TestRouterShutsDownInOrderWithoutClientListener(t *testing.T) {
+func TestRouterShutsDownInOrderWhenClientListenerFails(t *testing.T) {
 	r := newTestRouter(t, 1).start()
 	client := r.dial()
 	client.request(1, "order", nil)
--- a/cmd/hillknot/harness_endpoint_test.go
+++ b/cmd/hillknot/harness_endpoint_test.go
@@ -16,11 +16,11 @@
 // fakeEndpoint is a page cache that the test plays.
 type fakeEndpoint struct {
 	net.Listener
-	t        *testing.T
-	id       string
-	messages chan<- endpointMessage
-	gate     sync.Mutex // held: connections don't come up
-	open     []net.Conn // kept, as the collector would close them; only accept uses it
+	t             *testing.T
+	id            string
+	messages      chan<- endpointMessage
+	acceptGate    sync.Mutex // held: connections don't come up
+	acceptedConns []net.Conn // kept, as the collector would close them; only accept uses it
 }
 
 // messageKind is what an endpoint has read.
@@ -51,8 +51,8 @@
 	return e
 }
 
-// listed is the endpoint's entry in the endpoint list.
-func (e *fakeEndpoint) listed(lifecycle string) jsonMap {
+// listEntry is the endpoint's entry in the endpoint list.
+func (e *fakeEndpoint) listEntry(lifecycle string) jsonMap {
 	return jsonMap{
 		"instanceId":  e.id,
 		"hostPort":    e.Addr().String(),
@@ -68,16 +68,16 @@
 		if err != nil {
 			return
 		}
-		e.waitForGate()
-		e.open = append(e.open, conn)
+		e.waitForAcceptGate()
+		e.acceptedConns = append(e.acceptedConns, conn)
 		go e.read(conn)
 	}
 }
 
-// waitForGate waits while connections are held back: they stay in the queue of the socket.
-func (e *fakeEndpoint) waitForGate() {
-	e.gate.Lock()
-	defer e.gate.Unlock()
+// waitForAcceptGate waits while connections are held back: they stay in the queue of the socket.
+func (e *fakeEndpoint) waitForAcceptGate() {
+	e.acceptGate.Lock()
+	defer e.acceptGate.Unlock()
 }
 
 // read passes on what comes on a connection, up to its end.
@@ -133,18 +133,18 @@
 	if err != nil {
 		e.t.Fatal(err)
 	}
-	e.gate.Lock()
-	queued := e.fillQueue()
+	e.acceptGate.Lock()
+	queued := e.fillAcceptQueue()
 	return sync.OnceFunc(func() {
 		for _, conn := range queued {
 			conn.Close()
 		}
-		e.gate.Unlock()
+		e.acceptGate.Unlock()
 	})
 }
 
-// fillQueue dials until the socket's queue is full, and returns the connections that fill it.
-func (e *fakeEndpoint) fillQueue() (queued []net.Conn) {
+// fillAcceptQueue dials until the socket's queue is full, and returns the connections that fill it.
+func (e *fakeEndpoint) fillAcceptQueue() (queued []net.Conn) {
 	for refused := 0; refused < 2; refused++ { // the first that is taken out of the queue frees its place
 		conn, err := net.DialTimeout("tcp", e.Addr().String(), 50*time.Millisecond)
 		if err == nil {
--- a/cmd/hillknot/harness_test.go
+++ b/cmd/hillknot/harness_test.go
@@ -53,7 +53,7 @@
 	for i := range endpoints {
 		endpoint := r.newEndpoint(fmt.Sprintf("s-%d", i))
 		r.endpoints = append(r.endpoints, endpoint)
-		hosts = append(hosts, endpoint.listed("ready"))
+		hosts = append(hosts, endpoint.listEntry("ready"))
 	}
 	r.config = testConfig(r.clientSocket.Addr(), r.discovery.Addr(), append(hosts, unreachableOrigin()))
 	go r.serveWatches(r.discovery)
--- a/cmd/hillknot/replacement.go
+++ b/cmd/hillknot/hotrestart.go
@@ -15,9 +15,9 @@
 	"hillknot/internal/upstream"
 )
 
-// replacement is this process in a hot restart: as the successor of one process and the predecessor of the next. Two
+// hotRestart is this process in a hot restart: as the successor of one process and the predecessor of the next. Two
 // processes of a router share its limits. It implements handover.Process.
-type replacement struct {
+type hotRestart struct {
 	core     *core.Core
 	watcher  *discovery.Watcher
 	upstream *upstream.Client
@@ -34,7 +34,7 @@
 // importState waits until this process has seen the events of discovery that its predecessor has, and goes on from its
 // state. Where that fails the router starts as any new one: cautiously. It returns false if cancel is closed before the
 // predecessor was told anything.
-func (r *replacement) importState(p *handover.Predecessor, cancel <-chan struct{}) bool {
+func (r *hotRestart) importState(p *handover.Predecessor, cancel <-chan struct{}) bool {
 	caughtUp := r.watcher.WaitForPosition(p.DiscoveryPosition, r.limits.HandoverDiscoveryWait, cancel)
 	select {
 	case <-cancel:
@@ -50,20 +50,20 @@
 		log.Warn("hot restart without state", logging.KeyError, err)
 		return true
 	}
-	done := make(chan struct{})
+	imported := make(chan struct{})
 	r.core.Post(func() {
 		r.core.ImportSnapshot(state.Snapshot)
-		close(done)
+		close(imported)
 	})
-	<-done
-	memory := state.Snapshot
+	<-imported
+	snapshot := state.Snapshot
 	log.Info("hot restart state imported",
-		"endpoints", len(memory.Endpoints), "purges", len(memory.Purges), "objects", len(memory.Objects))
+		"endpoints", len(snapshot.Endpoints), "purges", len(snapshot.Purges), "objects", len(snapshot.Objects))
 	return true
 }
 
 // waitForPredecessor takes the whole of the limits once the predecessor has ended.
-func (r *replacement) waitForPredecessor(p *handover.Predecessor, stop <-chan struct{}) {
+func (r *hotRestart) waitForPredecessor(p *handover.Predecessor, stop <-chan struct{}) {
 	select {
 	case <-p.Ended():
 		log.Info("predecessor ended")
@@ -72,7 +72,7 @@
 	}
 }
 
-func (r *replacement) setPredecessor(present bool) {
+func (r *hotRestart) setPredecessor(present bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.hasPredecessor = present
@@ -80,10 +80,10 @@
 }
 
 // DiscoveryPosition implements handover.Process.
-func (r *replacement) DiscoveryPosition() int64 { return r.watcher.Position() }
+func (r *hotRestart) DiscoveryPosition() int64 { return r.watcher.Position() }
 
 // State implements handover.Process. A core that does not answer in time hands over nothing.
-func (r *replacement) State() handover.State {
+func (r *hotRestart) State() handover.State {
 	exported := make(chan handover.State, 1)
 	r.core.Post(func() {
 		exported <- handover.State{DiscoveryPosition: r.watcher.Position(), Snapshot: r.core.ExportSnapshot()}
@@ -99,7 +99,7 @@
 }
 
 // SuccessorChanged implements handover.Process.
-func (r *replacement) SuccessorChanged(stage handover.SuccessorStage) {
+func (r *hotRestart) SuccessorChanged(stage handover.SuccessorStage) {
 	present, ready := stage != handover.NoSuccessor, stage == handover.SuccessorReady
 	log.Info("successor changed", "present", present, "ready", ready)
 	r.mu.Lock()
@@ -110,7 +110,7 @@
 }
 
 // applyLimits sets the limits by which other process of the router runs. The caller holds mu.
-func (r *replacement) applyLimits() {
+func (r *hotRestart) applyLimits() {
 	limits := r.limits
 	if r.hasPredecessor || r.hasSuccessor {
 		limits = limits.Shared(!r.successorReady)
--- a/cmd/hillknot/large_requests_test.go
+++ b/cmd/hillknot/large_requests_test.go
@@ -14,9 +14,9 @@
 	"hillknot/internal/testutil/fakes"
 )
 
-// linkedEndpoint is an endpoint with a link that its answers share one after the other: large ones take their time, and it
+// bandwidthLimitedEndpoint is an endpoint with a link that its answers share one after the other: large ones take their time, and it
 // rejects what would wait for too long. It notes what it served.
-type linkedEndpoint struct {
+type bandwidthLimitedEndpoint struct {
 	mu        sync.Mutex
 	busyUntil time.Time
 	served    map[string]bool // by object
@@ -30,7 +30,7 @@
 	return time.Duration(n>>32) * time.Microsecond
 }
 
-func (e *linkedEndpoint) answer(req fakes.Request) fakes.Reply {
+func (e *bandwidthLimitedEndpoint) answer(req fakes.Request) fakes.Reply {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now := time.Now()
@@ -85,7 +85,7 @@
 // largeRequestLoad sends requests for objects of many sizes, and notes which are answered.
 type largeRequestLoad struct {
 	router    *testRouter
-	endpoints []*linkedEndpoint
+	endpoints []*bandwidthLimitedEndpoint
 	hosts     []jsonMap
 	objects   []string
 	requests  sync.WaitGroup
@@ -97,7 +97,7 @@
 func (l *largeRequestLoad) addEndpoint() {
 	t := l.router.t
 	t.Helper()
-	endpoint := &linkedEndpoint{served: map[string]bool{}, slowdown: 1}
+	endpoint := &bandwidthLimitedEndpoint{served: map[string]bool{}, slowdown: 1}
 	server, err := fakes.NewCache(anyPort, endpoint.answer)
 	if err != nil {
 		t.Fatal(err)
@@ -185,7 +185,7 @@
 func (l *largeRequestLoad) answeredShare(objects []string) float64 {
 	answered := 0.0
 	for _, object := range objects {
-		served := slices.ContainsFunc(l.endpoints, func(e *linkedEndpoint) bool { return e.served[object] })
+		served := slices.ContainsFunc(l.endpoints, func(e *bandwidthLimitedEndpoint) bool { return e.served[object] })
 		if served && l.answered[object] {
 			answered++
 		}
--- a/cmd/hillknot/main.go
+++ b/cmd/hillknot/main.go
@@ -26,7 +26,7 @@
 func runCommandLine(args []string, stdout, stderr io.Writer) int {
 	started := false
 	root := rootCommand()
-	noteStart(root, &started)
+	recordStart(root, &started)
 	root.SetOut(stdout)
 	root.SetErr(stderr)
 	root.SetArgs(expandSingleDash(root, args))
@@ -47,19 +47,19 @@
 
 // rootCommand returns the command with all of its sub-commands.
 func rootCommand() *cobra.Command {
-	var router serveFlags
+	var routerFlags serveFlags
 	var logs logFlags
 	root := &cobra.Command{
 		Use: "hillknot", Short: "An edge router for devices on poor links, and its clients' tools",
 		Long: "An edge router for devices on poor links, and its clients' tools.\n\n" +
 			"Without a sub-command it is the router, as with `hillknot serve`.",
-		Args: cobra.NoArgs, RunE: router.serve,
+		Args: cobra.NoArgs, RunE: routerFlags.serve,
 		PersistentPreRunE: func(*cobra.Command, []string) error { return logs.apply(os.Stderr) },
 	}
-	router.add(root)
+	routerFlags.add(root)
 	logs.add(root.PersistentFlags())
-	serve := &cobra.Command{Use: "serve", Short: "Run the router until SIGTERM", Args: cobra.NoArgs, RunE: router.serve}
-	router.add(serve)
+	serve := &cobra.Command{Use: "serve", Short: "Run the router until SIGTERM", Args: cobra.NoArgs, RunE: routerFlags.serve}
+	routerFlags.add(serve)
 	root.AddCommand(serve, getCommand(), sendCommand(), healthCommand(), configCommand(), versionCommand())
 	return root
 }
@@ -73,9 +73,9 @@
 	}
 }
 
-// noteStart has a command, and each below it, set started as it begins to run. An error before that is one of the command
+// recordStart has a command, and each below it, set started as it begins to run. An error before that is one of the command
 // line. It also keeps cobra from printing errors, which runCommandLine does.
-func noteStart(cmd *cobra.Command, started *bool) {
+func recordStart(cmd *cobra.Command, started *bool) {
 	cmd.SilenceErrors, cmd.SilenceUsage = true, true
 	if run := cmd.RunE; run != nil {
 		cmd.RunE = func(cmd *cobra.Command, args []string) error {
@@ -84,7 +84,7 @@
 		}
 	}
 	for _, sub := range cmd.Commands() {
-		noteStart(sub, started)
+		recordStart(sub, started)
 	}
 }
 
--- a/cmd/hillknot/main_test.go
+++ b/cmd/hillknot/main_test.go
@@ -6,15 +6,15 @@
 	"testing"
 )
 
-// runAsRouterKey is the environment variable that has the test's own program be the router.
-const runAsRouterKey = "HILLKNOT_TEST_AS_ROUTER"
+// runAsRouterVariable is the environment variable that has the test's own program be the router.
+const runAsRouterVariable = "HILLKNOT_TEST_AS_ROUTER"
 
 // TestMain lets the test's own program be the router, as a process that can be killed.
 func TestMain(m *testing.M) {
-	if os.Getenv(runAsRouterKey) != "" {
+	if os.Getenv(runAsRouterVariable) != "" {
 		main()
 	}
-	if err := os.Setenv(runAsRouterKey, "1"); err != nil { // for every process that a test starts
+	if err := os.Setenv(runAsRouterVariable, "1"); err != nil { // for every process that a test starts
 		panic(err)
 	}
 	os.Exit(m.Run())
--- a/cmd/hillknot/orders_test.go
+++ b/cmd/hillknot/orders_test.go
@@ -28,14 +28,14 @@
 	e.mu.Unlock()
 }
 
-func (e *executions) of(object string) int {
+func (e *executions) countOf(object string) int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.count[object]
 }
 
-// run plays an endpoint that does as the body of an order says.
-func (e *executions) run(order fakes.Request) fakes.Reply {
+// answer plays an endpoint that does as the body of an order says.
+func (e *executions) answer(order fakes.Request) fakes.Reply {
 	behaviour := string(order.Body)
 	switch behaviour {
 	case "refuse":
@@ -71,7 +71,7 @@
 
 func testOrdersRunAtMostOnce(t *testing.T, class, configFormat string) {
 	executed := &executions{count: map[string]int{}}
-	endpoint, err := fakes.NewCache(anyPort, executed.run)
+	endpoint, err := fakes.NewCache(anyPort, executed.answer)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -149,13 +149,13 @@
 		Body:  []byte(c.body),
 		Limit: 150 * time.Millisecond,
 	})
-	closing, done := context.WithTimeout(context.Background(), harnessTimeout)
-	defer done()
-	if err := library.Close(closing); err != nil {
+	closeCtx, cancelClose := context.WithTimeout(context.Background(), harnessTimeout)
+	defer cancelClose()
+	if err := library.Close(closeCtx); err != nil {
 		t.Error(err)
 	}
 	time.Sleep(100 * time.Millisecond) // what was on its way to the endpoint has come
-	ran := executed.of(fmt.Sprintf("%016x", c.object))
+	ran := executed.countOf(fmt.Sprintf("%016x", c.object))
 	switch mayHaveRun := errors.Is(err, client.ErrMayHaveRun); {
 	case ran > 1:
 		t.Errorf("case %d ran %d times", c.number, ran)
--- a/cmd/hillknot/reload_test.go
+++ b/cmd/hillknot/reload_test.go
@@ -59,8 +59,8 @@
 	client.expect(3, "y")
 }
 
-// acceptCall accepts a call of a discovery service and returns the event that it goes on from.
-func acceptCall(t *testing.T, discovery net.Listener) (lastEventID string) {
+// acceptWatchRequest accepts a call of a discovery service and returns the event that it goes on from.
+func acceptWatchRequest(t *testing.T, discovery net.Listener) (lastEventID string) {
 	t.Helper()
 	if err := discovery.(*net.TCPListener).SetDeadline(time.Now().Add(harnessTimeout)); err != nil {
 		t.Fatal(err)
@@ -80,7 +80,7 @@
 	path := filepath.Join(t.TempDir(), "config.json")
 	writeFile(t, path, fmt.Sprintf(minimalConfig, anyPort, first.Addr(), unreachableAddress))
 	run := runInBackground(t, path)
-	if pos := acceptCall(t, first); pos != "7" {
+	if pos := acceptWatchRequest(t, first); pos != "7" {
 		t.Errorf("called from %q, want 7", pos)
 	}
 	writeFile(t, path, `{"journal":`)
@@ -88,7 +88,7 @@
 	first.Close()
 	writeFile(t, path, fmt.Sprintf(minimalConfig, anyPort, second.Addr(), unreachableAddress))
 	run.signals <- syscall.SIGHUP
-	if pos := acceptCall(t, second); pos != "7" {
+	if pos := acceptWatchRequest(t, second); pos != "7" {
 		t.Errorf("called from %q after the move, want 7", pos)
 	}
 	select {
--- a/cmd/hillknot/request_test.go
+++ b/cmd/hillknot/request_test.go
@@ -24,15 +24,15 @@
 	return router.Addr()
 }
 
-// run runs a command line.
-func run(args ...string) (status int, stdout, stderr string) {
+// runAndCapture runs a command line.
+func runAndCapture(args ...string) (status int, stdout, stderr string) {
 	var out, errs bytes.Buffer
 	status = runCommandLine(args, &out, &errs)
 	return status, out.String(), errs.String()
 }
 
-// someObject is the name of an object.
-const someObject = "7f3a9c21e0b4d655"
+// validObject is the name of an object.
+const validObject = "7f3a9c21e0b4d655"
 
 // Scripts go by the exit status: each outcome has its own.
 func TestExitStatusOfEachOutcome(t *testing.T) {
@@ -46,8 +46,8 @@
 	}
 	reset := func(p *fakes.Peer, _ rpc.Message) { p.Reset() }
 	silent := func(*fakes.Peer, rpc.Message) {}
-	get := []string{"get", someObject}
-	send := []string{"send", someObject, "--body", body}
+	get := []string{"get", validObject}
+	send := []string{"send", validObject, "--body", body}
 	with := func(args []string, more ...string) []string { return append(slices.Clone(args), more...) }
 	for _, c := range []struct {
 		name    string
@@ -67,10 +67,10 @@
 		{"late order", silent, with(send, "--deadline", "400ms"), 5, "may have run"},
 		{"no object", serve, []string{"get", "x"}, 2, ""},
 		{"no such flag", serve, with(get, "--colour"), 2, ""},
-		{"no body", serve, []string{"send", someObject, "--body", body + "x"}, 2, ""},
+		{"no body", serve, []string{"send", validObject, "--body", body + "x"}, 2, ""},
 		{"no class", serve, with(get, "--class", ""), 2, ""},
 	} {
-		status, out, errs := run(with(c.args, "--json", "--router", newScriptedRouter(t, c.handle))...)
+		status, out, errs := runAndCapture(with(c.args, "--json", "--router", newScriptedRouter(t, c.handle))...)
 		if c.args[0] == "get" { // the answer has standard output
 			out = errs
 		}
@@ -84,13 +84,13 @@
 			t.Errorf("%s: status %d, want %d; %s", c.name, status, c.status, errs)
 		}
 	}
-	if status, out, _ := run("get", someObject, "--router", newScriptedRouter(t, serve)); status != 0 || out != "got " {
+	if status, out, _ := runAndCapture("get", validObject, "--router", newScriptedRouter(t, serve)); status != 0 || out != "got " {
 		t.Errorf("status %d, %q", status, out)
 	}
-	if status, _, _ := run("get", someObject); status != 2 {
+	if status, _, _ := runAndCapture("get", validObject); status != 2 {
 		t.Errorf("no router: status %d", status)
 	}
-	if status, _, _ := run("health", "--log-level", "loud", "--router", unreachableAddress); status != 2 {
+	if status, _, _ := runAndCapture("health", "--log-level", "loud", "--router", unreachableAddress); status != 2 {
 		t.Errorf("no such level: status %d", status)
 	}
 }
@@ -109,14 +109,14 @@
 		}
 		p.SendRaw(answer)
 	})
-	if status, _, _ := run("get", someObject, "--router", address, "-o", path, "--deadline", "300ms"); status == 0 {
+	if status, _, _ := runAndCapture("get", validObject, "--router", address, "-o", path, "--deadline", "300ms"); status == 0 {
 		t.Error("a cut answer was taken")
 	}
 	if files, err := os.ReadDir(filepath.Dir(path)); err != nil || len(files) > 0 {
 		t.Errorf("left behind: %v, %v", files, err)
 	}
 	attempts, cutAll = 0, false
-	status, out, errs := run("get", someObject, "--router", address, "-o", path, "--json", "--class", "full-score")
+	status, out, errs := runAndCapture("get", validObject, "--router", address, "-o", path, "--json", "--class", "full-score")
 	if got, err := os.ReadFile(path); status != 0 || !bytes.Equal(got, complete) || attempts != 2 {
 		t.Errorf("status %d, %d bytes, %d attempts, %v, %s%s", status, len(got), attempts, err, out, errs)
 	}
@@ -150,7 +150,7 @@
 	if err := os.WriteFile(path, []byte(faulty), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	status, out, _ := run("config", "check", path)
+	status, out, _ := runAndCapture("config", "check", path)
 	for _, key := range []string{`"listen"`, `"journal"`, `"dns.listen"`, `"settings.dcs"`} {
 		if !strings.Contains(out, "key "+key) {
 			t.Errorf("key %s is not told of in %q", key, out)
@@ -159,7 +159,7 @@
 	if status != 1 {
 		t.Errorf("status %d", status)
 	}
-	status, out, errs := run("config", "check", "../../example/config.json", "--operator", "../../deploy/operator.hcl")
+	status, out, errs := runAndCapture("config", "check", "../../example/config.json", "--operator", "../../deploy/operator.hcl")
 	if status != 0 {
 		t.Errorf("status %d: %s%s", status, out, errs)
 	}
@@ -169,7 +169,7 @@
 		{"serve", "--config", path},
 		{"serve", "-operator", "no", "-config", path},
 	} {
-		if status, _, errs := run(args...); status != 1 || strings.Contains(errs, "unknown") {
+		if status, _, errs := runAndCapture(args...); status != 1 || strings.Contains(errs, "unknown") {
 			t.Errorf("%v: status %d, %q", args, status, errs)
 		}
 	}
--- a/cmd/hillknot/router.go
+++ b/cmd/hillknot/router.go
@@ -39,22 +39,22 @@
 
 // router is one router process: the core, what feeds it, and its front ends.
 type router struct {
-	options  routerOptions
-	cfg      *config.Config
-	core     *core.Core
-	upstream *upstream.Client
-	watcher  *discovery.Watcher
-	clients  *msgpackrpc.Server
-	others   []namedFrontEnd // all front ends but clients
-	admin    net.Addr        // of the admin front end; nil: there is none
+	options        routerOptions
+	cfg            *config.Config
+	core           *core.Core
+	upstream       *upstream.Client
+	watcher        *discovery.Watcher
+	clients        *msgpackrpc.Server
+	otherFrontEnds []namedFrontEnd // all front ends but clients
+	adminAddr      net.Addr        // of the admin front end; nil: there is none
 
 	cluster     reloader // nil: this router shares nothing
-	replacement *replacement
+	hotRestart  *hotRestart
 	termination *termination
 
-	stop    chan struct{} // closed when the router ends
-	failed  chan frontEndFailure
-	closers []func() // called in reverse order when the router ends
+	stop             chan struct{} // closed when the router ends
+	frontEndFailures chan frontEndFailure
+	closers          []func() // called in reverse order when the router ends
 }
 
 // frontEnd accepts calls on a socket of its own.
@@ -175,11 +175,11 @@
 			return err
 		}
 	}
-	go func() { r.failed <- frontEndFailure{clientFrontEnd, r.clients.Serve()} }()
+	go func() { r.frontEndFailures <- frontEndFailure{clientFrontEnd, r.clients.Serve()} }()
 	r.listenForSuccessor()
 	r.core.Post(func() {
 		r.core.ReleaseStart()
-		r.options.onServing(r.admin)
+		r.options.onServing(r.adminAddr)
 	})
 	log.Info("router serving", "name", r.cfg.Name, logging.KeyListen, r.clients.Addr(), "pid", os.Getpid())
 	return nil
@@ -208,7 +208,7 @@
 	r.core.SetBacklogCheck(func() bool {
 		return r.watcher.HasBacklog() || r.clients.HasUnreadInput() || r.upstream.HasUnreadInput()
 	})
-	r.replacement = &replacement{
+	r.hotRestart = &hotRestart{
 		core:     r.core,
 		watcher:  r.watcher,
 		upstream: r.upstream,
@@ -227,22 +227,22 @@
 		if err != nil {
 			return fmt.Errorf("dns: %w", err)
 		}
-		r.others = append(r.others, namedFrontEnd{front, "dns"})
+		r.otherFrontEnds = append(r.otherFrontEnds, namedFrontEnd{front, "dns"})
 	}
 	if r.cfg.AgentCheckAddr != "" {
 		front, err := agentcheck.Listen(r.cfg.AgentCheckAddr, r.core, limits)
 		if err != nil {
 			return fmt.Errorf("agent checks: %w", err)
 		}
-		r.others = append(r.others, namedFrontEnd{front, "agent check"})
+		r.otherFrontEnds = append(r.otherFrontEnds, namedFrontEnd{front, "agent check"})
 	}
 	if r.cfg.AdminAddr != "" {
 		front, err := admin.Listen(r.cfg.AdminAddr, r.core, limits)
 		if err != nil {
 			return fmt.Errorf("operators' address: %w", err)
 		}
-		r.admin = front.Addr()
-		r.others = append(r.others, namedFrontEnd{front, "admin"})
+		r.adminAddr = front.Addr()
+		r.otherFrontEnds = append(r.otherFrontEnds, namedFrontEnd{front, "admin"})
 	}
 	return nil
 }
@@ -253,7 +253,7 @@
 	if r.cfg.HandoverPath != "" {
 		predecessor = handover.FindPredecessor(r.cfg.HandoverPath, r.cfg.Limits)
 	}
-	r.replacement.setPredecessor(predecessor != nil)
+	r.hotRestart.setPredecessor(predecessor != nil)
 	return predecessor
 }
 
@@ -266,10 +266,10 @@
 }
 
 func (r *router) startOtherFrontEnds() {
-	r.failed = make(chan frontEndFailure, len(r.others)+1) // one for each front end, so that no Serve waits to report
-	for _, front := range r.others {
+	r.frontEndFailures = make(chan frontEndFailure, len(r.otherFrontEnds)+1) // one for each front end, so that no Serve waits to report
+	for _, front := range r.otherFrontEnds {
 		r.onClose(front.Close)
-		go func() { r.failed <- frontEndFailure{front.name, front.Serve()} }()
+		go func() { r.frontEndFailures <- frontEndFailure{front.name, front.Serve()} }()
 	}
 }
 
@@ -280,10 +280,10 @@
 		return nil
 	}
 	r.onClose(predecessor.Close)
-	if !r.replacement.importState(predecessor, r.termination.requested) {
+	if !r.hotRestart.importState(predecessor, r.termination.requested) {
 		return errTerminated
 	}
-	go r.replacement.waitForPredecessor(predecessor, r.stop)
+	go r.hotRestart.waitForPredecessor(predecessor, r.stop)
 	return nil
 }
 
@@ -292,7 +292,7 @@
 	if r.cfg.HandoverPath == "" {
 		return
 	}
-	listener, err := handover.ListenForSuccessor(r.cfg.HandoverPath, r.replacement, r.cfg.Limits)
+	listener, err := handover.ListenForSuccessor(r.cfg.HandoverPath, r.hotRestart, r.cfg.Limits)
 	if err != nil {
 		log.Error("hot restart unavailable", logging.KeyError, err)
 		return
@@ -306,7 +306,7 @@
 	go r.reloadOnSignal()
 	for {
 		select {
-		case failure := <-r.failed:
+		case failure := <-r.frontEndFailures:
 			if failure.err == nil {
 				continue
 			}
@@ -317,7 +317,7 @@
 			}
 		case <-r.termination.requested:
 			log.Info("shutdown started", keySignal, r.termination.signal)
-			r.shutDown(r.termination.at)
+			r.shutDown(r.termination.requestedAt)
 			return nil
 		}
 	}
--- a/cmd/hillknot/shutdown_test.go
+++ b/cmd/hillknot/shutdown_test.go
@@ -38,7 +38,7 @@
 }
 
 // A client sends a request as the router has closed its idle connection: nobody reads it, and nothing is forwarded.
-func TestRequestIntoAClosingConnectionIsNotForwarded(t *testing.T) {
+func TestRequestOnClosingConnectionIsNotForwarded(t *testing.T) {
 	r := newTestRouter(t, 1).start()
 	client := r.dial()
 	r.serveOne(client, 1, "page")
--- a/cmd/hillknot/signals.go
+++ b/cmd/hillknot/signals.go
@@ -41,8 +41,8 @@
 type termination struct {
 	requested chan struct{} // closed once it has come
 	// Valid once requested is closed.
-	signal os.Signal
-	at     time.Duration // the earliest moment at which it may have come, on package clock
+	signal      os.Signal
+	requestedAt time.Duration // the earliest moment at which it may have come, on package clock
 
 	core atomic.Pointer[core.Core] // knows whether the process stood still; nil: it is not made yet
 }
@@ -53,9 +53,9 @@
 func (t *termination) watch(terminate <-chan os.Signal, stop <-chan struct{}) {
 	select {
 	case sig := <-terminate:
-		t.signal, t.at = sig, clock.Now()
+		t.signal, t.requestedAt = sig, clock.Now()
 		if c := t.core.Load(); c != nil {
-			t.at = c.EarliestSignal()
+			t.requestedAt = c.EarliestSignal()
 		}
 		close(t.requested)
 	case <-stop:
--- a/cmd/hillknot/signals_test.go
+++ b/cmd/hillknot/signals_test.go
@@ -10,9 +10,9 @@
 	"time"
 )
 
-// slowConfig puts a FIFO in the place of the configuration. Whoever reads it gets its text after a delay, or never where the
+// replaceConfigWithFIFO puts a FIFO in the place of the configuration. Whoever reads it gets its text after a delay, or never where the
 // delay is 0: so does a reader of a slow disk, and of one that hangs.
-func (r *testRouter) slowConfig(delay time.Duration) {
+func (r *testRouter) replaceConfigWithFIFO(delay time.Duration) {
 	r.t.Helper()
 	text, err := os.ReadFile(r.configPath)
 	if err != nil {
@@ -43,8 +43,8 @@
 	}
 }
 
-// exitTime is when a router has to have ended after SIGTERM, with deadlines of 3 s: the platform may kill it then.
-const exitTime = 3700 * time.Millisecond
+// maxExitTime is when a router has to have ended after SIGTERM, with deadlines of 3 s: the platform may kill it then.
+const maxExitTime = 3700 * time.Millisecond
 
 // waitForExit waits until the process has ended by itself, and fails the test if that takes longer than it may since SIGTERM.
 func (p *routerProcess) waitForExit(terminated time.Time) {
@@ -57,10 +57,10 @@
 		if err != nil {
 			p.t.Errorf("the router ends: %v", err)
 		}
-		if took := time.Since(terminated); took > exitTime {
-			p.t.Errorf("ended %v after SIGTERM; it may be killed after %v", took, exitTime)
+		if took := time.Since(terminated); took > maxExitTime {
+			p.t.Errorf("ended %v after SIGTERM; it may be killed after %v", took, maxExitTime)
 		}
-	case <-time.After(exitTime + 4*time.Second):
+	case <-time.After(maxExitTime + 4*time.Second):
 		p.t.Errorf("still running %v after SIGTERM", time.Since(terminated))
 		p.cmd.Process.Kill()
 		<-ended
@@ -70,7 +70,7 @@
 // SIGTERM ends a router whatever series of signals comes before and after it, and however long the configuration takes to
 // read: an open order gets its one answer before the platform may kill the process. A series of SIGHUP once took the place of
 // SIGTERM, and a reload was waited for.
-func TestTerminationInSeriesOfSignals(t *testing.T) {
+func TestSeriesOfSignalsDoesNotDelayTermination(t *testing.T) {
 	hup, term, stop, resume := syscall.SIGHUP, syscall.SIGTERM, syscall.SIGSTOP, syscall.SIGCONT
 	manyReloads := []syscall.Signal{hup, hup, hup, hup, hup, hup, hup, term}
 	for _, c := range []struct {
@@ -92,7 +92,7 @@
 			client := r.dial()
 			client.request(1, "order", map[string]string{"limit": "3000"})
 			r.nextAttempt() // which is not answered
-			r.slowConfig(c.delay)
+			r.replaceConfigWithFIFO(c.delay)
 			var terminated time.Time
 			for _, sig := range c.signals {
 				if sig == term && terminated.IsZero() {
@@ -108,11 +108,11 @@
 }
 
 // SIGTERM ends a router that can't read its configuration at the start.
-func TestTerminationBeforeConfigurationIsRead(t *testing.T) {
+func TestTerminationEndsRouterBeforeConfigurationIsRead(t *testing.T) {
 	r := newTestRouter(t, 1)
 	r.configPath = filepath.Join(t.TempDir(), "config.json")
 	r.writeConfig()
-	r.slowConfig(0)
+	r.replaceConfigWithFIFO(0)
 	run := runInBackground(t, r.configPath)
 	time.Sleep(50 * time.Millisecond)
 	run.signals <- syscall.SIGTERM
@@ -127,7 +127,7 @@
 }
 
 // A successor that gets SIGTERM while it waits for discovery ends at once, and leaves the clients to its predecessor.
-func TestTerminationWhileTakingOver(t *testing.T) {
+func TestTerminationEndsSuccessorWaitingForDiscovery(t *testing.T) {
 	discovery, socket := listen(t), listen(t)
 	useShortTempDir(t)
 	path := filepath.Join(t.TempDir(), "config.json")
--- a/cmd/hillknot/stall_test.go
+++ b/cmd/hillknot/stall_test.go
@@ -42,7 +42,7 @@
 
 // A request that came while the process stood still counts from then, not from when the process went on: the timeout of its
 // attempt is what the client has left.
-func TestAttemptTimeoutCountsAStall(t *testing.T) {
+func TestAttemptTimeoutExcludesTimeOfAStall(t *testing.T) {
 	r := newTestRouter(t, 2)
 	process := r.startProcess()
 	client := r.dial()
@@ -103,7 +103,7 @@
 
 // A SIGTERM that came while the process stood still counts from then: open requests are answered, and the process ends, before
 // the platform may kill it.
-func TestShutdownTimeoutCountsAStall(t *testing.T) {
+func TestShutdownTimeoutIncludesTimeOfAStall(t *testing.T) {
 	const (
 		stall     = 1200 * time.Millisecond
 		maxAnswer = 3500 * time.Millisecond // after SIGTERM
@@ -152,7 +152,7 @@
 
 // A process that stood still finds a purge and requests waiting together. Nothing that it then sends may be answered from a
 // copy of before the purge, not even what it had decided before.
-func TestPurgeAfterAStall(t *testing.T) {
+func TestPurgeDuringAStallIsAppliedBeforeRequests(t *testing.T) {
 	p, err := loadtest.PurgeDuringStop(program(t), 8)
 	if err != nil {
 		t.Fatal(err)
--- a/cmd/hillknot/startup_test.go
+++ b/cmd/hillknot/startup_test.go
@@ -6,7 +6,7 @@
 )
 
 // A router that starts is ready at once, with discovery up, down or silent.
-func TestReadyWithoutDiscovery(t *testing.T) {
+func TestRouterIsReadyAtOnceWithoutDiscovery(t *testing.T) {
 	for name, prepare := range map[string]func(*testRouter){
 		"up":     func(*testRouter) {},
 		"down":   func(r *testRouter) { r.discovery.Close() },
