--- a/cmd/hillknot-loadtest/clusters.go
+++ b/cmd/hillknot-loadtest/clusters.go
@@ -8,19 +8,19 @@
 	"hillknot/loadtest"
 )
 
-// addClusterFlags adds the flags of a measurement of a cluster to its command.
+// addClusterFlags adds the flags that all measurements of a cluster have. faultLength is the default length of each fault.
 func addClusterFlags(c *cobra.Command, settings *loadtest.ClusterSettings, faultLength time.Duration) {
 	c.Flags().StringVar(&settings.Program, "router", "bin/hillknot-cluster", "the router `PROGRAM`, built with the tag cluster")
-	c.Flags().IntVar(&settings.Routers, "routers", 7, "how many routers")
+	c.Flags().IntVar(&settings.Routers, "routers", 7, "number of routers")
 	c.Flags().DurationVar(&settings.FaultLength, "each", faultLength, "how long each fault lasts")
-	c.Flags().Uint64Var(&settings.Seed, "seed", 1, "of the faults and the load")
+	c.Flags().Uint64Var(&settings.Seed, "seed", 1, "seed of the faults and the load")
 }
 
-// budgetsCommand measures budgets that routers share.
+// budgetsCommand returns the command that measures budgets shared by routers.
 func budgetsCommand() *cobra.Command {
 	var settings loadtest.ClusterSettings
 	c := &cobra.Command{
-		Use: "together", Short: "Run routers that share budgets through faults between them, in some two minutes", Args: cobra.NoArgs,
+		Use: "together", Short: "Run routers that share budgets through faults between them, in about two minutes", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			return loadtest.MeasureBudgets(settings, cmd.OutOrStdout())
 		},
@@ -29,7 +29,7 @@
 	return c
 }
 
-// failoverCommand measures routers that take over each other's orders.
+// failoverCommand returns the command that measures routers which take over each other's orders.
 func failoverCommand() *cobra.Command {
 	var settings loadtest.ClusterSettings
 	var kills int
@@ -40,11 +40,11 @@
 		},
 	}
 	addClusterFlags(c, &settings, 8*time.Second)
-	c.Flags().IntVar(&kills, "kills", 1000, "how many kills, one after the other")
+	c.Flags().IntVar(&kills, "kills", 1000, "number of kills, one after the other")
 	return c
 }
 
-// creditCommand measures prepaid balances that routers share.
+// creditCommand returns the command that measures prepaid balances shared by routers.
 func creditCommand() *cobra.Command {
 	var settings loadtest.ClusterSettings
 	c := &cobra.Command{
--- a/cmd/hillknot-loadtest/single.go
+++ b/cmd/hillknot-loadtest/single.go
@@ -9,27 +9,27 @@
 	"hillknot/loadtest"
 )
 
-// addRouterFlag adds the flag that names the router's program.
+// addRouterFlag adds the flag that names the router program.
 func addRouterFlag(c *cobra.Command, program *string) {
 	c.Flags().StringVar(program, "router", "bin/hillknot", "the router `PROGRAM`")
 }
 
-// clientsCommand compares the client library with a plain client.
+// clientsCommand returns the command that compares the client library with a plain client.
 func clientsCommand() *cobra.Command {
 	var settings loadtest.ClientSettings
 	c := &cobra.Command{
-		Use: "clients", Short: "Compare the client library with a plain client, in some five minutes", Args: cobra.NoArgs,
+		Use: "clients", Short: "Compare the client library with a plain client, in about five minutes", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			return loadtest.CompareClients(settings, cmd.OutOrStdout())
 		},
 	}
 	addRouterFlag(c, &settings.Program)
-	c.Flags().BoolVar(&settings.Quick, "quick", false, "in a fifth of the time, to see that it runs")
-	c.Flags().StringVar(&settings.Only, "only", "", "one `PART` of "+strings.Join(loadtest.ClientParts, ", "))
+	c.Flags().BoolVar(&settings.Quick, "quick", false, "take a fifth of the time, only to check that it runs")
+	c.Flags().StringVar(&settings.Only, "only", "", "run only one `PART` of "+strings.Join(loadtest.ClientParts, ", "))
 	return c
 }
 
-// scaleCommand measures one router with more and more page caches.
+// scaleCommand returns the command that measures one router with increasing numbers of page caches.
 func scaleCommand() *cobra.Command {
 	var settings loadtest.ScaleSettings
 	seeds := []uint{1, 2}
@@ -43,15 +43,15 @@
 		},
 	}
 	addRouterFlag(c, &settings.Program)
-	c.Flags().IntSliceVar(&settings.Sizes, "sizes", []int{200, 800, 3200}, "page caches on the list; the first is the usual size")
-	c.Flags().StringSliceVar(&settings.Days, "days", loadtest.ScaleDays, "what is measured")
-	c.Flags().DurationVar(&settings.Length, "length", 12*time.Second, "of a day")
-	c.Flags().Float64Var(&settings.Rate, "rate", 5, "requests a second")
-	c.Flags().UintSliceVar(&seeds, "seeds", seeds, "of the requests")
+	c.Flags().IntSliceVar(&settings.Sizes, "sizes", []int{200, 800, 3200}, "numbers of listed page caches; the first is the usual one")
+	c.Flags().StringSliceVar(&settings.Days, "days", loadtest.ScaleDays, "kinds of days that are measured")
+	c.Flags().DurationVar(&settings.Length, "length", 12*time.Second, "length of a day")
+	c.Flags().Float64Var(&settings.Rate, "rate", 5, "requests per second")
+	c.Flags().UintSliceVar(&seeds, "seeds", seeds, "seeds of the requests")
 	return c
 }
 
-// soakCommand runs routers through faults that overlap.
+// soakCommand returns the command that runs routers through overlapping faults.
 func soakCommand() *cobra.Command {
 	var settings loadtest.SoakSettings
 	firstSeed, count := uint64(1), 50
@@ -65,10 +65,10 @@
 		},
 	}
 	addRouterFlag(c, &settings.Program)
-	c.Flags().IntVar(&settings.Routers, "routers", 24, "how many routers")
-	c.Flags().IntVar(&settings.Caches, "caches", 6, "how many page caches")
-	c.Flags().DurationVar(&settings.Length, "length", 12*time.Second, "of each seed")
-	c.Flags().Uint64Var(&firstSeed, "seed", firstSeed, "the first")
-	c.Flags().IntVar(&count, "seeds", count, "how many seeds")
+	c.Flags().IntVar(&settings.Routers, "routers", 24, "number of routers")
+	c.Flags().IntVar(&settings.Caches, "caches", 6, "number of page caches")
+	c.Flags().DurationVar(&settings.Length, "length", 12*time.Second, "length of the run of each seed")
+	c.Flags().Uint64Var(&firstSeed, "seed", firstSeed, "first seed")
+	c.Flags().IntVar(&count, "seeds", count, "number of seeds")
 	return c
 }
--- a/cmd/hillknot-simulator/main.go
+++ b/cmd/hillknot-simulator/main.go
@@ -1,6 +1,6 @@
-// Command hillknot-simulator hosts instances of the decision module for the operators' simulator: it reads batches
-// of events on standard input and writes one reply for each on standard output. Instances live until they are
-// halted or started anew.
+// Command hillknot-simulator hosts instances of the decision module for the operators' simulator. It reads batches of events
+// from standard input and writes one reply for each batch to standard output. An instance exists until it is halted or
+// created again.
 package main
 
 import (
@@ -22,7 +22,7 @@
 	}
 }
 
-// run answers batches until the input ends. A reply is written only when its batch is complete.
+// run replies to batches until the input ends. It writes a reply only after the whole batch has been handled.
 func run(in io.Reader, out io.Writer) error {
 	reader, writer := simulator.NewReader(in), bufio.NewWriterSize(out, 1<<16)
 	h := host{instances: map[string]*balancer.Balancer{}}
@@ -46,13 +46,13 @@
 	}
 }
 
-// host holds the instances by their names.
+// host holds the instances of the decision module.
 type host struct {
-	instances map[string]*balancer.Balancer
-	reply     []byte // to the latest batch
+	instances map[string]*balancer.Balancer // by name
+	reply     []byte                        // reply to the latest batch
 }
 
-// handle passes a batch to its instances, and leaves the reply in h.reply.
+// handle passes the events of a batch to their instances and stores the reply in h.reply. An error names the line.
 func (h *host) handle(batch *simulator.Batch) error {
 	h.reply = h.reply[:0]
 	for _, ev := range batch.Events {
@@ -64,6 +64,7 @@
 	return nil
 }
 
+// handleEvent halts or creates an instance, or passes an event to it and appends its actions to h.reply.
 func (h *host) handleEvent(now time.Duration, ev simulator.Event) error {
 	switch {
 	case ev.Halt:
@@ -71,21 +72,21 @@
 	case ev.Create != nil:
 		b, err := balancer.New(*ev.Create)
 		if err != nil {
-			return fmt.Errorf("settings of %s: %w", ev.Instance, err)
+			return fmt.Errorf("settings of instance %s: %w", ev.Instance, err)
 		}
 		h.instances[ev.Instance] = b
 	case ev.Event != nil:
 		b := h.instances[ev.Instance]
 		if b == nil {
-			return fmt.Errorf("event for %s, which was not created", ev.Instance)
+			return fmt.Errorf("event for instance %s, which does not exist", ev.Instance)
 		}
 		h.reply = appendActions(h.reply, b, ev, now)
 	}
 	return nil
 }
 
-// appendActions passes one event to its instance and appends the actions. A panic of the module is appended as the
-// protocol's exception, and the instance lives on.
+// appendActions passes one event to its instance and appends the instance's actions to reply. If the decision module panics,
+// appendActions appends the protocol's exception instead, and the instance continues to exist.
 func appendActions(reply []byte, b *balancer.Balancer, ev simulator.Event, now time.Duration) (out []byte) {
 	defer func() {
 		if p := recover(); p != nil {
--- a/cmd/hillknot/cluster.go
+++ b/cmd/hillknot/cluster.go
@@ -19,8 +19,8 @@
 	"hillknot/internal/extension/prepaidcredit"
 )
 
-// joinCluster begins to share state with the other routers of the cluster, until stop is closed. It is called once a
-// predecessor, if there is one, has been told that this process takes its place.
+// joinCluster starts sharing state with the other routers of the cluster and continues until stop is closed. The caller
+// must first have told the predecessor, if there is one, that this process takes its place.
 func joinCluster(cfg *config.Config, c *core.Core, shared *core.ClusterState, stop <-chan struct{}) (reloader, error) {
 	var received packetReceivers
 	members, err := membership.New(cfg.Name, cfg.Cluster,
@@ -57,8 +57,8 @@
 	return cluster, nil
 }
 
-// packetReceivers are the extensions that take packets of other routers; nil: it has not started. They belong to the
-// core's goroutine.
+// packetReceivers holds the extensions that receive packets of other routers. A field is nil until its extension has
+// started. Only the core's goroutine uses it.
 type packetReceivers struct {
 	orders *orderfailover.Extension
 	credit *prepaidcredit.Extension
@@ -76,13 +76,13 @@
 	}
 }
 
-// clusterMember is what SIGHUP reloads of a router in a cluster.
+// clusterMember holds the parts of a router in a cluster that are reloaded on SIGHUP.
 type clusterMember struct {
 	*membership.Agent
-	credit *prepaidcredit.Extension // nil: requests are free
+	credit *prepaidcredit.Extension // nil if requests are free
 }
 
-// Reload implements reloader: it reads the keys and the top-ups again.
+// Reload implements reloader. It reads the cluster's keys and the top-ups again.
 func (m *clusterMember) Reload() error {
 	err := m.ReloadKeys()
 	if m.credit != nil {
@@ -91,7 +91,7 @@
 	return err
 }
 
-// openPrepaidCredit opens the extension that holds requests to prepaid balances.
+// openPrepaidCredit opens the extension that charges requests to prepaid balances.
 func openPrepaidCredit(cfg *config.Config, c *core.Core, m *membership.Agent) (*prepaidcredit.Extension, error) {
 	block := cfg.Cluster.Credit
 	settings := credit.Defaults(cfg.Name, cfg.Cluster.State.Process, "")
@@ -110,11 +110,11 @@
 	return prepaidcredit.Open(c, cfg.Cluster.LedgerFile, settings, extensionSettings, m)
 }
 
-// toMillionths returns an amount of credits in millionths.
+// toMillionths converts an amount of credits to millionths of a credit, rounded to the nearest.
 func toMillionths(credits float64) int64 { return int64(math.Round(credits * 1e6)) }
 
-// failoverSettings returns the settings of order failover: the configuration's, over the defaults for the longest time that
-// an order of any class may take.
+// failoverSettings returns the settings of order failover: the defaults for the longest time that an order of any class may
+// take, overridden by the configuration.
 func failoverSettings(cfg *config.Config) failover.Settings {
 	cluster, block := cfg.Cluster, cfg.Cluster.Failover
 	longestOrder := time.Duration(0)
--- a/cmd/hillknot/configfile.go
+++ b/cmd/hillknot/configfile.go
@@ -13,7 +13,7 @@
 func configCommand() *cobra.Command {
 	cmd := &cobra.Command{
 		Use: "config", Short: "Work with configuration files", Args: cobra.NoArgs,
-		RunE: func(*cobra.Command, []string) error { return usageError{errors.New("config wants a sub-command")} },
+		RunE: func(*cobra.Command, []string) error { return usageError{errors.New("config needs a sub-command")} },
 	}
 	cmd.AddCommand(configCheckCommand(), configConvertCommand())
 	return cmd
@@ -26,11 +26,11 @@
 		RunE: func(cmd *cobra.Command, args []string) error { return checkConfig(cmd, args[0], operatorPath) },
 	}
 	cmd.Flags().StringVar(&operatorPath, "operator", os.Getenv("HILLKNOT_OPERATOR"),
-		"the operator's `FILE`, whose keys override those of the other")
+		"the operator's `FILE`, whose keys override those of the configuration")
 	return cmd
 }
 
-// checkConfig prints every fault of a configuration, a line each.
+// checkConfig prints every fault of a configuration on a line of its own.
 func checkConfig(cmd *cobra.Command, path, operatorPath string) error {
 	_, err := config.Load(path, operatorPath)
 	if err == nil {
@@ -45,12 +45,12 @@
 
 func configConvertCommand() *cobra.Command {
 	return &cobra.Command{
-		Use: "convert FILE", Short: "Print an operator's file that is JSON as HCL", Args: cobra.ExactArgs(1),
+		Use: "convert FILE", Short: "Convert an operator's file from JSON to HCL and print it", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error { return convertOperatorFile(cmd, args[0]) },
 	}
 }
 
-// convertOperatorFile prints an operator's file in JSON as HCL.
+// convertOperatorFile reads an operator's file in JSON and prints it as HCL.
 func convertOperatorFile(cmd *cobra.Command, path string) error {
 	text, err := os.ReadFile(path)
 	if err != nil {
--- a/cmd/hillknot/exitstatus.go
+++ b/cmd/hillknot/exitstatus.go
@@ -7,47 +7,48 @@
 	"hillknot/client"
 )
 
-// The exit statuses of all commands. Scripts go by them, so that they know what they may do after a failed request.
+// The exit statuses of all commands. Scripts use them to decide what they may do after a failed request.
 const (
 	exitServed           = 0
 	exitFailure          = 1 // any error that has no status of its own
 	exitUsage            = 2
 	exitRejected         = 3 // the request never ran
-	exitNotRun           = 4 // the request failed, and surely did not run
-	exitMayHaveRun       = 5 // the request must not be repeated
+	exitNotRun           = 4 // the request failed and certainly did not run
+	exitMayHaveRun       = 5 // the request may have run and must not be repeated
 	exitDeadlineExceeded = 6
 )
 
-// exitStatusHelp is the part of a command's help that lists the exit statuses.
+// exitStatusHelp is the part of a command's help text that lists the exit statuses.
 const exitStatusHelp = `
-Exit status: 0 served, 1 another error, 2 usage, 3 refused (it never ran), 4 failed and surely not run,
-5 it may have run and must not be repeated, 6 the deadline is over.`
+Exit status: 0 served, 1 another error, 2 usage error, 3 refused (the request never ran),
+4 failed (the request certainly did not run), 5 the request may have run and must not be repeated,
+6 the deadline was exceeded.`
 
-// exitError ends a command with an exit status. What went wrong has been printed already.
+// exitError is the error of a command that ends with a given exit status and has already printed what went wrong.
 type exitError struct{ status int }
 
 func (e exitError) Error() string { return fmt.Sprintf("exit status %d", e.status) }
 
-// usageError marks an error in how a command was called.
+// usageError is an error in how a command was called.
 type usageError struct{ cause error }
 
 func (e usageError) Error() string { return e.cause.Error() }
 
 func (e usageError) Unwrap() error { return e.cause }
 
-// isUsageError tells whether err is an error in how a command was called.
+// isUsageError reports whether err is or wraps a usageError.
 func isUsageError(err error) bool {
 	var usage usageError
 	return errors.As(err, &usage)
 }
 
-// outcome is how a request ended: the command's exit status, and its name in the line of --json.
+// outcome describes how a request ended.
 type outcome struct {
-	status int
-	name   string
+	status int    // exit status of the command
+	name   string // name of the outcome in the line that --json prints
 }
 
-// outcomeOf returns the outcome of a request from the error of client.Client.Do; nil: it was served.
+// outcomeOf returns the outcome of a request for which client.Client.Do returned err. A request with a nil error was served.
 func outcomeOf(err error) outcome {
 	var failure *client.Error
 	switch {
--- a/cmd/hillknot/get.go
+++ b/cmd/hillknot/get.go
@@ -9,12 +9,12 @@
 	"hillknot/client"
 )
 
-// getFlags are the flags of "hillknot get".
+// getFlags holds the flags of "hillknot get".
 type getFlags struct {
 	requestFlags
 	part       uint64
-	have       string // the tag of the copy that the caller has; empty: none
-	outputPath string // empty: standard output
+	have       string // tag of the copy that the caller has; empty if it has none
+	outputPath string // empty for standard output
 }
 
 func getCommand() *cobra.Command {
@@ -27,12 +27,13 @@
 	}
 	flags.add(cmd, "part-page")
 	cmd.Flags().Uint64Var(&flags.part, "part", 0, "number of the part")
-	cmd.Flags().StringVar(&flags.have, "have", "", "`TAG` of a copy that is at hand")
+	cmd.Flags().StringVar(&flags.have, "have", "", "`TAG` of the copy that the caller already has")
 	cmd.Flags().StringVarP(&flags.outputPath, "output", "o", "", "`FILE` for the answer (default: standard output)")
 	return cmd
 }
 
-// get fetches a part of an object and prints what came of it: on standard error where the answer has standard output.
+// get fetches a part of an object and reports the outcome: on standard error if standard output holds the answer, and
+// otherwise on standard output.
 func (f *getFlags) get(cmd *cobra.Command, objectName string) error {
 	object, err := parseObject(objectName)
 	if err != nil {
@@ -64,7 +65,8 @@
 	return f.report(cmd, cmd.OutOrStdout(), resp, err)
 }
 
-// progressWriter returns where the progress of a download is shown; nil: nowhere, as nobody watches.
+// progressWriter returns the writer for the progress of a download. It returns nil if the output is JSON or standard error
+// is not a terminal.
 func (f *getFlags) progressWriter() io.Writer {
 	if f.json || !isTerminal(os.Stderr) {
 		return nil
@@ -72,6 +74,7 @@
 	return os.Stderr
 }
 
+// isTerminal reports whether f is a character device.
 func isTerminal(f *os.File) bool {
 	info, err := f.Stat()
 	return err == nil && info.Mode()&os.ModeCharDevice != 0
--- a/cmd/hillknot/health.go
+++ b/cmd/hillknot/health.go
@@ -10,7 +10,7 @@
 	"hillknot/client"
 )
 
-// healthFlags are the flags of "hillknot health".
+// healthFlags holds the flags of "hillknot health".
 type healthFlags struct {
 	routers  []string
 	deadline time.Duration
@@ -19,16 +19,17 @@
 func healthCommand() *cobra.Command {
 	var flags healthFlags
 	cmd := &cobra.Command{
-		Use: "health --router A,B", Short: "Ask routers whether they take clients", Args: cobra.NoArgs,
-		Long: "Ask routers whether they take clients. The exit status is 0 where all do, else 1.",
+		Use: "health --router A,B", Short: "Ask routers whether they accept clients", Args: cobra.NoArgs,
+		Long: "Ask routers whether they accept clients. The exit status is 0 if all of them do, and 1 otherwise.",
 		RunE: flags.health,
 	}
 	addRouterFlag(cmd, &flags.routers)
-	cmd.Flags().DurationVar(&flags.deadline, "deadline", 2*time.Second, "for the answers")
+	cmd.Flags().DurationVar(&flags.deadline, "deadline", 2*time.Second, "time limit for the answers")
 	return cmd
 }
 
-// health prints a line for each router.
+// health prints a line for each router. It returns an exitError with exitFailure if a router is not ready or the client
+// can't be closed in time.
 func (f *healthFlags) health(cmd *cobra.Command, _ []string) error {
 	c, err := client.New(client.Config{Routers: f.routers})
 	if err != nil {
--- a/cmd/hillknot/hotrestart.go
+++ b/cmd/hillknot/hotrestart.go
@@ -15,8 +15,8 @@
 	"hillknot/internal/upstream"
 )
 
-// hotRestart is this process in a hot restart: as the successor of one process and the predecessor of the next. Two
-// processes of a router share its limits. It implements handover.Process.
+// hotRestart is the part of this process in hot restarts: as the successor of an earlier process and as the predecessor of
+// a later one. Two processes of a router share its limits. It implements handover.Process.
 type hotRestart struct {
 	core     *core.Core
 	watcher  *discovery.Watcher
@@ -27,13 +27,13 @@
 
 	mu             sync.Mutex
 	hasPredecessor bool
-	hasSuccessor   bool // a process that starts
-	successorReady bool // and it has taken over
+	hasSuccessor   bool // a later process has started
+	successorReady bool // the successor has taken over
 }
 
-// importState waits until this process has seen the events of discovery that its predecessor has, and goes on from its
-// state. Where that fails the router starts as any new one: cautiously. It returns false if cancel is closed before the
-// predecessor was told anything.
+// importState waits until this process has received the events of discovery that its predecessor has, and then imports the
+// predecessor's state. If that fails, the router starts cautiously, as one without a predecessor does. importState returns
+// false if cancel is closed before the predecessor has been told that this process is ready.
 func (r *hotRestart) importState(p *handover.Predecessor, cancel <-chan struct{}) bool {
 	caughtUp := r.watcher.WaitForPosition(p.DiscoveryPosition, r.limits.HandoverDiscoveryWait, cancel)
 	select {
@@ -62,7 +62,8 @@
 	return true
 }
 
-// waitForPredecessor takes the whole of the limits once the predecessor has ended.
+// waitForPredecessor waits until the predecessor has ended and then gives this process all of the router's limits. It
+// returns early if stop is closed.
 func (r *hotRestart) waitForPredecessor(p *handover.Predecessor, stop <-chan struct{}) {
 	select {
 	case <-p.Ended():
@@ -72,6 +73,7 @@
 	}
 }
 
+// setPredecessor records whether a predecessor is running, and applies the limits that follow.
 func (r *hotRestart) setPredecessor(present bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -82,7 +84,8 @@
 // DiscoveryPosition implements handover.Process.
 func (r *hotRestart) DiscoveryPosition() int64 { return r.watcher.Position() }
 
-// State implements handover.Process. A core that does not answer in time hands over nothing.
+// State implements handover.Process. It returns an empty state if the core does not answer within half of
+// Limits.HandoverTimeout.
 func (r *hotRestart) State() handover.State {
 	exported := make(chan handover.State, 1)
 	r.core.Post(func() {
@@ -109,13 +112,14 @@
 	r.core.Post(func() { r.core.SetSuccessorReady(ready) })
 }
 
-// applyLimits sets the limits by which other process of the router runs. The caller holds mu.
+// applyLimits sets the limits of this process, which depend on whether another process of the router runs. The caller must
+// hold mu.
 func (r *hotRestart) applyLimits() {
 	limits := r.limits
 	if r.hasPredecessor || r.hasSuccessor {
 		limits = limits.Shared(!r.successorReady)
 	}
-	debug.SetMemoryLimit(int64(limits.MemoryMB) << 20 * 3 / 4) // the rest is for what the collector does not see
+	debug.SetMemoryLimit(int64(limits.MemoryMB) << 20 * 3 / 4) // the rest is for memory that the garbage collector does not count
 	r.budget.SetLimit(limits.BufferedBytes)
 	r.clients.SetMaxConns(limits.ClientConns)
 	r.core.Post(func() { r.upstream.SetMaxConnections(limits.UpstreamConns) })
--- a/cmd/hillknot/logflags.go
+++ b/cmd/hillknot/logflags.go
@@ -8,19 +8,20 @@
 	"github.com/spf13/pflag"
 )
 
-// logFlags say how the log is written.
+// logFlags holds the flags for the format and the level of the log.
 type logFlags struct{ format, level string }
 
 func (f *logFlags) add(flags *pflag.FlagSet) {
 	flags.StringVar(&f.format, "log-format", "text", "format of the log on standard error: text or json")
-	flags.StringVar(&f.level, "log-level", "info", "the lowest level that is logged: debug, info, warn or error")
+	flags.StringVar(&f.level, "log-level", "info", "lowest level that is logged: debug, info, warn or error")
 }
 
-// apply has the default logger write to out as the flags say.
+// apply sets the default logger to write to out with the format and the level of the flags. It returns a usageError if one
+// of them is unknown.
 func (f *logFlags) apply(out io.Writer) error {
 	var level slog.Level
 	if err := level.UnmarshalText([]byte(f.level)); err != nil {
-		return usageError{fmt.Errorf("--log-level %q is none of debug, info, warn and error", f.level)}
+		return usageError{fmt.Errorf("--log-level %q is not debug, info, warn or error", f.level)}
 	}
 	options := &slog.HandlerOptions{Level: level}
 	switch f.format {
--- a/cmd/hillknot/main.go
+++ b/cmd/hillknot/main.go
@@ -1,7 +1,7 @@
-// Command hillknot is one edge router, and the command-line tools of its clients and operators.
+// Command hillknot runs an edge router and provides command-line tools for its clients and operators.
 //
-// Without a sub-command it is the router; the configuration is the file named by -config or RELAY_CONFIG. "get", "send"
-// and "health" call routers as a client does; "config" works with configuration files.
+// Without a sub-command it runs the router, whose configuration file is named by -config or RELAY_CONFIG. The sub-commands
+// "get", "send" and "health" call routers as a client does; "config" checks and converts configuration files.
 package main
 
 import (
@@ -17,12 +17,12 @@
 	"hillknot/internal/logging"
 )
 
-// version is that of the latest entry of CHANGELOG.md.
+// version is the version of the latest entry in CHANGELOG.md.
 const version = "0.15.1"
 
 func main() { os.Exit(runCommandLine(os.Args[1:], os.Stdout, os.Stderr)) }
 
-// runCommandLine runs the command that args name and returns its exit status.
+// runCommandLine runs the command that args select and returns its exit status.
 func runCommandLine(args []string, stdout, stderr io.Writer) int {
 	started := false
 	root := rootCommand()
@@ -45,14 +45,14 @@
 	return exitUsage
 }
 
-// rootCommand returns the command with all of its sub-commands.
+// rootCommand returns the hillknot command with all of its sub-commands.
 func rootCommand() *cobra.Command {
 	var routerFlags serveFlags
 	var logs logFlags
 	root := &cobra.Command{
-		Use: "hillknot", Short: "An edge router for devices on poor links, and its clients' tools",
-		Long: "An edge router for devices on poor links, and its clients' tools.\n\n" +
-			"Without a sub-command it is the router, as with `hillknot serve`.",
+		Use: "hillknot", Short: "An edge router for devices on poor links, and tools for its clients",
+		Long: "An edge router for devices on poor links, and tools for its clients.\n\n" +
+			"Without a sub-command it runs the router, as `hillknot serve` does.",
 		Args: cobra.NoArgs, RunE: routerFlags.serve,
 		PersistentPreRunE: func(*cobra.Command, []string) error { return logs.apply(os.Stderr) },
 	}
@@ -73,8 +73,8 @@
 	}
 }
 
-// recordStart has a command, and each below it, set started as it begins to run. An error before that is one of the command
-// line. It also keeps cobra from printing errors, which runCommandLine does.
+// recordStart wraps a command and all its sub-commands so that they set started when they begin to run. An error that
+// occurs earlier is a fault of the command line. It also stops cobra from printing errors, because runCommandLine does so.
 func recordStart(cmd *cobra.Command, started *bool) {
 	cmd.SilenceErrors, cmd.SilenceUsage = true, true
 	if run := cmd.RunE; run != nil {
@@ -88,8 +88,8 @@
 	}
 }
 
-// expandSingleDash turns the router's long flags behind a single dash, as in -config FILE, into those with two: earlier
-// versions took them so.
+// expandSingleDash returns args with a second dash before the router's long flags that have only one, as in -config FILE,
+// because earlier versions took them in that form.
 func expandSingleDash(root *cobra.Command, args []string) []string {
 	expanded := append([]string(nil), args...)
 	for i, arg := range expanded {
@@ -103,6 +103,7 @@
 	return expanded
 }
 
+// isSingleDashFlag reports whether arg is one of the router's long flags behind a single dash.
 func isSingleDashFlag(root *cobra.Command, arg string) bool {
 	if !strings.HasPrefix(arg, "-") || strings.HasPrefix(arg, "--") {
 		return false
--- a/cmd/hillknot/outputfile.go
+++ b/cmd/hillknot/outputfile.go
@@ -7,20 +7,21 @@
 	"path/filepath"
 )
 
-// minProgressSize is the size of an answer, in bytes, from which progress is shown.
+// minProgressSize is the smallest size of an answer, in bytes, for which progress is shown.
 const minProgressSize = 64 << 10
 
-// outputFile is a file that is written under a temporary name beside its place, and renamed once it is complete. It
+// outputFile is a file that is written under a temporary name in its final directory and renamed once it is complete. It
 // implements client.Sizer and client.Rewinder.
 type outputFile struct {
 	*os.File
 	path     string
-	progress io.Writer // nil: none is shown
-	size     int       // of the answer, in bytes
-	written  int       // of these
+	progress io.Writer // nil if no progress is shown
+	size     int       // size of the answer, in bytes
+	written  int       // bytes of the answer that have been written
 }
 
-// createOutputFile begins a file that commit puts at path. The caller calls discard in any case.
+// createOutputFile creates a temporary file that commit renames to path. The caller must call discard, also after commit.
+// An error is a usageError.
 func createOutputFile(path string, progress io.Writer) (*outputFile, error) {
 	file, err := os.CreateTemp(filepath.Dir(path), ".hillknot-*")
 	if err != nil {
@@ -32,7 +33,7 @@
 // Size implements client.Sizer.
 func (f *outputFile) Size(n int) { f.size = n }
 
-// Rewind implements client.Rewinder: the answer is read again from its start.
+// Rewind implements client.Rewinder. It discards what was written, because the answer is read again from its start.
 func (f *outputFile) Rewind() error {
 	f.written = 0
 	if err := f.Truncate(0); err != nil {
@@ -42,7 +43,7 @@
 	return err
 }
 
-// Write implements io.Writer, and shows the progress.
+// Write implements io.Writer and shows the progress.
 func (f *outputFile) Write(b []byte) (int, error) {
 	n, err := f.File.Write(b)
 	f.written += n
@@ -50,6 +51,7 @@
 	return n, err
 }
 
+// showProgress overwrites the line of progress. It ends the line once the answer is complete.
 func (f *outputFile) showProgress() {
 	if f.progress == nil || f.size < minProgressSize {
 		return
@@ -61,7 +63,7 @@
 	fmt.Fprintf(f.progress, "\r%4d of %d kB%s", f.written>>10, f.size>>10, end)
 }
 
-// commit puts the complete file in its place.
+// commit syncs the complete file to disk and renames it to its path.
 func (f *outputFile) commit() error {
 	if err := f.Sync(); err != nil {
 		return err
@@ -72,8 +74,8 @@
 	return os.Rename(f.Name(), f.path)
 }
 
-// discard closes the file, and removes it unless commit has put it in its place.
+// discard closes the file, and removes it unless commit has renamed it.
 func (f *outputFile) discard() {
-	_ = f.Close()           // commit has synced it
-	_ = os.Remove(f.Name()) // fails after commit: the temporary name is gone
+	_ = f.Close()           // an error loses nothing, because commit has synced the file
+	_ = os.Remove(f.Name()) // fails after commit, because the temporary name no longer exists
 }
--- a/cmd/hillknot/reload.go
+++ b/cmd/hillknot/reload.go
@@ -5,11 +5,12 @@
 	"hillknot/internal/logging"
 )
 
-// reloader has files that are read again on SIGHUP. A file that can't be used changes nothing.
+// reloader is implemented by a part of the router whose files are read again on SIGHUP. A file that can't be used changes
+// nothing.
 type reloader interface{ Reload() error }
 
-// reloadOnSignal reloads at each SIGHUP, one after the other, until the router ends. It has a goroutine of its own: files can
-// take any time to read.
+// reloadOnSignal calls reload for each SIGHUP, one after the other, until the router ends. It runs on a goroutine of its
+// own, because reading files can take any time.
 func (r *router) reloadOnSignal() {
 	for {
 		select {
@@ -21,8 +22,8 @@
 	}
 }
 
-// reload takes discovery's address from the configuration as it is now, and the keys and top-ups of the cluster from
-// their files. All other settings hold from the start of the process to its end. A faulty file changes nothing.
+// reload reads the address of discovery from the current configuration, and the keys and top-ups of the cluster from their
+// files. All other settings stay as they were when the process started. A faulty file changes nothing.
 func (r *router) reload() {
 	if r.cluster != nil {
 		if err := r.cluster.Reload(); err != nil {
--- a/cmd/hillknot/report.go
+++ b/cmd/hillknot/report.go
@@ -24,7 +24,7 @@
 	Error        string  `json:"error,omitempty"`
 }
 
-// newResult returns what came of a request, from what client.Client.Do returned.
+// newResult returns the result of a request for which client.Client.Do returned resp and err.
 func newResult(resp client.Response, err error) result {
 	line := result{
 		Outcome:      outcomeOf(err).name,
@@ -45,7 +45,8 @@
 	return line
 }
 
-// report prints what came of a request, with --json to out, and returns the error that the command ends with.
+// report prints the outcome of a request and returns the error that the command ends with. With --json it prints the
+// result to out, and otherwise an error or "unchanged" to standard error. It only returns a usageError, without printing.
 func (f *requestFlags) report(cmd *cobra.Command, out io.Writer, resp client.Response, err error) error {
 	if isUsageError(err) {
 		return err
--- a/cmd/hillknot/request.go
+++ b/cmd/hillknot/request.go
@@ -16,40 +16,40 @@
 	"hillknot/client/policy"
 )
 
-// defaultDeadline is that of a class which the client's library does not know.
+// defaultDeadline is the deadline of requests of a class that the client library does not know.
 const defaultDeadline = 3 * time.Second
 
-// requestFlags are the flags of the commands that send a request.
+// requestFlags holds the flags of the commands that send a request.
 type requestFlags struct {
 	routers  []string
 	class    string
-	deadline time.Duration // 0: that of the class
+	deadline time.Duration // 0 for the deadline of the class
 	group    uint8
 	json     bool
 	account  string
 	claim    bool
 }
 
-// add adds the flags to a command, with the class that its requests have by default.
+// add adds the flags to a command. defaultClass is the class of its requests if the flag is not set.
 func (f *requestFlags) add(cmd *cobra.Command, defaultClass string) {
 	addRouterFlag(cmd, &f.routers)
 	cmd.Flags().StringVar(&f.class, "class", defaultClass, "class of the request")
-	cmd.Flags().DurationVar(&f.deadline, "deadline", 0, "of the request, over all attempts (default: that of the class)")
+	cmd.Flags().DurationVar(&f.deadline, "deadline", 0, "time limit of the request, over all attempts (default: that of the class)")
 	cmd.Flags().Uint8Var(&f.group, "group", 0, "group of the object")
-	cmd.Flags().StringVar(&f.account, "account", "", "account that pays, where routers hold requests to balances")
+	cmd.Flags().StringVar(&f.account, "account", "", "account that is charged, if the routers charge requests to prepaid balances")
 	cmd.Flags().BoolVar(&f.claim, "claim", false,
-		"ask another router what became of an order whose router was lost; all routers must keep orders")
-	cmd.Flags().BoolVar(&f.json, "json", false, "print one line of JSON with outcome, tries and milliseconds")
-	_ = cmd.RegisterFlagCompletionFunc("class", completeClass) // fails for unknown flags only
+		"if the router of an order is lost, ask another router for its outcome; all routers must keep orders")
+	cmd.Flags().BoolVar(&f.json, "json", false, "print the result as one line of JSON, with outcome, tries and milliseconds")
+	_ = cmd.RegisterFlagCompletionFunc("class", completeClass) // fails only if the flag is unknown
 }
 
-// addRouterFlag adds the flag that names the routers, which a command can't do without.
+// addRouterFlag adds the required flag that names the routers.
 func addRouterFlag(cmd *cobra.Command, routers *[]string) {
-	cmd.Flags().StringSliceVar(routers, "router", nil, "`ADDRESSES` of the routers, with ports, divided by commas")
-	_ = cmd.MarkFlagRequired("router") // fails for unknown flags only
+	cmd.Flags().StringSliceVar(routers, "router", nil, "`ADDRESSES` of the routers, with ports, separated by commas")
+	_ = cmd.MarkFlagRequired("router") // fails only if the flag is unknown
 }
 
-// completeClass lists the known classes to the shell.
+// completeClass returns the names of the known classes, in order, for completion by the shell.
 func completeClass(*cobra.Command, []string, string) ([]string, cobra.ShellCompDirective) {
 	var names []string
 	for name := range client.Classes() {
@@ -59,8 +59,8 @@
 	return names, cobra.ShellCompDirectiveNoFileComp
 }
 
-// newClient returns a client for one request. A class that the library does not know is taken to be as safe to repeat
-// as the command's requests are.
+// newClient returns a client for one request. safe says whether a class that the client library does not know is safe to
+// repeat; such a class has the deadline of the flags or defaultDeadline. An error is a usageError.
 func (f *requestFlags) newClient(safe bool) (*client.Client, error) {
 	classes := client.Classes()
 	if _, known := classes[f.class]; !known {
@@ -79,7 +79,7 @@
 	return c, nil
 }
 
-// send sends one request and waits for its end, or for an interrupt.
+// send sends one request and waits until it has ended or the command is interrupted.
 func (f *requestFlags) send(safe bool, req client.Request) (client.Response, error) {
 	c, err := f.newClient(safe)
 	if err != nil {
@@ -90,11 +90,11 @@
 	resp, err := c.Do(ctx, req)
 	noWait, cancel := context.WithCancel(context.Background())
 	cancel()
-	_ = c.Close(noWait) // nothing is open
+	_ = c.Close(noWait) // no request is open
 	return resp, err
 }
 
-// parseObject reads the name of an object.
+// parseObject parses the name of an object, which is 16 hex digits. An error is a usageError.
 func parseObject(text string) (uint64, error) {
 	object, err := strconv.ParseUint(text, 16, 64)
 	if err != nil || len(text) != 16 {
--- a/cmd/hillknot/router.go
+++ b/cmd/hillknot/router.go
@@ -27,17 +27,18 @@
 
 var log = logging.For("router")
 
-// routerOptions are what a router process is started with.
+// routerOptions holds the parameters of a router process.
 type routerOptions struct {
 	configPath   string
-	operatorPath string              // empty: there is no operator's file
-	getenv       func(string) string // reads the process's environment
+	operatorPath string              // empty if there is no operator's file
+	getenv       func(string) string // returns an environment variable of the process
 	signals      signals
-	// onServing is called on the core's goroutine once clients are accepted; nil address: there is no admin front end.
+	// onServing is called on the core's goroutine once the router accepts clients. adminAddr is nil if there is no admin
+	// front end.
 	onServing func(adminAddr net.Addr)
 }
 
-// router is one router process: the core, what feeds it, and its front ends.
+// router is one router process: the core, its upstream client and discovery watcher, and its front ends.
 type router struct {
 	options        routerOptions
 	cfg            *config.Config
@@ -45,44 +46,44 @@
 	upstream       *upstream.Client
 	watcher        *discovery.Watcher
 	clients        *msgpackrpc.Server
-	otherFrontEnds []namedFrontEnd // all front ends but clients
-	adminAddr      net.Addr        // of the admin front end; nil: there is none
+	otherFrontEnds []namedFrontEnd // all front ends except clients
+	adminAddr      net.Addr        // address of the admin front end; nil if there is none
 
-	cluster     reloader // nil: this router shares nothing
+	cluster     reloader // nil if this router shares no state
 	hotRestart  *hotRestart
 	termination *termination
 
 	stop             chan struct{} // closed when the router ends
 	frontEndFailures chan frontEndFailure
-	closers          []func() // called in reverse order when the router ends
+	closers          []func() // called by close in reverse order
 }
 
-// frontEnd accepts calls on a socket of its own.
+// frontEnd is a server that accepts calls on its own socket.
 type frontEnd interface {
 	Serve() error
 	Close()
 }
 
-// namedFrontEnd is a front end with its name in log lines.
+// namedFrontEnd is a front end with the name that log lines give it.
 type namedFrontEnd struct {
 	frontEnd
 	name string
 }
 
-// clientFrontEnd is the name of the front end without which a router is of no use.
+// clientFrontEnd is the name of the front end that serves clients. The router shuts down if it fails.
 const clientFrontEnd = "clients"
 
-// frontEndFailure is what Serve of a front end returned; nil: it no longer accepts.
+// frontEndFailure holds what Serve of a front end returned. err is nil if the front end has stopped accepting.
 type frontEndFailure struct {
 	name string
 	err  error
 }
 
-// runRouter serves until SIGTERM or SIGINT comes and every request that was read has its final answer. On SIGHUP it
-// reads the configuration again.
+// runRouter serves until the process receives SIGTERM or SIGINT and every request that was read has its final answer. On
+// SIGHUP it reads the configuration again.
 func runRouter(options routerOptions) error {
 	if options.configPath == "" {
-		return errors.New("no configuration: give -config or RELAY_CONFIG")
+		return errors.New("no configuration file: set -config or RELAY_CONFIG")
 	}
 	r := &router{options: options, termination: newTermination(), stop: make(chan struct{})}
 	ended := make(chan struct{})
@@ -96,13 +97,14 @@
 	return err
 }
 
-// run loads the configuration, starts the router and serves.
+// run loads the configuration, starts the router and serves until the process is to end. It returns errTerminated if
+// the process is terminated before it serves.
 func (r *router) run() error {
 	var err error
 	if r.cfg, err = r.loadConfig(); err != nil {
 		return err
 	}
-	runtime.GOMAXPROCS(1) // the platform gives a router one core
+	runtime.GOMAXPROCS(1) // the platform gives a router one processor core
 	if err := netpoll.Configure(netpoll.Config{PollerNum: 1, LoggerOutput: os.Stderr}); err != nil {
 		return fmt.Errorf("configure netpoll: %w", err)
 	}
@@ -113,8 +115,9 @@
 	return r.serveUntilEnd()
 }
 
-// awaitStart starts the router. A start that hangs, as on a disk that does, holds up a termination for no longer than
-// requests may: nobody is served yet.
+// awaitStart starts the router and waits until it has started. If the start hangs, for example on a disk that does not
+// respond, it delays a termination by at most Limits.ShutdownTimeout, as open requests may. No client is served yet, so
+// awaitStart then returns errTerminated.
 func (r *router) awaitStart() error {
 	started := make(chan error, 1)
 	go func() { started <- r.start() }()
@@ -125,7 +128,7 @@
 		select {
 		case err = <-started:
 		case <-time.After(r.cfg.Limits.ShutdownTimeout):
-			return errTerminated // what was opened ends with the process: the start may still use it
+			return errTerminated // start may still use what it opened, so that is left open until the process ends
 		}
 	}
 	if err != nil {
@@ -134,8 +137,8 @@
 	return err
 }
 
-// loadConfig reads the configuration. A file that can't be read for now, as on a disk that hangs, does not hold up a
-// termination: nothing has been accepted yet.
+// loadConfig reads the configuration. If reading a file hangs, for example on a disk that does not respond, a termination
+// does not wait for it, because no connection has been accepted yet: loadConfig returns errTerminated.
 func (r *router) loadConfig() (*config.Config, error) {
 	type result struct {
 		cfg *config.Config
@@ -154,8 +157,9 @@
 	}
 }
 
-// start builds the router's parts and starts them in the order in which they depend on each other: the core first,
-// then what it follows, and clients last.
+// start builds the router's parts and starts them in the order of their dependencies: the core and the watch of discovery
+// first, then the other front ends, the takeover from a predecessor and the cluster, and at last the front end for clients
+// and the listener for a successor.
 func (r *router) start() error {
 	clusterState, err := newClusterState(r.cfg)
 	if err != nil {
@@ -185,7 +189,7 @@
 	return nil
 }
 
-// build makes the core and everything that is connected to it. Nothing runs yet, but the listeners are open.
+// build creates the core and the parts that are connected to it. It opens the listeners but starts no goroutine of a part.
 func (r *router) build() error {
 	limits := r.cfg.Limits
 	var err error
@@ -199,7 +203,7 @@
 	if r.watcher, err = discovery.New(r.core, r.cfg.DiscoveryAddr, limits, r.cfg.KnownEvents); err != nil {
 		return fmt.Errorf("configuration: %w", err)
 	}
-	r.cfg.KnownEvents = jsonfields.Object{} // it would keep the text of the whole configuration in memory
+	r.cfg.KnownEvents = jsonfields.Object{} // frees the text of the whole configuration, to which the events refer
 	r.clients, err = msgpackrpc.Listen(r.cfg.Listen, r.cfg.InheritedSocket, r.core, limits, r.cfg.Settings.Classes, budget)
 	if err != nil {
 		return err
@@ -219,27 +223,27 @@
 	return r.listenOtherFrontEnds(budget)
 }
 
-// listenOtherFrontEnds opens the sockets of the front ends that the configuration switches on.
+// listenOtherFrontEnds opens the sockets of the front ends that the configuration enables, except that of clients.
 func (r *router) listenOtherFrontEnds(budget *netio.Budget) error {
 	limits := r.cfg.Limits
 	if r.cfg.DNS.Listen != "" {
 		front, err := dns.Listen(r.core, r.cfg.DNS, limits, budget)
 		if err != nil {
-			return fmt.Errorf("dns: %w", err)
+			return fmt.Errorf("dns front end: %w", err)
 		}
 		r.otherFrontEnds = append(r.otherFrontEnds, namedFrontEnd{front, "dns"})
 	}
 	if r.cfg.AgentCheckAddr != "" {
 		front, err := agentcheck.Listen(r.cfg.AgentCheckAddr, r.core, limits)
 		if err != nil {
-			return fmt.Errorf("agent checks: %w", err)
+			return fmt.Errorf("agent check front end: %w", err)
 		}
 		r.otherFrontEnds = append(r.otherFrontEnds, namedFrontEnd{front, "agent check"})
 	}
 	if r.cfg.AdminAddr != "" {
 		front, err := admin.Listen(r.cfg.AdminAddr, r.core, limits)
 		if err != nil {
-			return fmt.Errorf("operators' address: %w", err)
+			return fmt.Errorf("admin front end: %w", err)
 		}
 		r.adminAddr = front.Addr()
 		r.otherFrontEnds = append(r.otherFrontEnds, namedFrontEnd{front, "admin"})
@@ -247,7 +251,8 @@
 	return nil
 }
 
-// findPredecessor calls the process that this one replaces, if there is one, and sets the limits that two processes share.
+// findPredecessor connects to the process that this one replaces and sets the limits that the two processes share. It
+// returns nil if there is no such process.
 func (r *router) findPredecessor() *handover.Predecessor {
 	var predecessor *handover.Predecessor
 	if r.cfg.HandoverPath != "" {
@@ -257,7 +262,7 @@
 	return predecessor
 }
 
-// startCore starts the core, which rejects clients until ReleaseStart, and the watch of the endpoint list.
+// startCore starts the core, which rejects clients until ReleaseStart is called, and the watch of the endpoint list.
 func (r *router) startCore() {
 	r.onClose(func() { close(r.stop) })
 	r.core.HoldStart()
@@ -265,16 +270,18 @@
 	go r.watcher.Run(r.stop)
 }
 
+// startOtherFrontEnds starts all front ends except that of clients.
 func (r *router) startOtherFrontEnds() {
-	r.frontEndFailures = make(chan frontEndFailure, len(r.otherFrontEnds)+1) // one for each front end, so that no Serve waits to report
+	// The channel has room for one failure of each front end, so that no goroutine blocks when Serve returns.
+	r.frontEndFailures = make(chan frontEndFailure, len(r.otherFrontEnds)+1)
 	for _, front := range r.otherFrontEnds {
 		r.onClose(front.Close)
 		go func() { r.frontEndFailures <- frontEndFailure{front.name, front.Serve()} }()
 	}
 }
 
-// takeOver goes on from the state of a predecessor; nil: there is none. A process that is to end by then leaves the
-// clients to the predecessor: errTerminated.
+// takeOver imports the state of the predecessor. It does nothing if predecessor is nil. If a termination is requested
+// before the predecessor has been told, the clients stay with the predecessor and takeOver returns errTerminated.
 func (r *router) takeOver(predecessor *handover.Predecessor) error {
 	if predecessor == nil {
 		return nil
@@ -287,7 +294,8 @@
 	return nil
 }
 
-// listenForSuccessor lets a later process replace this one. Where that can't be, the router serves all the same.
+// listenForSuccessor lets a later process replace this one. If the listener can't be opened, the router logs the error and
+// serves without it.
 func (r *router) listenForSuccessor() {
 	if r.cfg.HandoverPath == "" {
 		return
@@ -300,8 +308,9 @@
 	r.onClose(listener.Close)
 }
 
-// serveUntilEnd serves until the process is to end, or until clients can't be served any more: then, too, what is open is
-// answered first. Any other front end that fails is reported, and the rest serves on.
+// serveUntilEnd serves until a termination is requested or the front end for clients fails. In both cases it answers the
+// open requests before it returns; after a failure it returns the error. If any other front end fails, serveUntilEnd logs
+// the error and the remaining parts keep serving.
 func (r *router) serveUntilEnd() error {
 	go r.reloadOnSignal()
 	for {
@@ -323,13 +332,14 @@
 	}
 }
 
-// keyFrontEnd is the key of the name of a front end in log lines.
+// keyFrontEnd is the log attribute key for the name of a front end.
 const keyFrontEnd = "front_end"
 
+// onClose has close call f, before the functions that were registered earlier.
 func (r *router) onClose(f func()) { r.closers = append(r.closers, f) }
 
-// close closes the parts that were started, the latest first. The goroutines that watch r.stop end on their own: the
-// process ends right after.
+// close closes the parts that were started, in reverse order. It does not wait for the goroutines that watch r.stop,
+// because the process ends right afterwards.
 func (r *router) close() {
 	for i := len(r.closers) - 1; i >= 0; i-- {
 		r.closers[i]()
--- a/cmd/hillknot/send.go
+++ b/cmd/hillknot/send.go
@@ -10,29 +10,29 @@
 	"hillknot/client"
 )
 
-// maxBodyBytes is how much of a body is read: more than any router takes.
+// maxBodyBytes is how many bytes of a body are read at most. It is more than any router accepts.
 const maxBodyBytes = 1 << 20
 
-// sendFlags are the flags of "hillknot send".
+// sendFlags holds the flags of "hillknot send".
 type sendFlags struct {
 	requestFlags
-	bodyPath string // "-": standard input
+	bodyPath string // "-" for standard input
 }
 
 func sendCommand() *cobra.Command {
 	var flags sendFlags
 	cmd := &cobra.Command{
 		Use: "send OBJECT --router A,B --class new-arrange --body FILE", Short: "Send an order, once", Args: cobra.ExactArgs(1),
-		Long: "Send an order. It is never sent again once it may have run.\n" + exitStatusHelp,
+		Long: "Send an order. It is never retried once it may have run.\n" + exitStatusHelp,
 		RunE: func(cmd *cobra.Command, args []string) error { return flags.sendOrder(cmd, args[0]) },
 	}
 	flags.add(cmd, "new-arrange")
-	cmd.Flags().StringVar(&flags.bodyPath, "body", "", "`FILE` with what is sent; - for standard input")
-	_ = cmd.MarkFlagRequired("body") // fails for unknown flags only
+	cmd.Flags().StringVar(&flags.bodyPath, "body", "", "`FILE` with the body of the order; - for standard input")
+	_ = cmd.MarkFlagRequired("body") // fails only if the flag is unknown
 	return cmd
 }
 
-// sendOrder sends an order and prints its answer, or with --json what came of it.
+// sendOrder sends an order and prints its answer, or with --json its result.
 func (f *sendFlags) sendOrder(cmd *cobra.Command, objectName string) error {
 	object, err := parseObject(objectName)
 	if err != nil {
@@ -49,7 +49,7 @@
 	return f.report(cmd, cmd.OutOrStdout(), resp, err)
 }
 
-// readBody reads the body of an order from a file, or from stdin where path is "-".
+// readBody reads the body of an order from the file at path, or from stdin if path is "-". It reads at most maxBodyBytes.
 func readBody(stdin io.Reader, path string) ([]byte, error) {
 	in := stdin
 	if path != "-" {
--- a/cmd/hillknot/serve.go
+++ b/cmd/hillknot/serve.go
@@ -7,16 +7,16 @@
 	"github.com/spf13/cobra"
 )
 
-// serveFlags name the files that configure a router.
+// serveFlags holds the flags that name a router's configuration files.
 type serveFlags struct{ configPath, operatorPath string }
 
 func (f *serveFlags) add(cmd *cobra.Command) {
 	cmd.Flags().StringVar(&f.configPath, "config", os.Getenv("RELAY_CONFIG"), "the configuration `FILE`")
 	cmd.Flags().StringVar(&f.operatorPath, "operator", os.Getenv("HILLKNOT_OPERATOR"),
-		"a `FILE` with further keys, such as deploy/operator.hcl")
+		"the operator's `FILE` with further keys, such as deploy/operator.hcl")
 }
 
-// serve runs the router as a command.
+// serve runs the router until it receives SIGTERM or SIGINT.
 func (f *serveFlags) serve(*cobra.Command, []string) error {
 	return runRouter(routerOptions{
 		configPath:   f.configPath,
--- a/cmd/hillknot/shutdown.go
+++ b/cmd/hillknot/shutdown.go
@@ -7,13 +7,13 @@
 	"hillknot/internal/logging"
 )
 
-// shutdownPollInterval is how often a shutdown looks whether all is answered.
+// shutdownPollInterval is the interval at which a shutdown checks whether every request is answered.
 const shutdownPollInterval = 10 * time.Millisecond
 
-// shutDown goes on accepting for the grace period, in which clients that have not yet heard of the end still send
-// requests. Then it waits until every request has its final answer, for Limits.ShutdownTimeout in all. Both count from start,
-// which may be over. Where a successor has taken over, new connections are left to it at once, and the open ones close as on
-// standby.
+// shutDown keeps accepting connections for Limits.ShutdownGrace, because clients that do not yet know of the shutdown still
+// send requests. Then it waits until every request has its final answer. It ends Limits.ShutdownTimeout after start at the
+// latest. Both times count from start, a reading of package clock that may lie in the past. If a successor has taken over,
+// shutDown leaves new connections to it at once, and the open connections close as on standby.
 func (r *router) shutDown(start time.Duration) {
 	limits := r.cfg.Limits
 	r.core.Post(func() { r.core.BeginShutdown(start) })
@@ -30,7 +30,8 @@
 	r.clients.Shutdown(start + limits.ShutdownTimeout + limits.ShutdownFlush)
 }
 
-// finishIfNothingOpen tells whether a shutdown that began at start may end: nothing more is owed to any client.
+// finishIfNothingOpen reports whether a shutdown that began at start may end, because every request has its final answer.
+// If so, the core rejects every request from then on.
 func (r *router) finishIfNothingOpen(start time.Duration) bool {
 	if r.core.Snapshot().HasSuccessor {
 		r.clients.StopAccepting()
--- a/cmd/hillknot/signals.go
+++ b/cmd/hillknot/signals.go
@@ -12,8 +12,8 @@
 	"hillknot/internal/core"
 )
 
-// signals are the signals that a router acts on. Each kind has a channel of its own, so that no series of one displaces
-// the other. A channel holds one signal: a second one that waits would ask for nothing more.
+// signals holds the channels of the signals that a router acts on. Each kind has its own channel, so that a series of one
+// kind does not displace the other. A channel holds one signal, because a second one that waits would request nothing more.
 type signals struct {
 	terminate chan os.Signal
 	reload    chan os.Signal
@@ -23,7 +23,7 @@
 	return signals{terminate: make(chan os.Signal, 1), reload: make(chan os.Signal, 1)}
 }
 
-// notifySignals returns the signals that this process receives from now on.
+// notifySignals returns channels that get the signals that this process receives from now on.
 func notifySignals() signals {
 	s := newSignals()
 	signal.Notify(s.terminate, syscall.SIGTERM, os.Interrupt)
@@ -31,25 +31,26 @@
 	return s
 }
 
-// keySignal is the key of the signal that ended the process in log lines.
+// keySignal is the log attribute key for the signal that ended the process.
 const keySignal = "signal"
 
-// errTerminated says that SIGTERM or SIGINT ended a process before it served anybody.
+// errTerminated is returned when SIGTERM or SIGINT ends a process before it has served a client.
 var errTerminated = errors.New("terminated before serving")
 
-// termination is the request to end the process. It is heard whatever the process waits for.
+// termination is the request to end the process. A goroutine of its own waits for the signal, so that the request is
+// noticed while other goroutines wait.
 type termination struct {
-	requested chan struct{} // closed once it has come
+	requested chan struct{} // closed once the signal has arrived
 	// Valid once requested is closed.
 	signal      os.Signal
-	requestedAt time.Duration // the earliest moment at which it may have come, on package clock
+	requestedAt time.Duration // earliest time at which the signal may have arrived, on package clock
 
-	core atomic.Pointer[core.Core] // knows whether the process stood still; nil: it is not made yet
+	core atomic.Pointer[core.Core] // knows whether the process was paused; nil until the core is created
 }
 
 func newTermination() *termination { return &termination{requested: make(chan struct{})} }
 
-// watch waits for the request until stop is closed.
+// watch waits for a signal on terminate and then marks the termination as requested. It returns early if stop is closed.
 func (t *termination) watch(terminate <-chan os.Signal, stop <-chan struct{}) {
 	select {
 	case sig := <-terminate:
