--- a/cmd/hillknot-loadtest/single.go
+++ b/cmd/hillknot-loadtest/single.go
@@ -43,7 +43,7 @@
 		},
 	}
 	addRouterFlag(c, &settings.Program)
-	c.Flags().IntSliceVar(&settings.Sizes, "sizes", []int{200, 800, 3200}, "numbers of listed page caches; the first is the usual one")
+	c.Flags().IntSliceVar(&settings.Sizes, "sizes", []int{200, 800, 3200}, "numbers of page caches; the first is the usual one")
 	c.Flags().StringSliceVar(&settings.Days, "days", loadtest.ScaleDays, "kinds of days that are measured")
 	c.Flags().DurationVar(&settings.Length, "length", 12*time.Second, "length of a day")
 	c.Flags().Float64Var(&settings.Rate, "rate", 5, "requests per second")
--- a/cmd/hillknot-simulator/golden_test.go
+++ b/cmd/hillknot-simulator/golden_test.go
@@ -10,16 +10,16 @@
 	"hillknot/internal/testutil/golden"
 )
 
-// The operators' drill speaks this with the program, and no release of hillknot changes its form. The files of testdata/golden are
-// one input, of two instances with their settings, lists, requests, timers and troubles, and what the program of commit 86ccf0f
-// replied.
+// The operators' drill exchanges these lines with the program, and no release of hillknot may change their form. The files in
+// testdata/golden are one input, for two instances with their settings, lists, requests, timers and faults, and the replies of
+// the program of commit 86ccf0f.
 //
-// What has to stay in the code: no name of a type or field, but the texts of package wire (names of lines and of their fields, the
-// numbers of statuses, the bits of manner) and the keys and words of package settings. The numbers of balancer.Note reach the code
-// as they come (remark), and those of Get.Keep leave it (admit), so the order of the notes counts.
+// Names of Go types and fields may change. The texts of package wire (names of lines and of their fields, the numbers of
+// statuses, the bits of manner) and the keys and words of package settings must stay. The numbers of balancer.Note are read as
+// they arrive (remark), and those of Get.Keep are written as they are (admit), so the order of these constants must stay too.
 //
-// Beside the form the replies hold what the module decides. Whoever changes a decision on purpose records new replies, with
-// drill < input.txt, and says so.
+// The replies also depend on the decisions of the module. A change that alters a decision on purpose must record new replies,
+// with drill < input.txt, and say so.
 func TestGoldenReplies(t *testing.T) {
 	var out bytes.Buffer
 	if err := run(bytes.NewReader(golden.Read(t, "input.txt")), &out); err != nil {
@@ -36,7 +36,8 @@
 	}
 }
 
-// The recorded input has every event that the program knows, every status and remark, and the replies have every action.
+// The recorded input contains every event that the program knows, every status and every remark. The recorded replies contain
+// every action.
 func TestGoldenCoversEveryEventAndAction(t *testing.T) {
 	input, replies := string(golden.Read(t, "input.txt")), string(golden.Read(t, "replies.txt"))
 	for _, word := range []string{"CLOCK\t", "END\n", "SHEET\t", "ITEM\t", "CREATE\t", "HALT\t", "form=FULL", "form=SAVED", "form=INCREMENTAL", "form=FAILED", "NEW_REQUEST\t",
@@ -55,7 +56,7 @@
 	}
 }
 
-// What the recorded replies lack: the exception of an instance that fails, and a time limit.
+// Checks the output that the recorded replies lack: the exception of an instance that panics, and an attempt with a timeout.
 func TestGoldenRareActions(t *testing.T) {
 	lines := appendActions(nil, nil, simulator.Event{Instance: "director-1", Event: balancer.ClientAborted{ID: 1}}, 1)
 	lines = simulator.AppendAction(lines, "director-1", balancer.SendAttempt{ID: 36, Attempt: 4, Endpoint: 5, Timeout: 900_000_000, Source: 7, CachePriority: 3, MaxAge: 1_500_000_000,
--- a/cmd/hillknot/bad_clients_test.go
+++ b/cmd/hillknot/bad_clients_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// A message that is malformed, over-long or never ends costs its own connection, and nothing else; a flood of requests takes
-// nothing from another client either, and is rejected in part.
+// A message that is malformed, too long or never ends closes only its own connection. A flood of requests is rejected in part,
+// and does not affect another client either.
 func TestBadClientsAreIsolated(t *testing.T) {
 	r := newTestRouter(t, 1).start()
 	good := r.dial()
@@ -26,19 +26,19 @@
 	} {
 		client := r.dial()
 		bad.Go(func() {
-			_, _ = io.WriteString(client.conn, input) // a reset in the middle is an end too
+			_, _ = io.WriteString(client.conn, input) // fails if the router has reset the connection
 			begun := time.Now()
 			if _, err := client.conn.Read(make([]byte, 1)); err == nil {
-				t.Errorf("%s: answered", name)
+				t.Errorf("%s: got an answer, want a closed connection", name)
 			} else if took := time.Since(begun); took > 6*time.Second {
-				t.Errorf("%s: still open after %v", name, took)
+				t.Errorf("%s: the connection was still open after %v", name, took)
 			}
 		})
 	}
 	flood := r.dial()
 	for id := 100; id < 2100; id++ {
 		if _, err := flood.conn.Write(encodeRequest(id, "page", "", nil)); err != nil {
-			break // cut off, as it reads nothing
+			break // the router has closed the connection, because the client reads nothing
 		}
 	}
 	other := r.dial()
@@ -54,8 +54,8 @@
 	other.expect(2, "x")
 }
 
-// A request is answered before its connection ends, whatever comes behind it on the same connection. A client that breaks the
-// protocol is answered at once, and costs no more work: an order that is in flight has failed.
+// A request is answered before its connection is closed, no matter what follows it on the same connection. If a client violates
+// the protocol, its open requests are answered at once and cause no more work: an order that is in flight fails.
 func TestOpenRequestIsAnsweredBeforeTheClose(t *testing.T) {
 	half := encodeRequest(2, "page", "", nil)
 	for name, c := range map[string]struct {
@@ -76,17 +76,17 @@
 			attempt := r.nextAttempt()
 			client.write(c.behind)
 			if c.want == "x" {
-				time.Sleep(2600 * time.Millisecond) // over the 2.5 s that a message may take
+				time.Sleep(2600 * time.Millisecond) // longer than the 2.5 s that a message may take
 				attempt.serve("x")
 			}
 			if got := client.readAll(1); got != c.want {
-				t.Errorf("%s: the request before it is answered %q, want %q", name, got, c.want)
+				t.Errorf("%s: the request before it was answered with %q, want %q", name, got, c.want)
 			}
 		})
 	}
 }
 
-// readAll reads until the connection ends, and returns the answers to id.
+// readAll reads until the connection is closed, and returns the concatenated contents of the answers to id.
 func (c *testClient) readAll(id int) (answers string) {
 	for {
 		got, err := c.read()
@@ -99,7 +99,7 @@
 	}
 }
 
-// unusableRequests are more unusable requests than a connection may send.
+// unusableRequests returns more unusable requests than a connection may send.
 func unusableRequests() (all []byte) {
 	for id := 2; id < 100; id++ {
 		all = append(all, encodeRequest(id, "no such class", "", nil)...)
@@ -107,7 +107,8 @@
 	return all
 }
 
-// A connection that ends once its open requests are answered takes nothing more.
+// After a malformed message the router reads no more requests from the connection, which is closed once its open requests are
+// answered.
 func TestNothingIsReadAfterGarbage(t *testing.T) {
 	r := newTestRouter(t, 2).start()
 	client := r.dial()
@@ -116,9 +117,9 @@
 	client.write([]byte("\xc1\xc1\xc1"))
 	client.write(encodeRequest(2, "page", "", nil))
 	r.nextCancel()
-	r.expectNoAttempt("behind garbage")
+	r.expectNoAttempt("after garbage")
 	client.expect(1, "Throttled")
 	if _, err := client.conn.Read(make([]byte, 1)); err != io.EOF {
-		t.Errorf("after the answer: %v, want the end", err)
+		t.Errorf("read after the answer: error %v, want io.EOF", err)
 	}
 }
--- a/cmd/hillknot/cancel_test.go
+++ b/cmd/hillknot/cancel_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// waysToLeave has the client of request 1 leave, in each way that there is, and returns once the router knows.
+// waysToLeave holds the ways in which the client of request 1 can leave. Each function returns once the router knows.
 var waysToLeave = map[string]func(*testClient){
 	"cancels": func(client *testClient) {
 		client.cancel(1)
@@ -17,18 +17,18 @@
 			client.t.Error(err)
 		}
 		if _, err := client.conn.Read(make([]byte, 1)); err == nil {
-			client.t.Error("still answered")
+			client.t.Error("the router still answered")
 		}
 	},
 }
 
-// Once a client has left, nothing but a cancel is sent for its request: not while a connection is coming up, not while the
-// request waits for capacity, and not where an attempt fails and a retry would follow.
+// Once a client has left, the router sends nothing but a cancel for its request: neither when a connection comes up, nor when
+// the request gets the capacity it waited for, nor when an attempt fails that would otherwise be retried.
 func TestNothingIsSentForAClientThatLeft(t *testing.T) {
 	for name, leave := range waysToLeave {
-		t.Run(name+" during a connect", func(t *testing.T) { testLeaveDuringConnect(t, leave) })
-		t.Run(name+" while it waits for room", func(t *testing.T) { testLeaveWhileQueued(t, leave) })
-		t.Run(name+" as it fails", func(t *testing.T) { testLeaveAsAttemptFails(t, leave) })
+		t.Run(name+" during a connect: nothing is sent", func(t *testing.T) { testLeaveDuringConnect(t, leave) })
+		t.Run(name+" while its request waits for capacity: nothing is sent", func(t *testing.T) { testLeaveWhileQueued(t, leave) })
+		t.Run(name+" as its attempt fails: no retry", func(t *testing.T) { testLeaveAsAttemptFails(t, leave) })
 	}
 }
 
@@ -39,14 +39,14 @@
 	r.start()
 	client := r.dial()
 	client.request(1, "page", nil)
-	client.expectReady(9) // the request has been taken
+	client.expectReady(9) // the router has read the request
 	leave(client)
 	release()
 	r.expectNoAttempt("gone")
 }
 
 func testLeaveWhileQueued(t *testing.T, leave func(*testClient)) {
-	const others = 30 // requests, more than the endpoint has capacity for
+	const others = 30 // requests of another client, more than the endpoint has capacity for
 	r := newTestRouter(t, 1).start()
 	busy := r.dial()
 	for id := 100; id < 100+others; id++ {
@@ -55,7 +55,7 @@
 	busy.expectReady(1000)
 	inFlight := r.collectAttempts()
 	if len(inFlight) == others {
-		t.Fatal("none waits")
+		t.Fatal("no request waits for capacity")
 	}
 	client := r.dial()
 	client.request(1, "page", nil)
@@ -66,16 +66,16 @@
 			inFlight = append(inFlight, r.nextAttempt())
 		}
 		if inFlight[0].requestID == "0000000000000001" {
-			t.Fatal("asked for it")
+			t.Fatal("the endpoint got an attempt for the client that left")
 		}
 		inFlight[0].serve("x")
 		inFlight = inFlight[1:]
-		_, _ = busy.read() // served, or rejected after it waited for too long
+		_, _ = busy.read() // the request is served, or rejected after it has waited too long
 	}
 	r.expectNoAttempt("gone")
 }
 
-// collectAttempts returns the attempts that come until the router sends no more for a while.
+// collectAttempts returns the attempts that endpoints get until the router has sent none for 200 ms.
 func (r *testRouter) collectAttempts() (attempts []endpointMessage) {
 	for {
 		select {
@@ -94,7 +94,7 @@
 	attempt := r.nextAttempt()
 	leave(client)
 	if cancel := r.nextCancel(); cancel.requestID != attempt.requestID {
-		t.Errorf("gives up %s", cancel.requestID)
+		t.Errorf("the router cancelled another request, %s", cancel.requestID)
 	}
 	attempt.fail()
 	r.expectNoAttempt("gone")
--- a/cmd/hillknot/clock_test.go
+++ b/cmd/hillknot/clock_test.go
@@ -6,12 +6,12 @@
 	"time"
 )
 
-// clockSteps are steps of a wall clock, the router's or that of the machine whose stamps it reads: the router sees only the
-// difference.
+// clockSteps are steps of a wall clock: that of the router, or that of the machine whose timestamps the router reads. The router
+// only sees the difference between the two clocks.
 var clockSteps = []time.Duration{-time.Hour, -3 * time.Second, 3 * time.Second, time.Hour}
 
-// A purge bars the copies of before it, whatever the wall clocks of the router and of discovery say: it comes now, so it is no
-// older than the latest contact before it.
+// A purge excludes all copies from before it, no matter how the wall clocks of the router and of discovery differ: the purge
+// arrives now, so it is no older than the latest contact before it.
 func TestPurgeIgnoresClockSteps(t *testing.T) {
 	for _, step := range clockSteps {
 		t.Run(step.String(), func(t *testing.T) { testPurgeWithClockStep(t, step) })
@@ -28,7 +28,7 @@
 	const object = 9000
 	contact := time.Now()
 	watch.write(": here\n\n")
-	time.Sleep(20 * time.Millisecond) // not read together with what follows
+	time.Sleep(20 * time.Millisecond) // so that it is not read together with the events that follow
 	watch.sendPurge(3, object, time.Now().Add(step))
 	watch.sendEndpoints(4, false, late.listEntry("ready"))
 	client := r.dial()
@@ -38,13 +38,13 @@
 	maxAge := attempt.fields["newer"]
 	newer, err := strconv.Atoi(maxAge)
 	if most := time.Since(contact).Milliseconds() + 1; err != nil || int64(newer) > most {
-		t.Errorf("clocks %v apart: asked for a copy of at most %q ms, want at most %d", step, maxAge, most)
+		t.Errorf("clocks %v apart: the attempt allows a copy of at most %q ms, want at most %d ms", step, maxAge, most)
 	}
 	attempt.serve("x")
 	client.expect(object, "x")
 }
 
-// An endpoint that has just started is cold, and warms up from then on, whatever the wall clocks say.
+// An endpoint that has just started is cold and warms up from then on, no matter how the wall clocks differ.
 func TestWarmUpIgnoresClockSteps(t *testing.T) {
 	for _, step := range append([]time.Duration{0}, clockSteps...) {
 		t.Run(step.String(), func(t *testing.T) { testWarmUpWithClockStep(t, step) })
@@ -69,16 +69,16 @@
 	listedAt, host := time.Now(), late.listEntry("ready")
 	host["startedAtMs"] = listedAt.Add(step).UnixMilli()
 	watch.sendEndpoints(2, false, host)
-	if n := r.countRequestsAt(client, 201, 200, late); n > 12 { // a warm one would get a third
+	if n := r.countRequestsAt(client, 201, 200, late); n > 12 { // a warm page cache would get a third
 		t.Errorf("clocks %v apart: %d of 200 requests went to a page cache that has just started", step, n)
 	}
 	time.Sleep(time.Until(listedAt.Add(2 * time.Second)))
-	if n := r.countRequestsAt(client, 401, 200, late); n < 3 { // a fifth of its range by now
+	if n := r.countRequestsAt(client, 401, 200, late); n < 3 { // the page cache has a fifth of its range by now
 		t.Errorf("clocks %v apart: %d of 200 requests went to a page cache that is warm", step, n)
 	}
 }
 
-// countRequestsAt sends requests, one after the other, and counts those that come to an endpoint.
+// countRequestsAt sends requests one after the other, with ids from id on, and returns how many of them reach endpoint.
 func (r *testRouter) countRequestsAt(client *testClient, id, requests int, endpoint *fakeEndpoint) (n int) {
 	r.t.Helper()
 	for ; requests > 0; id, requests = id+1, requests-1 {
--- a/cmd/hillknot/cluster_test.go
+++ b/cmd/hillknot/cluster_test.go
@@ -7,8 +7,8 @@
 	"hillknot/loadtest"
 )
 
-// Routers that share budgets spend no more than these together, lose no request and run no order twice, while some are
-// cut off, cut one way, killed and stopped.
+// Routers that share budgets together spend no more than these budgets, lose no request and run no order twice, while some
+// routers are cut off, cut off in one direction, killed and stopped.
 func TestSharedBudgetsHoldUnderFaults(t *testing.T) {
 	inParallel(t)
 	settings := loadtest.ClusterSettings{Program: program(t), Routers: 5, FaultLength: 3 * time.Second, Seed: 1}
@@ -30,7 +30,7 @@
 	}
 }
 
-// Routers agree that an endpoint is ejected, that it has recovered, and how often it failed.
+// Routers of a cluster agree whether an endpoint is ejected or has recovered, and how often it failed.
 func TestClusterAgreesOnEndpointHealth(t *testing.T) {
 	inParallel(t)
 	if err := loadtest.CheckOutlierAgreement(loadtest.ClusterSettings{Program: program(t), Routers: 5, Seed: 1}); err != nil {
--- a/cmd/hillknot/descriptors_test.go
+++ b/cmd/hillknot/descriptors_test.go
@@ -14,8 +14,8 @@
 	"time"
 )
 
-// Idle clients hold all the descriptors that they can while discovery is down: the router still reaches it as it comes back,
-// and endpoints, and answers; it does not spin, and does not crash.
+// While discovery is down, idle clients hold all the descriptors that they can get. The router still connects to endpoints,
+// answers requests, and connects to discovery when it returns. It neither crashes nor uses the processor in a busy loop.
 func TestIdleClientsLeaveDescriptorsForDiscoveryAndEndpoints(t *testing.T) {
 	r := newTestRouter(t, 3)
 	discoveryAddress := r.discovery.Addr().String()
@@ -49,19 +49,19 @@
 	watch.sendEndpoints(2, true, r.endpoints[2].listEntry("ready"))
 	for i := range 20 {
 		attempt := serveNewClient(100 + i)
-		if attempt.endpoint != r.endpoints[2] && i > 0 { // the first may have been decided before
-			t.Errorf("%s is asked after it has gone", attempt.endpoint.id)
+		if attempt.endpoint != r.endpoints[2] && i > 0 { // the first request may have been decided before the event
+			t.Errorf("%s got an attempt after it was removed from the list", attempt.endpoint.id)
 		}
 	}
 }
 
-// limitedProcess is a router in a process of its own with few descriptors.
+// limitedProcess is a router that runs in its own process with few descriptors.
 type limitedProcess struct {
 	pid     int
-	address string // where it accepts clients
+	address string // address at which it accepts clients
 }
 
-// startLimitedProcess starts the router with a limit of descriptors, and ends it with the test.
+// startLimitedProcess starts the router in a process with a limit of descriptors, and ends the process with the test.
 func (r *testRouter) startLimitedProcess(descriptors int) limitedProcess {
 	r.t.Helper()
 	free := listen(r.t)
@@ -77,7 +77,7 @@
 		r.t.Fatal(err)
 	}
 	r.t.Cleanup(func() {
-		_ = cmd.Process.Signal(syscall.SIGTERM) // fails if it has ended, which Wait tells
+		_ = cmd.Process.Signal(syscall.SIGTERM) // fails if the process has ended, which Wait reports
 		if err := cmd.Wait(); err != nil {
 			r.t.Errorf("%v\n%s", err, output.String())
 		}
@@ -88,20 +88,20 @@
 			break
 		}
 		if time.Since(begun) > harnessTimeout {
-			r.t.Fatal("not up")
+			r.t.Fatal("the router did not accept connections in time")
 		}
 	}
 	return limitedProcess{pid: cmd.Process.Pid, address: address}
 }
 
-// cpuTime is the processor time that a process has used.
+// cpuTime returns the processor time that a process has used.
 func cpuTime(t *testing.T, pid int) time.Duration {
 	t.Helper()
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
 		t.Fatal(err)
 	}
-	fields := strings.Fields(string(text[bytes.LastIndexByte(text, ')')+1:])) // from the state on
+	fields := strings.Fields(string(text[bytes.LastIndexByte(text, ')')+1:])) // the fields from the process state on
 	user, err := strconv.Atoi(fields[11])
 	system, err2 := strconv.Atoi(fields[12])
 	if err != nil || err2 != nil {
--- a/cmd/hillknot/discovery_test.go
+++ b/cmd/hillknot/discovery_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// An event that comes cut, and one that is missing between two others, are requested again: a drain in it would be lost for
-// good, as the next event moves the position on.
+// An event that arrives truncated, or is missing between two others, is requested again. Otherwise a drain in it would be lost
+// for good, because the next event moves the position on.
 func TestDamagedOrMissingEventIsRequestedAgain(t *testing.T) {
 	const empty = "id: 3\ndata: {\"pos\":3,\"hosts\":{\"instances\":[]}}\n\n"
 	for name, sendDamaged := range map[string]func(watchStream){
@@ -26,7 +26,7 @@
 	}
 }
 
-// An event that can't be read, not the second time either, is skipped with an error in the log, and the next one counts.
+// An event that can't be read the second time either is skipped with an error in the log, and the next event is applied.
 func TestUnreadableEventIsSkipped(t *testing.T) {
 	r := newTestRouter(t, 2).start()
 	const unreadable = "id: 2\ndata: {\"pos\":2,\"hosts\":{\"instances\":[{\"instanceId\":\"s-9\",\"lifecycle\":\"odd\"}]}}\n\n"
@@ -37,31 +37,32 @@
 	r.expectFirstEndpointDrained(watch, 1)
 }
 
-// A watch falls silent before its first event; the router opens another and hears the events there.
+// If a watch is silent before its first event, the router opens another watch and gets the events from that one.
 func TestSilentWatchIsReplaced(t *testing.T) {
 	r := newTestRouter(t, 2).start()
-	r.acceptWatch("1") // and nothing more, while the connection stays open
+	r.acceptWatch("1") // sends nothing, and its connection stays open
 	watch := r.acceptWatch("1")
 	watch.sendEndpoints(2, false, r.endpoints[0].listEntry("draining"))
 	watch.sendEndpoints(3, false)
 	r.expectFirstEndpointDrained(watch, 1)
 }
 
-// Discovery is down at the start, and sends a drain right after its return.
+// Discovery is down when the router starts, and sends a drain right after it returns. The router applies it.
 func TestDrainIsAppliedWhenDiscoveryReturns(t *testing.T) {
 	r := newTestRouter(t, 2)
 	address := r.discovery.Addr().String()
 	r.discovery.Close()
 	r.start()
 	client := r.dial()
-	r.serveOne(client, 1, "page") // it serves meanwhile
+	r.serveOne(client, 1, "page") // the router serves while discovery is down
 	watch := r.restartDiscovery(address)
 	watch.sendEndpoints(2, false, r.endpoints[0].listEntry("draining"))
 	watch.sendEndpoints(3, false)
 	r.expectFirstEndpointDrained(watch, 2)
 }
 
-// A reload moves to another discovery service while the old stream still delivers: the events of the new one stand.
+// A reload moves the router to another discovery service while the old stream still delivers events. The router applies only
+// the events of the new service.
 func TestOldStreamIsIgnoredAfterReload(t *testing.T) {
 	r := newTestRouter(t, 2).start()
 	old := r.acceptWatch("1")
@@ -74,12 +75,12 @@
 	watch.sendEndpoints(2, false, r.endpoints[0].listEntry("draining"))
 	watch.sendEndpoints(3, false)
 	const stale = "id: 2\ndata: {\"pos\":2,\"hosts\":{\"instances\":[]}}\n\nid: 4\n"
-	_, _ = io.WriteString(old, stale) // fails if the router has ended it
+	_, _ = io.WriteString(old, stale) // fails if the router has closed the old stream
 	r.expectFirstEndpointDrained(watch, 1)
 }
 
-// An endpoint that a new list lacks has gone: it gets nothing more, neither on open connections nor as another endpoint's
-// source.
+// An endpoint that is missing from a new complete list is removed. It gets no more requests, neither on open connections nor as
+// the source of another endpoint.
 func TestRemovedEndpointGetsNoRequests(t *testing.T) {
 	r := newTestRouter(t, 2).start()
 	watch := r.acceptWatch("1")
@@ -88,7 +89,8 @@
 	r.expectFirstEndpointDrained(watch, 1)
 }
 
-// An endpoint begins to drain while a request that was decided for it waits for a connection: the request moves on unwritten.
+// An endpoint begins to drain while a request that was assigned to it waits for a connection. The router does not write the
+// request to it, and sends it to another endpoint.
 func TestDrainBeforeWriteMovesRequestToAnotherEndpoint(t *testing.T) {
 	r := newTestRouter(t, 1)
 	release := r.endpoints[0].holdConnections()
@@ -97,12 +99,12 @@
 	watch := r.acceptWatch("1")
 	client := r.dial()
 	client.request(1, "page", nil)
-	client.expectReady(9) // it has been decided
+	client.expectReady(9) // the request has been assigned to the endpoint
 	next := r.newEndpoint("s-next")
 	r.endpoints = append(r.endpoints, next)
 	watch.sendEndpoints(2, false, r.endpoints[0].listEntry("draining"), next.listEntry("ready"))
 	probe := r.dial()
-	for id, known := 2, false; !known; id++ { // until the list is known; before, it is rejected when its time is up
+	for id, known := 2, false; !known; id++ { // until the router has the list; before, the probe is rejected at its deadline
 		probe.request(id, "page", map[string]string{"limit": "60"})
 		probe.expectReady(1000 + id)
 		select {
@@ -115,15 +117,15 @@
 		}
 	}
 	release()
-	attempt := r.nextAttempt() // on the connection that came up late nothing was written
+	attempt := r.nextAttempt() // nothing was written on the connection that came up late
 	if attempt.endpoint != next || attempt.requestID != "0000000000000001" {
-		t.Errorf("%s is asked for %s", attempt.endpoint.id, attempt.requestID)
+		t.Errorf("%s got an attempt for %s", attempt.endpoint.id, attempt.requestID)
 	}
 	attempt.serve("u")
 	client.expect(1, "u")
 }
 
-// waitForEndpoint sends requests until one reaches an endpoint that the latest event brought: so the router has taken all
+// waitForEndpoint sends requests until one reaches endpoint, which the latest event added. The router has then applied all
 // events up to that one.
 func (r *testRouter) waitForEndpoint(client *testClient, id int, endpoint *fakeEndpoint) {
 	r.t.Helper()
@@ -135,8 +137,8 @@
 	}
 }
 
-// expectFirstEndpointDrained checks that the router follows an event that drains the first endpoint: of many requests none
-// goes there. The event at position 3 must have been sent.
+// expectFirstEndpointDrained checks that the router has applied an event that drains or removes the first endpoint: none of many
+// requests reaches that endpoint. The event at position 3 must have been sent.
 func (r *testRouter) expectFirstEndpointDrained(watch watchStream, id int) {
 	r.t.Helper()
 	late := r.newEndpoint("late")
@@ -147,7 +149,7 @@
 	for id += 100; id < 120; id++ {
 		attempt := r.serveOne(client, id, "page")
 		if attempt.endpoint == r.endpoints[0] {
-			r.t.Errorf("asked for %s while it drains", attempt.requestID)
+			r.t.Errorf("the drained endpoint got an attempt for %s", attempt.requestID)
 		}
 	}
 }
--- a/cmd/hillknot/errors_test.go
+++ b/cmd/hillknot/errors_test.go
@@ -15,7 +15,7 @@
 	"hillknot/internal/operatorhint"
 )
 
-// The table of errors has each type of error, with what an operator can do, and nothing else.
+// The table on the page of errors lists each type of error with its text and the hint to operators, and nothing else.
 func TestErrorsPageListsEveryError(t *testing.T) {
 	const path = "../../docs/errors.md"
 	text, err := os.ReadFile(path)
@@ -26,14 +26,14 @@
 	for _, list := range [][]operatorhint.Error{messaging.Errors, failover.Errors, credit.Errors, store.Errors} {
 		for _, e := range list {
 			if e.Hint() == "" || operatorhint.For(fmt.Errorf("wrapped: %w", e)) != e.Hint() {
-				t.Errorf("%T: no remedy through what wraps it", e)
+				t.Errorf("%T: it has no hint, or operatorhint.For does not find the hint of the wrapped error", e)
 			}
 			want[fmt.Sprintf("| `%T` | %s | %s |", e, e.Error(), e.Hint())] = true
 		}
 	}
 	for line := range strings.Lines(string(text)) {
 		if line = strings.TrimSpace(line); strings.HasPrefix(line, "| `") && !want[line] {
-			t.Errorf("%s has a row that is no error's:\n%s", path, line)
+			t.Errorf("%s has a row that belongs to no error:\n%s", path, line)
 		}
 		delete(want, line)
 	}
--- a/cmd/hillknot/failover_test.go
+++ b/cmd/hillknot/failover_test.go
@@ -16,22 +16,22 @@
 	"hillknot/loadtest"
 )
 
-// killAtVariable is the environment variable that names a step of an order at which the router's process is killed, how many
-// milliseconds after it, and a step, or none, at which it pauses first: "STEP,MS,STEP".
+// killAtVariable is the environment variable that says at which step of an order the router's process is killed, how many
+// milliseconds after that step, and at which step the process pauses first, if any: "STEP,MS,STEP".
 const killAtVariable = "HILLKNOT_TEST_KILL_AT"
 
-// stepPause is how long a router pauses at a step, so that the other routers hold its records before it goes on: it forces
-// the order of events that a case is about. On a busy machine the confirmation came after 6 ms, and once after more than
-// 40 ms. It must stay well under the lease, 300 ms, which would expire.
+// stepPause is how long a router pauses at a step, so that the other routers hold its records before it continues. This forces
+// the order of events that a test case needs. On a busy machine the confirmation came after 6 ms, and once after more than
+// 40 ms. The pause must stay well below the lease of 300 ms, which would otherwise expire.
 const stepPause = 120 * time.Millisecond
 
-// init arms the kill in a process that plays a router.
+// init sets the hook that kills a process which runs as a router, if killAtVariable is set.
 func init() {
 	fields := strings.Split(os.Getenv(killAtVariable), ",")
 	if len(fields) != 3 {
 		return
 	}
-	delay, _ := strconv.Atoi(fields[1]) // in milliseconds; written by the test below
+	delay, _ := strconv.Atoi(fields[1]) // in milliseconds; valid, because the test below writes it
 	killStep, pauseStep := fields[0], fields[2]
 	orderfailover.StepHook = func(step, _ string) {
 		switch step {
@@ -39,27 +39,27 @@
 			time.Sleep(stepPause)
 		case killStep:
 			time.Sleep(time.Duration(delay) * time.Millisecond)
-			_ = syscall.Kill(os.Getpid(), syscall.SIGKILL) // it can't fail for the own process
+			_ = syscall.Kill(os.Getpid(), syscall.SIGKILL) // can't fail for the process itself
 		}
 	}
 }
 
-// Where a router is killed between any two steps of an order, another one runs the order once, or tells the client its result,
-// or that it may have run; and nothing else.
+// If a router is killed between any two steps of an order, another router runs the order once, or tells the client its result
+// or that it may have run. It does nothing else.
 func TestOrderRunsAtMostOnceWhenRouterIsKilledBetweenSteps(t *testing.T) {
 	cluster, err := loadtest.StartFailoverCluster(loadtest.ClusterSettings{Program: program(t), Routers: 4, Seed: 1}, "debug")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer cluster.Close()
-	time.Sleep(3500 * time.Millisecond) // all are up for longer than an order's client waits
+	time.Sleep(3500 * time.Millisecond) // longer than the client of an order waits, with all routers running
 	for _, c := range []struct {
-		killStep   string // at which the router is killed
-		delayMS    int    // in milliseconds, after the step
-		pauseStep  string // at which it pauses; empty: none
+		killStep   string // step at which the router is killed
+		delayMS    int    // time from the step to the kill, in milliseconds
+		pauseStep  string // step at which the router pauses; empty for none
 		answer     string
 		executions int
-		rule       timeline.Rule // of what the others do
+		rule       timeline.Rule // rule for the events of the other routers
 	}{
 		{"taken", 0, "", "served", 1, timeline.Rule{
 			Then: []string{"* claimed T", "* begun T", "* may held T *", "* sent T"},
@@ -90,13 +90,13 @@
 		}},
 	} {
 		t.Run(strings.ReplaceAll(c.killStep, " ", "-"), func(t *testing.T) {
-			victim := len(cluster.Routers) - 1 // all others stay up
+			victim := len(cluster.Routers) - 1 // all other routers stay up
 			killed, err := cluster.KillAtStep(victim, killAtVariable+"="+fmt.Sprintf("%s,%d,%s", c.killStep, c.delayMS, c.pauseStep))
 			if err != nil {
 				t.Fatal(err)
 			}
 			if killed.Answer != c.answer || killed.Executions != c.executions {
-				t.Errorf("the client was told %q, and it ran %d times; want %q, %d",
+				t.Errorf("the client got the answer %q, and the order ran %d times; want %q, %d times",
 					killed.Answer, killed.Executions, c.answer, c.executions)
 			}
 			rule := c.rule
@@ -114,7 +114,7 @@
 	}
 }
 
-// Orders outlive their routers, once, through kills, stops, cuts and restarts.
+// Orders survive their routers, and run once, while routers are killed, stopped, cut off and restarted.
 func TestOrdersSurviveRouterFailures(t *testing.T) {
 	inParallel(t)
 	cluster, err := loadtest.StartFailoverCluster(loadtest.ClusterSettings{Program: program(t), Routers: 5, Seed: 1}, "")
@@ -145,7 +145,7 @@
 	}
 }
 
-// A balance that all routers share is never overspent, while some are cut off, killed and read a top-up late.
+// A balance that all routers share is never overspent while some routers are cut off, are killed or read a top-up late.
 func TestSharedBalanceIsNotOverspent(t *testing.T) {
 	settings := loadtest.ClusterSettings{Program: program(t), Routers: 4, Seed: 1}
 	cluster, err := loadtest.StartCreditCluster(settings, map[string]float64{"poor": 50, "rich": 1e5})
@@ -163,12 +163,12 @@
 	}
 	for _, result := range results {
 		t.Logf("%+v", result)
-		maxStranded := 0.02 // of the balance
+		maxStranded := 0.02 // share of the balance
 		switch {
-		case strings.HasPrefix(result.Fault, "top-up"): // the others' part of it
+		case strings.HasPrefix(result.Fault, "top-up"): // the part of the balance that the other routers have
 			maxStranded = 1
 		case strings.HasPrefix(result.Fault, "killed"):
-			// Each kill loses what a router spends in a chunk's time, and its open requests.
+			// Each kill loses what a router spends in the time of a chunk, and the cost of its open requests.
 			maxStranded = 0.06
 		}
 		tooFew := result.Served < 50 || result.Rejected == 0
@@ -178,8 +178,8 @@
 	}
 }
 
-// Routers that are restarted one after the other (of nine, a tenth at a time) answer what they took, also while discovery is
-// down: no order runs twice, no answer contradicts what ran, and nearly nothing is lost.
+// Routers that are restarted one after the other (of nine, a tenth at a time) answer the requests that they have read, also while
+// discovery is down. No order runs twice, no answer contradicts what ran, and almost no request is lost.
 func TestRollingRestartLosesAlmostNoRequests(t *testing.T) {
 	inParallel(t)
 	for discoveryDown, routers := range map[bool]int{false: 9, true: 3} {
@@ -191,7 +191,7 @@
 		t.Logf("discovery down %v: %+v %+v", discoveryDown, restart, pipelined)
 		wrong := pipelined.Unanswered + pipelined.AnsweredTwice
 		if wrong > 0 || pipelined.Answered() < 500 || pipelined.Disconnected*100 > pipelined.Sent {
-			t.Errorf("discovery down %v: sent down open connections: %+v", discoveryDown, pipelined)
+			t.Errorf("discovery down %v: requests sent on open connections: %+v", discoveryDown, pipelined)
 		}
 		readsLost := restart.ReadsServed*100 < restart.Reads*99
 		ordersLost := (restart.MayHaveRun+restart.OtherErrors)*50 > restart.Orders
--- a/cmd/hillknot/fragments_test.go
+++ b/cmd/hillknot/fragments_test.go
@@ -11,19 +11,19 @@
 
 const (
 	fragmentRounds         = 4
-	requestsPerRound       = 20   // of each client: 32 requests may be open on a connection
-	firstHealthID          = 9000 // ids from here on are health requests
+	requestsPerRound       = 20   // per client, because at most 32 requests may be open on a connection
+	firstHealthID          = 9000 // ids from here on belong to health requests
 	healthRequestsPerRound = 40
 	maxFragmentBytes       = 4000
 	maxTaggedBodyBytes     = 3000
-	clientIDMultiplier     = 1000 // the thousands of an id name the client
+	clientIDMultiplier     = 1000 // the thousands of an id are the index of the client
 )
 
-// Two clients' requests come in fragments of any size, in turn, over buffers that are used again: each endpoint gets each
-// request with its own idempotency key and body, and each client its own answers.
+// The requests of two clients arrive interleaved, in fragments of any size, in buffers that are reused. Endpoints get each
+// request with its own idempotency key and body, and each client gets its own answers.
 func TestFragmentedRequestsAreNotMixedUp(t *testing.T) {
 	r := newTestRouter(t, 2)
-	var release []func() // requests wait in the router, while more comes in
+	var release []func() // until they are called, requests wait in the router while more input arrives
 	for _, endpoint := range r.endpoints {
 		release = append(release, endpoint.holdConnections())
 	}
@@ -38,20 +38,21 @@
 	for round := range fragmentRounds {
 		sendFragments(rnd, clients, encodeTaggedRequests(rnd, len(clients), round))
 		for i, client := range clients {
-			for n := range healthRequestsPerRound { // the buffers are used again
+			for n := range healthRequestsPerRound { // so that the buffers are reused
 				client.write(encodeRequest(firstHealthID+n, "health", strings.Repeat("z", 3000), nil))
 			}
 			release[i]()
 		}
 		for i, client := range clients {
-			client.expectOwnAnswers(i, round == 0) // in the first round requests may wait for too long
+			client.expectOwnAnswers(i, round == 0) // in the first round requests may wait too long and be rejected
 		}
 	}
 	close(stop)
 	<-stopped
 }
 
-// encodeTaggedRequests returns a round's requests of each client. Key and body of a request name its id.
+// encodeTaggedRequests returns the requests of each client in a round. The idempotency key and the body of a request contain
+// its id.
 func encodeTaggedRequests(rnd *rand.Rand, clients, round int) [][]byte {
 	encoded := make([][]byte, clients)
 	for n := range requestsPerRound {
@@ -65,7 +66,7 @@
 	return encoded
 }
 
-// sendFragments sends two clients' bytes in fragments, in a random order and with pauses.
+// sendFragments sends the pending bytes of two clients in fragments of random sizes, in a random order and with pauses.
 func sendFragments(rnd *rand.Rand, clients []*testClient, pending [][]byte) {
 	for len(pending[0])+len(pending[1]) > 0 {
 		i := rnd.IntN(2)
@@ -78,7 +79,8 @@
 	}
 }
 
-// serveTaggedRequests serves each attempt, of which it checks that key, id and body belong together, until stop is closed.
+// serveTaggedRequests serves each attempt until stop is closed. It checks that the key, the id and the body of an attempt belong
+// together.
 func (r *testRouter) serveTaggedRequests(stop <-chan bool) {
 	for {
 		select {
@@ -89,10 +91,10 @@
 			id, _, _ := strings.Cut(attempt.body, "-")
 			n, err := strconv.Atoi(id)
 			if err != nil {
-				r.t.Errorf("asked with the body %.30q, which names no request", attempt.body)
+				r.t.Errorf("the body %.30q of an attempt names no request", attempt.body)
 			}
 			if attempt.fields["token"] != "k"+id || attempt.requestID != fmt.Sprintf("%016x", n) {
-				r.t.Errorf("asked for %s under %s with the body of %s", attempt.requestID, attempt.fields["token"], id)
+				r.t.Errorf("the attempt for %s has the key %s and the body of %s", attempt.requestID, attempt.fields["token"], id)
 			}
 			attempt.serve("of " + attempt.body)
 		case <-stop:
@@ -101,7 +103,8 @@
 	}
 }
 
-// expectOwnAnswers reads the answers of a round, each of which must be to a request of the client with this index.
+// expectOwnAnswers reads the answers of a round. Each must answer a request of the client with this index. Health answers are
+// skipped.
 func (c *testClient) expectOwnAnswers(index int, mayBeRejected bool) {
 	c.t.Helper()
 	for n := 0; n < requestsPerRound; {
--- a/cmd/hillknot/frontendfailure_test.go
+++ b/cmd/hillknot/frontendfailure_test.go
@@ -9,7 +9,8 @@
 	"time"
 )
 
-// breakListener has a listening socket of this process fail for good: it is shut down, and accept(2) returns EINVAL.
+// breakListener makes the listening sockets of this process on the port of address fail for good: it shuts them down, so that
+// accept(2) returns EINVAL.
 func breakListener(t *testing.T, address net.Addr) {
 	t.Helper()
 	entries, err := os.ReadDir("/proc/self/fd")
@@ -36,7 +37,8 @@
 	}
 }
 
-// A router whose operators' address fails serves its clients all the same. It once ended at once, with all that was open.
+// A router keeps serving its clients when its admin front end fails. A router used to end at once in this case, and lost
+// all open requests.
 func TestRouterKeepsServingWhenAdminFrontEndFails(t *testing.T) {
 	clients, admin := startRouter(t, minimalConfig, unreachableAddress)
 	conn, err := net.Dial("tcp", clients.String())
@@ -53,11 +55,11 @@
 	}
 	if nc, err := net.DialTimeout("tcp", admin.String(), time.Second); err == nil {
 		nc.Close()
-		t.Error("the operators' address still accepts")
+		t.Error("the admin front end still accepts connections")
 	}
 }
 
-// A router that can't accept clients any more answers what is open, and ends with an error.
+// A router that can't accept clients any more answers its open requests and then ends with an error.
 func TestRouterShutsDownInOrderWhenClientListenerFails(t *testing.T) {
 	r := newTestRouter(t, 1).start()
 	client := r.dial()
@@ -78,6 +80,6 @@
 		}
 		r.exited <- nil
 	case <-time.After(harnessTimeout):
-		t.Error("still running")
+		t.Error("the router is still running")
 	}
 }
--- a/cmd/hillknot/golden_test.go
+++ b/cmd/hillknot/golden_test.go
@@ -8,10 +8,11 @@
 	"hillknot/internal/testutil/golden"
 )
 
-// Scripts read the line that --json prints. The file of testdata/golden was written at commit 86ccf0f.
+// Scripts read the line that --json prints. The files in testdata/golden were written at commit 86ccf0f.
 //
-// What reaches the bytes: the names in the tags `json:"..."` of result ("outcome", "tries", "ms", "bytes", "unchanged", "router",
-// "may_have_run", "wait_ms", "error"); no name of Go, as long as every field has its tag. The words of outcomes are of outcomeOf.
+// The line contains the names in the tags `json:"..."` of result ("outcome", "tries", "ms", "bytes", "unchanged", "router",
+// "may_have_run", "wait_ms", "error"), and the words for outcomes that outcomeOf returns. It contains no Go name, as long as
+// every field has a tag.
 func TestGoldenResult(t *testing.T) {
 	want := result{
 		Outcome:      "failed",
@@ -37,6 +38,6 @@
 	golden.Same(t, "result-least.json", line.Bytes())
 	var got result
 	if err := json.Unmarshal(golden.Read(t, "result.json"), &got); err != nil || got != want {
-		t.Errorf("read as %+v, %v; want %+v", got, err, want)
+		t.Errorf("decoded %+v, error %v; want %+v", got, err, want)
 	}
 }
--- a/cmd/hillknot/harness_client_test.go
+++ b/cmd/hillknot/harness_client_test.go
@@ -11,7 +11,7 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// testClient is a client's connection to the router.
+// testClient is a connection of a client to the router.
 type testClient struct {
 	t       *testing.T
 	conn    net.Conn
@@ -21,15 +21,15 @@
 // clientResponse is an answer that a client has read.
 type clientResponse struct {
 	id        int
-	errorCode string // empty: it was served
+	errorCode string // empty if the request was served
 	body      string
-	fields    map[string]any // of the body or the error
+	fields    map[string]any // fields of the body or the error
 }
 
-// content is the error's code, or the body of what was served.
+// content returns the error code, or the body if the request was served.
 func (r clientResponse) content() string { return r.errorCode + r.body }
 
-// dial connects a client until the end of the test.
+// dial connects a client, which stays connected until the end of the test.
 func (r *testRouter) dial() *testClient {
 	r.t.Helper()
 	conn, err := net.Dial("tcp", r.clientSocket.Addr().String())
@@ -48,19 +48,19 @@
 	return &testClient{t: t, conn: conn, decoder: msgpack.NewDecoder(conn)}
 }
 
-// encodeRequest returns a request as bytes. The object follows from the id; fields override the usual ones.
+// encodeRequest returns an encoded request. The name of its object is the id; fields override the default fields.
 func encodeRequest(id int, class string, body string, fields map[string]string) []byte {
 	hexID := fmt.Sprintf("%016x", id)
 	all := map[string]string{"txn": hexID, "limit": "2500", "item": hexID, "nth": "0", "batch": "1"}
 	maps.Copy(all, fields)
 	b, err := msgpack.Marshal([]any{0, id, class, []any{all, []byte(body)}})
 	if err != nil {
-		panic(err) // texts and numbers can be written
+		panic(err) // can't happen, because strings and numbers can be encoded
 	}
 	return b
 }
 
-// write sends bytes as they are.
+// write sends raw bytes.
 func (c *testClient) write(b []byte) {
 	c.t.Helper()
 	if _, err := c.conn.Write(b); err != nil {
@@ -74,7 +74,7 @@
 	c.write(encodeRequest(id, class, "", fields))
 }
 
-// serveOne sends a request, serves it at the endpoint that gets it, and returns the attempt.
+// serveOne sends a request, has the endpoint that gets it serve it, and returns the attempt.
 func (r *testRouter) serveOne(client *testClient, id int, class string) endpointMessage {
 	r.t.Helper()
 	client.request(id, class, nil)
@@ -84,7 +84,7 @@
 	return attempt
 }
 
-// cancel gives up requests.
+// cancel cancels requests.
 func (c *testClient) cancel(ids ...int) {
 	c.t.Helper()
 	b, err := msgpack.Marshal([]any{2, "cancel", ids})
@@ -115,19 +115,19 @@
 	return response, nil
 }
 
-// expect reads the next answer, which must be to id, and be an error's code or the body of what was served. It returns the
-// answer's fields.
+// expect reads the next answer and returns its fields. The answer must be to the request id, and its error code or body must be
+// want.
 func (c *testClient) expect(id int, want string) map[string]any {
 	c.t.Helper()
 	got, err := c.read()
 	if err != nil || got.id != id || got.content() != want {
-		c.t.Fatalf("answer to %d: %q %q, %v; want %q to %d", got.id, got.errorCode, got.body, err, want, id)
+		c.t.Fatalf("answer to %d: code %q, body %q, error %v; want %q to %d", got.id, got.errorCode, got.body, err, want, id)
 	}
 	return got.fields
 }
 
-// expectReady asks for the router's health, which must be ready. So it also checks that the router has taken all that came
-// before on this connection.
+// expectReady requests the health of the router, which must be ready. When it returns, the router has also read everything that
+// was sent before on this connection.
 func (c *testClient) expectReady(id int) {
 	c.t.Helper()
 	c.requestHealth(id)
--- a/cmd/hillknot/harness_discovery_test.go
+++ b/cmd/hillknot/harness_discovery_test.go
@@ -11,14 +11,14 @@
 	"time"
 )
 
-// watchStream is a watch that the router has opened at the discovery service, which the test answers.
+// watchStream is a watch that the router has opened at the discovery service. The test plays the service and answers it.
 type watchStream struct {
 	net.Conn
 	t           *testing.T
-	lastEventID string // the router has the events up to here
+	lastEventID string // id of the last event that the router has
 }
 
-// serveWatches accepts the router's calls of a discovery service.
+// serveWatches accepts the connections of the router to a discovery service.
 func (r *testRouter) serveWatches(discovery net.Listener) {
 	for {
 		conn, err := discovery.Accept()
@@ -29,7 +29,7 @@
 	}
 }
 
-// readLastEventID reads the head of a call of the discovery service.
+// readLastEventID reads the header of a watch request and returns the id of the last event that the router has.
 func readLastEventID(conn net.Conn) (id string) {
 	for in := bufio.NewScanner(conn); in.Scan() && in.Text() != ""; {
 		if value, ok := strings.CutPrefix(in.Text(), "Last-Event-ID: "); ok {
@@ -39,23 +39,23 @@
 	return id
 }
 
-// acceptWatch takes the next watch, which must go on from an event, and begins its answer.
+// acceptWatch waits for the next watch, which must continue after the event lastEventID, and begins its answer.
 func (r *testRouter) acceptWatch(lastEventID string) watchStream {
 	r.t.Helper()
 	select {
 	case watch := <-r.watches:
 		if watch.lastEventID != lastEventID {
-			r.t.Fatalf("discovery is called from event %s, want %s", watch.lastEventID, lastEventID)
+			r.t.Fatalf("the router watches from event %s, want %s", watch.lastEventID, lastEventID)
 		}
 		watch.write("HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n")
 		return watch
 	case <-time.After(harnessTimeout):
-		r.t.Fatal("discovery is not called")
+		r.t.Fatal("the router opened no watch")
 	}
 	return watchStream{}
 }
 
-// restartDiscovery has the discovery service, which was down, take calls again, and takes the first.
+// restartDiscovery makes the discovery service, which was down, accept connections again, and accepts the first watch.
 func (r *testRouter) restartDiscovery(address string) watchStream {
 	r.t.Helper()
 	ln, err := net.Listen("tcp", address)
@@ -67,7 +67,7 @@
 	return r.acceptWatch("1")
 }
 
-// write sends text as it is.
+// write sends raw text.
 func (w watchStream) write(text string) {
 	w.t.Helper()
 	if _, err := io.WriteString(w, text); err != nil {
@@ -75,7 +75,8 @@
 	}
 }
 
-// sendEndpoints sends an event with entries of the endpoint list: all of them where it is complete, else those that change.
+// sendEndpoints sends an event with entries of the endpoint list: all entries if complete is true, and otherwise those that
+// change.
 func (w watchStream) sendEndpoints(position int, complete bool, hosts ...jsonMap) {
 	w.t.Helper()
 	text, err := json.Marshal(jsonMap{"pos": position, "hosts": jsonMap{"reset": complete, "instances": hosts}})
@@ -85,7 +86,7 @@
 	w.write(fmt.Sprintf("id: %d\ndata: %s\n\n", position, text))
 }
 
-// sendPurge sends an event that purges an object, stamped by the service's clock.
+// sendPurge sends an event that purges an object. stamp is the time of the purge by the clock of the discovery service.
 func (w watchStream) sendPurge(position, object int, stamp time.Time) {
 	w.t.Helper()
 	w.write(fmt.Sprintf("id: %d\ndata: {\"pos\":%d,\"expire\":{\"name\":\"%016x\",\"stamp\":%d}}\n\n",
--- a/cmd/hillknot/harness_endpoint_test.go
+++ b/cmd/hillknot/harness_endpoint_test.go
@@ -19,31 +19,31 @@
 	t             *testing.T
 	id            string
 	messages      chan<- endpointMessage
-	acceptGate    sync.Mutex // held: connections don't come up
-	acceptedConns []net.Conn // kept, as the collector would close them; only accept uses it
+	acceptGate    sync.Mutex // locked while no connection may come up
+	acceptedConns []net.Conn // kept because the garbage collector would close them; used by accept only
 }
 
-// messageKind is what an endpoint has read.
+// messageKind is the kind of a message that an endpoint has read.
 type messageKind string
 
-// The first two are the words of the protocol.
+// The kinds of messages. The values of the first two are the words of the protocol.
 const (
 	attemptMessage messageKind = "ASK"
 	cancelMessage  messageKind = "QUIT"
 	connectionEnd  messageKind = "END"
 )
 
-// endpointMessage is what an endpoint has read from the router, complete with its body.
+// endpointMessage is a complete message that an endpoint has read from the router.
 type endpointMessage struct {
 	conn      net.Conn
 	endpoint  *fakeEndpoint
 	kind      messageKind
-	requestID string // in 16 hex digits; the protocol's "txn"
+	requestID string // 16 hex digits; "txn" in the protocol
 	fields    map[string]string
 	body      string
 }
 
-// newEndpoint returns an endpoint that is not on the router's list yet.
+// newEndpoint starts an endpoint that is not on the endpoint list of the router yet.
 func (r *testRouter) newEndpoint(id string) *fakeEndpoint {
 	r.t.Helper()
 	e := &fakeEndpoint{Listener: listen(r.t), t: r.t, id: id, messages: r.messages}
@@ -51,7 +51,7 @@
 	return e
 }
 
-// listEntry is the endpoint's entry in the endpoint list.
+// listEntry returns the entry of the endpoint in the endpoint list.
 func (e *fakeEndpoint) listEntry(lifecycle string) jsonMap {
 	return jsonMap{
 		"instanceId":  e.id,
@@ -62,6 +62,7 @@
 	}
 }
 
+// accept accepts connections and starts to read them.
 func (e *fakeEndpoint) accept() {
 	for {
 		conn, err := e.Accept()
@@ -74,13 +75,13 @@
 	}
 }
 
-// waitForAcceptGate waits while connections are held back: they stay in the queue of the socket.
+// waitForAcceptGate waits while connections are held back. They stay in the accept queue of the socket.
 func (e *fakeEndpoint) waitForAcceptGate() {
 	e.acceptGate.Lock()
 	defer e.acceptGate.Unlock()
 }
 
-// read passes on what comes on a connection, up to its end.
+// read sends the messages that arrive on a connection to e.messages, and connectionEnd when the connection ends.
 func (e *fakeEndpoint) read(conn net.Conn) {
 	for in := bufio.NewReader(conn); ; {
 		line, err := in.ReadString('\n')
@@ -97,13 +98,14 @@
 	}
 }
 
-// readMessage reads the message that begins with a line of words. It returns false where this is none.
+// readMessage reads the rest of the message whose first line has these words. It returns false if the line does not begin a
+// complete message.
 func readMessage(words []string, in io.Reader) (endpointMessage, bool) {
 	switch len(words) {
 	case 2:
 		return endpointMessage{kind: messageKind(words[0]), requestID: words[1]}, true
 	case 4:
-		length, _ := strconv.Atoi(words[3]) // 0 where the router writes nonsense, which the test sees
+		length, _ := strconv.Atoi(words[3]) // 0 if the router sends no number, which makes the test fail
 		body := make([]byte, length+2)
 		if _, err := io.ReadFull(in, body); err != nil {
 			return endpointMessage{}, false
@@ -123,12 +125,12 @@
 	return endpointMessage{}, false
 }
 
-// holdConnections keeps further connections to the endpoint from coming up, until they are released.
+// holdConnections keeps new connections to the endpoint from coming up until release is called.
 func (e *fakeEndpoint) holdConnections() (release func()) {
 	e.t.Helper()
 	raw, err := e.Listener.(*net.TCPListener).SyscallConn()
 	if err == nil {
-		err = raw.Control(func(fd uintptr) { _ = syscall.Listen(int(fd), 0) }) // its queue has one place from now on
+		err = raw.Control(func(fd uintptr) { _ = syscall.Listen(int(fd), 0) }) // its accept queue has one place from now on
 	}
 	if err != nil {
 		e.t.Fatal(err)
@@ -143,9 +145,9 @@
 	})
 }
 
-// fillAcceptQueue dials until the socket's queue is full, and returns the connections that fill it.
+// fillAcceptQueue dials until the accept queue of the socket is full, and returns the connections that fill it.
 func (e *fakeEndpoint) fillAcceptQueue() (queued []net.Conn) {
-	for refused := 0; refused < 2; refused++ { // the first that is taken out of the queue frees its place
+	for refused := 0; refused < 2; refused++ { // two in a row: the first connection that leaves the queue frees its place
 		conn, err := net.DialTimeout("tcp", e.Addr().String(), 50*time.Millisecond)
 		if err == nil {
 			queued, refused = append(queued, conn), -1
@@ -154,7 +156,7 @@
 	return queued
 }
 
-// hangingAddress returns an address at which connections don't come up.
+// hangingAddress returns an address at which no connection comes up.
 func hangingAddress(t *testing.T) string {
 	t.Helper()
 	e := (&testRouter{t: t}).newEndpoint("hanging")
@@ -174,7 +176,7 @@
 	return r.nextMessage(cancelMessage)
 }
 
-// nextMessage returns the next message, which must be of a kind. Ends of connections are passed over.
+// nextMessage returns the next message, which must be of this kind. It skips ends of connections.
 func (r *testRouter) nextMessage(kind messageKind) endpointMessage {
 	r.t.Helper()
 	for {
@@ -184,23 +186,23 @@
 				continue
 			}
 			if message.kind != kind {
-				r.t.Fatalf("%s reads %s %s, want %s", message.endpoint.id, message.kind, message.requestID, kind)
+				r.t.Fatalf("%s got the message %s %s, want %s", message.endpoint.id, message.kind, message.requestID, kind)
 			}
 			return message
 		case <-time.After(harnessTimeout):
-			r.t.Fatalf("no %s", kind)
+			r.t.Fatalf("no endpoint got a message %s in time", kind)
 		}
 	}
 }
 
-// expectNoAttempt checks that no endpoint gets an attempt within a time that is long for it.
+// expectNoAttempt checks that no endpoint gets an attempt within 400 ms, which is much longer than an attempt takes to arrive.
 func (r *testRouter) expectNoAttempt(when string) {
 	r.t.Helper()
 	for end := time.After(400 * time.Millisecond); ; {
 		select {
 		case message := <-r.messages:
 			if message.kind == attemptMessage {
-				r.t.Errorf("%s: %s is asked for %s", when, message.endpoint.id, message.requestID)
+				r.t.Errorf("%s: %s got an attempt for %s", when, message.endpoint.id, message.requestID)
 			}
 		case <-end:
 			return
@@ -208,12 +210,12 @@
 	}
 }
 
-// reply answers: a word of the protocol and what follows it.
+// reply writes an answer to the message: a status word of the protocol and what follows it.
 func (m endpointMessage) reply(format string, args ...any) {
-	fmt.Fprintf(m.conn, m.requestID+" "+format, args...) // a router that has gone reads nothing
+	fmt.Fprintf(m.conn, m.requestID+" "+format, args...) // fails if the router has closed the connection
 }
 
-// serve answers with a body.
+// serve answers that the request was served, with a body.
 func (m endpointMessage) serve(body string) {
 	m.reply("DONE res=cached,version=v1 %d\r\n%s\r\n", len(body), body)
 }
--- a/cmd/hillknot/harness_process_test.go
+++ b/cmd/hillknot/harness_process_test.go
@@ -12,14 +12,14 @@
 	"time"
 )
 
-// routerProcess is a router in a process of its own, which can be stopped and resumed.
+// routerProcess is a router that runs in its own process, which can be stopped and resumed.
 type routerProcess struct {
 	t     *testing.T
 	cmd   *exec.Cmd
-	ended bool // the test has waited for its end
+	ended bool // the test has waited for the end of the process
 }
 
-// startProcess starts the router as a process of its own, and ends it with the test.
+// startProcess starts the router in its own process, and ends the process with the test.
 func (r *testRouter) startProcess() *routerProcess {
 	r.t.Helper()
 	r.configPath = filepath.Join(r.t.TempDir(), "config.json")
@@ -42,7 +42,7 @@
 	return p
 }
 
-// waitUntilReady waits until the router says that it takes clients.
+// waitUntilReady waits until the router answers a health request that it is ready.
 func (r *testRouter) waitUntilReady() {
 	r.t.Helper()
 	client := r.dial()
@@ -59,7 +59,8 @@
 	}
 }
 
-// end sends SIGTERM and takes the exit status, which must be 0.
+// end resumes the process, sends SIGTERM and waits for the exit status, which must be 0. It does nothing if the process has
+// ended.
 func (p *routerProcess) end() {
 	if p.ended {
 		return
@@ -67,7 +68,7 @@
 	p.signal(syscall.SIGCONT)
 	p.signal(syscall.SIGTERM)
 	if err := p.cmd.Wait(); err != nil {
-		p.t.Errorf("the router ends: %v", err)
+		p.t.Errorf("the router ended with an error: %v", err)
 	}
 }
 
@@ -78,7 +79,7 @@
 	}
 }
 
-// stop sends SIGSTOP, and returns once all threads of the process stand still.
+// stop sends SIGSTOP and returns once all threads of the process are stopped.
 func (p *routerProcess) stop() {
 	p.t.Helper()
 	p.signal(syscall.SIGSTOP)
@@ -90,7 +91,7 @@
 	p.t.Fatal("the router does not stop")
 }
 
-// stopped tells whether all threads stand still.
+// stopped reports whether all threads of the process are stopped.
 func (p *routerProcess) stopped() bool {
 	tasks, err := filepath.Glob("/proc/" + strconv.Itoa(p.cmd.Process.Pid) + "/task/*/stat")
 	if err != nil || len(tasks) == 0 {
@@ -109,7 +110,7 @@
 	return true
 }
 
-// resume has a stopped process go on.
+// resume sends SIGCONT to a stopped process.
 func (p *routerProcess) resume() {
 	p.t.Helper()
 	p.signal(syscall.SIGCONT)
--- a/cmd/hillknot/harness_run_test.go
+++ b/cmd/hillknot/harness_run_test.go
@@ -12,15 +12,15 @@
 	"hillknot/internal/testutil/fakes"
 )
 
-// routerRun is a router that runs within the test's process.
+// routerRun is a router that runs in the process of the test.
 type routerRun struct {
 	t       *testing.T
 	signals chan os.Signal
-	exited  chan error    // what runRouter returned
-	serving chan net.Addr // the address of the admin front end, once clients are accepted
+	exited  chan error    // gets the result of runRouter
+	serving chan net.Addr // gets the address of the admin front end once the router accepts clients
 }
 
-// runInBackground runs a router with a configuration file.
+// runInBackground starts a router with a configuration file on a goroutine.
 func runInBackground(t *testing.T, configPath string) *routerRun {
 	t.Helper()
 	run := &routerRun{
@@ -42,7 +42,7 @@
 	return run
 }
 
-// deliverSignals hands signals on as package signal does: one that the process has no place for is dropped.
+// deliverSignals forwards signals as package signal does: a signal for which the channel has no room is dropped.
 func deliverSignals(sent <-chan os.Signal, received signals) {
 	for sig := range sent {
 		channel := received.terminate
@@ -67,7 +67,7 @@
 	return admin
 }
 
-// terminate sends SIGTERM and waits for the end, which must be without an error.
+// terminate sends SIGTERM and waits until the router has ended, which it must without an error.
 func (r *routerRun) terminate() {
 	r.t.Helper()
 	r.signals <- syscall.SIGTERM
@@ -76,13 +76,13 @@
 	}
 }
 
-// minimalConfig is the configuration of a router with a class "a" and one endpoint. It is a format of the router's listener,
-// the discovery service and the endpoint.
+// minimalConfig is the configuration of a router with a class "a" and one endpoint. It is a format string for the addresses of
+// the router, the discovery service and the endpoint.
 const minimalConfig = `{"listen":%q,"journal":%q,"known":{"pos":7,"entries":[{"pos":7,"hosts":{"reset":true,"instances":[
 	{"instanceId":"s-1","hostPort":%q,"zone":"e","lifecycle":"ready"}]}}]},"settings":{"dcs":["e"],"locality":"e",
 	"profiles":[{"name":"a","deadlineUs":3000000}],"specifics":{"instancesByZone":[1]}}}`
 
-// orderConfig is the configuration of a router that takes orders, as a format like minimalConfig.
+// orderConfig is the configuration of a router that takes orders. It is a format string like minimalConfig.
 const orderConfig = `{"listen":%q,"journal":%q,"known":{"pos":7,"entries":[{"pos":7,"hosts":{"reset":true,"instances":[
 	{"instanceId":"s-1","hostPort":%q,"zone":"e","machineType":"small","lifecycle":"ready","weight":1},
 	{"instanceId":"s-2","hostPort":"127.0.0.1:9","zone":"hub","machineType":"origin","lifecycle":"ready","weight":1}]}}]},
@@ -91,7 +91,7 @@
 	{"name":"new-arrange","repeat":"unsafe","deadlineUs":3000000}],
 	"specifics":{"instancesByZone":[0,1],"midKind":1,"storeKind":2,"classWrite":[false,true]}}}`
 
-// toSecondDeployment makes the configuration of a second deployment from orderConfig.
+// toSecondDeployment turns orderConfig into the configuration of a second deployment.
 var toSecondDeployment = strings.NewReplacer(
 	"new-arrange", "play-count",
 	"part-page", "show-asset",
@@ -103,9 +103,8 @@
 	`"zone":"hub"`, `"zone":"n"`,
 )
 
-// startRouter runs a router until the test ends, with a configuration that is a format like minimalConfig, a discovery
-// service and the address of an endpoint. It returns where the router accepts clients, and the address of its admin front
-// end.
+// startRouter runs a router until the test ends, with a fake discovery service and one endpoint. configFormat is a format string
+// like minimalConfig, and endpoint is an address. startRouter returns the addresses of the front ends for clients and admin.
 func startRouter(t *testing.T, configFormat, endpoint string) (clients, admin net.Addr) {
 	t.Helper()
 	discovery, err := fakes.NewDiscovery(anyPort, 8)
@@ -125,8 +124,8 @@
 	return socket.Addr(), admin
 }
 
-// useShortTempDir has routers open the sockets for their successors in a directory of the test's own. The name of t.TempDir
-// contains that of the test, and can be longer than a socket's may be (107 bytes).
+// useShortTempDir makes routers open the sockets for their successors in a directory of the test's own. The path of t.TempDir
+// contains the name of the test, and can be longer than the path of a socket may be (107 bytes).
 func useShortTempDir(t *testing.T) {
 	t.Helper()
 	dir, err := os.MkdirTemp("", "hillknot")
@@ -137,7 +136,7 @@
 	t.Setenv("TMPDIR", dir)
 }
 
-// writeFile writes a file that only the test reads.
+// writeFile writes a file with permissions for the test's user only.
 func writeFile(t *testing.T, path, text string) {
 	t.Helper()
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
--- a/cmd/hillknot/harness_test.go
+++ b/cmd/hillknot/harness_test.go
@@ -11,35 +11,35 @@
 	"time"
 )
 
-// The addresses of tests.
+// The addresses that tests use.
 const (
-	unreachableAddress = "127.0.0.1:9" // nothing accepts there
+	unreachableAddress = "127.0.0.1:9" // nothing accepts connections at it
 	anyPort            = "127.0.0.1:0"
 )
 
-// harnessTimeout is how long a test waits for what must come.
+// harnessTimeout is how long a test waits for an expected event before it fails.
 const harnessTimeout = 20 * time.Second
 
-// millisecond is a millisecond in the configuration, whose times are in microseconds.
+// millisecond is a millisecond in the unit of the configuration, which is a microsecond.
 const millisecond = 1000
 
 type jsonMap = map[string]any
 
-// testRouter is a router on real connections, whose endpoints, discovery service and clients the test plays step by step:
-// the test goes on only once it has seen what it waits for, so the order of events is the same on every run.
+// testRouter is a router on real connections. The test plays its endpoints, discovery service and clients step by step, and
+// continues only once it has seen the event that it waits for, so the order of events is the same in every run.
 type testRouter struct {
-	*routerRun   // nil until start
+	*routerRun   // nil until start is called
 	t            *testing.T
-	clientSocket net.Listener // where the router accepts clients
+	clientSocket net.Listener // socket on which the router accepts clients
 	configPath   string
 	config       jsonMap
 	endpoints    []*fakeEndpoint
 	discovery    net.Listener
-	watches      chan watchStream // that the router has opened
+	watches      chan watchStream // watches that the router has opened
 	messages     chan endpointMessage
 }
 
-// newTestRouter returns a router with so many endpoints, which is not started yet.
+// newTestRouter returns a router with a number of endpoints. The router is not started yet.
 func newTestRouter(t *testing.T, endpoints int) *testRouter {
 	t.Helper()
 	r := &testRouter{
@@ -60,8 +60,8 @@
 	return r
 }
 
-// testConfig returns the configuration of a router with three classes: page (safe to repeat), order (not so) and filed (with
-// an idempotency key).
+// testConfig returns the configuration of a router with three classes: page (safe to repeat), order (unsafe to repeat) and
+// filed (with an idempotency key).
 func testConfig(clients, discovery net.Addr, hosts []jsonMap) jsonMap {
 	class := func(name, repeat string, more jsonMap) jsonMap {
 		c := jsonMap{
@@ -106,7 +106,7 @@
 	}
 }
 
-// unreachableOrigin is the entry of an origin that nobody reaches.
+// unreachableOrigin returns the list entry of an origin that can't be reached.
 func unreachableOrigin() jsonMap {
 	return jsonMap{
 		"instanceId":  "origin",
@@ -117,7 +117,7 @@
 	}
 }
 
-// configure sets a key of the configuration, by its path.
+// configure sets the value of the key of the configuration at path.
 func (r *testRouter) configure(value any, path ...string) {
 	object := r.config
 	for _, key := range path[:len(path)-1] {
@@ -126,7 +126,7 @@
 	object[path[len(path)-1]] = value
 }
 
-// writeConfig writes the configuration as it is now.
+// writeConfig writes the current configuration to configPath.
 func (r *testRouter) writeConfig() {
 	r.t.Helper()
 	text, err := json.Marshal(r.config)
@@ -136,7 +136,7 @@
 	writeFile(r.t, r.configPath, string(text))
 }
 
-// start starts the router, and ends it with the test.
+// start starts the router in the process of the test, and ends it with the test.
 func (r *testRouter) start() *testRouter {
 	r.t.Helper()
 	inheritSocket(r.t, r.clientSocket)
@@ -149,11 +149,11 @@
 	return r
 }
 
-// end ends the router with its test.
+// end terminates the router, closes its endpoints and checks that it has ended without an error.
 func (r *testRouter) end() {
 	select {
 	case r.signals <- syscall.SIGTERM:
-	default: // it has ended
+	default: // the router has ended
 	}
 	for _, endpoint := range r.endpoints {
 		endpoint.Close()
@@ -164,7 +164,7 @@
 	r.exited <- nil
 }
 
-// waitForExit waits until the router has ended, which it must without an error.
+// waitForExit waits until the router has ended, which it must do in time and without an error.
 func (r *testRouter) waitForExit() {
 	r.t.Helper()
 	select {
@@ -174,11 +174,11 @@
 		}
 		r.exited <- nil
 	case <-time.After(harnessTimeout):
-		r.t.Fatal("the router goes on")
+		r.t.Fatal("the router is still running")
 	}
 }
 
-// listen opens a socket on loopback until the end of the test.
+// listen opens a listener on loopback, which is closed at the end of the test.
 func listen(t *testing.T) net.Listener {
 	t.Helper()
 	ln, err := net.Listen("tcp", anyPort)
@@ -189,7 +189,7 @@
 	return ln
 }
 
-// inheritSocket has the next router inherit a listener, of which it gets a descriptor of its own.
+// inheritSocket makes the next router inherit a duplicate of the descriptor of a listener.
 func inheritSocket(t *testing.T, ln net.Listener) {
 	t.Helper()
 	raw, err := ln.(*net.TCPListener).SyscallConn()
--- a/cmd/hillknot/hotrestart_test.go
+++ b/cmd/hillknot/hotrestart_test.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// A new process takes the place of an old one on the same socket: the old one ends by itself, its connections are
-// closed, and nobody is rejected.
+// A new process takes over the socket of an old one: the old process ends after SIGTERM, its connections are closed, and no
+// client is rejected.
 func TestHotRestartTakesOverTheSocket(t *testing.T) {
 	discovery, socket := listen(t), listen(t)
 	useShortTempDir(t)
@@ -41,7 +41,7 @@
 	successor := start()
 	predecessor.signals <- syscall.SIGTERM
 	if err := <-predecessor.exited; err != nil {
-		t.Errorf("the old process: %v", err)
+		t.Errorf("the old process ended with an error: %v", err)
 	}
 	if health := askHealth(t, kept); !health.connectionEnded {
 		t.Error("a connection to the old process is still open")
@@ -51,14 +51,14 @@
 	}
 	successor.signals <- syscall.SIGTERM
 	if err := <-successor.exited; err != nil {
-		t.Errorf("the new process: %v", err)
+		t.Errorf("the new process ended with an error: %v", err)
 	}
 }
 
-// healthAnswer is what came of a health request on a connection.
+// healthAnswer is the result of a health request on a connection.
 type healthAnswer struct{ ready, connectionEnded bool }
 
-// askHealth asks over a connection whether the router is ready. No answer in time fails the test.
+// askHealth asks over a connection whether the router is ready. It fails the test if no answer arrives in time.
 func askHealth(t *testing.T, conn net.Conn) healthAnswer {
 	t.Helper()
 	if err := conn.SetDeadline(time.Now().Add(harnessTimeout)); err != nil {
@@ -70,7 +70,7 @@
 	}
 	n, err := conn.Read(buf)
 	if e, ok := err.(net.Error); ok && e.Timeout() {
-		t.Fatal("no answer")
+		t.Fatal("no answer to a health request in time")
 	}
 	return healthAnswer{ready: bytes.Contains(buf[:n], []byte{0x92, 0xc3}), connectionEnded: n == 0}
 }
--- a/cmd/hillknot/large_requests_test.go
+++ b/cmd/hillknot/large_requests_test.go
@@ -14,19 +14,19 @@
 	"hillknot/internal/testutil/fakes"
 )
 
-// bandwidthLimitedEndpoint is an endpoint with a link that its answers share one after the other: large ones take their time, and it
-// rejects what would wait for too long. It notes what it served.
+// bandwidthLimitedEndpoint is an endpoint whose answers use its link one after the other. A large answer takes long, and the
+// endpoint rejects a request whose answer would wait too long. It records the objects that it served.
 type bandwidthLimitedEndpoint struct {
 	mu        sync.Mutex
 	busyUntil time.Time
 	served    map[string]bool // by object
 	hangs     bool
-	slowdown  time.Duration // an answer takes so many times longer
+	slowdown  time.Duration // factor by which the sending time of an answer is multiplied
 }
 
-// sendingTime is how long an object takes on a link; its name tells.
+// sendingTime returns how long an object takes on a link. The upper half of the number in its name is the time in microseconds.
 func sendingTime(object string) time.Duration {
-	n, _ := strconv.ParseUint(object, 16, 64) // the test names them
+	n, _ := strconv.ParseUint(object, 16, 64) // valid, because the test creates the names
 	return time.Duration(n>>32) * time.Microsecond
 }
 
@@ -51,14 +51,15 @@
 	return fakes.Reply{Status: "DONE", Fields: "res=cached,version=v1", Body: []byte(object), Delay: wait + took}
 }
 
-// The largest requests of a class get at least two thirds of its answered share on a quiet day, and half while an endpoint
-// hangs and another is slow: by what the endpoints served, as far as the clients read it.
+// The answered share of the largest requests of a class is at least two thirds of that of all its requests on a quiet day, and
+// half of it while one endpoint hangs and another is slow. A request is answered if an endpoint served it and the client read
+// the answer.
 func TestLargeRequestsGetTheirShare(t *testing.T) {
 	for _, c := range []struct {
 		name     string
 		faults   bool
-		load     float64 // of what the endpoints can send
-		minShare float64 // of large requests, relative to all
+		load     float64 // fraction of what the endpoints can send
+		minShare float64 // answered share of large requests, relative to that of all
 	}{{"quiet", false, 0.5, 2. / 3}, {"faulted", true, 0.8, 0.5}} {
 		t.Run(c.name, func(t *testing.T) {
 			r := newTestRouter(t, 0)
@@ -82,7 +83,7 @@
 // largeRequestLoadTime is how long requests are sent.
 const largeRequestLoadTime = 5 * time.Second
 
-// largeRequestLoad sends requests for objects of many sizes, and notes which are answered.
+// largeRequestLoad sends requests for objects of many sizes, and records which of them are answered.
 type largeRequestLoad struct {
 	router    *testRouter
 	endpoints []*bandwidthLimitedEndpoint
@@ -94,6 +95,7 @@
 	answered map[string]bool // by object
 }
 
+// addEndpoint starts an endpoint, which runs until the end of the test.
 func (l *largeRequestLoad) addEndpoint() {
 	t := l.router.t
 	t.Helper()
@@ -113,7 +115,7 @@
 	l.endpoints = append(l.endpoints, endpoint)
 }
 
-// configure lists the endpoints in the router's configuration, and sets a latency objective that stretches with the size.
+// configure lists the endpoints in the configuration of the router, and sets a latency objective that grows with the size.
 func (l *largeRequestLoad) configure() {
 	hosts := append(l.hosts, unreachableOrigin())
 	l.router.configure([]jsonMap{{"pos": 1, "hosts": jsonMap{"reset": true, "instances": hosts}}}, "known", "entries")
@@ -122,7 +124,7 @@
 	}
 }
 
-// startRequests schedules requests that need a fraction of what the endpoints can send.
+// startRequests schedules requests that need a fraction of what the endpoints can send in largeRequestLoadTime.
 func (l *largeRequestLoad) startRequests(fraction float64) {
 	seed := [32]byte{}
 	binary.LittleEndian.PutUint64(seed[:], 7)
@@ -144,7 +146,7 @@
 	}
 }
 
-// request fetches an object over a connection of its own.
+// request fetches an object over a new connection.
 func (l *largeRequestLoad) request(id int, object string) {
 	client := l.router.dial()
 	defer client.conn.Close()
@@ -156,7 +158,7 @@
 	}
 }
 
-// injectFaults has the first endpoint hang and the second be slow.
+// injectFaults makes the first endpoint hang and the second three times slower.
 func (l *largeRequestLoad) injectFaults() {
 	for i, endpoint := range l.endpoints[:2] {
 		endpoint.mu.Lock()
@@ -165,11 +167,11 @@
 	}
 }
 
-// checkShares compares the answered share of the largest requests with that of all. It is called once all have ended.
+// checkShares compares the answered share of the largest requests with that of all requests. All requests must have ended.
 func (l *largeRequestLoad) checkShares(minShare float64) {
 	t := l.router.t
 	t.Helper()
-	slices.Sort(l.objects) // by their sending time
+	slices.Sort(l.objects) // by sending time
 	n := len(l.objects)
 	all := l.answeredShare(l.objects)
 	largest := l.answeredShare(l.objects[n*9/10:])
@@ -181,7 +183,7 @@
 	}
 }
 
-// answeredShare is the share of objects that an endpoint served and the client read.
+// answeredShare returns the share of objects that an endpoint served and the client read.
 func (l *largeRequestLoad) answeredShare(objects []string) float64 {
 	answered := 0.0
 	for _, object := range objects {
--- a/cmd/hillknot/main_test.go
+++ b/cmd/hillknot/main_test.go
@@ -6,10 +6,10 @@
 	"testing"
 )
 
-// runAsRouterVariable is the environment variable that has the test's own program be the router.
+// runAsRouterVariable is the environment variable that makes the test program run as the router.
 const runAsRouterVariable = "HILLKNOT_TEST_AS_ROUTER"
 
-// TestMain lets the test's own program be the router, as a process that can be killed.
+// TestMain runs the test program as the router if runAsRouterVariable is set, so that tests can start and kill router processes.
 func TestMain(m *testing.M) {
 	if os.Getenv(runAsRouterVariable) != "" {
 		main()
@@ -20,7 +20,7 @@
 	os.Exit(m.Run())
 }
 
-// program is the test's own program, which is the router where it is started from this test.
+// program returns the path of the test program, which runs as the router when a test starts it.
 func program(t *testing.T) string {
 	t.Helper()
 	bin, err := os.Executable()
@@ -30,8 +30,8 @@
 	return bin
 }
 
-// inParallel runs a test beside others that play with router processes of their own. It gives the load that the test
-// drives all processors: a router within the test's process, as earlier tests have, leaves it with one.
+// inParallel runs a test in parallel with other tests that start their own router processes. It lets the load of the test use
+// all processors, because a router in the process of the test, as earlier tests have, sets GOMAXPROCS to 1.
 func inParallel(t *testing.T) {
 	t.Helper()
 	t.Parallel()
--- a/cmd/hillknot/metrics_test.go
+++ b/cmd/hillknot/metrics_test.go
@@ -15,12 +15,13 @@
 	"hillknot/internal/testutil/fakes"
 )
 
-// The metrics are what crossed the sockets: every answer that a client read, and every attempt that an endpoint got.
+// The metrics match the traffic on the sockets: they count every answer that a client read, and every attempt that an endpoint
+// got.
 func TestMetricsMatchTheTraffic(t *testing.T) {
 	var attempts atomic.Int64
 	endpoint, err := fakes.NewCache(anyPort, func(req fakes.Request) fakes.Reply {
 		attempts.Add(1)
-		if strings.HasSuffix(req.Fields["obj"], "1") { // it has no capacity for objects with an odd id
+		if strings.HasSuffix(req.Fields["obj"], "1") { // the endpoint has no capacity for objects with an odd id
 			return fakes.Reply{Status: "WAIT"}
 		}
 		return fakes.Reply{Status: "DONE", Fields: "res=cached", Body: []byte("hello")}
@@ -40,7 +41,7 @@
 	}
 	want := countAnswersByMetric(t, conn, 60)
 	if len(want) != 4 {
-		t.Errorf("answers of %d kinds: %v", len(want), want)
+		t.Errorf("answers of %d kinds, want 4: %v", len(want), want)
 	}
 	want["app_dispatches"], want["app_concurrent"], want["app_targets"] = int(attempts.Load()), 0, 1
 	got := fetchMetrics(t, admin)
@@ -51,7 +52,8 @@
 	}
 }
 
-// countAnswersByMetric sends requests one after the other, and counts the answers by the metric that must count them.
+// countAnswersByMetric sends requests one after the other, and returns the number of answers for each metric that must count
+// them.
 func countAnswersByMetric(t *testing.T, conn net.Conn, requests int) map[string]int {
 	t.Helper()
 	out, in := msgpack.NewEncoder(conn), msgpack.NewDecoder(conn)
@@ -81,7 +83,7 @@
 	return counts
 }
 
-// metricOf is the name of the metric that counts an answer.
+// metricOf returns the name and labels of the metric that counts an answer.
 func metricOf(answer []any) string {
 	failure, failed := answer[2].([]any)
 	switch {
@@ -95,7 +97,7 @@
 	return `app_error{type="a"}`
 }
 
-// fetchMetrics reads the metrics page.
+// fetchMetrics returns the text of the metrics page.
 func fetchMetrics(t *testing.T, admin net.Addr) string {
 	t.Helper()
 	res, err := http.Get("http://" + admin.String() + "/status/metrics")
--- a/cmd/hillknot/orders_test.go
+++ b/cmd/hillknot/orders_test.go
@@ -34,7 +34,7 @@
 	return e.count[object]
 }
 
-// answer plays an endpoint that does as the body of an order says.
+// answer plays an endpoint that behaves as the body of the order says.
 func (e *executions) answer(order fakes.Request) fakes.Reply {
 	behaviour := string(order.Body)
 	switch behaviour {
@@ -57,9 +57,9 @@
 	return fakes.Reply{Status: "DONE", Body: []byte("done"), Delay: time.Duration(len(behaviour)%3) * time.Millisecond}
 }
 
-// An order runs once at most, whatever becomes of its answer, and the client knows whether it may have run. The
-// connection is cut at every byte of the request and of the answer, or falls silent there; the endpoint disconnects, fails,
-// rejects or is late; or the caller cancels in the middle.
+// An order runs at most once, even if its answer is lost, and the client knows whether it may have run. The connection is cut or
+// stalls at every byte of the request and of the answer; the endpoint disconnects, fails, rejects or is late; or the caller
+// cancels while the order is in flight.
 func TestOrdersRunAtMostOnce(t *testing.T) {
 	for class, configFormat := range map[string]string{
 		"new-arrange": orderConfig,
@@ -95,7 +95,7 @@
 	t.Logf("%v", outcomes)
 	for _, want := range []string{"served", "refused", "may have run", "failed"} {
 		if outcomes[want] == 0 {
-			t.Errorf("no order ended as %s: %v", want, outcomes)
+			t.Errorf("no order had the outcome %q; outcomes: %v", want, outcomes)
 		}
 	}
 }
@@ -106,10 +106,10 @@
 	object      uint64
 	body        string
 	connFault   fakes.ConnFault
-	cancelAfter time.Duration // 0: it is not cancelled
+	cancelAfter time.Duration // 0 if the order is not cancelled
 }
 
-// newOrderCase returns a numbered case.
+// newOrderCase returns the case with a number. The number determines the fault and the object.
 func newOrderCase(number int) orderCase {
 	rnd := rand.New(rand.NewPCG(uint64(number), 1))
 	c := orderCase{
@@ -119,9 +119,9 @@
 	}
 	switch number / 2 % 4 {
 	case 0:
-		c.connFault.ReadLimit = 7 + number/8%16 // health's answer has 7 bytes
+		c.connFault.ReadLimit = 7 + number/8%16 // the answer to a health request has 7 bytes
 	case 1:
-		c.connFault.WriteLimit = 12 + number/8%130 // and its call has 12
+		c.connFault.WriteLimit = 12 + number/8%130 // a health request has 12 bytes
 	case 2:
 		c.body = []string{"refuse", "lack", "fail", "break", "silence", "late"}[number/8%6]
 	case 3:
@@ -131,7 +131,7 @@
 	return c
 }
 
-// send sends the order, checks what the client was told against what ran, and returns the name of the outcome.
+// send sends the order, checks the result that the client got against the executions, and returns the name of the outcome.
 func (c orderCase) send(t *testing.T, executed *executions, class, router string) string {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -154,13 +154,13 @@
 	if err := library.Close(closeCtx); err != nil {
 		t.Error(err)
 	}
-	time.Sleep(100 * time.Millisecond) // what was on its way to the endpoint has come
+	time.Sleep(100 * time.Millisecond) // what was in flight to the endpoint has arrived
 	ran := executed.countOf(fmt.Sprintf("%016x", c.object))
 	switch mayHaveRun := errors.Is(err, client.ErrMayHaveRun); {
 	case ran > 1:
 		t.Errorf("case %d ran %d times", c.number, ran)
 	case err == nil && ran != 1, err != nil && !mayHaveRun && ran != 0:
-		t.Errorf("case %d ran %d times, but the client was told %v", c.number, ran, err)
+		t.Errorf("case %d ran %d times, but the client got the result %v", c.number, ran, err)
 	}
 	return outcomeOf(err).name
 }
@@ -183,7 +183,7 @@
 	})
 }
 
-// Orders run once at most also where the router's process is killed under them.
+// Orders run at most once also if the process of their router is killed while they are in flight.
 func TestOrdersRunAtMostOnceWhenRoutersAreKilled(t *testing.T) {
 	inParallel(t)
 	orders, err := loadtest.OrdersWithRouterKills(program(t), 200*time.Millisecond)
--- a/cmd/hillknot/reload_test.go
+++ b/cmd/hillknot/reload_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// A reload with other classes, in another order, changes neither open nor new requests: a class is what it was as the router
-// started. A faulty configuration changes nothing either.
+// A reload with other classes, in another order, changes neither open nor new requests, because the classes stay as they were
+// when the router started. A faulty configuration changes nothing either.
 func TestReloadKeepsClasses(t *testing.T) {
 	r := newTestRouter(t, 2).start()
 	client := r.dial()
@@ -34,17 +34,17 @@
 	r.configure(moved.Addr().String(), "journal")
 	r.writeConfig()
 	r.signals <- syscall.SIGHUP
-	for watch := range r.watches { // the last configuration has been read
+	for watch := range r.watches { // until the last configuration has been read
 		if watch.LocalAddr().String() == moved.Addr().String() {
 			break
 		}
 	}
 	order.fail()
-	client.expect(1, "Failed") // not retried, as it may have run
+	client.expect(1, "Failed") // not retried, because it may have run
 	client.request(2, "order", map[string]string{"limit": "2000"})
 	order = r.nextAttempt()
 	if order.fields["kind"] != "order" || order.fields["retain"] != "" {
-		t.Errorf("asked %v", order.fields)
+		t.Errorf("the attempt for the order has the fields %v", order.fields)
 	}
 	order.serve("x")
 	client.expect(2, "x")
@@ -53,13 +53,13 @@
 	page.fail()
 	retry := r.nextAttempt() // its class is idempotent
 	if page.fields["retain"] == "" || retry.endpoint == page.endpoint {
-		t.Errorf("asked %v, then %s again", page.fields, retry.endpoint.id)
+		t.Errorf("the attempt for the page has the fields %v, the retry went to %s", page.fields, retry.endpoint.id)
 	}
 	retry.serve("y")
 	client.expect(3, "y")
 }
 
-// acceptWatchRequest accepts a call of a discovery service and returns the event that it goes on from.
+// acceptWatchRequest accepts a watch request to a discovery service and returns the id of the event after which it continues.
 func acceptWatchRequest(t *testing.T, discovery net.Listener) (lastEventID string) {
 	t.Helper()
 	if err := discovery.(*net.TCPListener).SetDeadline(time.Now().Add(harnessTimeout)); err != nil {
@@ -73,7 +73,7 @@
 	return readLastEventID(conn)
 }
 
-// SIGHUP does not end the router. It moves to the discovery service that the configuration names then; a faulty
+// SIGHUP does not end the router. The router moves to the discovery service that the new configuration names; a faulty
 // configuration changes nothing.
 func TestReloadMovesToNewDiscoveryAddress(t *testing.T) {
 	first, second := listen(t), listen(t)
@@ -81,7 +81,7 @@
 	writeFile(t, path, fmt.Sprintf(minimalConfig, anyPort, first.Addr(), unreachableAddress))
 	run := runInBackground(t, path)
 	if pos := acceptWatchRequest(t, first); pos != "7" {
-		t.Errorf("called from %q, want 7", pos)
+		t.Errorf("the router watches from event %q, want 7", pos)
 	}
 	writeFile(t, path, `{"journal":`)
 	run.signals <- syscall.SIGHUP
@@ -89,11 +89,11 @@
 	writeFile(t, path, fmt.Sprintf(minimalConfig, anyPort, second.Addr(), unreachableAddress))
 	run.signals <- syscall.SIGHUP
 	if pos := acceptWatchRequest(t, second); pos != "7" {
-		t.Errorf("called from %q after the move, want 7", pos)
+		t.Errorf("the router watches from event %q after the move, want 7", pos)
 	}
 	select {
 	case err := <-run.exited:
-		t.Errorf("ended on SIGHUP: %v", err)
+		t.Errorf("the router ended on SIGHUP: %v", err)
 	default:
 	}
 	run.terminate()
--- a/cmd/hillknot/request_test.go
+++ b/cmd/hillknot/request_test.go
@@ -13,7 +13,8 @@
 	"hillknot/internal/testutil/fakes"
 )
 
-// newScriptedRouter plays a router that is ready and handles all other requests as the test says. It returns its address.
+// newScriptedRouter starts a fake router that reports that it is ready and passes all other requests to handle. It returns the
+// router's address.
 func newScriptedRouter(t *testing.T, handle func(*fakes.Peer, rpc.Message)) string {
 	t.Helper()
 	router, err := fakes.NewReadyRouter(anyPort, handle)
@@ -24,17 +25,17 @@
 	return router.Addr()
 }
 
-// runAndCapture runs a command line.
+// runAndCapture runs a command line and returns its exit status and output.
 func runAndCapture(args ...string) (status int, stdout, stderr string) {
 	var out, errs bytes.Buffer
 	status = runCommandLine(args, &out, &errs)
 	return status, out.String(), errs.String()
 }
 
-// validObject is the name of an object.
+// validObject is a valid name of an object.
 const validObject = "7f3a9c21e0b4d655"
 
-// Scripts go by the exit status: each outcome has its own.
+// Scripts depend on the exit status, so each outcome has its own.
 func TestExitStatusOfEachOutcome(t *testing.T) {
 	body := filepath.Join(t.TempDir(), "body")
 	if err := os.WriteFile(body, []byte("order"), 0o600); err != nil {
@@ -54,7 +55,7 @@
 		handle  func(*fakes.Peer, rpc.Message)
 		args    []string
 		status  int
-		outcome string // empty: nothing is printed
+		outcome string // empty if no result is printed
 	}{
 		{"served", serve, get, 0, "served"},
 		{"sent", serve, send, 0, "served"},
@@ -71,21 +72,21 @@
 		{"no class", serve, with(get, "--class", ""), 2, ""},
 	} {
 		status, out, errs := runAndCapture(with(c.args, "--json", "--router", newScriptedRouter(t, c.handle))...)
-		if c.args[0] == "get" { // the answer has standard output
+		if c.args[0] == "get" { // standard output has the answer
 			out = errs
 		}
 		var got result
 		err := json.Unmarshal([]byte(out), &got)
 		faulty := err != nil || got.Outcome != c.outcome || got.Attempts < 1 || got.Milliseconds <= 0
 		if c.outcome != "" && faulty {
-			t.Errorf("%s: %q, %v", c.name, out, err)
+			t.Errorf("%s: result %q, error %v", c.name, out, err)
 		}
 		if status != c.status {
 			t.Errorf("%s: status %d, want %d; %s", c.name, status, c.status, errs)
 		}
 	}
 	if status, out, _ := runAndCapture("get", validObject, "--router", newScriptedRouter(t, serve)); status != 0 || out != "got " {
-		t.Errorf("status %d, %q", status, out)
+		t.Errorf("get without a file: status %d, output %q", status, out)
 	}
 	if status, _, _ := runAndCapture("get", validObject); status != 2 {
 		t.Errorf("no router: status %d", status)
@@ -95,7 +96,7 @@
 	}
 }
 
-// A file is there complete or not at all, also where the answer broke off in its middle and was fetched again.
+// The output file exists complete or not at all, also if the answer broke off in the middle and the request was retried.
 func TestGetWritesACompleteFileOrNone(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "score")
 	complete := bytes.Repeat([]byte("score "), 30_000)
@@ -110,20 +111,20 @@
 		p.SendRaw(answer)
 	})
 	if status, _, _ := runAndCapture("get", validObject, "--router", address, "-o", path, "--deadline", "300ms"); status == 0 {
-		t.Error("a cut answer was taken")
+		t.Error("get succeeded with a truncated answer")
 	}
 	if files, err := os.ReadDir(filepath.Dir(path)); err != nil || len(files) > 0 {
-		t.Errorf("left behind: %v, %v", files, err)
+		t.Errorf("files left behind: %v, error %v", files, err)
 	}
 	attempts, cutAll = 0, false
 	status, out, errs := runAndCapture("get", validObject, "--router", address, "-o", path, "--json", "--class", "full-score")
 	if got, err := os.ReadFile(path); status != 0 || !bytes.Equal(got, complete) || attempts != 2 {
 		t.Errorf("status %d, %d bytes, %d attempts, %v, %s%s", status, len(got), attempts, err, out, errs)
 	}
-	t.Run("progress", testProgress)
+	t.Run("progress of two writes is shown", testProgress)
 }
 
-// testProgress checks what is shown of a file that comes in two pieces.
+// testProgress checks the progress that is shown for a file that is written in two pieces.
 func testProgress(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "score")
 	var shown bytes.Buffer
@@ -143,7 +144,7 @@
 	}
 }
 
-// config check prints every faulty key, not the first alone; the router's flags also work behind one dash.
+// "config check" prints every faulty key, not only the first. The router's long flags also work with a single dash.
 func TestConfigCheckPrintsEveryFault(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	const faulty = `{"listen":"here","dns":{"listen":"there","names":["a"]},"settings":{"dcs":"e"}}`
@@ -153,7 +154,7 @@
 	status, out, _ := runAndCapture("config", "check", path)
 	for _, key := range []string{`"listen"`, `"journal"`, `"dns.listen"`, `"settings.dcs"`} {
 		if !strings.Contains(out, "key "+key) {
-			t.Errorf("key %s is not told of in %q", key, out)
+			t.Errorf("the fault of key %s is not reported in %q", key, out)
 		}
 	}
 	if status != 1 {
--- a/cmd/hillknot/retry_test.go
+++ b/cmd/hillknot/retry_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// A request with an idempotency key names it to the endpoint, and each retry names the same. The key was left out once:
-// endpoints could not recognize the retry, and those of another deployment did not take the request at all.
+// An attempt for a request with an idempotency key carries the key, and so does each retry. The router once left out the key:
+// endpoints could not recognize the retry, and those of another deployment did not accept the request at all.
 func TestRetryCarriesIdempotencyKey(t *testing.T) {
 	r := newTestRouter(t, 2).start()
 	client := r.dial()
@@ -19,18 +19,18 @@
 	retry := r.nextAttempt()
 	for _, got := range []endpointMessage{first, retry} {
 		if got.fields["token"] != key || got.body != "text" || got.requestID != "0000000000000001" {
-			t.Errorf("asked %+v", got)
+			t.Errorf("unexpected attempt %+v", got)
 		}
 	}
 	if first.endpoint == retry.endpoint {
-		t.Error("the same page cache is asked again")
+		t.Error("the retry went to the same page cache")
 	}
 	retry.serve("filed")
 	client.expect(1, "filed")
 }
 
-// Endpoints recognize an idempotency key for a time only. A retry that was decided within it, and whose connection comes up
-// after it, is not sent: it could take effect once more.
+// Endpoints recognize an idempotency key for a limited time only. A retry that was decided within that time, but whose connection
+// comes up after it, is not sent, because the request could take effect a second time.
 func TestNoRetryAfterIdempotencyWindow(t *testing.T) {
 	r := newTestRouter(t, 2).start()
 	client := r.dial()
@@ -43,13 +43,14 @@
 	release := other.holdConnections()
 	defer release()
 	first.fail()
-	time.Sleep(950 * time.Millisecond) // over the 900 ms in which endpoints recognize the key
+	time.Sleep(950 * time.Millisecond) // longer than the 900 ms in which endpoints recognize the key
 	release()
 	client.expect(1, "Throttled") // the client's retry would be recognized too, or the first was
-	r.expectNoAttempt("past its time")
+	r.expectNoAttempt("after the idempotency window")
 }
 
-// A client's copy is current only where the endpoint names this copy. An answer that names another, or none, is a fault.
+// The client's copy is current only if the endpoint's answer names this copy. An answer that names another copy, or none, is a
+// fault.
 func TestUnchangedAnswerMustNameTheClientsCopy(t *testing.T) {
 	r := newTestRouter(t, 2).start()
 	for id, line := range map[int]string{1: "KEEP version=other,res=cached 0\r\n\r\n", 2: "KEEP res=cached 0\r\n\r\n"} {
@@ -59,26 +60,26 @@
 		retry := r.nextAttempt() // the class is idempotent
 		retry.reply("KEEP version=mine,res=cached 0\r\n\r\n")
 		if fields := client.expect(id, ""); fields["ok304"] != "1" {
-			t.Errorf("%q: told %v", line, fields)
+			t.Errorf("%q: the client's answer has the fields %v", line, fields)
 		}
 	}
 }
 
-// A damaged answer, or none, ends the attempt, and only an idempotent request is retried: at another endpoint, and with the
-// same key where it has one.
+// A damaged or missing answer ends the attempt. Only an idempotent request is retried, at another endpoint and with the same
+// idempotency key if it has one.
 func TestDamagedAnswerEndsTheAttempt(t *testing.T) {
 	for name, damage := range map[string]func(endpointMessage){
 		"reset": func(a endpointMessage) {
-			_ = a.conn.(*net.TCPConn).SetLinger(0) // fails on a closed connection only
+			_ = a.conn.(*net.TCPConn).SetLinger(0) // fails only if the connection is closed
 			a.conn.Close()
 		},
-		"closed":              func(a endpointMessage) { a.conn.Close() },
-		"garbled":             func(a endpointMessage) { a.reply("\x00\xff\r\n") },
-		"cut":                 func(a endpointMessage) { a.reply("DONE res=cached 100\r\nhalf"); a.conn.Close() },
-		"wrong length":        func(a endpointMessage) { a.reply("DONE res=cached 3\r\nlonger\r\n") },
-		"3 GB":                func(a endpointMessage) { a.reply("DONE res=cached 3221225472\r\n%s", strings.Repeat("x", 1<<20)) },
-		"a line that goes on": func(a endpointMessage) { a.reply("DONE %s", strings.Repeat("x", 1<<16)) },
-		"failed":              func(a endpointMessage) { a.fail() },
+		"closed":        func(a endpointMessage) { a.conn.Close() },
+		"garbled":       func(a endpointMessage) { a.reply("\x00\xff\r\n") },
+		"cut":           func(a endpointMessage) { a.reply("DONE res=cached 100\r\nhalf"); a.conn.Close() },
+		"wrong length":  func(a endpointMessage) { a.reply("DONE res=cached 3\r\nlonger\r\n") },
+		"3 GB":          func(a endpointMessage) { a.reply("DONE res=cached 3221225472\r\n%s", strings.Repeat("x", 1<<20)) },
+		"line too long": func(a endpointMessage) { a.reply("DONE %s", strings.Repeat("x", 1<<16)) },
+		"failed":        func(a endpointMessage) { a.fail() },
 	} {
 		t.Run(strings.ReplaceAll(name, " ", "-"), func(t *testing.T) {
 			r := newTestRouter(t, 2).start()
@@ -94,17 +95,17 @@
 				retry := r.nextAttempt()
 				sameRequest := retry.requestID == first.requestID && retry.fields["token"] == first.fields["token"]
 				if retry.endpoint == first.endpoint || !sameRequest {
-					t.Errorf("%s: asked %+v, then %+v", class, first, retry)
+					t.Errorf("%s: first attempt %+v, retry %+v", class, first, retry)
 				}
 				retry.serve("x")
 				client.expect(id, "x")
 			}
-			r.expectNoAttempt("behind it")
+			r.expectNoAttempt("after all requests ended")
 		})
 	}
 }
 
-// A second answer, a late one, or one under an unknown id ends no other request.
+// A second answer, a late answer and an answer with an unknown id end no other request.
 func TestStrayAnswersEndNoOtherRequest(t *testing.T) {
 	r := newTestRouter(t, 1).start()
 	client := r.dial()
@@ -118,8 +119,8 @@
 	second.requestID = first.requestID
 	second.serve("late")
 	second.requestID = "00000000000000ff"
-	second.serve("nobody's")
-	client.expectReady(3) // nothing has come for the second
+	second.serve("for an unknown id")
+	client.expectReady(3) // the second request has got no answer
 	second.requestID = "0000000000000002"
 	second.serve("its own")
 	client.expect(2, "its own")
--- a/cmd/hillknot/shutdown_test.go
+++ b/cmd/hillknot/shutdown_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// A router gets SIGTERM twice, and SIGHUP between, while a request hangs, an order is in flight and a connection is coming up:
-// it answers all in time, and ends.
+// A router gets SIGTERM, SIGHUP and SIGTERM again while a request hangs, an order is in flight and a connection is coming up. It
+// answers all requests in time and ends.
 func TestShutdownAnswersOpenRequests(t *testing.T) {
 	r := newTestRouter(t, 1).start()
 	hanging, order, late := r.dial(), r.dial(), r.dial()
@@ -26,32 +26,32 @@
 	r.signals <- syscall.SIGHUP
 	r.signals <- syscall.SIGTERM
 	release()
-	attempt := r.nextAttempt() // of the connection that came up after the first signal
+	attempt := r.nextAttempt() // on the connection that came up after the signals
 	attempt.serve("late")
 	late.expect(1, "late")
 	hanging.expect(2, "Throttled")
 	order.expect(3, "Failed") // it may have run
 	r.waitForExit()
 	if took := time.Since(started); took > 3700*time.Millisecond {
-		t.Errorf("ended after %v; it may be killed 3.7 s after the signal", took)
+		t.Errorf("the router ended after %v; the platform may kill it 3.7 s after the signal", took)
 	}
 }
 
-// A client sends a request as the router has closed its idle connection: nobody reads it, and nothing is forwarded.
+// A client sends a request after the router has closed its idle connection. The request is not read, and no attempt is sent.
 func TestRequestOnClosingConnectionIsNotForwarded(t *testing.T) {
 	r := newTestRouter(t, 1).start()
 	client := r.dial()
 	r.serveOne(client, 1, "page")
 	r.signals <- syscall.SIGTERM
 	if _, err := client.conn.Read(make([]byte, 1)); err != io.EOF {
-		t.Fatalf("the end of the connection: %v", err)
+		t.Fatalf("read from the idle connection: error %v, want io.EOF", err)
 	}
 	client.request(2, "page", nil)
 	r.waitForExit()
-	r.expectNoAttempt("into the end")
+	r.expectNoAttempt("on a closing connection")
 }
 
-// Answers to a client that reads late are not lost as the router ends.
+// Answers to a client that reads late are not lost when the router ends.
 func TestShutdownFlushesAnswersToSlowReader(t *testing.T) {
 	r := newTestRouter(t, 1).start()
 	client := r.dial()
@@ -62,10 +62,10 @@
 		r.nextAttempt().serve(body)
 	}
 	r.signals <- syscall.SIGTERM
-	time.Sleep(time.Second) // nothing is open any more by the router's own count
+	time.Sleep(time.Second) // by its own count the router has no open request any more
 	for range answers {
 		if got, err := client.read(); err != nil || got.errorCode != "" || got.body != body {
-			t.Fatalf("answer %q of %d bytes, %v", got.errorCode, len(got.body), err)
+			t.Fatalf("answer with code %q and a body of %d bytes, error %v", got.errorCode, len(got.body), err)
 		}
 	}
 	client.conn.Close()
--- a/cmd/hillknot/signals_test.go
+++ b/cmd/hillknot/signals_test.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// replaceConfigWithFIFO puts a FIFO in the place of the configuration. Whoever reads it gets its text after a delay, or never where the
-// delay is 0: so does a reader of a slow disk, and of one that hangs.
+// replaceConfigWithFIFO replaces the configuration file by a FIFO, which simulates a slow disk. A reader gets the text after a
+// delay. If delay is 0 it never gets it, as with a disk that hangs.
 func (r *testRouter) replaceConfigWithFIFO(delay time.Duration) {
 	r.t.Helper()
 	text, err := os.ReadFile(r.configPath)
@@ -39,14 +39,14 @@
 		time.Sleep(delay)
 		fifo.Write(text)
 		fifo.Close()
-		time.Sleep(5 * time.Millisecond) // so that the reader sees the end of the file
+		time.Sleep(5 * time.Millisecond) // so that the reader gets the end of the file
 	}
 }
 
-// maxExitTime is when a router has to have ended after SIGTERM, with deadlines of 3 s: the platform may kill it then.
+// maxExitTime is how long after SIGTERM a router may take to end, with deadlines of 3 s. Later the platform may kill it.
 const maxExitTime = 3700 * time.Millisecond
 
-// waitForExit waits until the process has ended by itself, and fails the test if that takes longer than it may since SIGTERM.
+// waitForExit waits until the process has ended by itself, and fails the test if it ends later than maxExitTime after SIGTERM.
 func (p *routerProcess) waitForExit(terminated time.Time) {
 	p.t.Helper()
 	ended := make(chan error, 1)
@@ -55,35 +55,35 @@
 	select {
 	case err := <-ended:
 		if err != nil {
-			p.t.Errorf("the router ends: %v", err)
+			p.t.Errorf("the router ended with an error: %v", err)
 		}
 		if took := time.Since(terminated); took > maxExitTime {
-			p.t.Errorf("ended %v after SIGTERM; it may be killed after %v", took, maxExitTime)
+			p.t.Errorf("the router ended %v after SIGTERM; the platform may kill it after %v", took, maxExitTime)
 		}
 	case <-time.After(maxExitTime + 4*time.Second):
-		p.t.Errorf("still running %v after SIGTERM", time.Since(terminated))
+		p.t.Errorf("the router is still running %v after SIGTERM", time.Since(terminated))
 		p.cmd.Process.Kill()
 		<-ended
 	}
 }
 
-// SIGTERM ends a router whatever series of signals comes before and after it, and however long the configuration takes to
-// read: an open order gets its one answer before the platform may kill the process. A series of SIGHUP once took the place of
-// SIGTERM, and a reload was waited for.
+// SIGTERM ends a router no matter which signals come before and after it, and how long reading the configuration takes: an open
+// order gets its one answer before the platform may kill the process. A series of SIGHUP once displaced SIGTERM, and the router
+// used to wait for a reload.
 func TestSeriesOfSignalsDoesNotDelayTermination(t *testing.T) {
 	hup, term, stop, resume := syscall.SIGHUP, syscall.SIGTERM, syscall.SIGSTOP, syscall.SIGCONT
 	manyReloads := []syscall.Signal{hup, hup, hup, hup, hup, hup, hup, term}
 	for _, c := range []struct {
 		name    string
-		delay   time.Duration // of reading the configuration; 0: it is never read
+		delay   time.Duration // time that reading the configuration takes; 0 if it hangs
 		signals []syscall.Signal
 	}{
 		{"many reloads of a slow disk", 150 * time.Millisecond, manyReloads},
 		{"many reloads of a disk that hangs", 0, manyReloads},
-		{"reload as it ends", 150 * time.Millisecond, []syscall.Signal{term, hup, hup, hup, hup, hup}},
-		{"twice", 150 * time.Millisecond, []syscall.Signal{hup, term, term, hup, term}},
-		{"stopped before", 150 * time.Millisecond, []syscall.Signal{hup, hup, stop, hup, term, resume}},
-		{"stopped between", 150 * time.Millisecond, []syscall.Signal{hup, term, stop, hup, resume, term}},
+		{"reloads during the shutdown", 150 * time.Millisecond, []syscall.Signal{term, hup, hup, hup, hup, hup}},
+		{"terminated three times", 150 * time.Millisecond, []syscall.Signal{hup, term, term, hup, term}},
+		{"stopped before SIGTERM", 150 * time.Millisecond, []syscall.Signal{hup, hup, stop, hup, term, resume}},
+		{"stopped between two SIGTERM", 150 * time.Millisecond, []syscall.Signal{hup, term, stop, hup, resume, term}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			inParallel(t)
@@ -91,7 +91,7 @@
 			p := r.startProcess()
 			client := r.dial()
 			client.request(1, "order", map[string]string{"limit": "3000"})
-			r.nextAttempt() // which is not answered
+			r.nextAttempt() // is not answered
 			r.replaceConfigWithFIFO(c.delay)
 			var terminated time.Time
 			for _, sig := range c.signals {
@@ -107,7 +107,7 @@
 	}
 }
 
-// SIGTERM ends a router that can't read its configuration at the start.
+// SIGTERM ends a router whose first read of the configuration hangs.
 func TestTerminationEndsRouterBeforeConfigurationIsRead(t *testing.T) {
 	r := newTestRouter(t, 1)
 	r.configPath = filepath.Join(t.TempDir(), "config.json")
@@ -119,14 +119,14 @@
 	select {
 	case err := <-run.exited:
 		if err != nil {
-			t.Errorf("ended with %v", err)
+			t.Errorf("the router ended with an error: %v", err)
 		}
 	case <-time.After(5 * time.Second):
-		t.Error("still running")
+		t.Error("the router is still running")
 	}
 }
 
-// A successor that gets SIGTERM while it waits for discovery ends at once, and leaves the clients to its predecessor.
+// A successor that gets SIGTERM while it waits for discovery ends within a second, and leaves the clients to its predecessor.
 func TestTerminationEndsSuccessorWaitingForDiscovery(t *testing.T) {
 	discovery, socket := listen(t), listen(t)
 	useShortTempDir(t)
@@ -135,18 +135,18 @@
 	inheritSocket(t, socket)
 	predecessor := runInBackground(t, path)
 	predecessor.waitUntilServing()
-	behind := filepath.Join(t.TempDir(), "behind.json") // than the predecessor, by the event that discovery does not send
+	behind := filepath.Join(t.TempDir(), "behind.json") // lacks an event that the predecessor has and discovery does not send
 	writeFile(t, behind, fmt.Sprintf(`{"listen":%q,"journal":%q,"known":{"pos":6,"entries":[]},"settings":{"dcs":["e"],"locality":"e",
 		"profiles":[{"name":"a","deadlineUs":3000000}],"specifics":{"instancesByZone":[1]}}}`, socket.Addr(), discovery.Addr()))
 	inheritSocket(t, socket)
 	successor := runInBackground(t, behind)
-	time.Sleep(300 * time.Millisecond) // of the 1.5 s that it waits
+	time.Sleep(300 * time.Millisecond) // the successor waits 1.5 s for discovery
 	sent := time.Now()
 	successor.signals <- syscall.SIGTERM
 	select {
 	case err := <-successor.exited:
 		if err != nil {
-			t.Errorf("the successor: %v", err)
+			t.Errorf("the successor ended with an error: %v", err)
 		}
 	case <-successor.serving:
 		t.Error("the successor serves")
--- a/cmd/hillknot/stall_test.go
+++ b/cmd/hillknot/stall_test.go
@@ -10,20 +10,20 @@
 	"hillknot/loadtest"
 )
 
-// maxTimeoutExcess is how much longer the timeout in an attempt may be than the time that the client still waits.
+// maxTimeoutExcess is how much longer the timeout in an attempt may be than the time for which the client still waits.
 const maxTimeoutExcess = 150 * time.Millisecond
 
-// timeout is how long the router waits for the attempt, as the attempt says.
+// timeout returns the timeout that an attempt carries, which is how long the router waits for its answer.
 func (m endpointMessage) timeout(t *testing.T) time.Duration {
 	t.Helper()
 	n, err := strconv.Atoi(m.fields["ms"])
 	if err != nil || n < 1 {
-		t.Fatalf("%s is asked to wait %q", m.endpoint.id, m.fields["ms"])
+		t.Fatalf("%s got an attempt with the timeout %q, want at least 1 ms", m.endpoint.id, m.fields["ms"])
 	}
 	return time.Duration(n) * time.Millisecond
 }
 
-// The timeout in an attempt is the client's, with little excess; it was 0.2 s more once.
+// The timeout in an attempt exceeds the time for which the client waits by at most maxTimeoutExcess. It was once 0.2 s longer.
 func TestAttemptTimeoutFollowsTheClients(t *testing.T) {
 	r := newTestRouter(t, 2).start()
 	client := r.dial()
@@ -33,15 +33,15 @@
 		client.request(id, class, map[string]string{"limit": strconv.Itoa(limit), "unique": fmt.Sprintf("%032x", id)})
 		attempt := r.nextAttempt()
 		if wait, most := attempt.timeout(t), time.Duration(limit)*time.Millisecond+maxTimeoutExcess; wait > most {
-			t.Errorf("a client waits %d ms, and the page cache is told %v", limit, wait)
+			t.Errorf("a client waits %d ms, but the page cache got the timeout %v", limit, wait)
 		}
 		attempt.serve("x")
 		client.expect(id, "x")
 	}
 }
 
-// A request that came while the process stood still counts from then, not from when the process went on: the timeout of its
-// attempt is what the client has left.
+// The time of a request that arrived while the process was paused counts from its arrival, not from when the process resumed.
+// The timeout of its attempt is the time for which the client still waits.
 func TestAttemptTimeoutExcludesTimeOfAStall(t *testing.T) {
 	r := newTestRouter(t, 2)
 	process := r.startProcess()
@@ -52,7 +52,7 @@
 	} {
 		for _, class := range []string{"page", "order", "filed"} {
 			id++
-			r.serveOne(client, id, class) // the router is at work
+			r.serveOne(client, id, class) // so that the router is running normally
 			process.stop()
 			id++
 			sent := time.Now()
@@ -62,7 +62,7 @@
 			process.resume()
 			attempt := r.nextAttempt()
 			if wait := attempt.timeout(t); wait > left+maxTimeoutExcess {
-				t.Errorf("%s: %v are left to the client after a stop of %v, and the page cache is told %v", class, left, stall, wait)
+				t.Errorf("%s: the client still waits %v after a stop of %v, but the page cache got the timeout %v", class, left, stall, wait)
 			}
 			attempt.serve("x")
 			client.expect(id, "x")
@@ -70,8 +70,8 @@
 	}
 }
 
-// No retry begins once the client has closed its connection or cancelled, also where the process stood still meanwhile and
-// finds the end of the first attempt, and what the client did, together. For a client that stays, one does.
+// No retry begins once the client has closed its connection or cancelled, also if the process was paused meanwhile and reads the
+// end of the first attempt and the client's action together. For a client that stays, a retry begins.
 func TestNoAttemptForAClientThatLeftDuringAStall(t *testing.T) {
 	r := newTestRouter(t, 3)
 	process := r.startProcess()
@@ -93,7 +93,7 @@
 		time.Sleep(200 * time.Millisecond)
 		process.resume()
 		if leave != nil {
-			r.expectNoAttempt("its client has left")
+			r.expectNoAttempt("the client has left")
 			continue
 		}
 		r.nextAttempt().serve("x")
@@ -101,8 +101,8 @@
 	}
 }
 
-// A SIGTERM that came while the process stood still counts from then: open requests are answered, and the process ends, before
-// the platform may kill it.
+// The shutdown timeout of a SIGTERM that arrived while the process was paused counts from its arrival: open requests are
+// answered, and the process ends, before the platform may kill it.
 func TestShutdownTimeoutIncludesTimeOfAStall(t *testing.T) {
 	const (
 		stall     = 1200 * time.Millisecond
@@ -116,7 +116,7 @@
 	}, "settings", "profiles")
 	process := r.startProcess()
 	client := r.dial()
-	r.serveOne(client, 1, "page")                                  // the router is at work
+	r.serveOne(client, 1, "page")                                  // so that the router is running normally
 	client.request(2, "order", map[string]string{"limit": "5000"}) // the endpoint never answers
 	r.nextAttempt()
 	process.stop()
@@ -125,16 +125,16 @@
 	time.Sleep(stall)
 	process.resume()
 	if got, err := client.read(); err != nil || got.errorCode == "" || time.Since(signalled) > maxAnswer {
-		t.Errorf("told %q %v, %v after SIGTERM", got.errorCode, err, time.Since(signalled))
+		t.Errorf("got the code %q, error %v, %v after SIGTERM", got.errorCode, err, time.Since(signalled))
 	}
 	if err := process.cmd.Wait(); err != nil || time.Since(signalled) > maxExit {
-		t.Errorf("ended %v after SIGTERM: %v", time.Since(signalled), err)
+		t.Errorf("the router ended %v after SIGTERM, error %v", time.Since(signalled), err)
 	}
 	process.ended = true
 }
 
-// An answer that came while the process stood still is read before the attempt times out: the client of an order that was
-// served is not told that it failed.
+// An answer that arrived while the process was paused is read before the attempt times out, so the client of a served order does
+// not get the answer that the order failed.
 func TestAnswerDuringAStallBeatsTheTimeout(t *testing.T) {
 	r := newTestRouter(t, 1)
 	process := r.startProcess()
@@ -144,14 +144,14 @@
 		attempt := r.nextAttempt()
 		process.stop()
 		attempt.serve("x")
-		time.Sleep(600 * time.Millisecond) // its time is over
+		time.Sleep(600 * time.Millisecond) // the deadline of the order has passed
 		process.resume()
 		client.expect(id, "x")
 	}
 }
 
-// A process that stood still finds a purge and requests waiting together. Nothing that it then sends may be answered from a
-// copy of before the purge, not even what it had decided before.
+// A process that was paused finds a purge and requests waiting together. No attempt that it then sends may be answered from a
+// copy from before the purge, not even an attempt that it had decided on before.
 func TestPurgeDuringAStallIsAppliedBeforeRequests(t *testing.T) {
 	p, err := loadtest.PurgeDuringStop(program(t), 8)
 	if err != nil {
--- a/cmd/hillknot/startup_test.go
+++ b/cmd/hillknot/startup_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// A router that starts is ready at once, with discovery up, down or silent.
+// A router is ready right after its start, whether discovery is up, down or silent.
 func TestRouterIsReadyAtOnceWithoutDiscovery(t *testing.T) {
 	for name, prepare := range map[string]func(*testRouter){
 		"up":     func(*testRouter) {},
@@ -18,7 +18,7 @@
 			started := time.Now()
 			r.start().dial().expectReady(1)
 			if took := time.Since(started); took > 5*time.Second {
-				t.Errorf("ready after %v", took)
+				t.Errorf("the router was ready only after %v", took)
 			}
 		})
 	}
