--- a/cmd/hillknot/hotrestart.go
+++ b/cmd/hillknot/hotrestart.go
@@ -27,7 +27,7 @@
 
 	mu             sync.Mutex
 	hasPredecessor bool
-	hasSuccessor   bool // a later process has started
+	hasSuccessor   bool // a later process is starting or has taken over
 	successorReady bool // the successor has taken over
 }
 
@@ -52,7 +52,7 @@
 	}
 	imported := make(chan struct{})
 	r.core.Post(func() {
-		r.core.ImportSnapshot(state.Snapshot)
+		r.core.ImportModuleSnapshot(state.Snapshot)
 		close(imported)
 	})
 	<-imported
@@ -89,7 +89,7 @@
 func (r *hotRestart) State() handover.State {
 	exported := make(chan handover.State, 1)
 	r.core.Post(func() {
-		exported <- handover.State{DiscoveryPosition: r.watcher.Position(), Snapshot: r.core.ExportSnapshot()}
+		exported <- handover.State{DiscoveryPosition: r.watcher.Position(), Snapshot: r.core.ExportModuleSnapshot()}
 	})
 	timeout := time.NewTimer(r.limits.HandoverTimeout / 2)
 	defer timeout.Stop()
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -12,8 +12,8 @@
 	"time"
 )
 
-// A stamp is never dated into the future, nor before the moment from which it is known not to be, however far the
-// clocks of the two machines are apart.
+// A stamp is never dated into the future, nor before the given earliest time, however far the clocks of the two
+// machines are apart.
 func TestStampDate(t *testing.T) {
 	const now, wall = 1000 * time.Hour, 500_000 * time.Hour
 	for _, c := range []struct {
@@ -23,11 +23,11 @@
 		{"clocks agree", wall - 3*time.Second, 0, now - 3*time.Second},
 		{"the other clock is an hour ahead", wall + time.Hour, 0, now},
 		{"the other clock is an hour behind", wall - time.Hour, now - time.Second, now - time.Second},
-		{"3 s behind, within the bound", wall - 3*time.Second, now - 5*time.Second, now - 3*time.Second},
-		{"long ago, no bound", wall - 2000*time.Hour, 0, 1},
-		{"a bound in the future", wall - time.Hour, now + time.Second, now},
-		{"an absurd stamp", math.MinInt64, 0, 1},
-		{"another absurd stamp", math.MaxInt64, 0, now},
+		{"3 s ago, after the earliest time", wall - 3*time.Second, now - 5*time.Second, now - 3*time.Second},
+		{"long ago, no earliest time", wall - 2000*time.Hour, 0, 1},
+		{"an earliest time in the future", wall - time.Hour, now + time.Second, now},
+		{"the least possible stamp", math.MinInt64, 0, 1},
+		{"the greatest possible stamp", math.MaxInt64, 0, now},
 	} {
 		if got := Stamp(c.stamp).Date(now, wall, c.earliest); got != c.want {
 			t.Errorf("%s: %v, want %v", c.name, got, c.want)
@@ -35,35 +35,35 @@
 	}
 }
 
-// The monotonic clock goes on, and lies above 0 for a long time before the start.
+// The monotonic clock never goes back and is far above 0 at the start, and Wall agrees with the system's clock.
 func TestNowAndWall(t *testing.T) {
 	before := Now()
 	if after := Now(); after < before || before < 100*24*time.Hour {
-		t.Errorf("%v, then %v", before, after)
+		t.Errorf("monotonic clock read %v, then %v", before, after)
 	}
 	if d := Wall() - time.Duration(time.Now().UnixNano()); d.Abs() > time.Minute {
 		t.Errorf("the wall clock is off by %v", d)
 	}
 }
 
-// wallReads are functions and methods that read a wall clock or turn one into a number.
-var wallReads = map[string]bool{
+// clockFuncs are the functions and methods that read a clock or convert a time to a Unix time.
+var clockFuncs = map[string]bool{
 	"UnixNano": true, "UnixMilli": true, "UnixMicro": true, "Unix": true,
 	"Now": true, "Since": true, "Until": true,
 }
 
-// No other package of the router, of the module or of the client library reads a clock of the machine by itself.
+// No other package of the router, the decision module or the client library reads a clock of the machine directly.
 func TestNoOtherPackageReadsAClock(t *testing.T) {
 	// The load tests are not part of the router.
 	roots := []string{"../../internal", "../../balancer", "../../cmd/hillknot", "../../cmd/hillknot-simulator", "../../client"}
 	for _, root := range roots {
 		err := filepath.WalkDir(root, func(path string, d fs.DirEntry, err error) error {
-			source := strings.HasSuffix(path, ".go") && !strings.HasSuffix(path, "_test.go")
-			if err != nil || d.IsDir() || !source || exempt(path) {
+			isSource := strings.HasSuffix(path, ".go") && !strings.HasSuffix(path, "_test.go")
+			if err != nil || d.IsDir() || !isSource || mayReadClock(path) {
 				return err
 			}
-			for _, at := range clockReads(t, path) {
-				t.Errorf("%s reads a clock", at)
+			for _, position := range clockReads(t, path) {
+				t.Errorf("%s reads a clock", position)
 			}
 			return nil
 		})
@@ -73,8 +73,9 @@
 	}
 }
 
-// exempt tells whether a file belongs to the clock package itself, or plays another party in tests.
-func exempt(path string) bool {
+// mayReadClock reports whether a file belongs to the clock package itself, or to a package that plays another party
+// in tests.
+func mayReadClock(path string) bool {
 	dirs := []string{"internal/clock", "internal/testutil/faultnet", "internal/testutil/fakes", "internal/testutil/timeline"}
 	for _, dir := range dirs {
 		if strings.Contains(filepath.ToSlash(filepath.Dir(path))+"/", dir+"/") {
@@ -84,25 +85,25 @@
 	return false
 }
 
-// clockReads returns the places of a file that use package time to read a clock, or call a method that turns a
-// moment into Unix time.
+// clockReads returns the positions in a file that use package time to read a clock, or call a method that converts a
+// time to a Unix time.
 func clockReads(t *testing.T, path string) []string {
 	t.Helper()
 	var places []string
-	files := token.NewFileSet()
-	file, err := parser.ParseFile(files, path, nil, 0)
+	fileSet := token.NewFileSet()
+	file, err := parser.ParseFile(fileSet, path, nil, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
 	ast.Inspect(file, func(n ast.Node) bool {
 		s, ok := n.(*ast.SelectorExpr)
-		if !ok || !wallReads[s.Sel.Name] {
+		if !ok || !clockFuncs[s.Sel.Name] {
 			return true
 		}
-		pkg, named := s.X.(*ast.Ident)
-		ofTime := named && pkg.Name == "time"
-		if ofTime || strings.HasPrefix(s.Sel.Name, "Unix") && !(named && (pkg.Name == "net" || pkg.Name == "unix")) {
-			places = append(places, files.Position(s.Pos()).String())
+		pkg, isIdent := s.X.(*ast.Ident)
+		isTimePkg := isIdent && pkg.Name == "time"
+		if isTimePkg || strings.HasPrefix(s.Sel.Name, "Unix") && !(isIdent && (pkg.Name == "net" || pkg.Name == "unix")) {
+			places = append(places, fileSet.Position(s.Pos()).String())
 		}
 		return true
 	})
--- a/internal/cluster/state/health.go
+++ b/internal/cluster/state/health.go
@@ -7,25 +7,26 @@
 )
 
 const (
-	// unhealthyThreshold is how many failures in a row a router must have seen itself before it sends evidence.
+	// unhealthyThreshold is the number of consecutive failures that a router must have observed itself before it sends
+	// evidence.
 	unhealthyThreshold = 3
 
-	// forgetFactor is after how many ejection durations without evidence an endpoint is forgotten.
+	// forgetFactor is the number of ejection durations without evidence after which an endpoint is forgotten.
 	forgetFactor = 4
 )
 
-// endpointHealth is what is known of one endpoint: what this router has seen, the evidence of all, and the ejection
-// that follows from it.
+// endpointHealth holds what is known of one endpoint: what this router has observed, the evidence of all routers, and
+// the resulting ejection.
 type endpointHealth struct {
-	failures     int                 // in a row, as this router saw last
-	lastResponse time.Duration       // as this router saw last
-	evidence     map[string]evidence // the latest of each router, by name
-	lastEvidence time.Duration       // when any evidence, good or bad, was last taken
-	ejectedUntil time.Duration       // 0: it is not ejected
-	ejections    uint64              // so far
+	failures     int                 // consecutive, as this router observed last
+	lastResponse time.Duration       // latest response that this router observed
+	evidence     map[string]evidence // the latest of each router, by router name
+	lastEvidence time.Duration       // when evidence, healthy or unhealthy, was last recorded
+	ejectedUntil time.Duration       // 0: not ejected
+	ejections    uint64              // how often it was ejected so far
 }
 
-// evidence is the latest evidence of one router. Its process and sequence tell it from an older one.
+// evidence is the latest evidence of one router. The process and the sequence number show which of two is newer.
 type evidence struct {
 	process, sequence uint64
 	validUntil        time.Duration // 0: it is not, or no longer, evidence that the endpoint is unhealthy
@@ -37,8 +38,8 @@
 
 func newEndpointHealth() *endpointHealth { return &endpointHealth{evidence: map[string]evidence{}} }
 
-// ObserveHealth takes what this router itself has seen of an endpoint: its consecutive failures, and the time of its
-// latest response. Only what is new becomes evidence.
+// ObserveHealth records what this router itself has observed of an endpoint: the number of consecutive failures, and
+// the time of the latest response. It sends evidence only of what is new since the last call.
 func (s *State) ObserveHealth(now time.Duration, endpoint string, failures int, lastResponse time.Duration) {
 	h := s.endpointsByID[endpoint]
 	if h == nil {
@@ -56,14 +57,14 @@
 	case failing:
 		own := s.broadcastEvidence(endpoint, true)
 		own.validUntil = now + s.settings.EjectionDuration
-		s.takeUnhealthy(now, h, s.settings.Self, own)
+		s.recordUnhealthy(now, h, s.settings.Self, own)
 	case recovered && suspected:
 		own := s.broadcastEvidence(endpoint, false)
-		h.takeHealthy(now, s.settings.Self, own)
+		h.recordHealthy(now, s.settings.Self, own)
 	}
 }
 
-// broadcastEvidence sends evidence of this router to all, and returns it, not valid yet.
+// broadcastEvidence sends evidence of this router to all routers, and returns it without validUntil.
 func (s *State) broadcastEvidence(endpoint string, unhealthy bool) evidence {
 	s.sequence++
 	sent := healthEvidence{
@@ -86,28 +87,28 @@
 		h = newEndpointHealth()
 		s.endpointsByID[received.endpoint] = h
 	}
-	if s.fromThisProcess(received.reporter) { // our own, through other routers
+	if s.fromThisProcess(received.reporter) { // this process's own evidence, through another router
 		return
 	}
 	reporter := received.reporter.router
 	latest := evidence{process: received.reporter.number, sequence: received.sequence}
-	known, exists := h.evidence[reporter]
-	if exists && !latest.newerThan(known) {
+	previous, exists := h.evidence[reporter]
+	if exists && !latest.newerThan(previous) {
 		return
 	}
 	if !exists && len(h.evidence) >= s.settings.ClusterSize+maxExtraRouters {
 		return
 	}
 	if !received.unhealthy {
-		h.takeHealthy(now, reporter, latest)
+		h.recordHealthy(now, reporter, latest)
 		return
 	}
 	latest.validUntil = now + min(received.validFor, s.settings.EjectionDuration)
-	s.takeUnhealthy(now, h, reporter, latest)
+	s.recordUnhealthy(now, h, reporter, latest)
 }
 
-// takeHealthy takes a good response that a router got: it ends the ejection, and all evidence before it.
-func (h *endpointHealth) takeHealthy(now time.Duration, reporter string, latest evidence) {
+// recordHealthy records a good response that a router got. It ends the ejection and invalidates all earlier evidence.
+func (h *endpointHealth) recordHealthy(now time.Duration, reporter string, latest evidence) {
 	h.lastEvidence = now
 	h.ejectedUntil = 0
 	for router, e := range h.evidence {
@@ -117,22 +118,23 @@
 	h.evidence[reporter] = latest
 }
 
-// takeUnhealthy takes evidence of failures. A quorum of routers ejects the endpoint. While it is ejected, any new
-// evidence prolongs that: routers that avoid the endpoint can bring none, only the one that probes it.
-func (s *State) takeUnhealthy(now time.Duration, h *endpointHealth, reporter string, latest evidence) {
+// recordUnhealthy records evidence of failures. A quorum of routers with valid evidence ejects the endpoint. While it is
+// ejected, any new evidence prolongs the ejection: only the router that probes the endpoint can have some, as the
+// others avoid it.
+func (s *State) recordUnhealthy(now time.Duration, h *endpointHealth, reporter string, latest evidence) {
 	h.lastEvidence = now
 	h.evidence[reporter] = latest
 	switch {
 	case now < h.ejectedUntil:
 		h.ejectedUntil = max(h.ejectedUntil, latest.validUntil)
-	case h.validEvidence(now) >= s.quorum():
+	case h.countValidEvidence(now) >= s.quorum():
 		h.ejectedUntil = latest.validUntil
 		h.ejections++
 	}
 }
 
-// validEvidence counts the routers whose evidence is valid.
-func (h *endpointHealth) validEvidence(now time.Duration) int {
+// countValidEvidence returns how many routers have valid evidence.
+func (h *endpointHealth) countValidEvidence(now time.Duration) int {
 	n := 0
 	for _, e := range h.evidence {
 		if now < e.validUntil {
@@ -142,7 +144,8 @@
 	return n
 }
 
-// quorum is how many routers must have evidence. It is two at least: a single one may itself be cut off.
+// quorum returns how many routers must have valid evidence to eject an endpoint. It is at least two, as a single router
+// may itself be cut off.
 func (s *State) quorum() int {
 	if s.settings.Quorum > 0 {
 		return s.settings.Quorum
@@ -151,14 +154,14 @@
 	return max(2, alive/2+1)
 }
 
-// Ejected returns whether the routers agree that an endpoint is unhealthy.
+// Ejected reports whether the routers agree that an endpoint is unhealthy.
 func (s *State) Ejected(now time.Duration, endpoint string) bool {
 	h := s.endpointsByID[endpoint]
 	return h != nil && now < h.ejectedUntil
 }
 
-// ProbedByPeer returns whether this router should avoid an endpoint: it is ejected, and another router probes it for
-// all.
+// ProbedByPeer reports whether this router should avoid an endpoint because it is ejected and another router probes it
+// for all.
 func (s *State) ProbedByPeer(now time.Duration, endpoint string) bool {
 	if !s.Ejected(now, endpoint) {
 		return false
@@ -166,7 +169,8 @@
 	return len(s.peers) > 0 && s.prober(endpoint) != s.settings.Self
 }
 
-// Ejections returns the endpoints that are ejected now, in order, and how many ejections there were in all.
+// Ejections returns the endpoints that are ejected now, in the order of their ids, and how often the endpoints that are
+// still remembered were ejected.
 func (s *State) Ejections(now time.Duration) (ejected []string, total uint64) {
 	for _, endpoint := range slices.Sorted(maps.Keys(s.endpointsByID)) {
 		total += s.endpointsByID[endpoint].ejections
@@ -177,8 +181,9 @@
 	return ejected, total
 }
 
-// expireHealth forgets endpoints of which nothing valid is known. Evidence from before can't come back by then: it is
-// valid for EjectionDuration at most, whatever way it takes.
+// expireHealth forgets endpoints that are not ejected, do not fail for this router and had no evidence for forgetFactor
+// ejection durations. Earlier evidence cannot return by then: it is valid for at most EjectionDuration, whichever
+// routers it passes through.
 func (s *State) expireHealth(now time.Duration) {
 	maps.DeleteFunc(s.endpointsByID, func(_ string, h *endpointHealth) bool {
 		forgetAt := h.lastEvidence + forgetFactor*s.settings.EjectionDuration
@@ -186,7 +191,7 @@
 	})
 }
 
-// evidenceMessages returns all valid evidence.
+// evidenceMessages returns messages with all valid evidence.
 func (s *State) evidenceMessages(now time.Duration) []Message {
 	var all []Message
 	for endpoint, h := range s.endpointsByID {
