--- a/cmd/hillknot/bad_clients_test.go
+++ b/cmd/hillknot/bad_clients_test.go
@@ -26,7 +26,7 @@
 	} {
 		client := r.dial()
 		bad.Go(func() {
-			_, _ = io.WriteString(client.conn, input) // fails if the router has reset the connection
+			_, _ = io.WriteString(client.conn, input) // fails if the router resets the connection, which closes it too
 			begun := time.Now()
 			if _, err := client.conn.Read(make([]byte, 1)); err == nil {
 				t.Errorf("%s: got an answer, want a closed connection", name)
@@ -59,8 +59,8 @@
 func TestOpenRequestIsAnsweredBeforeTheClose(t *testing.T) {
 	half := encodeRequest(2, "page", "", nil)
 	for name, c := range map[string]struct {
-		behind []byte
-		want   string
+		following []byte
+		want      string
 	}{
 		"half a message":  {half[:len(half)/2], "x"},
 		"garbage":         {[]byte("\xc1\xc1\xc1"), "Failed"},
@@ -74,7 +74,7 @@
 			client := r.dial()
 			client.request(1, "order", map[string]string{"limit": "3000"})
 			attempt := r.nextAttempt()
-			client.write(c.behind)
+			client.write(c.following)
 			if c.want == "x" {
 				time.Sleep(2600 * time.Millisecond) // longer than the 2.5 s that a message may take
 				attempt.serve("x")
--- a/cmd/hillknot/router.go
+++ b/cmd/hillknot/router.go
@@ -335,7 +335,7 @@
 // keyFrontEnd is the log attribute key for the name of a front end.
 const keyFrontEnd = "front_end"
 
-// onClose has close call f, before the functions that were registered earlier.
+// onClose registers f, which close calls before the functions that were registered earlier.
 func (r *router) onClose(f func()) { r.closers = append(r.closers, f) }
 
 // close closes the parts that were started, in reverse order. It does not wait for the goroutines that watch r.stop,
--- a/cmd/hillknot/shutdown.go
+++ b/cmd/hillknot/shutdown.go
@@ -11,8 +11,8 @@
 const shutdownPollInterval = 10 * time.Millisecond
 
 // shutDown keeps accepting connections for Limits.ShutdownGrace, because clients that do not yet know of the shutdown still
-// send requests. Then it waits until every request has its final answer. It ends Limits.ShutdownTimeout after start at the
-// latest. Both times count from start, a reading of package clock that may lie in the past. If a successor has taken over,
+// send requests. Then it waits until every request has its final answer, but for no longer than Limits.ShutdownTimeout in
+// all. Both times count from start, a reading of package clock that may lie in the past. If a successor has taken over,
 // shutDown leaves new connections to it at once, and the open connections close as on standby.
 func (r *router) shutDown(start time.Duration) {
 	limits := r.cfg.Limits
