--- a/cmd/hillknot-simulator/golden_test.go
+++ b/cmd/hillknot-simulator/golden_test.go
@@ -14,12 +14,13 @@
 // testdata/golden are one input, for two instances with their settings, lists, requests, timers and faults, and the replies of
 // the program of commit 86ccf0f.
 //
-// Names of Go types and fields may change. The texts of package wire (names of lines and of their fields, the numbers of
-// statuses, the bits of manner) and the keys and words of package settings must stay. The numbers of balancer.Note are read as
-// they arrive (remark), and those of Get.Keep are written as they are (admit), so the order of these constants must stay too.
+// Names of Go types and fields may change. The texts of package simulator (names of lines and of their fields, the numbers of
+// statuses, the bits of manner) and the keys and words of package settings must stay. The numbers of balancer.Detail are read as
+// they arrive (remark), and those of SendAttempt.CachePriority are written as they are (admit), so the order of the constants of
+// Detail must stay too.
 //
 // The replies also depend on the decisions of the module. A change that alters a decision on purpose must record new replies,
-// with drill < input.txt, and say so.
+// with hillknot-simulator < input.txt, and say so.
 func TestGoldenReplies(t *testing.T) {
 	var out bytes.Buffer
 	if err := run(bytes.NewReader(golden.Read(t, "input.txt")), &out); err != nil {
--- a/cmd/hillknot/clock_test.go
+++ b/cmd/hillknot/clock_test.go
@@ -37,8 +37,8 @@
 	attempt := r.nextAttempt()
 	maxAge := attempt.fields["newer"]
 	newer, err := strconv.Atoi(maxAge)
-	if most := time.Since(contact).Milliseconds() + 1; err != nil || int64(newer) > most {
-		t.Errorf("clocks %v apart: the attempt allows a copy of at most %q ms, want at most %d ms", step, maxAge, most)
+	if maxNewer := time.Since(contact).Milliseconds() + 1; err != nil || int64(newer) > maxNewer {
+		t.Errorf("clocks %v apart: the attempt allows a copy of at most %q ms, want at most %d ms", step, maxAge, maxNewer)
 	}
 	attempt.serve("x")
 	client.expect(object, "x")
--- a/cmd/hillknot/descriptors_test.go
+++ b/cmd/hillknot/descriptors_test.go
@@ -64,9 +64,9 @@
 // startLimitedProcess starts the router in a process with a limit of descriptors, and ends the process with the test.
 func (r *testRouter) startLimitedProcess(descriptors int) limitedProcess {
 	r.t.Helper()
-	free := listen(r.t)
-	address := free.Addr().String()
-	free.Close()
+	freeListener := listen(r.t)
+	address := freeListener.Addr().String()
+	freeListener.Close()
 	r.configure(address, "listen")
 	r.configPath = filepath.Join(r.t.TempDir(), "config.json")
 	r.writeConfig()
--- a/cmd/hillknot/main.go
+++ b/cmd/hillknot/main.go
@@ -31,12 +31,12 @@
 	root.SetErr(stderr)
 	root.SetArgs(expandSingleDash(root, args))
 	cmd, err := root.ExecuteC()
-	var exit exitError
+	var exitErr exitError
 	switch {
 	case err == nil:
 		return exitServed
-	case errors.As(err, &exit):
-		return exit.status
+	case errors.As(err, &exitErr):
+		return exitErr.status
 	case started && !isUsageError(err):
 		log.Error("command failed", "command", cmd.CommandPath(), logging.KeyError, err)
 		return exitFailure
--- a/cmd/hillknot/stall_test.go
+++ b/cmd/hillknot/stall_test.go
@@ -32,7 +32,7 @@
 		class := []string{"page", "order", "filed"}[i%3]
 		client.request(id, class, map[string]string{"limit": strconv.Itoa(limit), "unique": fmt.Sprintf("%032x", id)})
 		attempt := r.nextAttempt()
-		if wait, most := attempt.timeout(t), time.Duration(limit)*time.Millisecond+maxTimeoutExcess; wait > most {
+		if wait, maxWait := attempt.timeout(t), time.Duration(limit)*time.Millisecond+maxTimeoutExcess; wait > maxWait {
 			t.Errorf("a client waits %d ms, but the page cache got the timeout %v", limit, wait)
 		}
 		attempt.serve("x")
@@ -58,11 +58,11 @@
 			sent := time.Now()
 			client.request(id, class, map[string]string{"limit": "2500", "unique": fmt.Sprintf("%032x", id)})
 			time.Sleep(stall)
-			left := 2500*time.Millisecond - time.Since(sent)
+			remaining := 2500*time.Millisecond - time.Since(sent)
 			process.resume()
 			attempt := r.nextAttempt()
-			if wait := attempt.timeout(t); wait > left+maxTimeoutExcess {
-				t.Errorf("%s: the client still waits %v after a stop of %v, but the page cache got the timeout %v", class, left, stall, wait)
+			if wait := attempt.timeout(t); wait > remaining+maxTimeoutExcess {
+				t.Errorf("%s: the client still waits %v after a stop of %v, but the page cache got the timeout %v", class, remaining, stall, wait)
 			}
 			attempt.serve("x")
 			client.expect(id, "x")
