--- a/client/policy/servicetime.go
+++ b/client/policy/servicetime.go
@@ -4,14 +4,14 @@
 
 const serviceTimePeriod = 10 * time.Second
 
-// serviceTime is the quickest that requests of a class were served in the current period and the one before it. An
-// attempt with less time left than that can't succeed, and is not made.
+// serviceTime holds the shortest times in which a request of a class was served, in the current period and in the one
+// before it. An attempt with less time left can't succeed and is not made.
 type serviceTime struct {
-	current, previous time.Duration // 0: none was served
+	current, previous time.Duration // 0: no request was served
 	periodEnd         time.Duration
 }
 
-// advance begins a new period where the current one is over.
+// advance begins a new period if the current one is over.
 func (s *serviceTime) advance(now time.Duration) {
 	if now < s.periodEnd {
 		return
@@ -30,17 +30,17 @@
 	}
 }
 
-// quickest returns the least time in which a request may be served, and at least the given floor.
-func (s *serviceTime) quickest(now, floor time.Duration) time.Duration {
+// minimum returns the shortest time in which a request was served recently, but at least the given floor.
+func (s *serviceTime) minimum(now, floor time.Duration) time.Duration {
 	s.advance(now)
-	least := s.current
-	if least == 0 || s.previous > 0 && s.previous < least {
-		least = s.previous
+	shortest := s.current
+	if shortest == 0 || s.previous > 0 && s.previous < shortest {
+		shortest = s.previous
 	}
-	return max(least, floor)
+	return max(shortest, floor)
 }
 
-// minServiceTime is the least time that an attempt of the call needs.
+// minServiceTime returns the least time that an attempt of the call needs.
 func (p *Policy) minServiceTime(call *Call) time.Duration {
-	return p.classes[call.class].quickest(p.now, p.settings.LeastTime)
+	return p.classes[call.class].minimum(p.now, p.settings.LeastTime)
 }
--- a/client/reader.go
+++ b/client/reader.go
@@ -8,15 +8,15 @@
 )
 
 const (
-	maxHeader = 4 << 10  // bytes of a response besides its body
-	readSize  = 16 << 10 // bytes read at a time
+	maxHeaderBytes  = 4 << 10  // maximum size of a response without its body
+	readBufferBytes = 16 << 10 // size of the read buffer
 )
 
 // responseReader reads the responses of one connection. It belongs to the connection's goroutine.
 type responseReader struct {
 	conn   *routerConn
 	buffer []byte
-	unread []byte // the part of buffer that has come and was not used yet
+	unread []byte // part of buffer that was read from the connection but not parsed yet
 }
 
 // run reads responses until the connection ends, and returns why.
@@ -27,14 +27,14 @@
 		}
 		n, err := r.fill()
 		if n > 0 {
-			r.conn.recordBytes()
+			r.conn.reportBytesReceived()
 		} else if err != nil {
 			return err
 		}
 	}
 }
 
-// fill reads once into the buffer, behind what is unread. As for io.Reader, bytes may come with an error.
+// fill reads once into the buffer, after the unread bytes. As with io.Reader, bytes may come with an error.
 func (r *responseReader) fill() (n int, err error) {
 	kept := copy(r.buffer, r.unread)
 	n, err = r.conn.netConn.Read(r.buffer[kept:])
@@ -42,10 +42,11 @@
 	return n, err
 }
 
-// parseBuffered handles the responses that are in the buffer; it reads on only to complete one with a body.
+// parseBuffered handles the responses in the buffer. It reads from the connection only to complete a response with a
+// body.
 func (r *responseReader) parseBuffered() error {
 	for len(r.unread) > 0 {
-		header, progress, err := rpc.ParseResponseHeader(r.unread, maxHeader, r.conn.client.config.MaxAnswer)
+		header, progress, err := rpc.ParseResponseHeader(r.unread, maxHeaderBytes, r.conn.client.config.MaxAnswer)
 		if err != nil {
 			return err
 		}
@@ -66,22 +67,22 @@
 	return nil
 }
 
-// readBody reads the body of a response, and the fields behind it into its header.
+// readBody reads the body of a response, and stores the fields that follow the body in the header.
 func (r *responseReader) readBody(header *rpc.ResponseHeader) ([]byte, error) {
 	call, err := r.conn.beginResponse(header.ID)
 	if err != nil {
 		return nil, err
 	}
-	body := make([]byte, header.BodySize) // at most Config.MaxAnswer: ParseHead has checked it
+	body := make([]byte, header.BodySize) // at most Config.MaxAnswer, as ParseResponseHeader has checked
 	received := copy(body, r.unread)
 	r.unread = r.unread[received:]
-	r.conn.recordProgress(call, body, received)
+	r.conn.publishProgress(call, body, received)
 	for received < len(body) {
 		n, err := r.conn.netConn.Read(body[received:])
 		received += n
 		if n > 0 {
-			r.conn.recordBytes()
-			r.conn.recordProgress(call, body, received)
+			r.conn.reportBytesReceived()
+			r.conn.publishProgress(call, body, received)
 		} else if err != nil {
 			return nil, unexpectedEOF(err)
 		}
@@ -90,10 +91,10 @@
 	return body, err
 }
 
-// readTrailer reads the fields behind a body.
+// readTrailer reads the fields that follow a body.
 func (r *responseReader) readTrailer() (rpc.Fields, error) {
 	for {
-		fields, progress, err := rpc.ParseResponseTrailer(r.unread, maxHeader)
+		fields, progress, err := rpc.ParseResponseTrailer(r.unread, maxHeaderBytes)
 		if err != nil {
 			return rpc.Fields{}, err
 		}
@@ -107,7 +108,8 @@
 	}
 }
 
-// unexpectedEOF is the error of a connection that ends inside a response.
+// unexpectedEOF returns the error of a connection that ended inside a response, with io.EOF replaced by
+// io.ErrUnexpectedEOF.
 func unexpectedEOF(err error) error {
 	if errors.Is(err, io.EOF) {
 		return io.ErrUnexpectedEOF
