--- a/cmd/hillknot/stall_test.go
+++ b/cmd/hillknot/stall_test.go
@@ -62,7 +62,8 @@
 			process.resume()
 			attempt := r.nextAttempt()
 			if wait := attempt.timeout(t); wait > remaining+maxTimeoutExcess {
-				t.Errorf("%s: the client still waits %v after a stop of %v, but the page cache got the timeout %v", class, remaining, stall, wait)
+				t.Errorf("%s: the client still waits %v after a stop of %v, but the page cache got the timeout %v",
+					class, remaining, stall, wait)
 			}
 			attempt.serve("x")
 			client.expect(id, "x")
