--- a/cmd/hillknot/main.go
+++ b/cmd/hillknot/main.go
@@ -1,7 +1,7 @@
-// Command hillknot is one edge router, and the command-line tools of its clients and operators.
+// Command hillknot runs an edge router and provides command-line tools for its clients and operators.
 //
-// Without a sub-command it is the router; the configuration is the file named by -config or RELAY_CONFIG. "get", "send"
-// and "health" call routers as a client does; "config" works with configuration files.
+// Without a sub-command it runs the router, whose configuration file is named by -config or RELAY_CONFIG. The sub-commands
+// "get", "send" and "health" call routers as a client does; "config" checks and converts configuration files.
 package main
 
 import (
@@ -17,26 +17,26 @@
 	"hillknot/internal/logging"
 )
 
-// version is that of the latest entry of CHANGELOG.md.
+// version is the version of the latest entry in CHANGELOG.md.
 const version = "0.15.1"
 
 func main() { os.Exit(runCommandLine(os.Args[1:], os.Stdout, os.Stderr)) }
 
-// runCommandLine runs the command that args name and returns its exit status.
+// runCommandLine runs the command that args select and returns its exit status.
 func runCommandLine(args []string, stdout, stderr io.Writer) int {
 	started := false
 	root := rootCommand()
-	noteStart(root, &started)
+	recordStart(root, &started)
 	root.SetOut(stdout)
 	root.SetErr(stderr)
 	root.SetArgs(expandSingleDash(root, args))
 	cmd, err := root.ExecuteC()
-	var exit exitError
+	var exitErr exitError
 	switch {
 	case err == nil:
 		return exitServed
-	case errors.As(err, &exit):
-		return exit.status
+	case errors.As(err, &exitErr):
+		return exitErr.status
 	case started && !isUsageError(err):
 		log.Error("command failed", "command", cmd.CommandPath(), logging.KeyError, err)
 		return exitFailure
@@ -45,21 +45,21 @@
 	return exitUsage
 }
 
-// rootCommand returns the command with all of its sub-commands.
+// rootCommand returns the hillknot command with all of its sub-commands.
 func rootCommand() *cobra.Command {
-	var router serveFlags
+	var routerFlags serveFlags
 	var logs logFlags
 	root := &cobra.Command{
-		Use: "hillknot", Short: "An edge router for devices on poor links, and its clients' tools",
-		Long: "An edge router for devices on poor links, and its clients' tools.\n\n" +
-			"Without a sub-command it is the router, as with `hillknot serve`.",
-		Args: cobra.NoArgs, RunE: router.serve,
+		Use: "hillknot", Short: "An edge router for devices on poor links, and tools for its clients",
+		Long: "An edge router for devices on poor links, and tools for its clients.\n\n" +
+			"Without a sub-command it runs the router, as `hillknot serve` does.",
+		Args: cobra.NoArgs, RunE: routerFlags.serve,
 		PersistentPreRunE: func(*cobra.Command, []string) error { return logs.apply(os.Stderr) },
 	}
-	router.add(root)
+	routerFlags.add(root)
 	logs.add(root.PersistentFlags())
-	serve := &cobra.Command{Use: "serve", Short: "Run the router until SIGTERM", Args: cobra.NoArgs, RunE: router.serve}
-	router.add(serve)
+	serve := &cobra.Command{Use: "serve", Short: "Run the router until SIGTERM", Args: cobra.NoArgs, RunE: routerFlags.serve}
+	routerFlags.add(serve)
 	root.AddCommand(serve, getCommand(), sendCommand(), healthCommand(), configCommand(), versionCommand())
 	return root
 }
@@ -73,9 +73,9 @@
 	}
 }
 
-// noteStart has a command, and each below it, set started as it begins to run. An error before that is one of the command
-// line. It also keeps cobra from printing errors, which runCommandLine does.
-func noteStart(cmd *cobra.Command, started *bool) {
+// recordStart wraps a command and all its sub-commands so that they set started when they begin to run. An error that
+// occurs earlier is a fault of the command line. It also stops cobra from printing errors, because runCommandLine does so.
+func recordStart(cmd *cobra.Command, started *bool) {
 	cmd.SilenceErrors, cmd.SilenceUsage = true, true
 	if run := cmd.RunE; run != nil {
 		cmd.RunE = func(cmd *cobra.Command, args []string) error {
@@ -84,12 +84,12 @@
 		}
 	}
 	for _, sub := range cmd.Commands() {
-		noteStart(sub, started)
+		recordStart(sub, started)
 	}
 }
 
-// expandSingleDash turns the router's long flags behind a single dash, as in -config FILE, into those with two: earlier
-// versions took them so.
+// expandSingleDash returns args with a second dash before the router's long flags that have only one, as in -config FILE,
+// because earlier versions took them in that form.
 func expandSingleDash(root *cobra.Command, args []string) []string {
 	expanded := append([]string(nil), args...)
 	for i, arg := range expanded {
@@ -103,6 +103,7 @@
 	return expanded
 }
 
+// isSingleDashFlag reports whether arg is one of the router's long flags behind a single dash.
 func isSingleDashFlag(root *cobra.Command, arg string) bool {
 	if !strings.HasPrefix(arg, "-") || strings.HasPrefix(arg, "--") {
 		return false
