--- a/cmd/hillknot/cluster.go
+++ b/cmd/hillknot/cluster.go
@@ -24,7 +24,7 @@
 func joinCluster(cfg *config.Config, c *core.Core, shared *core.ClusterState, stop <-chan struct{}) (reloader, error) {
 	var received packetReceivers
 	members, err := membership.New(cfg.Name, cfg.Cluster,
-		func(msgs []state.Message) { c.Post(func() { c.ReceiveGossip(msgs) }) },
+		func(messages []state.Message) { c.Post(func() { c.ReceiveGossip(messages) }) },
 		membership.PacketHandlers{
 			Orders: func(packet []byte) { c.Post(func() { received.receiveOrderPacket(packet) }) },
 			Credit: func(packet []byte) { c.Post(func() { received.receiveCreditPacket(packet) }) },
--- a/cmd/hillknot/fragments_test.go
+++ b/cmd/hillknot/fragments_test.go
@@ -28,7 +28,7 @@
 		release = append(release, endpoint.holdConnections())
 	}
 	r.start()
-	rnd := rand.New(rand.NewPCG(5, 5))
+	random := rand.New(rand.NewPCG(5, 5))
 	clients := []*testClient{r.dial(), r.dial()}
 	stop, stopped := make(chan bool), make(chan bool)
 	go func() {
@@ -36,7 +36,7 @@
 		r.serveTaggedRequests(stop)
 	}()
 	for round := range fragmentRounds {
-		sendFragments(rnd, clients, encodeTaggedRequests(rnd, len(clients), round))
+		sendFragments(random, clients, encodeTaggedRequests(random, len(clients), round))
 		for i, client := range clients {
 			for n := range healthRequestsPerRound { // so that the buffers are reused
 				client.write(encodeRequest(firstHealthID+n, "health", strings.Repeat("z", 3000), nil))
@@ -53,12 +53,12 @@
 
 // encodeTaggedRequests returns the requests of each client in a round. The idempotency key and the body of a request contain
 // its id.
-func encodeTaggedRequests(rnd *rand.Rand, clients, round int) [][]byte {
+func encodeTaggedRequests(random *rand.Rand, clients, round int) [][]byte {
 	encoded := make([][]byte, clients)
 	for n := range requestsPerRound {
 		for i := range encoded {
 			id := clientIDMultiplier*i + round*requestsPerRound + n + 1
-			body := fmt.Sprintf("%d-%s", id, strings.Repeat(string(rune('a'+i)), rnd.IntN(maxTaggedBodyBytes)))
+			body := fmt.Sprintf("%d-%s", id, strings.Repeat(string(rune('a'+i)), random.IntN(maxTaggedBodyBytes)))
 			fields := map[string]string{"unique": fmt.Sprint("k", id), "limit": "3000"}
 			encoded[i] = append(encoded[i], encodeRequest(id, "filed", body, fields)...)
 		}
@@ -67,13 +67,13 @@
 }
 
 // sendFragments sends the pending bytes of two clients in fragments of random sizes, in a random order and with pauses.
-func sendFragments(rnd *rand.Rand, clients []*testClient, pending [][]byte) {
+func sendFragments(random *rand.Rand, clients []*testClient, pending [][]byte) {
 	for len(pending[0])+len(pending[1]) > 0 {
-		i := rnd.IntN(2)
-		n := min(len(pending[i]), 1+rnd.IntN(maxFragmentBytes))
+		i := random.IntN(2)
+		n := min(len(pending[i]), 1+random.IntN(maxFragmentBytes))
 		clients[i].write(pending[i][:n])
 		pending[i] = pending[i][n:]
-		if rnd.IntN(8) == 0 {
+		if random.IntN(8) == 0 {
 			time.Sleep(time.Millisecond)
 		}
 	}
--- a/cmd/hillknot/large_requests_test.go
+++ b/cmd/hillknot/large_requests_test.go
@@ -128,12 +128,12 @@
 func (l *largeRequestLoad) startRequests(fraction float64) {
 	seed := [32]byte{}
 	binary.LittleEndian.PutUint64(seed[:], 7)
-	rnd := rand.New(rand.NewChaCha8(seed))
+	random := rand.New(rand.NewChaCha8(seed))
 	capacity := fraction * float64(len(l.endpoints))
 	begun := time.Now()
 	sent := time.Duration(0)
 	for id := 1; sent < time.Duration(capacity*float64(largeRequestLoadTime)); id++ {
-		took := time.Duration(20*math.Exp(0.8*rnd.NormFloat64())*1000) * time.Microsecond
+		took := time.Duration(20*math.Exp(0.8*random.NormFloat64())*1000) * time.Microsecond
 		took = min(took, 300*time.Millisecond)
 		object := fmt.Sprintf("%016x", uint64(took/time.Microsecond)<<32|uint64(id))
 		l.objects = append(l.objects, object)
--- a/cmd/hillknot/orders_test.go
+++ b/cmd/hillknot/orders_test.go
@@ -111,7 +111,7 @@
 
 // newOrderCase returns the case with a number. The number determines the fault and the object.
 func newOrderCase(number int) orderCase {
-	rnd := rand.New(rand.NewPCG(uint64(number), 1))
+	random := rand.New(rand.NewPCG(uint64(number), 1))
 	c := orderCase{
 		number:    number,
 		body:      "well",
@@ -125,9 +125,9 @@
 	case 2:
 		c.body = []string{"refuse", "lack", "fail", "break", "silence", "late"}[number/8%6]
 	case 3:
-		c.cancelAfter = max(time.Nanosecond, time.Duration(rnd.IntN(5000))*time.Microsecond)
+		c.cancelAfter = max(time.Nanosecond, time.Duration(random.IntN(5000))*time.Microsecond)
 	}
-	c.object = rnd.Uint64()
+	c.object = random.Uint64()
 	return c
 }
 
--- a/cmd/hillknot/request_test.go
+++ b/cmd/hillknot/request_test.go
@@ -27,9 +27,9 @@
 
 // runAndCapture runs a command line and returns its exit status and output.
 func runAndCapture(args ...string) (status int, stdout, stderr string) {
-	var out, errs bytes.Buffer
-	status = runCommandLine(args, &out, &errs)
-	return status, out.String(), errs.String()
+	var out, errorOut bytes.Buffer
+	status = runCommandLine(args, &out, &errorOut)
+	return status, out.String(), errorOut.String()
 }
 
 // validObject is a valid name of an object.
@@ -71,9 +71,9 @@
 		{"no body", serve, []string{"send", validObject, "--body", body + "x"}, 2, ""},
 		{"no class", serve, with(get, "--class", ""), 2, ""},
 	} {
-		status, out, errs := runAndCapture(with(c.args, "--json", "--router", newScriptedRouter(t, c.handle))...)
+		status, out, stderr := runAndCapture(with(c.args, "--json", "--router", newScriptedRouter(t, c.handle))...)
 		if c.args[0] == "get" { // standard output has the answer
-			out = errs
+			out = stderr
 		}
 		var got result
 		err := json.Unmarshal([]byte(out), &got)
@@ -82,7 +82,7 @@
 			t.Errorf("%s: result %q, error %v", c.name, out, err)
 		}
 		if status != c.status {
-			t.Errorf("%s: status %d, want %d; %s", c.name, status, c.status, errs)
+			t.Errorf("%s: status %d, want %d; %s", c.name, status, c.status, stderr)
 		}
 	}
 	if status, out, _ := runAndCapture("get", validObject, "--router", newScriptedRouter(t, serve)); status != 0 || out != "got " {
@@ -117,9 +117,9 @@
 		t.Errorf("files left behind: %v, error %v", files, err)
 	}
 	attempts, cutAll = 0, false
-	status, out, errs := runAndCapture("get", validObject, "--router", address, "-o", path, "--json", "--class", "full-score")
+	status, out, stderr := runAndCapture("get", validObject, "--router", address, "-o", path, "--json", "--class", "full-score")
 	if got, err := os.ReadFile(path); status != 0 || !bytes.Equal(got, complete) || attempts != 2 {
-		t.Errorf("status %d, %d bytes, %d attempts, %v, %s%s", status, len(got), attempts, err, out, errs)
+		t.Errorf("status %d, %d bytes, %d attempts, %v, %s%s", status, len(got), attempts, err, out, stderr)
 	}
 	t.Run("progress of two writes is shown", testProgress)
 }
@@ -160,9 +160,9 @@
 	if status != 1 {
 		t.Errorf("status %d", status)
 	}
-	status, out, errs := runAndCapture("config", "check", "../../example/config.json", "--operator", "../../deploy/operator.hcl")
+	status, out, stderr := runAndCapture("config", "check", "../../example/config.json", "--operator", "../../deploy/operator.hcl")
 	if status != 0 {
-		t.Errorf("status %d: %s%s", status, out, errs)
+		t.Errorf("status %d: %s%s", status, out, stderr)
 	}
 	for _, args := range [][]string{
 		{"-config", path},
@@ -170,8 +170,8 @@
 		{"serve", "--config", path},
 		{"serve", "-operator", "no", "-config", path},
 	} {
-		if status, _, errs := runAndCapture(args...); status != 1 || strings.Contains(errs, "unknown") {
-			t.Errorf("%v: status %d, %q", args, status, errs)
+		if status, _, stderr := runAndCapture(args...); status != 1 || strings.Contains(stderr, "unknown") {
+			t.Errorf("%v: status %d, %q", args, status, stderr)
 		}
 	}
 }
--- a/example/fleet/files.go
+++ b/example/fleet/files.go
@@ -16,11 +16,11 @@
 const (
 	keySize    = 32 // length of the key, in bytes
 	keysFile   = "keys"
-	topupsFile = "topups.hcl"
+	topUpsFile = "topups.hcl"
 )
 
-// topupsText is the top-ups file. The account acme has enough funds for a while; the account small runs out of funds soon.
-const topupsText = `among = ["r1", "r2", "r3"]
+// topUpsText is the top-ups file. The account acme has enough funds for a while; the account small runs out of funds soon.
+const topUpsText = `among = ["r1", "r2", "r3"]
 
 topup "first" {
   account = "acme"
@@ -71,7 +71,7 @@
 	if err := writeFile(filepath.Join(dir, keysFile), hex.EncodeToString(key)+"\n"); err != nil {
 		return err
 	}
-	if err := writeFile(filepath.Join(dir, topupsFile), topupsText); err != nil {
+	if err := writeFile(filepath.Join(dir, topUpsFile), topUpsText); err != nil {
 		return err
 	}
 	config, err := readBaseConfig(baseConfig)
@@ -133,5 +133,5 @@
 		}
 	}
 	return fmt.Sprintf(operatorFileFormat, r.opsAddress(), r.clusterAddress(), strings.Join(peers, ", "),
-		filepath.Join(r.dir, keysFile), routerCount, r.filePath(".ledger"), filepath.Join(r.dir, topupsFile))
+		filepath.Join(r.dir, keysFile), routerCount, r.filePath(".ledger"), filepath.Join(r.dir, topUpsFile))
 }
--- a/loadtest/budget.go
+++ b/loadtest/budget.go
@@ -35,11 +35,11 @@
 }
 
 const (
-	budgetLoadRate    = 25.0 // requests a second on each router
-	failedFraction    = 0.2  // of the requests fail at the page caches, after which they may have run
-	budgetRequestTime = 10 * time.Millisecond
-	budgetBodySize    = 1 << 10         // bytes
-	leaseExpiryWait   = 3 * time.Second // after this time, no share that was lent before the start is valid
+	budgetLoadRate     = 25.0 // requests a second on each router
+	budgetFailFraction = 0.2  // of the requests fail at the page caches, after which they may have run
+	budgetRequestTime  = 10 * time.Millisecond
+	budgetBodySize     = 1 << 10         // bytes
+	leaseExpiryWait    = 3 * time.Second // after this time, no share that was lent before the start is valid
 )
 
 // BudgetCluster is a cluster whose routers share budgets: one for attempts at page caches that warm up, one for retries.
@@ -102,7 +102,7 @@
 
 func newAttemptRecorder(seed uint64) *attemptRecorder {
 	return &attemptRecorder{mayHaveRun: map[string]bool{}, orderRuns: map[string]int{}, warmingCache: math.MinInt, outlier: noOutlier,
-		failFraction: failedFraction, randomState: seed}
+		failFraction: budgetFailFraction, randomState: seed}
 }
 
 // answer records an attempt, and either fails or serves it.
--- a/loadtest/clientkinds.go
+++ b/loadtest/clientkinds.go
@@ -82,9 +82,9 @@
 	routers   []string
 	connected func()
 
-	mu   sync.Mutex
-	next int // index of the router that was used last, modulo the number of routers
-	idle map[string][]net.Conn
+	mu       sync.Mutex
+	lastUsed int // index of the router that was used last, modulo the number of routers
+	idle     map[string][]net.Conn
 }
 
 // plainMaxAttempts is the maximum number of attempts of a plain client for a request.
@@ -105,12 +105,12 @@
 	return attempts, err
 }
 
-// nextRouter returns the address of the router whose turn it is.
+// nextRouter returns the address of the next router in round-robin order.
 func (p *plainClient) nextRouter() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.next++
-	return p.routers[p.next%len(p.routers)]
+	p.lastUsed++
+	return p.routers[p.lastUsed%len(p.routers)]
 }
 
 // attempt sends a request to one router.
--- a/loadtest/credit.go
+++ b/loadtest/credit.go
@@ -22,7 +22,7 @@
 type CreditCluster struct {
 	*FailoverCluster
 	routerNames []string
-	topups      []string           // blocks of the top-up files
+	topUps      []string           // blocks of the top-up files
 	funded      map[string]float64 // by account
 	spent       map[string]float64 // by account: the price of the requests that were served
 }
@@ -71,17 +71,17 @@
 		c.routerNames = append(c.routerNames, strconv.Quote(routerName(i)))
 	}
 	for account, amount := range accounts {
-		c.addTopup("first-"+account, account, amount)
+		c.addTopUp("first-"+account, account, amount)
 	}
 	for i := range settings.Routers {
-		if err := c.writeTopups(i); err != nil {
+		if err := c.writeTopUps(i); err != nil {
 			return err
 		}
 	}
 	options := clusterFleet(settings.Routers)
 	options.Answer = c.orders.answer
 	err := c.start(settings.Program, options, func(router int) string {
-		return fmt.Sprintf(creditBlocksFormat, c.filePath(fmt.Sprintf("%d.ledger", router)), c.topupsPath(router), pagePrice, orderPrice)
+		return fmt.Sprintf(creditBlocksFormat, c.filePath(fmt.Sprintf("%d.ledger", router)), c.topUpsPath(router), pagePrice, orderPrice)
 	})
 	if err != nil {
 		return err
@@ -94,28 +94,28 @@
 	return filepath.Join(filepath.Dir(c.keyFile), name)
 }
 
-// topupsPath returns the path of the top-up file that a router reads.
-func (c *CreditCluster) topupsPath(router int) string {
+// topUpsPath returns the path of the top-up file that a router reads.
+func (c *CreditCluster) topUpsPath(router int) string {
 	return c.filePath(fmt.Sprintf("topups.hcl.%d", router))
 }
 
-// addTopup adds a top-up to the text that writeTopups writes.
-func (c *CreditCluster) addTopup(id, account string, amount float64) {
-	c.topups = append(c.topups, fmt.Sprintf("topup %q {\n  account = %q\n  amount  = %g\n}\n", id, account, amount))
+// addTopUp adds a top-up to the text that writeTopUps writes.
+func (c *CreditCluster) addTopUp(id, account string, amount float64) {
+	c.topUps = append(c.topUps, fmt.Sprintf("topup %q {\n  account = %q\n  amount  = %g\n}\n", id, account, amount))
 	c.funded[account] += amount
 }
 
-// writeTopups writes the top-up file that a router reads.
-func (c *CreditCluster) writeTopups(router int) error {
-	text := "among = [" + strings.Join(c.routerNames, ", ") + "]\n" + strings.Join(c.topups, "")
-	return replaceFile(c.topupsPath(router), text)
+// writeTopUps writes the top-up file that a router reads.
+func (c *CreditCluster) writeTopUps(router int) error {
+	text := "among = [" + strings.Join(c.routerNames, ", ") + "]\n" + strings.Join(c.topUps, "")
+	return replaceFile(c.topUpsPath(router), text)
 }
 
 // TopUp tops up an account. Only the routers in readers receive the new top-up file.
 func (c *CreditCluster) TopUp(id, account string, amount float64, readers []int) error {
-	c.addTopup(id, account, amount)
+	c.addTopUp(id, account, amount)
 	for _, i := range readers {
-		if err := c.writeTopups(i); err != nil {
+		if err := c.writeTopUps(i); err != nil {
 			return err
 		}
 		c.Routers[i].Signal(syscall.SIGHUP)
--- a/loadtest/creditmeasure.go
+++ b/loadtest/creditmeasure.go
@@ -10,7 +10,7 @@
 const (
 	creditRateClients  = 64
 	creditFaultClients = 12
-	creditTopup        = 1500 // credits before each fault
+	creditTopUp        = 1500 // credits before each fault
 )
 
 // MeasureCredit compares how many pages a second are served without and with balances, runs a cluster that shares balances
@@ -31,7 +31,7 @@
 		return err
 	}
 	defer c.Close()
-	results, err := c.RunCreditFaults(settings.FaultLength, creditFaultClients, creditTopup, nil)
+	results, err := c.RunCreditFaults(settings.FaultLength, creditFaultClients, creditTopUp, nil)
 	writeCreditTable(results, out)
 	return err
 }
