--- a/cmd/hillknot-loadtest/main.go
+++ b/cmd/hillknot-loadtest/main.go
@@ -1,4 +1,4 @@
-// Command hillknot-loadtest runs load and fault tests: real routers on loopback, with fakes of every peer they talk to.
+// Command hillknot-loadtest runs load and fault tests: real routers on loopback, with fakes of the services that they use.
 package main
 
 import (
--- a/cmd/hillknot/failover_test.go
+++ b/cmd/hillknot/failover_test.go
@@ -163,9 +163,9 @@
 	}
 	for _, result := range results {
 		t.Logf("%+v", result)
-		maxStranded := 0.02 // share of the balance
+		maxStranded := 0.02 // fraction of the funds
 		switch {
-		case strings.HasPrefix(result.Fault, "top-up"): // the part of the balance that the other routers have
+		case strings.HasPrefix(result.Fault, "top-up"): // the other routers may hold any part of the funds
 			maxStranded = 1
 		case strings.HasPrefix(result.Fault, "killed"):
 			// Each kill loses what a router spends in the time of a chunk, and the cost of its open requests.
--- a/cmd/hillknot/harness_client_test.go
+++ b/cmd/hillknot/harness_client_test.go
@@ -74,7 +74,7 @@
 	c.write(encodeRequest(id, class, "", fields))
 }
 
-// serveOne sends a request, has the endpoint that gets it serve it, and returns the attempt.
+// serveOne sends a request, serves it as the endpoint that gets it, and returns the attempt.
 func (r *testRouter) serveOne(client *testClient, id int, class string) endpointMessage {
 	r.t.Helper()
 	client.request(id, class, nil)
--- a/cmd/hillknot/hotrestart.go
+++ b/cmd/hillknot/hotrestart.go
@@ -15,8 +15,8 @@
 	"hillknot/internal/upstream"
 )
 
-// hotRestart is the part of this process in hot restarts: as the successor of an earlier process and as the predecessor of
-// a later one. Two processes of a router share its limits. It implements handover.Process.
+// hotRestart lets this process take part in hot restarts: as the successor of an earlier process, and as the predecessor of
+// a later one. While two processes of a router run, they share its limits. It implements handover.Process.
 type hotRestart struct {
 	core     *core.Core
 	watcher  *discovery.Watcher
--- a/cmd/hillknot/outputfile.go
+++ b/cmd/hillknot/outputfile.go
@@ -76,6 +76,6 @@
 
 // discard closes the file, and removes it unless commit has renamed it.
 func (f *outputFile) discard() {
-	_ = f.Close()           // an error loses nothing, because commit has synced the file
+	_ = f.Close()           // an error loses nothing: commit has synced the file, or it is removed
 	_ = os.Remove(f.Name()) // fails after commit, because the temporary name no longer exists
 }
--- a/cmd/hillknot/report.go
+++ b/cmd/hillknot/report.go
@@ -46,7 +46,8 @@
 }
 
 // report prints the outcome of a request and returns the error that the command ends with. With --json it prints the
-// result to out, and otherwise an error or "unchanged" to standard error. It only returns a usageError, without printing.
+// result to out, and otherwise an error or "unchanged" to standard error. If err is a usageError, report returns it
+// and prints nothing.
 func (f *requestFlags) report(cmd *cobra.Command, out io.Writer, resp client.Response, err error) error {
 	if isUsageError(err) {
 		return err
--- a/cmd/hillknot/router.go
+++ b/cmd/hillknot/router.go
@@ -281,7 +281,8 @@
 }
 
 // takeOver imports the state of the predecessor. It does nothing if predecessor is nil. If a termination is requested
-// before the predecessor has been told, the clients stay with the predecessor and takeOver returns errTerminated.
+// before the predecessor has been told that this process is ready, the clients stay with the predecessor and takeOver
+// returns errTerminated.
 func (r *router) takeOver(predecessor *handover.Predecessor) error {
 	if predecessor == nil {
 		return nil
--- a/cmd/hillknot/shutdown.go
+++ b/cmd/hillknot/shutdown.go
@@ -30,8 +30,9 @@
 	r.clients.Shutdown(start + limits.ShutdownTimeout + limits.ShutdownFlush)
 }
 
-// finishIfNothingOpen reports whether a shutdown that began at start may end, because every request has its final answer.
-// If so, the core rejects every request from then on.
+// finishIfNothingOpen reports whether a shutdown that began at start may end: every request has its final answer, and
+// Limits.ShutdownGrace is over or, with a successor, all client connections are closed. If so, the core rejects every
+// request from then on.
 func (r *router) finishIfNothingOpen(start time.Duration) bool {
 	if r.core.Snapshot().HasSuccessor {
 		r.clients.StopAccepting()
--- a/loadtest/failoverfaults.go
+++ b/loadtest/failoverfaults.go
@@ -110,7 +110,7 @@
 	return results, nil
 }
 
-// RunKills kills one random router after another, count times, and starts each again.
+// RunKills kills one random router after another, count times at an average interval, and starts each again.
 func (c *FailoverCluster) RunKills(count int, interval time.Duration, clients int) (FailoverResult, error) {
 	random := rand.New(rand.NewPCG(c.seed, 4))
 	return c.runFault(failoverFault{"kill and restart, one after the other", func(markLost func(...int)) error {
--- a/loadtest/fleet.go
+++ b/loadtest/fleet.go
@@ -37,8 +37,8 @@
 
 	Answer   func(cache int, request fakes.Request) fakes.Reply // nil: Backend answers
 	Operator func(router int, ip string) (string, error)        // returns the text of a router's operator's file; nil: no file
-	// Address returns the address of a page cache that the caller runs; the last page cache is the origin. Nil: the fleet
-	// runs them.
+	// Address returns the addresses of page caches that the caller runs, and last that of the origin. Nil: the fleet runs
+	// them.
 	Address  func(cache int) string
 	LogLevel string // minimum level that routers log; empty: error
 }
--- a/loadtest/outlier.go
+++ b/loadtest/outlier.go
@@ -32,7 +32,7 @@
 		c.recorder.setOutlier(outlier)
 		agreed := func(metrics string) bool { return metrics != "" && strings.Contains(metrics, outlierMetric) == failing }
 		if err := c.waitForMetrics(agreed); err != nil {
-			return fmt.Errorf("not all routers agree that a page cache is an outlier: %v: %w", failing, err)
+			return fmt.Errorf("not all routers agree on a page cache (outlier: %v): %w", failing, err)
 		}
 	}
 	c.stopLoads()
--- a/loadtest/rejectionstorm.go
+++ b/loadtest/rejectionstorm.go
@@ -60,7 +60,7 @@
 	return outcomes, nil
 }
 
-// dueBetween returns the outcomes of the requests that were due from one time until before another.
+// dueBetween returns the outcomes of the requests that were due at from or later, but before to.
 func dueBetween(outcomes []outcome, from, to time.Duration) (within []outcome) {
 	for _, o := range outcomes {
 		if o.due >= from && o.due < to {
--- a/loadtest/soakhistory.go
+++ b/loadtest/soakhistory.go
@@ -90,7 +90,7 @@
 	return at
 }
 
-// lastStart returns the last time before another at which a router was restarted; zero: it was not restarted.
+// lastStart returns when a router was last restarted before a time; zero: it was not restarted before it.
 func (h *soakHistory) lastStart(router string, before time.Time) (last time.Time) {
 	for _, start := range h.starts[router] {
 		if start.Before(before) {
@@ -100,8 +100,8 @@
 	return last
 }
 
-// receiptTime returns the time by which a router should have received an event that was published at a time. It allows for
-// the last start of the router before now and for outages of the discovery service.
+// receiptTime returns the time by which a router should have received the event that was published at published. It allows
+// for the last restart of the router before now, and for outages of the discovery service.
 func (h *soakHistory) receiptTime(router string, published, now time.Time) time.Time {
 	at := published.Add(soakEventDelay)
 	if start := h.lastStart(router, now); !start.IsZero() {
--- a/loadtest/soakinvariants.go
+++ b/loadtest/soakinvariants.go
@@ -25,7 +25,8 @@
 // reportViolation reports that an invariant was violated at a time.
 type reportViolation func(at time.Time, format string, args ...any)
 
-// checkInvariants returns the violations of invariants, each with the time since the start of the seed in seconds.
+// checkInvariants returns the violations of invariants, each with its time in seconds since the start of the seed, and then
+// the process errors.
 func (s *soakRun) checkInvariants() (violations []string) {
 	h := s.history
 	h.mu.Lock()
@@ -102,8 +103,8 @@
 }
 
 // checkAbandoned checks that an attempt did not start after its client had abandoned the request. The time for which the
-// router was stopped is added to the tolerance, because attempts that it wrote before a stop, or after one before it could
-// read its sockets, may be read late.
+// router was stopped is added to the tolerance: it may have written the attempt before a stop, or after a stop but before it
+// could read its sockets, and such an attempt may be read late.
 func (h *soakHistory) checkAbandoned(r *soakRequest, a *soakAttempt, report reportViolation) {
 	if r.abandoned.IsZero() {
 		return
--- a/loadtest/soakusage.go
+++ b/loadtest/soakusage.go
@@ -45,7 +45,7 @@
 	}
 }
 
-// wait waits for a length of time. It reports false if the connection ends or stop is closed meanwhile.
+// wait waits for a length of time. It returns false if the connection ends or stop is closed meanwhile.
 func (s *soakConn) wait(length time.Duration, stop <-chan struct{}) bool {
 	select {
 	case <-stop:
--- a/tools/citest/citest_test.go
+++ b/tools/citest/citest_test.go
@@ -73,7 +73,7 @@
 	}
 }
 
-// parseKnownFailures rejects a list with a malformed or repeated line, so that the run fails whatever its tests did. It accepts
+// parseKnownFailures rejects a list with a malformed or repeated line, so that the run fails regardless of its tests. It accepts
 // valid lists of different lengths.
 func TestParseKnownFailuresRejectsInvalidLists(t *testing.T) {
 	lineOf := func(n string) string { return "p/q.Test" + n + " | command, seed 1 | what was seen | issue 1\n" }
