--- a/loadtest/creditclient.go
+++ b/loadtest/creditclient.go
@@ -14,82 +14,82 @@
 
 const (
 	creditTimeout = time.Second // of a request
-	creditItems   = 4000        // different pages
+	creditItems   = 4000        // number of different pages
 	creditPause   = 10 * time.Millisecond
 )
 
-// payingClient sends one request after the other on behalf of an account, and counts what it was served.
+// payingClient sends one request after another on behalf of an account, and counts the answers.
 type payingClient struct {
-	client *client.Client
-	random *rand.Rand
-	orders bool // it sends orders; otherwise pages
+	client      *client.Client
+	random      *rand.Rand
+	sendsOrders bool // it sends orders; otherwise pages
 
 	mu               sync.Mutex
-	spent            float64 // the price of what it was served
+	spent            float64 // price of the requests that were served
 	served, rejected int
-	recent           int // served since it was read last
+	servedSinceTaken int // served since the last call of takeServed
 }
 
-// payingClientOptions describe a client.
+// payingClientOptions describes a paying client.
 type payingClientOptions struct {
-	account string // empty: none
-	seed    uint64
-	claims  bool // it claims its orders at another router when it has lost the first
-	orders  bool // it sends orders; otherwise pages
+	account      string // empty: none
+	seed         uint64
+	claimsOrders bool // it claims an order at another router when it has lost the first one
+	sendsOrders  bool // it sends orders; otherwise pages
 }
 
-// newPayingClient makes a client.
+// newPayingClient makes a client that sends requests to all routers of the cluster.
 func (c *FailoverCluster) newPayingClient(options payingClientOptions) (*payingClient, error) {
 	settings := policy.Defaults()
-	settings.Seed, settings.Claims = options.seed, options.claims
-	w := &payingClient{random: rand.New(rand.NewPCG(options.seed, 6)), orders: options.orders}
+	settings.Seed, settings.Claims = options.seed, options.claimsOrders
+	paying := &payingClient{random: rand.New(rand.NewPCG(options.seed, 6)), sendsOrders: options.sendsOrders}
 	var err error
-	w.client, err = client.New(client.Config{Routers: c.listenAddresses(), Account: options.account, Policy: &settings})
-	return w, err
+	paying.client, err = client.New(client.Config{Routers: c.listenAddresses(), Account: options.account, Policy: &settings})
+	return paying, err
 }
 
 // run sends requests until stop is closed.
-func (w *payingClient) run(stop <-chan struct{}, pause time.Duration) {
+func (c *payingClient) run(stop <-chan struct{}, pause time.Duration) {
 	for {
 		select {
 		case <-stop:
 			return
 		default:
 		}
-		w.doNext()
+		c.doNext()
 		time.Sleep(pause)
 	}
 }
 
 // doNext sends a request and counts its answer.
-func (w *payingClient) doNext() {
+func (c *payingClient) doNext() {
 	request, price := client.Request{Class: classPage, Limit: creditTimeout}, float64(pagePrice)
-	request.Item = w.random.Uint64N(creditItems)
-	if w.orders {
-		request.Class, request.Item, request.Body, price = classOrder, w.random.Uint64(), []byte("order"), orderPrice
+	request.Item = c.random.Uint64N(creditItems)
+	if c.sendsOrders {
+		request.Class, request.Item, request.Body, price = classOrder, c.random.Uint64(), []byte("order"), orderPrice
 	}
-	_, err := w.client.Do(context.Background(), request)
-	w.mu.Lock()
-	defer w.mu.Unlock()
+	_, err := c.client.Do(context.Background(), request)
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	if err != nil {
-		w.rejected++
+		c.rejected++
 		return
 	}
-	w.spent += price
-	w.served++
-	w.recent++
+	c.spent += price
+	c.served++
+	c.servedSinceTaken++
 }
 
-// takeRecent returns how many requests were served since the last call.
-func (w *payingClient) takeRecent() int {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	recent := w.recent
-	w.recent = 0
-	return recent
+// takeServed returns how many requests were served since the last call.
+func (c *payingClient) takeServed() int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	servedSinceTaken := c.servedSinceTaken
+	c.servedSinceTaken = 0
+	return servedSinceTaken
 }
 
-// payingClients are clients that run at the same time, by account.
+// payingClients are clients that run at the same time.
 type payingClients struct {
 	byAccount map[string][]*payingClient
 	stop      chan struct{}
@@ -100,25 +100,25 @@
 	return &payingClients{byAccount: map[string][]*payingClient{}, stop: make(chan struct{})}
 }
 
-// start runs a client of an account until finish.
-func (p *payingClients) start(account string, w *payingClient, pause time.Duration) {
-	p.byAccount[account] = append(p.byAccount[account], w)
-	p.running.Go(func() { w.run(p.stop, pause) })
+// start runs a client of an account until finish is called.
+func (p *payingClients) start(account string, c *payingClient, pause time.Duration) {
+	p.byAccount[account] = append(p.byAccount[account], c)
+	p.running.Go(func() { c.run(p.stop, pause) })
 }
 
-// servedWithin waits for a time, and returns how many requests of an account were served in it.
+// servedWithin waits for a length of time, and returns how many requests of an account were served meanwhile.
 func (p *payingClients) servedWithin(account string, length time.Duration) (served int) {
-	for _, w := range p.byAccount[account] {
-		w.takeRecent()
+	for _, c := range p.byAccount[account] {
+		c.takeServed()
 	}
 	time.Sleep(length)
-	for _, w := range p.byAccount[account] {
-		served += w.takeRecent()
+	for _, c := range p.byAccount[account] {
+		served += c.takeServed()
 	}
 	return served
 }
 
-// awaitFirstServed waits until a request of each account is served: on a busy machine the clients take a while to connect.
+// awaitFirstServed waits until a request of each account has been served. On a busy machine, clients take a while to connect.
 func (p *payingClients) awaitFirstServed() error {
 	const timeout, interval = 20 * time.Second, 10 * time.Millisecond
 	for deadline := time.Now().Add(timeout); time.Now().Before(deadline); time.Sleep(interval) {
@@ -126,7 +126,7 @@
 			return nil
 		}
 	}
-	return fmt.Errorf("an account had no request served within %v", timeout)
+	return fmt.Errorf("no request of an account was served within %v", timeout)
 }
 
 func (p *payingClients) eachServed() bool {
@@ -138,19 +138,19 @@
 	return true
 }
 
-func (w *payingClient) hasBeenServed() bool {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.served > 0
+func (c *payingClient) hasBeenServed() bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.served > 0
 }
 
-// finish ends all clients, and closes them.
+// finish stops all clients, and closes them.
 func (p *payingClients) finish() {
 	close(p.stop)
 	p.running.Wait()
 	for _, clients := range p.byAccount {
-		for _, w := range clients {
-			_ = w.client.Close(context.Background()) // nothing is in flight
+		for _, c := range clients {
+			_ = c.client.Close(context.Background()) // nothing is in flight
 		}
 	}
 }
--- a/loadtest/routerconfig.go
+++ b/loadtest/routerconfig.go
@@ -14,9 +14,9 @@
 
 // How a page cache warms up after its start.
 const (
-	warmUpFrom = 0.21             // of its capacity
-	slowStart  = 18 * time.Second // until it has all of it
-	fallWindow = 2 * time.Second  // overloaded for so long, it falls
+	warmUpFrom     = 0.21             // fraction of its capacity at the start
+	slowStart      = 18 * time.Second // until it has its full capacity
+	overloadWindow = 2 * time.Second  // a page cache that is overloaded for this long fails
 )
 
 // routerConfig is the configuration file of a router.
@@ -29,12 +29,12 @@
 	Settings  routerSettings `json:"settings"`
 }
 
-// routerLimits are the limits of a router's machine; what is 0 has its default.
+// routerLimits holds the limits of a router's machine. A limit of 0 has its default.
 type routerLimits struct {
 	Sockets int `json:"sockets,omitempty"` // descriptors
 }
 
-// knownEvents are the events that a router has at its start.
+// knownEvents are the events of the discovery service that a router has at its start.
 type knownEvents struct {
 	Position int          `json:"pos"`
 	Events   []knownEvent `json:"entries"`
@@ -45,7 +45,7 @@
 	Endpoints endpointList `json:"hosts"`
 }
 
-// routerSettings are the settings of the decision module. Times are in microseconds.
+// routerSettings holds the settings of the decision module. Times are in microseconds.
 type routerSettings struct {
 	Locality   string           `json:"locality"`
 	Zones      []string         `json:"dcs"`
@@ -68,7 +68,7 @@
 type routerInvariants struct {
 	WarmUpFrom     float64 `json:"coldFrom"`
 	SlowStart      int64   `json:"coldUs"`
-	Fall           int64   `json:"fallUs"`
+	OverloadWindow int64   `json:"fallUs"`
 	OverloadFactor int     `json:"overloadFactor"`
 }
 
@@ -107,7 +107,7 @@
 			Machines: []string{machineSmall, machineOrigin},
 			Allowed: routerAllowed{Cancel: true, ConnectTimeout: micros(400 * time.Millisecond), Keepalive: micros(30 * second),
 				MaxAttempts: 6, RetryAfter: f.options.RetryAfter, MaxRetryAfter: micros(500 * time.Millisecond)},
-			Invariants: routerInvariants{WarmUpFrom: warmUpFrom, SlowStart: micros(slowStart), Fall: micros(fallWindow),
+			Invariants: routerInvariants{WarmUpFrom: warmUpFrom, SlowStart: micros(slowStart), OverloadWindow: micros(overloadWindow),
 				OverloadFactor: f.options.OverloadFactor},
 			Classes: []routerClass{
 				{classScore, "safe", micros(400 * time.Millisecond), micros(5 * second), 2},
