--- a/internal/core/attempts.go
+++ b/internal/core/attempts.go
@@ -92,7 +92,7 @@
 	}
 	a.done = true
 	r := a.owner
-	r.attempt, r.attemptAwaitingLease = nil, nil
+	r.attempt, r.attemptAwaitingPermission = nil, nil
 	if !r.mayHaveRun && !result.Status.NeverRan() {
 		r.mayHaveRun, r.mayHaveRunSince = true, a.sentAt
 	}
@@ -131,11 +131,11 @@
 	})
 }
 
-// abandonAttempt cancels an open attempt and ends it with the given status, or with balancer.NotSent if it awaits its
-// lease, as it has surely not run then.
+// abandonAttempt cancels an open attempt and ends it with the given status, or with balancer.NotSent if it awaits the
+// permission to be sent, as it has surely not run then.
 func (c *Core) abandonAttempt(a *Attempt, status balancer.Status) {
 	c.upstream.Cancel(a)
-	if a.owner.attemptAwaitingLease == a {
+	if a.owner.attemptAwaitingPermission == a {
 		status = balancer.NotSent
 	}
 	c.CompleteAttempt(a, AttemptResult{Status: status})
--- a/internal/core/orders.go
+++ b/internal/core/orders.go
@@ -15,11 +15,11 @@
 // Its methods are called on the core's goroutine, and none may block. It reports back there by
 // SendPermissionGranted, SendPermissionDenied, ClaimGranted, ClaimAnswered, ReplicaDropped and ReplicaNotDropped.
 type OrderFailover interface {
-	// Replicate replicates an order whose deadline is the given time away. After an error no other router has a
-	// replica, and the order is rejected.
-	Replicate(q *Request, left time.Duration) error
+	// Replicate replicates an order, which must be answered within the remaining time. After an error no other router
+	// has a replica, and the order is rejected.
+	Replicate(q *Request, remaining time.Duration) error
 	// Claim asks for the outcome of the order that a request resumes. ClaimGranted or ClaimAnswered follows.
-	Claim(id balancer.RequestID, q *Request, left time.Duration)
+	Claim(id balancer.RequestID, q *Request, remaining time.Duration)
 	// CancelClaim ends a claim whose client no longer waits.
 	CancelClaim(id balancer.RequestID)
 	// RequestSendPermission requests the permission to write an order, under the lease of this router.
@@ -29,7 +29,7 @@
 	UseSendPermission(txn string) bool
 	// Finish takes the answer that the client of an order is about to get. If it returns true, the answer is a
 	// rejection, and is held back until ReplicaDropped or ReplicaNotDropped.
-	Finish(txn string, a Answer, mayHaveRun bool) (hold bool)
+	Finish(txn string, answer Answer, mayHaveRun bool) (hold bool)
 	// StopWaiting ends the wait for ReplicaDropped or ReplicaNotDropped, for a rejection that Finish held back.
 	StopWaiting(txn string)
 	// Cancel ends an order whose client no longer waits.
@@ -93,24 +93,24 @@
 	c.startRequest(r)
 }
 
-// AcquireSendPermission reports whether this router has the lease that it needs to write an attempt. If it returns
-// false, the attempt is sent again once the lease is granted. An attempt of a request that is not replicated needs no
-// lease, as other routers need not know of it first.
+// AcquireSendPermission reports whether this router has the permission to write an attempt now. If not, it requests the
+// permission, and the attempt is sent again once SendPermissionGranted is called. An attempt of a request that is not
+// replicated needs no permission, as other routers need not know of it first.
 func (c *Core) AcquireSendPermission(a *Attempt) bool {
 	r := a.owner
 	if !r.replicated || c.extensions.orders.UseSendPermission(r.Txn) {
 		return true
 	}
-	r.attemptAwaitingLease = a
+	r.attemptAwaitingPermission = a
 	c.extensions.orders.RequestSendPermission(r.Txn)
 	return false
 }
 
 // SendPermissionGranted reports that an order may be written now.
 func (c *Core) SendPermissionGranted(txn string) {
-	if r := c.requests.byTxn[txn]; r != nil && r.attemptAwaitingLease != nil {
-		a := r.attemptAwaitingLease
-		r.attemptAwaitingLease = nil
+	if r := c.requests.byTxn[txn]; r != nil && r.attemptAwaitingPermission != nil {
+		a := r.attemptAwaitingPermission
+		r.attemptAwaitingPermission = nil
 		c.upstream.Send(a)
 	}
 }
--- a/internal/core/orders_test.go
+++ b/internal/core/orders_test.go
@@ -10,11 +10,11 @@
 
 // fakeOrderFailover is an OrderFailover that answers as the test sets, and records its calls.
 type fakeOrderFailover struct {
-	rejectReplicas, leaseHeld, holdRejections bool
-	leaseRequests, cancelled                  []string
-	finished                                  []Answer
-	claims                                    []balancer.RequestID
-	stoppedWaiting, cancelledClaims           int
+	rejectReplicas, sendPermitted, holdRejections bool
+	permissionRequests, cancelled                 []string
+	finished                                      []Answer
+	claims                                        []balancer.RequestID
+	stoppedWaiting, cancelledClaims               int
 }
 
 func (f *fakeOrderFailover) Replicate(*Request, time.Duration) error {
@@ -31,10 +31,10 @@
 func (f *fakeOrderFailover) CancelClaim(balancer.RequestID) { f.cancelledClaims++ }
 
 func (f *fakeOrderFailover) RequestSendPermission(txn string) {
-	f.leaseRequests = append(f.leaseRequests, txn)
+	f.permissionRequests = append(f.permissionRequests, txn)
 }
 
-func (f *fakeOrderFailover) UseSendPermission(string) bool { return f.leaseHeld }
+func (f *fakeOrderFailover) UseSendPermission(string) bool { return f.sendPermitted }
 
 func (f *fakeOrderFailover) Finish(_ string, a Answer, _ bool) bool {
 	f.finished = append(f.finished, a)
@@ -73,44 +73,44 @@
 	return id
 }
 
-// An order is written once its lease is granted, and not before; a page needs no lease.
-func TestOrderWaitsForLease(t *testing.T) {
+// An order is written once the permission is granted, and not before; a page needs no permission.
+func TestOrderWaitsForSendPermission(t *testing.T) {
 	h := newHarness(t)
 	failover := h.withOrderFailover()
 	h.submit("order", 2*second)
 	a := h.outstanding[0]
-	if h.core.AcquireSendPermission(a) || len(failover.leaseRequests) != 1 {
-		t.Fatalf("written without a lease; lease requests %v", failover.leaseRequests)
+	if h.core.AcquireSendPermission(a) || len(failover.permissionRequests) != 1 {
+		t.Fatalf("written without permission; permission requests %v", failover.permissionRequests)
 	}
-	failover.leaseHeld = true
+	failover.sendPermitted = true
 	h.core.SendPermissionGranted(a.Request.Txn)
 	if len(h.outstanding) != 2 || !h.core.AcquireSendPermission(a) {
-		t.Error("the order was not sent again with its lease")
+		t.Error("the order was not sent again once permitted")
 	}
-	failover.leaseHeld = false
+	failover.sendPermitted = false
 	h.submit("page", second)
 	if page := h.outstanding[len(h.outstanding)-1]; page.Request.Class != "page" || !h.core.AcquireSendPermission(page) {
-		t.Error("a page waits for a lease")
+		t.Error("a page waits for permission")
 	}
 }
 
-// An order that awaited its lease has surely not run. Its end does not count against the endpoint, and the order is
-// rejected, so that its client may retry.
-func TestOrderWithoutLeaseIsRejected(t *testing.T) {
+// An order that awaited the permission to be sent has surely not run. Its end does not count against the endpoint, and the
+// order is rejected, so that its client may retry.
+func TestOrderWithoutSendPermissionIsRejected(t *testing.T) {
 	h := newHarness(t)
 	failover := h.withOrderFailover()
 	h.submit("order", second)
 	h.core.AcquireSendPermission(h.outstanding[0])
 	h.wait(2 * second)
-	h.wantOneAnswer("the lease never came", Rejected)
+	h.wantOneAnswer("the permission never came", Rejected)
 	if len(failover.finished) != 1 || failover.finished[0].Verdict != Rejected {
 		t.Errorf("finished with %+v, want one rejection", failover.finished)
 	}
 }
 
-// An order without a replica is rejected at once. An order whose lease is denied is rejected if it surely never ran, and
-// fails otherwise.
-func TestDeniedReplicaOrLeaseEndsOrder(t *testing.T) {
+// An order without a replica is rejected at once. An order whose permission is denied is rejected if it surely never ran,
+// and fails otherwise.
+func TestDeniedReplicaOrPermissionEndsOrder(t *testing.T) {
 	h := newHarness(t)
 	failover := h.withOrderFailover()
 	failover.rejectReplicas = true
@@ -158,7 +158,7 @@
 
 // An order that is rejected at its deadline is answered at once, without a wait for the release by its replica: its client
 // waits no longer, or the process is about to be killed. The shutdown may begin at any time: while the order waits for an
-// endpoint, for its lease, or for a place among the limited number of attempts.
+// endpoint, for permission, or for capacity, as the number of attempts is limited.
 func TestOrderRejectedAtDeadlineIsAnsweredInTime(t *testing.T) {
 	const timeout, step = 2 * second, 50 * time.Millisecond
 	for name, c := range map[string]struct {
@@ -166,12 +166,12 @@
 		endpoints bool
 	}{
 		"no endpoint is listed": {1, false},
-		"no lease":              {1, true},
-		"no place":              {80, true},
+		"no permission":         {1, true},
+		"no capacity":           {80, true},
 	} {
 		for shutdownAfter := time.Duration(0); shutdownAfter <= timeout; shutdownAfter += step {
 			settings := testSettings()
-			settings.Classes[1].LatencyObjective = timeout // lets orders wait long for a place
+			settings.Classes[1].LatencyObjective = timeout // lets orders wait long for capacity
 			h := newHarnessWithSettings(t, settings)
 			h.core.limits.ShutdownTimeout = second
 			h.withOrderFailover().holdRejections = true
@@ -183,7 +183,7 @@
 				h.submit("order", timeout)
 			}
 			for _, a := range h.outstanding {
-				h.core.AcquireSendPermission(a) // the lease is never granted
+				h.core.AcquireSendPermission(a) // the permission is never granted
 			}
 			h.wait(shutdownAfter)
 			h.core.BeginShutdown(h.now)
@@ -218,7 +218,7 @@
 	if len(h.outstanding) != 1 || h.outstanding[0].Request.Txn != "old" {
 		t.Fatalf("%d attempts, want one under the txn that the order had", len(h.outstanding))
 	}
-	failover.leaseHeld = true
+	failover.sendPermitted = true
 	h.finish(h.outstanding[0], AttemptResult{Status: balancer.OK, Body: []byte("x")})
 	h.wantOneAnswer("run", Served)
 	h.answers = nil
--- a/internal/core/requests.go
+++ b/internal/core/requests.go
@@ -35,9 +35,9 @@
 	reservation Reservation // credit set aside; nil: none
 
 	// The fields below are set for an order that is replicated to other routers.
-	replicated           bool     // another router has a replica
-	attemptAwaitingLease *Attempt // is sent again once the lease is granted; nil: none
-	pendingRejection     Answer   // the rejection held back in state requestRejectionPending
+	replicated                bool     // another router has a replica
+	attemptAwaitingPermission *Attempt // is sent again once the permission is granted; nil: none
+	pendingRejection          Answer   // the rejection held back in state requestRejectionPending
 }
 
 // retryIsHarmless reports whether the client may be told that a retry does no harm, given the attempts sent so far.
