--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -39,7 +39,7 @@
 		classes:   newClassTable(s.Classes),
 		endpoints: endpointTable{byID: map[EndpointID]*endpoint{}},
 		requests:  requestTable{byID: map[RequestID]*request{}},
-		objects:   objectTable{young: map[objectKey]*object{}},
+		objects:   objectTable{current: map[objectKey]*object{}},
 		purges:    purgeTable{purgedAt: map[purgeKey]time.Duration{}},
 	}
 	for r := range b.bestScore {
--- a/balancer/hashing.go
+++ b/balancer/hashing.go
@@ -12,8 +12,8 @@
 type preference uint8
 
 const (
-	preferred       preference   = iota // usable, and the key is in the part of its range that it serves now
-	spillOver                           // usable, but overloaded or outside the part of its range that it serves now
+	preferred       preference   = iota // usable, and the key is in the fraction of its range that it serves now
+	spillOver                           // usable, but overloaded, or the key is outside that fraction
 	failedOnce                          // usable, but it has failed this request already
 	ejected                             // not usable: ejected as an outlier, or probed by a peer
 	ineligible                          // it must not be chosen
--- a/balancer/hashing_test.go
+++ b/balancer/hashing_test.go
@@ -12,8 +12,8 @@
 	for o := uint64(1); o <= 12; o++ {
 		send := r.request("page", o)
 		q := &request{Request: Request{Object: o}}
-		_, second := r.balancer.homeParents(q)
-		got += fmt.Sprintf("%d<%d,%d ", send.Endpoint, send.Source, second.id)
+		_, secondHome := r.balancer.homeParents(q)
+		got += fmt.Sprintf("%d<%d,%d ", send.Endpoint, send.Source, secondHome.id)
 		r.finish(send, 0, OK, Hit)
 	}
 	const want = "1<13,12 1<13,12 1<11,13 3<11,12 3<11,12 3<11,12 2<13,12 1<11,12 1<11,12 3<11,13 3<13,11 3<12,13 "
--- a/balancer/health.go
+++ b/balancer/health.go
@@ -2,14 +2,14 @@
 
 import "math"
 
-// This file implements outlier detection, from the outcomes of attempts alone. A low health score reduces the part of its
-// range that a slow endpoint serves; consecutive failures eject an endpoint.
+// This file implements outlier detection, from the outcomes of attempts alone. A low health score reduces the fraction
+// of its range that a slow endpoint serves; consecutive failures eject an endpoint.
 
 // inService reports whether the endpoint list allows attempts at an endpoint.
 func (e *endpoint) inService() bool { return e.state == InService }
 
 // usable reports whether an endpoint may get ordinary attempts: it is in service, it is not ejected or its probe is due,
-// and no other router of the fleet probes it.
+// and no other router of the cluster probes it.
 func (b *Balancer) usable(e *endpoint) bool {
 	return e.inService() && (!e.health.ejected || b.now >= e.health.nextProbe) &&
 		!b.settings.ClusterState.ProbedByPeer(b.now, e.id)
--- a/balancer/objects.go
+++ b/balancer/objects.go
@@ -21,17 +21,17 @@
 
 // objectTable remembers objects in two generations, which bounds its size and lets entries age out.
 type objectTable struct {
-	young, old map[objectKey]*object
-	rotatedAt  time.Duration // when young became old
+	current, previous map[objectKey]*object
+	rotatedAt         time.Duration // when current became previous
 }
 
 // get returns the entry of a key, which it creates if there is none.
 func (t *objectTable) get(now time.Duration, k objectKey) *object {
-	if len(t.young) >= objectGenerationSize || now-t.rotatedAt > 4*replicationInterval {
-		t.young, t.old, t.rotatedAt = map[objectKey]*object{}, t.young, now
+	if len(t.current) >= objectGenerationSize || now-t.rotatedAt > 4*replicationInterval {
+		t.current, t.previous, t.rotatedAt = map[objectKey]*object{}, t.current, now
 	}
-	o := cmp.Or(t.young[k], t.old[k], &object{})
-	t.young[k] = o
+	o := cmp.Or(t.current[k], t.previous[k], &object{})
+	t.current[k] = o
 	return o
 }
 
--- a/balancer/resolve.go
+++ b/balancer/resolve.go
@@ -5,7 +5,7 @@
 // This file answers DNS resolvers, which name endpoints to their own clients.
 
 // handleResolve names endpoints to a resolver by the same hash and under the same limits as for requests: draining
-// endpoints are left out, and one in slow start is named only for the rising part of its range and within its budget.
+// endpoints are left out, and one in slow start is named only for the rising fraction of its range and within its budget.
 // The resolver keeps its answer for the TTL, so the load of its clients counts for all that time.
 func (b *Balancer) handleResolve(ev Resolve) {
 	r := &request{Request: Request{Object: ev.Key}, class: newClass(Class{}), leaseLoad: max(ev.Load, minLeaseLoad)}
--- a/balancer/settings.go
+++ b/balancer/settings.go
@@ -79,9 +79,9 @@
 	OverloadWindow  time.Duration // for this long; 0: there is no rule
 }
 
-// ClusterState is the state that the routers of a fleet have agreed on. Its methods are called within Handle, with the
-// time of that call. They must return at once, from local state. They can only forbid what the balancer would do, never
-// allow more.
+// ClusterState is the state that the routers of a cluster share. Its methods are called within Handle, with the time of
+// that call. They must return at once, from local state. They can only forbid what the balancer would do, never allow
+// more.
 type ClusterState interface {
 	// AdmitWarmingUp reports whether an endpoint in slow start may be sent one more attempt.
 	AdmitWarmingUp(now time.Duration, id EndpointID) bool
--- a/balancer/slowstart.go
+++ b/balancer/slowstart.go
@@ -15,9 +15,9 @@
 // as clients retry what was never served.
 func (b *Balancer) recordLoad(loadRole role, c *class, calls float64) {
 	l := &b.load[loadRole]
-	dt := (b.now - l.updatedAt).Seconds()
-	l.rate.setScaled(l.rate, math.Exp(-dt/usualLoadWindow.Seconds()))
-	l.peak.setScaled(l.peak, math.Exp(-dt/peakLoadWindow.Seconds()))
+	elapsed := (b.now - l.updatedAt).Seconds()
+	l.rate.setScaled(l.rate, math.Exp(-elapsed/usualLoadWindow.Seconds()))
+	l.peak.setScaled(l.peak, math.Exp(-elapsed/peakLoadWindow.Seconds()))
 	l.rate[c.index] += calls / usualLoadWindow.Seconds()
 	if filledPart := b.windowFilled(); b.classes.serviceTime(l.rate) > filledPart*b.classes.serviceTime(l.peak) {
 		l.peak.setScaled(l.rate, 1/filledPart)
--- a/balancer/slowstart_test.go
+++ b/balancer/slowstart_test.go
@@ -13,7 +13,7 @@
 	}
 	r := newRig(t, testSettings(), list)
 	sentTime := map[EndpointID]float64{}
-	for i := range uint64(600) { // about 300 a second of 0.2 s each, far more than three cold caches serve
+	for i := range uint64(600) { // about 300 a second of 0.2 s each, far more than three caches in slow start serve
 		r.now += 3 * ms
 		for _, send := range sentAttempts(r.handle(Request{ID: RequestID(i), Class: "page", Object: i, Remaining: 3 * sec})) {
 			sentTime[send.Endpoint] += initialServiceTime.Seconds()
--- a/balancer/snapshot.go
+++ b/balancer/snapshot.go
@@ -13,7 +13,7 @@
 const snapshotObjects = 4096
 
 // Snapshot holds what a balancer has learned, from which its successor continues. Its times are readings of the
-// balancer's clock; Relative and Absolute convert them to another clock. Package handover writes it as rows of numbers.
+// caller's clock; Relative and Absolute convert them to another clock. Package handover writes it as rows of numbers.
 type Snapshot struct {
 	LinkLimit  float64
 	PurgeFloor time.Duration // copies older than this count as purged
@@ -102,7 +102,7 @@
 // snapshot returns the objects that were served. An object in both generations is returned twice.
 func (t *objectTable) snapshot() []ObjectSnapshot {
 	var all []ObjectSnapshot
-	for _, generation := range [...]map[objectKey]*object{t.young, t.old} {
+	for _, generation := range [...]map[objectKey]*object{t.current, t.previous} {
 		for k, o := range generation {
 			if o.servedAt > 0 {
 				all = append(all, o.snapshot(k))
@@ -176,7 +176,7 @@
 }
 
 func (t *objectTable) restore(now time.Duration, from ObjectSnapshot) {
-	t.young[objectKey{from.Object, from.Part}] = &object{
+	t.current[objectKey{from.Object, from.Part}] = &object{
 		requestCount: from.RequestCount, servedAt: min(from.ServedAt, now), replicatedAt: min(from.ReplicatedAt, now),
 		cachedAtHome: from.CachedAtHome, serviceTime: max(from.ServiceTime, 0),
 	}
--- a/balancer/snapshot_test.go
+++ b/balancer/snapshot_test.go
@@ -51,7 +51,7 @@
 	if _, avoided := r.balancer.CacheCounts(); avoided != 1 || !r.balancer.endpoints.byID[1].health.ejected {
 		t.Errorf("%d caches avoided; want the one that the predecessor had ejected", avoided)
 	}
-	if k := (objectKey{3, 0}); r.balancer.objects.young[k] == nil || r.balancer.objects.young[k].servedAt == 0 {
+	if k := (objectKey{3, 0}); r.balancer.objects.current[k] == nil || r.balancer.objects.current[k].servedAt == 0 {
 		t.Error("an object that was served lately is not known")
 	}
 	r.now += 10 * ms
--- a/balancer/tuning.go
+++ b/balancer/tuning.go
@@ -7,7 +7,7 @@
 // Placement of objects on endpoints.
 const (
 	replicationInterval  = 40 * time.Second // fills of an object go to its second home once per this time
-	rangeRampTime        = 10 * time.Second // time over which a started endpoint's part of its range rises to all
+	rangeRampTime        = 10 * time.Second // time over which a started endpoint comes to serve its whole range
 	likelyCachedFor      = 10 * time.Second // an object served within this time is likely still cached
 	objectGenerationSize = 1 << 15          // objects remembered in each of two generations
 )
@@ -23,7 +23,7 @@
 	slowThreshold      = 0.6                    // a response over this part of the slack is slow; if lower, chance moves ranges
 	minSlack           = 50 * time.Millisecond  // for a class without a latency objective
 	slowScoreFactor    = 0.5                    // a slow response multiplies the score by this; if higher, aging shows late
-	quickScoreGain     = 0.1                    // a quick response adds this to the score; if higher, a fifth may be slow
+	quickScoreGain     = 0.1                    // added by a quick response; if higher, a fifth of responses may be slow
 	originScoreRouters = 20.0                   // with more routers than this, each sees few responses of the origin
 	minHealthScore     = 0.05                   // some requests must always show whether an endpoint has recovered
 	scoreRecoveryTime  = 30 * time.Second       // time until a score has recovered; if shorter, bad endpoints are retried
@@ -70,7 +70,7 @@
 // Averages.
 const (
 	initialMissRate    = 0.3                    // of a cache before its first response
-	averagingWindow    = 48.0                   // number of requests over which averages reach back, about
+	averagingWindow    = 48.0                   // averages reach back over about this many requests
 	initialServiceTime = 200 * time.Millisecond // of a class before its first response
 )
 
