--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -89,7 +89,7 @@
 // time to a Unix time.
 func clockReads(t *testing.T, path string) []string {
 	t.Helper()
-	var places []string
+	var positions []string
 	fileSet := token.NewFileSet()
 	file, err := parser.ParseFile(fileSet, path, nil, 0)
 	if err != nil {
@@ -103,9 +103,9 @@
 		pkg, isIdent := s.X.(*ast.Ident)
 		isTimePkg := isIdent && pkg.Name == "time"
 		if isTimePkg || strings.HasPrefix(s.Sel.Name, "Unix") && !(isIdent && (pkg.Name == "net" || pkg.Name == "unix")) {
-			places = append(places, fileSet.Position(s.Pos()).String())
+			positions = append(positions, fileSet.Position(s.Pos()).String())
 		}
 		return true
 	})
-	return places
+	return positions
 }
--- a/internal/core/cluster.go
+++ b/internal/core/cluster.go
@@ -70,12 +70,12 @@
 }
 
 // ReceiveGossip takes messages from other routers. They are ignored before JoinCluster.
-func (c *Core) ReceiveGossip(msgs []state.Message) {
+func (c *Core) ReceiveGossip(messages []state.Message) {
 	s := c.extensions.cluster
 	if s == nil {
 		return
 	}
-	for _, m := range msgs {
+	for _, m := range messages {
 		s.state.ReceiveMessage(c.iteration.now, m)
 	}
 	s.flush()
@@ -161,7 +161,7 @@
 }
 
 // endpoint returns the endpoint with an id, or nil if it is not listed or nothing is shared yet. In that case only the
-// module's own bounds hold.
+// module's own limits apply.
 func (s *ClusterState) endpoint(id balancer.EndpointID) *Endpoint {
 	if s.core == nil {
 		return nil
--- a/internal/core/credit.go
+++ b/internal/core/credit.go
@@ -15,7 +15,7 @@
 type Credit interface {
 	// Reserve sets aside the most that a request may cost. After an error the request is rejected, and does not run.
 	Reserve(q *Request) (Reservation, error)
-	// Charge settles the reservation of a request that was served with a body of so many bytes, or may have run.
+	// Charge settles the reservation of a request that was served with a body of the given size, or that may have run.
 	Charge(r Reservation, bytes int)
 	// Release returns the reservation of a request that surely never ran.
 	Release(r Reservation)
--- a/internal/core/golden_test.go
+++ b/internal/core/golden_test.go
@@ -21,14 +21,14 @@
 // recordingPeers is the Peers of a router in a cluster of two. It records the messages that are sent.
 type recordingPeers struct{ sent []state.OutgoingMessage }
 
-func (p *recordingPeers) Send(l []state.OutgoingMessage)   { p.sent = append(p.sent, l...) }
-func (p *recordingPeers) PublishFullState([]state.Message) {}
-func (p *recordingPeers) DroppedMessages() uint64          { return 0 }
-func (p *recordingPeers) Alive() ([]string, int)           { return []string{"r2"}, 2 }
+func (p *recordingPeers) Send(messages []state.OutgoingMessage) { p.sent = append(p.sent, messages...) }
+func (p *recordingPeers) PublishFullState([]state.Message)      {}
+func (p *recordingPeers) DroppedMessages() uint64               { return 0 }
+func (p *recordingPeers) Alive() ([]string, int)                { return []string{"r2"}, 2 }
 func (p *recordingPeers) keys(kind state.Kind) (text string) {
-	for _, l := range p.sent {
-		if l.Message.Kind == kind {
-			text += fmt.Sprintf("%q %q\n", l.ReplaceKey, l.Message.Key)
+	for _, outgoing := range p.sent {
+		if outgoing.Message.Kind == kind {
+			text += fmt.Sprintf("%q %q\n", outgoing.ReplaceKey, outgoing.Message.Key)
 		}
 	}
 	return text
@@ -64,9 +64,9 @@
 		s.flush()
 	}
 	leaseRequests := map[string]bool{}
-	for _, l := range peers.sent {
-		if l.Message.Kind == state.KindLeaseRequest {
-			leaseRequests[l.Message.Key] = true
+	for _, outgoing := range peers.sent {
+		if outgoing.Message.Kind == state.KindLeaseRequest {
+			leaseRequests[outgoing.Message.Key] = true
 		}
 	}
 	if len(leaseRequests) != 2 || !leaseRequests["retries"] || !leaseRequests["cold a"] {
--- a/internal/core/loop.go
+++ b/internal/core/loop.go
@@ -26,8 +26,8 @@
 	}
 }
 
-// RunOnce runs one iteration of the loop. It returns the time at which the next timer is due, and
-// whether any timer is pending.
+// RunOnce runs one iteration of the loop. It returns the time at which the next timer is due, and whether any timer is
+// pending.
 func (c *Core) RunOnce() (next time.Duration, pending bool) { return c.iterate(c.clock()) }
 
 // iterate is RunOnce for a caller that last checked for a stall of the process at checkedAt, which may lie some time
--- a/internal/core/policy.go
+++ b/internal/core/policy.go
@@ -6,7 +6,7 @@
 	"hillknot/balancer"
 )
 
-// requestPolicy holds the settings of the module that the core needs, too.
+// requestPolicy holds those of the module's settings that the core also needs.
 type requestPolicy struct {
 	classes       map[string]classPolicy
 	maxRetryAfter time.Duration            // the longest time that a client may be asked to stay away
--- a/internal/core/snapshot_test.go
+++ b/internal/core/snapshot_test.go
@@ -35,7 +35,7 @@
 }
 
 // A page cache that drains, or fails all its attempts, counts as avoided until it is healthy again.
-func TestSnapshotCountsAvoidedEndpoints(t *testing.T) {
+func TestSnapshotCountsAvoidedPageCaches(t *testing.T) {
 	h := newHarness(t)
 	h.core.UpdateEndpoints(draining("a", "127.1.0.1:1"))
 	h.core.RunOnce()
--- a/internal/core/statistics.go
+++ b/internal/core/statistics.go
@@ -44,12 +44,12 @@
 
 // CountAnswer counts an answer to a request of a class. The core counts the answers that it gives; a front end counts
 // the answers that it gives on its own.
-func (c *Core) CountAnswer(class string, v Verdict) {
+func (c *Core) CountAnswer(class string, verdict Verdict) {
 	i, known := c.stats.classIndex[class]
 	if !known {
 		i = len(c.stats.byClass) - 1
 	}
-	switch counts := &c.stats.byClass[i]; v {
+	switch counts := &c.stats.byClass[i]; verdict {
 	case Served, NotModified:
 		counts.Success++
 	case Rejected:
--- a/internal/netio/evict.go
+++ b/internal/netio/evict.go
@@ -33,9 +33,9 @@
 const extraSlots = 4
 
 // SetMaxConns changes how many connections may be open. If more are open, it closes silent and idle connections.
-func (s *Server) SetMaxConns(n int) {
-	s.slots.max.Store(int64(n))
-	for s.slots.inUse() > int64(n) && s.evict(rankIdle) == evictionDone {
+func (s *Server) SetMaxConns(limit int) {
+	s.slots.max.Store(int64(limit))
+	for s.slots.inUse() > int64(limit) && s.evict(rankIdle) == evictionDone {
 	}
 }
 
--- a/internal/upstream/client.go
+++ b/internal/upstream/client.go
@@ -155,7 +155,7 @@
 		cl.core.CompleteAttempt(a, core.AttemptResult{Status: status, Detail: detail})
 		return
 	}
-	if !cl.core.AcquireSendPermission(a) { // another router must know of the attempt first; then the core sends it again
+	if !cl.core.AcquireSendPermission(a) { // another router must know of the attempt first; the core sends it again then
 		return
 	}
 	err := c.transport.WriteSync(appendRequest(nil, a))
--- a/internal/upstream/connection.go
+++ b/internal/upstream/connection.go
@@ -188,8 +188,8 @@
 	return result.NotModified && (a.Request.ETag == "" || result.ETag != a.Request.ETag)
 }
 
-// recordUnserved records that a request was not served. If the same request was already unserved before, the response may
-// be a duplicate of the earlier one, so the attempt is cancelled before another one is sent.
+// recordUnserved records that a request was not served. If it is recorded already, the response may be a duplicate of the
+// earlier one, so the attempt is cancelled before another one is sent.
 func (c *connection) recordUnserved(txn string) error {
 	if c.unserved.contains(txn) {
 		c.abandon(txn)
--- a/internal/upstream/recent.go
+++ b/internal/upstream/recent.go
@@ -7,7 +7,7 @@
 const maxRecentRequests = 1 << 12
 
 // recentRequests remembers requests for one to two times the longest time that a client waits, or for less if there are
-// very many. It keeps two generations; add replaces the older one.
+// very many. It keeps two generations; add drops the older one whenever it starts a new one.
 //
 // pool.abandoned holds requests that were abandoned at an endpoint, by a cancellation or by closing their connection. An
 // endpoint reads its connections in no particular order. If the same request were sent again on another connection, the
