--- a/balancer/events.go
+++ b/balancer/events.go
@@ -142,7 +142,7 @@
 	SourceUnreachable // no connection to the source, a broken one, or a timeout
 	SourceMiss        // the source was asked for a cached copy, and has none
 	NoFillSlot        // the cache runs as many fills as it can
-	OriginFailed      // the origin failed a parent
+	OriginFailed      // the origin failed behind the parent
 )
 
 func (d Detail) isHit() bool { return d == Hit || d == Stale }
--- a/balancer/state.go
+++ b/balancer/state.go
@@ -173,7 +173,7 @@
 	cachedOnly      bool    // the source answers from its cache only
 	toSecondHome    bool    // the fill goes to the second home, to keep that one warm
 	late            bool    // a scan found that it takes too long for the latency objective
-	silent          bool    // a scan found that an endpoint of it has sent no response for silenceTimeout
+	silent          bool    // a scan found that its endpoint or source has sent no response for silenceTimeout
 	fillProbability float64 // expected number of transfers on the zone's link: 0 to 1
 	linkInFlight    float64 // linkUse.inFlight when the attempt was sent, including the attempt
 }
--- a/internal/upstream/client.go
+++ b/internal/upstream/client.go
@@ -175,8 +175,8 @@
 // maxBrokenConns is how many connections may break while one attempt is being written, before the attempt fails.
 const maxBrokenConns = 3
 
-// resend sends an attempt again whose connection broke before the request was written completely. Idle and new connections
-// are occasionally reset, but an endpoint whose connections always break counts as unreachable.
+// resend repeats an attempt whose connection broke before the request was written completely. Idle and new connections are
+// occasionally reset, but an endpoint whose connections always break counts as unreachable.
 func (cl *Client) resend(a *core.Attempt) {
 	status, detail := cl.core.Permit(a)
 	a.BrokenConns++
--- a/internal/upstream/dial.go
+++ b/internal/upstream/dial.go
@@ -52,7 +52,7 @@
 	}
 }
 
-// handleDialFailure completes the first waiting attempt, for which the dial was, and reassigns the others.
+// handleDialFailure completes the first waiting attempt, for which the connection was dialed, and reassigns the others.
 func (cl *Client) handleDialFailure(p *pool, err error) {
 	log.Debug("endpoint unreachable", logging.KeyAddress, p.address, logging.KeyError, err)
 	status := balancer.ConnectFailed
