--- a/internal/cluster/failover/action.go
+++ b/internal/cluster/failover/action.go
@@ -5,12 +5,12 @@
 
 // The kinds of actions.
 const (
-	ActionSend           ActionKind = iota // send the order Txn; UseSendPermission returns true until the lease expires
-	ActionStop                             // don't send the order Txn, which the caller may no longer run; Err is the reason
-	ActionReplicaDropped                   // answer the client of the order Txn; if Err is nil, no other router runs the order
-	ActionRun                              // run Order, whose owner is lost
-	ActionBeginClaim                       // run Order for the claim ClaimID, within Order.TimeLeft
-	ActionSettleClaim                      // answer the claim ClaimID with Outcome; Err is the reason if that is unknown
+	ActionSend        ActionKind = iota // send the order Txn; UseSendPermission returns true until the lease expires
+	ActionStop                          // don't send the order Txn, which the caller may no longer run; Err is the reason
+	ActionAnswer                        // answer the client of the order Txn; if Err is nil, no other router runs the order
+	ActionRun                           // run Order, whose owner is lost
+	ActionBeginClaim                    // run Order for the claim ClaimID, within Order.TimeLeft
+	ActionSettleClaim                   // answer the claim ClaimID with Outcome; Err is the reason if that is unknown
 )
 
 // Action is a task that the coordinator hands to its caller. The kind determines which fields are set.
--- a/internal/cluster/failover/owner.go
+++ b/internal/cluster/failover/owner.go
@@ -71,7 +71,7 @@
 }
 
 // Finish ends an order with the outcome that its client is about to get. It returns true if the replica may still pass
-// the order on; the caller must then wait for ActionReplicaDropped, or call StopWaiting, before it answers the client.
+// the order on; the caller must then wait for ActionAnswer, or call StopWaiting, before it answers the client.
 func (c *Coordinator) Finish(now time.Duration, txn string, outcome Outcome) (wait bool) {
 	o := c.owned.orders[txn]
 	if o == nil || o.state.ended() {
--- a/internal/cluster/failover/replication.go
+++ b/internal/cluster/failover/replication.go
@@ -237,7 +237,7 @@
 	if !o.state.releasing() {
 		return
 	}
-	action := Action{Kind: ActionReplicaDropped, Txn: req.txn}
+	action := Action{Kind: ActionAnswer, Txn: req.txn}
 	switch {
 	case err != nil:
 		action.Err = NotReleasedError{req.to}
--- a/internal/cluster/failover/sim_router_test.go
+++ b/internal/cluster/failover/sim_router_test.go
@@ -61,7 +61,7 @@
 			delete(r.requests, a.Txn)
 			c.answer(q, a.Outcome.Kind)
 		}
-	case ActionReplicaDropped:
+	case ActionAnswer:
 		if q != nil && q.heldBack != nil {
 			delete(r.requests, a.Txn)
 			kind := q.heldBack.Kind
--- a/internal/cluster/failover/simulation_test.go
+++ b/internal/cluster/failover/simulation_test.go
@@ -147,7 +147,7 @@
 		return
 	}
 	s := r.coordinator.Stats()
-	if s.OpenOrders > maxSimRecords || s.Records > maxSimRecords || s.OpenClaims > 0 || s.MaxQueued > 512 {
+	if s.OwnedOrders > maxSimRecords || s.Records > maxSimRecords || s.OpenClaims > 0 || s.MaxQueued > 512 {
 		t.Errorf("seed %d: %s exceeds its bounds at the end: %+v", seed, r.name, s)
 	}
 }
--- a/internal/cluster/failover/stats.go
+++ b/internal/cluster/failover/stats.go
@@ -20,23 +20,23 @@
 // Stats holds the counters and the present size of the coordinator's state.
 type Stats struct {
 	Counters
-	Replica    string // replica of new orders; empty: none
-	OpenOrders int    // orders that this router owns, including those that have ended but are not forgotten
-	Records    int    // records of other routers' orders
-	Owners     int    // routers that own these records
-	OpenClaims int    // claims that are not settled
-	MaxQueued  int    // number of messages in flight to the peer with the most of them
+	Replica     string // replica of new orders; empty: none
+	OwnedOrders int    // orders that this router owns, including those that have ended but are not forgotten
+	Records     int    // records of other routers' orders
+	Owners      int    // routers that own these records
+	OpenClaims  int    // claims that are not settled
+	MaxQueued   int    // number of messages in flight to the peer with the most of them
 }
 
 // Stats returns the counters and the present size of the coordinator's state.
 func (c *Coordinator) Stats() Stats {
 	stats := Stats{
-		Counters:   c.counters,
-		OpenOrders: len(c.owned.orders),
-		Records:    len(c.stored.records),
-		Owners:     len(c.stored.owners),
-		OpenClaims: len(c.claims),
-		MaxQueued:  c.messenger.MaxQueued(),
+		Counters:    c.counters,
+		OwnedOrders: len(c.owned.orders),
+		Records:     len(c.stored.records),
+		Owners:      len(c.stored.owners),
+		OpenClaims:  len(c.claims),
+		MaxQueued:   c.messenger.MaxQueued(),
 	}
 	if c.owned.session != nil {
 		stats.Replica = c.owned.session.replica
--- a/internal/extension/orderfailover/orderfailover.go
+++ b/internal/extension/orderfailover/orderfailover.go
@@ -133,7 +133,7 @@
 		e.core.SendPermissionGranted(a.Txn)
 	case failover.ActionStop:
 		e.core.SendPermissionDenied(a.Txn, a.Outcome.Kind == failover.NeverRan, a.Err)
-	case failover.ActionReplicaDropped:
+	case failover.ActionAnswer:
 		e.replicaDropped(a)
 	case failover.ActionRun:
 		e.runOrder(a.Order)
