--- a/internal/cluster/failover/action.go
+++ b/internal/cluster/failover/action.go
@@ -7,7 +7,7 @@
 const (
 	ActionSend        ActionKind = iota // send the order Txn; UseSendPermission returns true until the lease expires
 	ActionStop                          // don't send the order Txn, which the caller may no longer run; Err is the reason
-	ActionAnswer                        // answer the client of the order Txn; if Err is nil, no other router runs the order
+	ActionAnswer                        // answer the waiting client of the order Txn; if Err is nil, no other router runs the order
 	ActionRun                           // run Order, whose owner is lost
 	ActionBeginClaim                    // run Order for the claim ClaimID, within Order.TimeLeft
 	ActionSettleClaim                   // answer the claim ClaimID with Outcome; Err is the reason if that is unknown
--- a/internal/cluster/failover/bounds_test.go
+++ b/internal/cluster/failover/bounds_test.go
@@ -29,7 +29,7 @@
 			s := newBoundedScript(t, 4, c.maxRecords)
 			var open []*simOrder
 			for session := range c.sessions {
-				if session > 0 { // the replica's replies count as lost; orders that it may pass on stay with it
+				if session > 0 { // as after replies that were lost; orders that the replica may pass on stay in the old session
 					replica, _ := s.replica()
 					s.owner.coordinator.startSession(s.owner.clock(s.now), replica.name)
 				}
--- a/internal/cluster/failover/claim.go
+++ b/internal/cluster/failover/claim.go
@@ -30,7 +30,7 @@
 )
 
 // Claim asks what became of an order whose router a client has lost. The order carries the txn that was sent to the lost
-// router; its other fields are those of the client's present request. ActionBeginClaim or ActionSettleClaim with the
+// router; the other fields are those of the client's present request. ActionBeginClaim or ActionSettleClaim with the
 // given id follows, unless CancelClaim is called first.
 func (c *Coordinator) Claim(now time.Duration, id uint64, order Order) {
 	c.counters.Claims++
--- a/internal/cluster/failover/coordinator.go
+++ b/internal/cluster/failover/coordinator.go
@@ -39,8 +39,8 @@
 	peers     []Peer                 // routers that are alive, sorted by name
 	startedAt time.Duration          // time of the first SetPeers; 0: not called yet
 	lastSweep time.Duration          // when expired orders and records were last removed
-	// Until this time a claim may concern an order that this router forgot early, so it can't be certain that it never
-	// held a record of an order that it does not know.
+	// Until this time a claim may concern an order whose record this router forgot early, so a missing record does not
+	// prove that there never was one.
 	uncertainUntil time.Duration
 
 	owned  ownedOrders
@@ -88,8 +88,8 @@
 	return c.messenger.DuePackets(now)
 }
 
-// Receive handles a packet of another router. It ignores packets that can't be decoded, and replies replyInvalid to
-// messages that are not valid.
+// Receive handles a packet of another router. It ignores packets that can't be decoded, and answers messages that are not
+// valid with replyInvalid.
 func (c *Coordinator) Receive(now time.Duration, data []byte) {
 	for _, delivery := range c.messenger.Receive(now, data) {
 		var m message
@@ -138,8 +138,8 @@
 }
 
 // send sends a message to a router, and repeats it until it is acknowledged or the time until has come. receiveReplies
-// passes the reply on together with r.
-func (c *Coordinator) send(now time.Duration, to string, m message, until time.Duration, r sentMessage) error {
+// passes the reply on together with req.
+func (c *Coordinator) send(now time.Duration, to string, m message, until time.Duration, req sentMessage) error {
 	body, err := cbor.Marshal(&m)
 	if err != nil {
 		return fmt.Errorf("order failover: encode message: %w", err)
@@ -148,15 +148,15 @@
 	if err != nil {
 		return err
 	}
-	r.sentAt, r.to = now, to
-	c.requests[id] = r
+	req.sentAt, req.to = now, to
+	c.requests[id] = req
 	return nil
 }
 
 // receiveReplies passes each reply, or the failure to get one, to the claimant or owner that sent the message.
 func (c *Coordinator) receiveReplies(now time.Duration) {
 	for _, done := range c.messenger.Completions() {
-		r, ok := c.requests[done.ID]
+		req, ok := c.requests[done.ID]
 		delete(c.requests, done.ID)
 		if !ok {
 			continue
@@ -167,10 +167,10 @@
 				answer = reply{Kind: replyInvalid}
 			}
 		}
-		if r.claim != 0 {
-			c.receiveClaimReply(now, r, done.Err, answer)
+		if req.claim != 0 {
+			c.receiveClaimReply(now, req, done.Err, answer)
 		} else {
-			c.receiveReplicaReply(now, r, done.Err, answer)
+			c.receiveReplicaReply(now, req, done.Err, answer)
 		}
 	}
 }
@@ -189,10 +189,10 @@
 // peers in another place or, if there are none, among all peers. Excluded peers are left out. It returns "" if no peer
 // remains.
 func (c *Coordinator) bestReplica(excluded []string) string {
-	for _, samePlace := range []bool{false, true} {
+	for _, anyPlace := range []bool{false, true} {
 		var names []string
 		for _, p := range c.peers {
-			placeFits := samePlace || c.settings.Place == "" || p.Place != c.settings.Place
+			placeFits := anyPlace || c.settings.Place == "" || p.Place != c.settings.Place
 			if placeFits && !slices.Contains(excluded, p.Name) {
 				names = append(names, p.Name)
 			}
--- a/internal/cluster/failover/order.go
+++ b/internal/cluster/failover/order.go
@@ -2,7 +2,8 @@
 
 import "time"
 
-// Order is a request that must run at most once. It is encoded as a part of messages, whose rules for fields apply.
+// Order is a request that must run at most once. It is sent in messages, so the rules in message.go for the fields of
+// messages apply.
 type Order struct {
 	_            struct{} `cbor:",toarray"`
 	Txn          string
--- a/internal/cluster/failover/owner.go
+++ b/internal/cluster/failover/owner.go
@@ -98,7 +98,7 @@
 	return o.state.releasing()
 }
 
-// replicateEnd has the outcome of an order sent to its replica, if the replica was sent any step of the order.
+// replicateEnd queues the outcome of an order for its replica, if any step of the order was sent to the replica.
 func (c *Coordinator) replicateEnd(txn string, r *replication) {
 	if r.session != nil {
 		r.session.openOrders--
--- a/internal/cluster/failover/replica.go
+++ b/internal/cluster/failover/replica.go
@@ -310,8 +310,8 @@
 	c.addAction(Action{Kind: ActionRun, Txn: order.Txn, Order: order})
 }
 
-// recordReply returns the reply to a claimant whose digest matches the record's order, or whose record is only reserved.
-// If the order may be passed on, the reply gives it to the claimant.
+// recordReply returns the reply to a claimant of a record's order. The claimant's digest must match the order, unless the
+// record only reserves the txn. If the order may be passed on, the reply gives it to the claimant.
 func (c *Coordinator) recordReply(now time.Duration, r *record, w waiter) reply {
 	switch r.state {
 	case recordOwnerOnly, recordTransferable, recordMaySend, recordRunning:
@@ -359,7 +359,8 @@
 }
 
 // certain reports whether this router would know of an order if any of its processes had ever held a record of it. That is
-// so if all clients from before its start have given up, and nothing that may still be claimed was forgotten early.
+// so if all clients from before the start of this process have given up, and nothing that may still be claimed was
+// forgotten early.
 func (c *Coordinator) certain(now time.Duration) bool {
 	upLongEnough := c.startedAt > 0 && now >= c.startedAt+c.settings.withClockDrift(c.settings.MaxClientWait)
 	return upLongEnough && now >= c.uncertainUntil
--- a/internal/cluster/failover/replication.go
+++ b/internal/cluster/failover/replication.go
@@ -36,7 +36,7 @@
 const (
 	exposedToNone   exposure = iota // no replica was sent the order, so this router may give it to a claimant
 	exposedRecord                   // a replica was sent the order, and may not pass it on
-	exposedSend                     // a replica was sent stepMaySend: if the owner is lost, it reports MayHaveRun for good
+	exposedSend                     // a replica was sent stepMaySend: if the owner is lost, it reports MayHaveRun from then on
 	exposedTransfer                 // a replica was sent stepTransferable: only that replica can tell who runs the order
 )
 
@@ -179,8 +179,8 @@
 	c.addAction(Action{Kind: ActionSend, Txn: txn})
 }
 
-// replicationFailed handles that a step did not reach the replica in time, or that the replica has no room for the order.
-// Another replica is tried if this one can't have the right to decide about the order.
+// replicationFailed handles the failure to replicate a step: it did not reach the replica in time, or the replica has no
+// room for the order. Another replica is tried if this one can't have the right to decide about the order.
 func (c *Coordinator) replicationFailed(now time.Duration, txn string, o *ownedOrder, err error) {
 	r := &o.replication
 	switch {
@@ -200,7 +200,7 @@
 	}
 }
 
-// continueWithoutReplica handles that no router can hold a record of an order. The order is stopped if Settings.Strict is
+// continueWithoutReplica handles an order of which no router can hold a record. The order is stopped if Settings.Strict is
 // set and it was not sent; otherwise it goes on without a replica. The error is the last failure, or nil.
 func (c *Coordinator) continueWithoutReplica(now time.Duration, txn string, o *ownedOrder, err error) {
 	r := &o.replication
--- a/internal/cluster/failover/scenarios_test.go
+++ b/internal/cluster/failover/scenarios_test.go
@@ -187,8 +187,8 @@
 	o := s.order(2 * time.Second)
 	replica, _ := s.replica()
 	s.advance(50 * ms)
-	s.cut[[2]int{s.owner.index, replica.index}] = true
-	s.cut[[2]int{replica.index, s.owner.index}] = true
+	s.cutLinks[[2]int{s.owner.index, replica.index}] = true
+	s.cutLinks[[2]int{replica.index, s.owner.index}] = true
 	s.sendOrder(s.owner, o) // the replica's reply never comes
 	s.advance(2 * time.Second)
 	if o.runs > 1 {
--- a/internal/cluster/failover/settings.go
+++ b/internal/cluster/failover/settings.go
@@ -11,7 +11,7 @@
 type Settings struct {
 	Self           string        // name of this router
 	Process        uint64        // number of this router's process, unique among its processes and above 0
-	Place          string        // location of this router; its replica is elsewhere if a router there is alive; empty: anywhere
+	Place          string        // of this router; the replica is at another place if a router there is alive; empty: any place
 	ClusterSize    int           // number of routers that accept orders, including this one
 	Strict         bool          // no router of the cluster sends an order that no replica holds
 	LeaseDuration  time.Duration // an owner that sends its replica nothing for this long is considered lost
--- a/internal/cluster/failover/sim_client_test.go
+++ b/internal/cluster/failover/sim_client_test.go
@@ -48,7 +48,7 @@
 // placeOrder has a client send an order to a router.
 func (c *simCluster) placeOrder(r *simRouter, timeLeft time.Duration) *simOrder {
 	o := &simOrder{txn: fmt.Sprintf("t%d", len(c.orders)), deadline: c.now + timeLeft, router: r, process: r.process}
-	c.orders, c.open = append(c.orders, o), append(c.open, o)
+	c.orders, c.openOrders = append(c.orders, o), append(c.openOrders, o)
 	c.onEvent(timeline.Event{Node: "client", Time: c.now, Action: "orders", Subject: o.txn, Peer: r.name})
 	q := &simRequest{order: o, txn: o.txn, deadline: r.clock(c.now) + timeLeft}
 	c.submit(r, q, clientOrder(o.txn, timeLeft))
--- a/internal/cluster/failover/sim_cluster_test.go
+++ b/internal/cluster/failover/sim_cluster_test.go
@@ -25,19 +25,19 @@
 // simCluster simulates, in virtual time, routers with a minimal core each, a network that loses, delays and repeats packets
 // and cuts links, and clients that claim the orders of a lost router at another router.
 type simCluster struct {
-	random   *rand.Rand
-	now      time.Duration
-	routers  []*simRouter
-	network  []packetInFlight
-	cut      map[[2]int]bool // links that carry no packets, by the indices of sender and receiver
-	loss     float64         // fraction of packets that are lost
-	lastID   uint64          // last number given to a process or a claim
-	orders   []*simOrder
-	open     []*simOrder // orders that may still be answered or run
-	timers   []timer
-	onEvent  func(timeline.Event)
-	noPauses bool // no process pauses between ActionSend and writing
-	scripted bool // a script requests permissions and ends orders
+	random     *rand.Rand
+	now        time.Duration
+	routers    []*simRouter
+	network    []packetInFlight
+	cutLinks   map[[2]int]bool // links that carry no packets, by the indices of sender and receiver
+	lossRate   float64         // fraction of packets that are lost
+	lastID     uint64          // last number given to a process or a claim
+	orders     []*simOrder
+	openOrders []*simOrder // orders that may still be answered or run
+	timers     []timer
+	onEvent    func(timeline.Event)
+	noPauses   bool // no process pauses between ActionSend and writing
+	scripted   bool // a script requests permissions and ends orders
 
 	maxRecords int // Settings.MaxRecords of all routers
 }
@@ -66,7 +66,7 @@
 	tb.Helper()
 	c := &simCluster{
 		random:     rand.New(rand.NewPCG(seed, 11)),
-		cut:        map[[2]int]bool{},
+		cutLinks:   map[[2]int]bool{},
 		onEvent:    func(timeline.Event) {},
 		maxRecords: maxRecords,
 	}
@@ -114,11 +114,11 @@
 			c.runRouter(r)
 		}
 	}
-	c.open = slices.DeleteFunc(c.open, func(o *simOrder) bool { return c.now > o.deadline+openOrderRetention })
+	c.openOrders = slices.DeleteFunc(c.openOrders, func(o *simOrder) bool { return c.now > o.deadline+openOrderRetention })
 	if c.scripted {
 		return
 	}
-	for _, o := range c.open {
+	for _, o := range c.openOrders {
 		c.runClient(o)
 	}
 }
@@ -175,9 +175,9 @@
 
 // alivePeers returns the other routers that run and whose packets can reach the router r.
 func (c *simCluster) alivePeers(r *simRouter) (alive []Peer) {
-	for _, o := range c.routers {
-		if o != r && !o.down && !c.cut[[2]int{o.index, r.index}] && c.now >= o.pausedUntil {
-			alive = append(alive, Peer{o.name, o.place})
+	for _, other := range c.routers {
+		if other != r && !other.down && !c.cutLinks[[2]int{other.index, r.index}] && c.now >= other.pausedUntil {
+			alive = append(alive, Peer{other.name, other.place})
 		}
 	}
 	return alive
@@ -187,7 +187,7 @@
 func (c *simCluster) send(from int, to string, data []byte) {
 	i := slices.IndexFunc(c.routers, func(r *simRouter) bool { return r.name == to })
 	for range 1 + c.random.IntN(10)/9 {
-		if c.cut[[2]int{from, i}] || c.random.Float64() < c.loss {
+		if c.cutLinks[[2]int{from, i}] || c.random.Float64() < c.lossRate {
 			continue
 		}
 		at := c.now + time.Duration(c.random.ExpFloat64()*float64(8*ms))
@@ -213,11 +213,11 @@
 	r := c.routers[c.random.IntN(len(c.routers))]
 	switch c.random.IntN(8) {
 	case 0:
-		simulation.Partition(c.random, len(c.routers), c.cut)
+		simulation.Partition(c.random, len(c.routers), c.cutLinks)
 	case 1: // cut one direction of a link
-		c.cut[[2]int{r.index, c.random.IntN(len(c.routers))}] = true
+		c.cutLinks[[2]int{r.index, c.random.IntN(len(c.routers))}] = true
 	case 2:
-		c.loss = c.random.Float64() * 0.4
+		c.lossRate = c.random.Float64() * 0.4
 	case 3:
 		r.pausedUntil = c.now + c.randomTime(4*time.Second)
 		c.recordFault(r, "stopped")
@@ -231,8 +231,8 @@
 }
 
 func (c *simCluster) healNetwork() {
-	clear(c.cut)
-	c.loss = 0
+	clear(c.cutLinks)
+	c.lossRate = 0
 }
 
 // killAndRestart kills a router, which restarts at the next step or within 3 s.
--- a/internal/cluster/failover/sim_router_test.go
+++ b/internal/cluster/failover/sim_router_test.go
@@ -158,7 +158,7 @@
 
 // countRun counts that an endpoint got an order.
 func (c *simCluster) countRun(r *simRouter, txn string) {
-	for _, o := range c.open {
+	for _, o := range c.openOrders {
 		if o.txn == txn {
 			o.runs++
 			c.onEvent(timeline.Event{Node: r.name, Time: c.now, Action: "RUNS", Subject: txn})
--- a/internal/cluster/failover/simulation_test.go
+++ b/internal/cluster/failover/simulation_test.go
@@ -39,7 +39,7 @@
 		if placing && !r.down && c.now >= r.pausedUntil {
 			c.placeOrder(r, c.randomClientWait())
 		}
-		for _, o := range c.open {
+		for _, o := range c.openOrders {
 			if err := o.check(); err != nil {
 				return c, fmt.Errorf("seed %d at %v: %w", seed, c.now, err)
 			}
--- a/internal/cluster/failover/stats.go
+++ b/internal/cluster/failover/stats.go
@@ -21,7 +21,7 @@
 type Stats struct {
 	Counters
 	Replica     string // replica of new orders; empty: none
-	OwnedOrders int    // orders that this router owns, including those that have ended but are not forgotten
+	OwnedOrders int    // orders that this router owns, including ended ones that it has not forgotten yet
 	Records     int    // records of other routers' orders
 	Owners      int    // routers that own these records
 	OpenClaims  int    // claims that are not settled
--- a/internal/extension/orderfailover/orderfailover.go
+++ b/internal/extension/orderfailover/orderfailover.go
@@ -134,7 +134,7 @@
 	case failover.ActionStop:
 		e.core.SendPermissionDenied(a.Txn, a.Outcome.Kind == failover.NeverRan, a.Err)
 	case failover.ActionAnswer:
-		e.replicaDropped(a)
+		e.endWait(a)
 	case failover.ActionRun:
 		e.runOrder(a.Order)
 	case failover.ActionBeginClaim:
@@ -144,7 +144,8 @@
 	}
 }
 
-func (e *Extension) replicaDropped(a failover.Action) {
+// endWait has the core answer a client that waited for the replica to release its order.
+func (e *Extension) endWait(a failover.Action) {
 	if a.Err != nil {
 		log.Warn("order not released by its replica", logging.KeyRequestID, a.Txn, operatorhint.Attr(a.Err))
 		e.core.ReplicaNotDropped(a.Txn)
