--- a/internal/cluster/membership/golden_test.go
+++ b/internal/cluster/membership/golden_test.go
@@ -31,7 +31,7 @@
 		t.Fatal(err)
 	}
 	received, packets = new([]state.Message), map[string][]byte{}
-	a, err := New("r1", cfg, func(msgs []state.Message) { *received = append(*received, msgs...) }, PacketHandlers{
+	a, err := New("r1", cfg, func(messages []state.Message) { *received = append(*received, messages...) }, PacketHandlers{
 		Orders: func(b []byte) { packets["orders"] = b },
 		Credit: func(b []byte) { packets["credit"] = b }})
 	if err != nil {
--- a/internal/cluster/membership/peers.go
+++ b/internal/cluster/membership/peers.go
@@ -12,8 +12,9 @@
 	"hillknot/internal/logging"
 )
 
-// Alive returns the sorted names of the other routers that are alive, and how many routers own shares of the budgets: as
-// many as are alive, including this one but no guests, or as any of the others is configured for, if that is more.
+// Alive returns the sorted names of the other routers that are alive, and how many routers own shares of the budgets: the
+// number of routers that are alive, including this one but no guests, or the largest cluster size that another router is
+// configured for, if that is more.
 func (a *Agent) Alive() (others []string, owners int) {
 	if !a.settings.State.Guest {
 		owners++
@@ -56,7 +57,7 @@
 	var peers []failover.Peer
 	for _, node := range list.Members() {
 		if meta := parseMeta(node.Meta); node.Name != a.name && meta.holdsOrders {
-			peers = append(peers, failover.Peer{Name: node.Name, Place: meta.location})
+			peers = append(peers, failover.Peer{Name: node.Name, Place: meta.place})
 		}
 	}
 	slices.SortFunc(peers, func(x, y failover.Peer) int { return strings.Compare(x.Name, y.Name) })
@@ -71,11 +72,11 @@
 	return 1
 }
 
-// nodeMeta is what a router announces about itself along with its name. Its encoded form is "SIZE;ORDERS;LOCATION".
+// nodeMeta is what a router announces about itself along with its name. Its encoded form is "SIZE;ORDERS;PLACE".
 type nodeMeta struct {
 	size        string // the cluster size that it is configured for, or guestSize
 	holdsOrders bool   // whether the router holds records of orders for others
-	location    string // any text, which may contain ";"
+	place       string // of the router, such as a rack; any text, which may contain ";"
 }
 
 // Strings of the encoded form.
@@ -89,7 +90,7 @@
 	meta := nodeMeta{
 		size:        strconv.Itoa(a.settings.State.ClusterSize),
 		holdsOrders: a.settings.Failover.Enabled,
-		location:    a.settings.Location,
+		place:       a.settings.Location,
 	}
 	if a.settings.State.Guest {
 		meta.size = guestSize
@@ -113,11 +114,11 @@
 	if m.holdsOrders {
 		orders = holdsOrdersText
 	}
-	return []byte(m.size + metaSeparator + orders + metaSeparator + m.location)
+	return []byte(m.size + metaSeparator + orders + metaSeparator + m.place)
 }
 
 func parseMeta(encoded []byte) nodeMeta {
 	size, rest, _ := strings.Cut(string(encoded), metaSeparator)
-	orders, location, _ := strings.Cut(rest, metaSeparator)
-	return nodeMeta{size: size, holdsOrders: orders == holdsOrdersText, location: location}
+	orders, place, _ := strings.Cut(rest, metaSeparator)
+	return nodeMeta{size: size, holdsOrders: orders == holdsOrdersText, place: place}
 }
--- a/internal/cluster/membership/receive.go
+++ b/internal/cluster/membership/receive.go
@@ -14,9 +14,9 @@
 
 // PublishFullState sets the messages that other routers get when they exchange full states with this one, as when they
 // join. Messages after the first half of maxFullStateBytes are left out.
-func (a *Agent) PublishFullState(all []state.Message) {
+func (a *Agent) PublishFullState(messages []state.Message) {
 	var encoded []byte
-	for _, m := range all {
+	for _, m := range messages {
 		encoded = m.Append(encoded)
 		if len(encoded) > maxFullStateBytes/2 {
 			break
--- a/internal/cluster/messaging/packet.go
+++ b/internal/cluster/messaging/packet.go
@@ -79,8 +79,8 @@
 }
 
 func (w *packetWriter) begin() {
-	self := w.messenger.settings
-	w.packet = packet{From: self.Self, Process: self.Process, ToProcess: w.peer.process}
+	own := w.messenger.settings
+	w.packet = packet{From: own.Self, Process: own.Process, ToProcess: w.peer.process}
 	w.size = 0
 }
 
--- a/internal/cluster/messaging/settings.go
+++ b/internal/cluster/messaging/settings.go
@@ -7,7 +7,7 @@
 	Self            string        // the router's name
 	Process         uint64        // number of the router's process, above 0; it differs between processes
 	RetryInitial    time.Duration // time until a message is sent again; doubled with each retry
-	RetryMax        time.Duration // upper limit of that time
+	RetryMax        time.Duration // upper bound of that time
 	MaxMessages     int           // in flight to one peer
 	MaxBytes        int           // of the messages in flight to one peer
 	MaxMessageBytes int           // of one message
--- a/internal/cluster/placement/placement.go
+++ b/internal/cluster/placement/placement.go
@@ -69,6 +69,8 @@
 	return assigned
 }
 
-// StartIndex returns the index, from 0 to n-1, at which a router starts to iterate over n others, so that not all routers
-// start with the same one.
-func StartIndex(self, duty string, n int) int { return int(score(self, duty, saltStart) * float64(n)) }
+// StartIndex returns the index, from 0 to count-1, at which a router starts to iterate over count others, so that not all
+// routers start with the same one.
+func StartIndex(self, duty string, count int) int {
+	return int(score(self, duty, saltStart) * float64(count))
+}
--- a/internal/cluster/placement/subsets.go
+++ b/internal/cluster/placement/subsets.go
@@ -6,10 +6,10 @@
 	"slices"
 )
 
-// Limits of the number of routers that use one endpoint, as multiples of the mean.
+// Bounds of the number of routers that use one endpoint, as multiples of the mean.
 const (
-	maxLoadFactor     = 1.25 // limit for every endpoint
-	typicalLoadFactor = 1.15 // usual limit of an endpoint
+	maxLoadFactor     = 1.25 // bound for every endpoint
+	typicalLoadFactor = 1.15 // usual bound of an endpoint
 )
 
 // SubsetSize returns how many endpoints each router should use: at least the minimum, enough that the bound of routers per
--- a/internal/cluster/placement/subsets_test.go
+++ b/internal/cluster/placement/subsets_test.go
@@ -33,8 +33,8 @@
 	return pairs, float64(largest) * float64(len(endpoints)) / float64(len(pairs))
 }
 
-// movedFraction returns which fraction of the pairs that could have stayed after a change, as neither of their names was
-// removed, did not stay.
+// movedFraction returns the fraction of the pairs before a change that are missing after it. The pairs of the removed name
+// gone, which is empty if none was removed, do not count.
 func movedFraction(before, after map[namePair]bool, gone string) float64 {
 	moved, all := 0, 0
 	for p := range before {
--- a/internal/cluster/placement/warmup.go
+++ b/internal/cluster/placement/warmup.go
@@ -9,9 +9,9 @@
 
 // JoinedWarmUp reports whether a router may use an endpoint that started age ago and warms up for the time warmUp. The
 // routers join one after the other, in an order that depends on the endpoint. Each of the first ones then sends enough
-// requests to warm it, whereas a tiny part from every router would arrive all at once. Of the known routers, the
-// fraction of the time that has passed has joined, plus at most one router. A router that knows no others compares that
-// fraction with its own score, so that the fraction of routers that have joined is right on average.
+// requests to warm it, whereas a tiny part from every router would arrive all at once. The fraction of the known routers
+// that have joined is the fraction of the warm-up that has passed, plus at most one router. A router that knows no others
+// compares the fraction that has passed with its own score, so that the right fraction of routers has joined on average.
 func JoinedWarmUp(self, endpoint string, routers []string, age, warmUp time.Duration) bool {
 	duty := warmUpDutyPrefix + endpoint
 	if r := rank(self, duty, routers); r != unknownRank {
--- a/internal/cluster/state/budget_test.go
+++ b/internal/cluster/state/budget_test.go
@@ -178,8 +178,8 @@
 	}
 	s.OpenBudget(0, "budget 0", limits, 0) // without end now
 	s.Tick(time.Second)
-	if left := s.BudgetStatuses(time.Second); len(left) != 1 || left[0].Key != "budget 0" {
-		t.Errorf("after the end of the others, these budgets are open: %+v", left)
+	if open := s.BudgetStatuses(time.Second); len(open) != 1 || open[0].Key != "budget 0" {
+		t.Errorf("after the end of the others, these budgets are open: %+v", open)
 	}
 }
 
--- a/internal/cluster/state/counter.go
+++ b/internal/cluster/state/counter.go
@@ -6,8 +6,8 @@
 )
 
 const (
-	maxProcessesPerRouter = 4  // whose parts a counter holds, for each router: the latest ones
-	maxCountersPerTick    = 16 // that are sent in one tick
+	maxProcessesPerRouter = 4  // latest processes of each router whose parts a counter holds
+	maxCountersPerTick    = 16 // counters that are sent in one tick
 )
 
 // counter is a grow-only counter (G-counter). Each process writes only its own part, which never decreases. Parts are
@@ -18,10 +18,11 @@
 	lastSent uint64 // value of this process's part when it was last sent
 }
 
-// IncrementCounter adds n to this process's part of a counter. It does nothing if there is no room for another counter.
-func (s *State) IncrementCounter(key string, n uint64) {
+// IncrementCounter adds an increment to this process's part of a counter. It does nothing if there is no room for another
+// counter or the key is not a valid name.
+func (s *State) IncrementCounter(key string, increment uint64) {
 	if c := s.openCounter(key); c != nil {
-		c.parts[s.self()] += n
+		c.parts[s.self()] += increment
 	}
 }
 
--- a/internal/cluster/state/golden_test.go
+++ b/internal/cluster/state/golden_test.go
@@ -52,9 +52,9 @@
 	s.ObserveHealth(time.Second, "edge-7", 3, 0)
 	s.Tick(time.Second)
 	var broadcasts []byte
-	for _, l := range s.OutgoingMessages() {
-		broadcasts = append(broadcasts, l.Recipient+"\n"+l.ReplaceKey+"\n"...)
-		broadcasts = append(l.Message.Append(broadcasts), '\n')
+	for _, out := range s.OutgoingMessages() {
+		broadcasts = append(broadcasts, out.Recipient+"\n"+out.ReplaceKey+"\n"...)
+		broadcasts = append(out.Message.Append(broadcasts), '\n')
 	}
 	golden.Same(t, "said.hex", broadcasts)
 	var fullState []byte
--- a/internal/cluster/state/health.go
+++ b/internal/cluster/state/health.go
@@ -19,7 +19,7 @@
 // the resulting ejection.
 type endpointHealth struct {
 	failures     int                 // consecutive, as this router observed last
-	lastResponse time.Duration       // latest response that this router observed
+	lastResponse time.Duration       // time of the latest response that this router observed
 	evidence     map[string]evidence // the latest of each router, by router name
 	lastEvidence time.Duration       // when evidence, healthy or unhealthy, was last recorded
 	ejectedUntil time.Duration       // 0: not ejected
--- a/internal/cluster/state/lease.go
+++ b/internal/cluster/state/lease.go
@@ -71,7 +71,7 @@
 	return slices.DeleteFunc(leases, func(l lease) bool { return !l.active(now) })
 }
 
-// requestLeases asks some peers, in round-robin order, for the shares that this router needs beside those it owns. It
+// requestLeases asks some peers, in round-robin order, for the shares that this router needs in addition to its own. It
 // requests borrowed shares again once half of their lease has passed, from the peers whose turn it is then.
 func (s *State) requestLeases(now time.Duration, key string, b *budget) {
 	if len(s.peers) == 0 || s.startedAt == 0 || s.replaced || b.unshared {
@@ -119,7 +119,7 @@
 		return
 	}
 	s.refill(b, now)
-	expiresAt := now + s.settings.outlasting(s.settings.LeaseDuration)
+	expiresAt := now + s.settings.withClockDrift(s.settings.LeaseDuration)
 	b.lent = append(b.lent, lease{peer: request.borrower, shares: shares, expiresAt: expiresAt})
 	s.refill(b, now) // again, to drop the tokens saved on the lent shares
 	grant := leaseGrant{
--- a/internal/cluster/state/message.go
+++ b/internal/cluster/state/message.go
@@ -13,7 +13,7 @@
 const (
 	kindNone           Kind = iota
 	KindLeaseRequest        // asks for shares of the budget Key
-	KindLeaseGrant          // lends them; Sequence is that of the request, and Value the process that sent it
+	KindLeaseGrant          // lends them; Sequence is that of the request, and Value the process that sent the request
 	KindCounterUpdate       // carries Value, the sender's own part of the counter Key
 	KindHealthEvidence      // reports that the sender found the endpoint Key unhealthy, or healthy again
 )
--- a/internal/cluster/state/settings.go
+++ b/internal/cluster/state/settings.go
@@ -14,7 +14,7 @@
 	Guest            bool          // this router owns no shares and spends only on those that it borrows
 	LeaseDuration    time.Duration // how long shares are lent
 	TickInterval     time.Duration // between two calls of Tick
-	ClockDrift       float64       // how much too fast or too slow a clock may run, as a fraction
+	ClockDrift       float64       // the most by which a clock may run fast or slow, as a fraction (0.02 is 2 %)
 	EjectionDuration time.Duration // how long an ejection lasts after the last evidence
 	Quorum           int           // routers whose evidence ejects an endpoint; 0: more than half of those alive, at least two
 }
@@ -69,8 +69,8 @@
 		s.LeaseDuration <= maxDuration
 }
 
-// outlasting returns a duration on this router's clock after which d has passed on any other clock within the allowed
-// drift.
-func (s Settings) outlasting(d time.Duration) time.Duration {
+// withClockDrift returns a duration on this router's clock that is long enough for d to pass on every clock that drifts by
+// at most ClockDrift.
+func (s Settings) withClockDrift(d time.Duration) time.Duration {
 	return time.Duration(math.Ceil(float64(d) * (1 + s.ClockDrift) / (1 - s.ClockDrift)))
 }
--- a/internal/cluster/state/state.go
+++ b/internal/cluster/state/state.go
@@ -26,10 +26,10 @@
 // Bounds of what is remembered, whatever other routers send.
 const (
 	maxNameBytes        = 128 // of the name of a router, budget, counter or endpoint
-	maxSharedBudgets    = 512 // open at once whose shares may be lent
+	maxSharedBudgets    = 512 // budgets open at once whose shares may be lent
 	maxBudgets          = 16 * maxSharedBudgets
 	maxCounters         = 1024
-	maxTrackedEndpoints = 512 // with health evidence
+	maxTrackedEndpoints = 512 // endpoints with health evidence
 	maxExtraRouters     = 64  // routers beyond the cluster size that one counter or endpoint remembers
 )
 
@@ -90,7 +90,7 @@
 		return phaseReplaced
 	case s.startedAt == 0:
 		return phaseNew
-	case now < s.startedAt+s.settings.outlasting(s.settings.LeaseDuration):
+	case now < s.startedAt+s.settings.withClockDrift(s.settings.LeaseDuration):
 		return phaseRecovering
 	}
 	return phaseActive
@@ -107,10 +107,10 @@
 	s.expireHealth(now)
 }
 
-// SetPeers sets the names of the other routers that are alive, in order, and the number of routers that own shares,
-// this one included: as many as are alive, or as any of them is configured for. If that is more than the cluster size
-// configured here, the part of each budget that a router owns shrinks permanently, so that owned shares never add up to
-// more than the budget.
+// SetPeers sets the sorted names of the other routers that are alive, and the number of routers that own shares, including
+// this one: as many as are alive, or the largest cluster size that one of them is configured for. If that is more than the
+// cluster size configured here, the part of each budget that a router owns shrinks permanently, so that owned shares never
+// add up to more than the budget.
 func (s *State) SetPeers(others []string, owners int) {
 	s.peers = others
 	s.budgetOwners = max(s.budgetOwners, owners)
