--- a/internal/credit/peers.go
+++ b/internal/credit/peers.go
@@ -76,8 +76,8 @@
 // SetPeers sets the names of the other routers that are alive, sorted.
 func (l *Ledger) SetPeers(alive []string) { l.peers.alive = alive }
 
-// reportBalances sends this router's balances to up to maxReportReceivers other routers; each call goes on with the
-// routers after those of the call before.
+// reportBalances sends this router's balances to up to maxReportReceivers other routers. Each call continues with the
+// routers that follow those of the previous call.
 func (l *Ledger) reportBalances(now time.Duration) {
 	p := &l.peers
 	if len(p.alive) == 0 || now < p.reportedAt+l.settings.TickInterval {
@@ -91,7 +91,7 @@
 			receiver := p.alive[(p.nextReceiver+i)%len(p.alive)]
 			l.send(now, receiver, message{Kind: messageBalances, Balances: chunk}, l.settings.TickInterval)
 		}
-		if len(balances) > 4*maxReportedBalances { // report only the accounts that are spent fastest
+		if len(balances) > 4*maxReportedBalances { // the other accounts are reported once they are among those spent fastest
 			break
 		}
 	}
--- a/internal/credit/settings.go
+++ b/internal/credit/settings.go
@@ -67,7 +67,7 @@
 	}
 	for class, price := range s.Prices {
 		if !price.valid() {
-			return fmt.Errorf("the price of class %q has a negative value, or costs over a million credits", class)
+			return fmt.Errorf("the price of class %q has a negative value, or an amount over a million credits", class)
 		}
 	}
 	return nil
--- a/internal/credit/simulation_test.go
+++ b/internal/credit/simulation_test.go
@@ -30,7 +30,7 @@
 	lastID  uint64 // of ledgers and of processes, which are numbered together
 
 	packetsInFlight []packet
-	blockedLinks    map[[2]int]bool // by indexes of sender and receiver: no packets arrive
+	cutLinks        map[[2]int]bool // by indexes of sender and receiver: no packets arrive
 	lossRate        float64         // share of packets, from 0 to 1
 
 	funded     map[string]int64 // by account: sum of the positive top-ups
@@ -79,11 +79,11 @@
 
 func newCluster(seed uint64, size int) *cluster {
 	c := &cluster{
-		random:       rand.New(rand.NewPCG(seed, 21)),
-		blockedLinks: map[[2]int]bool{},
-		funded:       map[string]int64{},
-		charged:      map[string]int64{},
-		lost:         map[string]int64{},
+		random:   rand.New(rand.NewPCG(seed, 21)),
+		cutLinks: map[[2]int]bool{},
+		funded:   map[string]int64{},
+		charged:  map[string]int64{},
+		lost:     map[string]int64{},
 		prices: map[string]Price{
 			"page":  {PerRequest: 1000, PerMegabyte: 500_000, Weight: 1},
 			"order": {PerRequest: 9000, Weight: 3},
@@ -246,7 +246,7 @@
 	r.nextTick = c.now + 200*ms
 	var alive []string
 	for _, other := range c.routers {
-		if other != r && !other.down && !c.blockedLinks[[2]int{other.index, r.index}] && c.now >= other.pausedUntil {
+		if other != r && !other.down && !c.cutLinks[[2]int{other.index, r.index}] && c.now >= other.pausedUntil {
 			alive = append(alive, other.name)
 		}
 	}
@@ -297,7 +297,7 @@
 	for _, p := range r.ledger.OutgoingPackets(now) {
 		to := slices.IndexFunc(c.routers, func(other *router) bool { return other.name == p.To })
 		for range 1 + c.random.IntN(10)/9 {
-			if c.blockedLinks[[2]int{r.index, to}] || c.random.Float64() < c.lossRate {
+			if c.cutLinks[[2]int{r.index, to}] || c.random.Float64() < c.lossRate {
 				continue
 			}
 			arrivesAt := c.now + time.Duration(c.random.ExpFloat64()*float64(8*ms))
@@ -323,9 +323,9 @@
 	r := c.routers[c.random.IntN(size)]
 	switch c.random.IntN(10) {
 	case 0:
-		simulation.Partition(c.random, size, c.blockedLinks)
+		simulation.Partition(c.random, size, c.cutLinks)
 	case 1:
-		c.blockedLinks[[2]int{r.index, c.random.IntN(size)}] = true
+		c.cutLinks[[2]int{r.index, c.random.IntN(size)}] = true
 	case 2:
 		c.lossRate = c.random.Float64() * 0.4
 	case 3:
@@ -341,7 +341,7 @@
 			c.replaceDisk(r)
 		}
 	default:
-		clear(c.blockedLinks)
+		clear(c.cutLinks)
 		c.lossRate = 0
 	}
 	for _, r := range c.routers {
@@ -353,7 +353,7 @@
 
 // heal ends all faults except pauses, which end by themselves, and starts the routers that are down.
 func (c *cluster) heal() {
-	clear(c.blockedLinks)
+	clear(c.cutLinks)
 	c.lossRate = 0
 	for _, r := range c.routers {
 		r.diskFull = false
--- a/internal/credit/topups/topups.go
+++ b/internal/credit/topups/topups.go
@@ -18,7 +18,8 @@
 	// maxFileSize is the maximum size of the file, in bytes.
 	maxFileSize = 16 << 20
 
-	// maxAmount is the maximum amount of a top-up, in credits: up to it a number in the file is exact to a millionth.
+	// maxAmount is the maximum amount of a top-up, in credits. Up to this amount a number in the file is exact to a
+	// millionth.
 	maxAmount = 1e9
 
 	// unitsPerCredit is the number of units of credit.TopUp.Amount per credit.
--- a/internal/extension/prepaidcredit/extension.go
+++ b/internal/extension/prepaidcredit/extension.go
@@ -24,7 +24,7 @@
 type Transport interface {
 	// SendCreditPackets sends packets of the ledger. Packets may be lost.
 	SendCreditPackets([]messaging.Packet)
-	// Alive returns the sorted names of the other routers that are alive, and the number of routers that keep orders.
+	// Alive returns the sorted names of the other routers that are alive, and how many routers own shares of the budgets.
 	Alive() (others []string, owners int)
 }
 
