--- a/internal/cluster/failover/simulation_test.go
+++ b/internal/cluster/failover/simulation_test.go
@@ -39,7 +39,7 @@
 		if placing && !r.down && c.now >= r.pausedUntil {
 			c.placeOrder(r, c.randomClientWait())
 		}
-		for _, o := range c.open {
+		for _, o := range c.openOrders {
 			if err := o.check(); err != nil {
 				return c, fmt.Errorf("seed %d at %v: %w", seed, c.now, err)
 			}
@@ -147,7 +147,7 @@
 		return
 	}
 	s := r.coordinator.Stats()
-	if s.OpenOrders > maxSimRecords || s.Records > maxSimRecords || s.OpenClaims > 0 || s.MaxQueued > 512 {
+	if s.OwnedOrders > maxSimRecords || s.Records > maxSimRecords || s.OpenClaims > 0 || s.MaxQueued > 512 {
 		t.Errorf("seed %d: %s exceeds its bounds at the end: %+v", seed, r.name, s)
 	}
 }
