--- a/internal/cluster/failover/sim_router_test.go
+++ b/internal/cluster/failover/sim_router_test.go
@@ -61,7 +61,7 @@
 			delete(r.requests, a.Txn)
 			c.answer(q, a.Outcome.Kind)
 		}
-	case ActionReplicaDropped:
+	case ActionAnswer:
 		if q != nil && q.heldBack != nil {
 			delete(r.requests, a.Txn)
 			kind := q.heldBack.Kind
@@ -158,7 +158,7 @@
 
 // countRun counts that an endpoint got an order.
 func (c *simCluster) countRun(r *simRouter, txn string) {
-	for _, o := range c.open {
+	for _, o := range c.openOrders {
 		if o.txn == txn {
 			o.runs++
 			c.onEvent(timeline.Event{Node: r.name, Time: c.now, Action: "RUNS", Subject: txn})
