--- a/loadtest/failover.go
+++ b/loadtest/failover.go
@@ -16,7 +16,7 @@
 type FailoverCluster struct {
 	*Cluster
 	orders      *orderRecorder
-	clientCount uint64 // made so far; each has its own seed
+	clientCount uint64 // clients made so far; each has its own seed
 }
 
 const (
@@ -58,14 +58,14 @@
 	return c, nil
 }
 
-// nextClient returns the number of the next client, from 1.
-func (c *FailoverCluster) nextClient() uint64 {
+// nextClientNumber counts a new client and returns its number, from 1.
+func (c *FailoverCluster) nextClientNumber() uint64 {
 	c.clientCount++
 	return c.clientCount
 }
 
-// nextClientSeed returns the seed of the next client.
-func (c *FailoverCluster) nextClientSeed() uint64 { return c.seed<<32 + c.nextClient() }
+// nextClientSeed counts a new client and returns its seed.
+func (c *FailoverCluster) nextClientSeed() uint64 { return c.seed<<32 + c.nextClientNumber() }
 
 // Timeline returns the steps of orders that the routers logged, together with the given faults, in order of time. The routers
 // must log at the level debug.
@@ -156,8 +156,8 @@
 }
 
 // randomItem returns an item for an order that no other order has. It consists of the number of the client and random bits.
-func (r *orderRecorder) randomItem(number uint64) uint64 {
+func (r *orderRecorder) randomItem(clientNumber uint64) uint64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return number<<32 + r.random.Uint64()>>32
+	return clientNumber<<32 + r.random.Uint64()>>32
 }
--- a/loadtest/faultsequence.go
+++ b/loadtest/faultsequence.go
@@ -104,15 +104,15 @@
 
 // runFaultSequence applies the changes of each phase at its start.
 func (f *Fleet) runFaultSequence(unit time.Duration) error {
-	start, begin := time.Now(), time.Duration(0)
+	start, phaseStart := time.Now(), time.Duration(0)
 	for _, phase := range faultPhases {
-		time.Sleep(begin - time.Since(start))
+		time.Sleep(phaseStart - time.Since(start))
 		if phase.apply != nil {
 			if err := phase.apply(f); err != nil {
 				return err
 			}
 		}
-		begin = time.Duration(phase.until) * unit
+		phaseStart = time.Duration(phase.until) * unit
 	}
 	return nil
 }
--- a/loadtest/rejectionstorm.go
+++ b/loadtest/rejectionstorm.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// Settings of the storm of rejections. Its begin, its end and the time for which requests are sent are in units of time.
+// Settings of the storm of rejections. Its start, its end and the time for which requests are sent are in units of time.
 const (
-	stormBegin  = 2
+	stormStart  = 2
 	stormEnd    = 12
 	stormLength = 15
 	stormRate   = 200 // requests a second
@@ -20,7 +20,7 @@
 // rejectionStorms measures how clients behave while all requests are rejected, with and without a Retry-After.
 func (c *clientComparison) rejectionStorms() error {
 	c.printf("| storm of refusals, %v, %d requests/s, 2 routers | tries per request in it | refused at once, median "+
-		"| from its end to 95%% served |\n| --- | --- | --- | --- |\n", c.units(stormEnd-stormBegin), stormRate)
+		"| from its end to 95%% served |\n| --- | --- | --- | --- |\n", c.units(stormEnd-stormStart), stormRate)
 	for _, retryAfter := range []bool{false, true} {
 		for _, kind := range clientKinds {
 			outcomes, err := c.rejectionStorm(kind, retryAfter)
@@ -31,7 +31,7 @@
 			if retryAfter {
 				name = kind.name + ", with `later`"
 			}
-			during := dueBetween(outcomes, c.units(stormBegin)+stormMargin, c.units(stormEnd)-stormMargin)
+			during := dueBetween(outcomes, c.units(stormStart)+stormMargin, c.units(stormEnd)-stormMargin)
 			c.printf("| %s | %.2f | %s | %s |\n", name, attemptsPerRequest(during), medianRejection(during),
 				recoveryTime(outcomes, c.units(stormEnd)))
 		}
@@ -50,9 +50,9 @@
 	defer requester.close()
 	var storm sync.WaitGroup
 	storm.Go(func() {
-		time.Sleep(c.units(stormBegin))
+		time.Sleep(c.units(stormStart))
 		fleet.Backend.Set(BackendLoad{RejectAll: true})
-		time.Sleep(c.units(stormEnd - stormBegin))
+		time.Sleep(c.units(stormEnd - stormStart))
 		fleet.Backend.Set(BackendLoad{})
 	})
 	outcomes := sendOpenLoop(requester, stormRate, c.units(stormLength), 1, onlyPages)
--- a/loadtest/soak.go
+++ b/loadtest/soak.go
@@ -11,7 +11,7 @@
 	"hillknot/internal/testutil/fakes"
 )
 
-// SoakSettings holds the settings of the soak test. It runs router processes with page caches, a discovery service and
+// SoakSettings holds the settings of the soak test. The test runs router processes with page caches, a discovery service and
 // clients that misbehave, while processes are stopped, restarted and reloaded, several faults at a time. All random choices
 // follow from a seed. What clients, page caches and the discovery service recorded is checked against invariants, from
 // outside of the routers.
@@ -148,7 +148,7 @@
 		rejected, failed, len(h.attempts), len(s.faults), formatKindCounts(s.faults))
 }
 
-// printFaults prints the faults, with their begin and end in seconds since the start of the seed.
+// printFaults prints the faults, with their start and end in seconds since the start of the seed.
 func (s *soakRun) printFaults(out io.Writer) {
 	for _, fault := range s.faults {
 		_, _ = fmt.Fprintf(out, "    %6.3f to %6.3f: %s\n", fault.begun.Sub(s.start).Seconds(), fault.ended.Sub(s.start).Seconds(),
--- a/loadtest/stepkill.go
+++ b/loadtest/stepkill.go
@@ -29,7 +29,7 @@
 	if err := c.restartWithEnv(router, env); err != nil {
 		return result, err
 	}
-	item := c.orders.randomItem(c.nextClient())
+	item := c.orders.randomItem(c.nextClientNumber())
 	order := &rpc.Request{Method: classOrder, Txn: item + 1, Item: item, Body: []byte("order"),
 		TimeoutMillis: stepKillTimeout.Milliseconds()}
 	result.Txn = objectName(order.Txn)
