--- a/cmd/hillknot/cluster.go
+++ b/cmd/hillknot/cluster.go
@@ -124,7 +124,7 @@
 		}
 	}
 	settings := failover.Defaults(cfg.Name, cluster.State.Process, cluster.State.ClusterSize, cmp.Or(longestOrder, time.Second))
-	settings.Place = cluster.Location
+	settings.Place = cluster.Place
 	settings.Strict = block.Strict
 	settings.LeaseDuration = block.LeaseDuration
 	settings.ReplicaTimeout = block.ReplicaTimeout
--- a/internal/cluster/membership/golden_test.go
+++ b/internal/cluster/membership/golden_test.go
@@ -48,14 +48,14 @@
 	}{
 		"meta.txt": {
 			config.Cluster{
-				Location: "hall 2",
+				Place:    "hall 2",
 				State:    state.Settings{ClusterSize: 12},
 				Failover: config.Failover{Enabled: true},
 			},
 			nodeMeta{"12", true, "hall 2"},
 		},
 		"meta-guest.txt": {
-			config.Cluster{Location: "hall;2", State: state.Settings{ClusterSize: 12, Guest: true}},
+			config.Cluster{Place: "hall;2", State: state.Settings{ClusterSize: 12, Guest: true}},
 			nodeMeta{"guest", false, "hall;2"},
 		},
 	} {
--- a/internal/cluster/membership/membership_test.go
+++ b/internal/cluster/membership/membership_test.go
@@ -46,7 +46,7 @@
 		KeyFile:   filepath.Join(t.TempDir(), "keys"),
 		State:     state.Settings{ClusterSize: 2},
 		Failover:  config.Failover{Enabled: true},
-		Location:  "hall of " + name,
+		Place:     "hall of " + name,
 	}
 	writeKeys(t, settings.KeyFile, keys)
 	onMessages := func(messages []state.Message) {
--- a/internal/cluster/membership/peers.go
+++ b/internal/cluster/membership/peers.go
@@ -89,7 +89,7 @@
 	meta := nodeMeta{
 		size:        strconv.Itoa(a.settings.State.ClusterSize),
 		holdsOrders: a.settings.Failover.Enabled,
-		location:    a.settings.Location,
+		location:    a.settings.Place,
 	}
 	if a.settings.State.Guest {
 		meta.size = guestSize
--- a/internal/config/cluster.go
+++ b/internal/config/cluster.go
@@ -20,13 +20,13 @@
 	State      state.Settings     // the incarnation is set at the start of the process
 	WarmUp     state.BudgetLimits // budget of endpoints in slow start; a rate of 0: it is not shared
 	Retries    state.BudgetLimits // budget of retries; a rate of 0: it is not shared
-	Location   string             // such as a rack; replicas are kept at other locations
+	Place      string             // such as a rack; its replica is at another place if a router there is alive
 	Failover   Failover
 	LedgerFile string // path of the ledger of prepaid credit, which must survive a kill of the process
 	Credit     Credit
 }
 
-const maxLocationBytes = 64 // of Cluster.Location
+const maxPlaceBytes = 64 // of Cluster.Place
 
 // readCluster reads the block fleet. Without it the router shares no state.
 func readCluster(o jsonfields.Object, name string, classes []balancer.Class) Cluster {
@@ -47,7 +47,7 @@
 	c.WarmUp = readBudget(b, "cold", c.State.ClusterSize)
 	c.Retries = readBudget(b, "retries", c.State.ClusterSize)
 	c.readAddresses(b)
-	if c.Location = b.String("place", ""); len(c.Location) > maxLocationBytes {
+	if c.Place = b.String("place", ""); len(c.Place) > maxPlaceBytes {
 		b.Fail("place", "is longer than 64 bytes")
 	}
 	c.Failover = readFailover(b, c)
--- a/internal/core/orders.go
+++ b/internal/core/orders.go
@@ -13,10 +13,10 @@
 // routers run it.
 //
 // Its methods are called on the core's goroutine, and none may block. It reports back there by
-// SendPermissionGranted, SendPermissionDenied, ClaimGranted, ClaimAnswered, ReplicaDropped and ReplicaNotDropped.
+// SendPermissionGranted, SendPermissionDenied, ClaimGranted, ClaimAnswered, ReplicaReleased and ReplicaNotReleased.
 type OrderFailover interface {
 	// Replicate replicates an order whose deadline is the given time away. After an error no other router has a
-	// replica, and the order is rejected.
+	// record of it, and the order is rejected.
 	Replicate(q *Request, left time.Duration) error
 	// Claim asks for the outcome of the order that a request resumes. ClaimGranted or ClaimAnswered follows.
 	Claim(id balancer.RequestID, q *Request, left time.Duration)
@@ -28,9 +28,9 @@
 	// UseSendPermission reports whether the order may be written now. If so, the caller writes it at once.
 	UseSendPermission(txn string) bool
 	// Finish takes the answer that the client of an order is about to get. If it returns true, the answer is a
-	// rejection, and is held back until ReplicaDropped or ReplicaNotDropped.
+	// rejection, and is held back until ReplicaReleased or ReplicaNotReleased.
 	Finish(txn string, a Answer, mayHaveRun bool) (hold bool)
-	// StopWaiting ends the wait for ReplicaDropped or ReplicaNotDropped, for a rejection that Finish held back.
+	// StopWaiting ends the wait for ReplicaReleased or ReplicaNotReleased, for a rejection that Finish held back.
 	StopWaiting(txn string)
 	// Cancel ends an order whose client no longer waits.
 	Cancel(txn string, mayHaveRun bool)
@@ -44,7 +44,7 @@
 func (c *Core) SetOrderFailover(orders OrderFailover) { c.extensions.orders = orders }
 
 // replicateOrder replicates a request if it is an order, and reports whether the request goes on. An order is rejected
-// if no router takes a replica of it.
+// if no other router takes a record of it.
 func (c *Core) replicateOrder(r *request) bool {
 	if c.extensions.orders == nil || !r.policy.nonIdempotent {
 		return true
@@ -134,8 +134,7 @@
 
 // finishOrder takes the answer that the client of a request is about to get. It returns the answer to deliver now, and
 // whether there is one. A rejection of a replicated order is held back for a bounded time, until no other router can run
-// the order. Once the request's deadline is over there is no wait: the order fails, as a router with its replica may run
-// it.
+// the order. Once the request's deadline is over there is no wait: the order fails, as its replica may run it.
 func (c *Core) finishOrder(r *request, a Answer) (now Answer, ok bool) {
 	if !r.replicated || !c.extensions.orders.Finish(r.Txn, a, r.mayHaveRun) {
 		return a, true
@@ -154,18 +153,18 @@
 	return Answer{}, false
 }
 
-// ReplicaDropped reports that no other router runs an order whose rejection is held back. The client gets the
+// ReplicaReleased reports that no other router runs an order whose rejection is held back. The client gets the
 // rejection.
-func (c *Core) ReplicaDropped(txn string) {
+func (c *Core) ReplicaReleased(txn string) {
 	if r := c.requests.withPendingRejection(txn); r != nil {
 		c.requests.remove(r)
 		c.deliver(r, r.pendingRejection)
 	}
 }
 
-// ReplicaNotDropped reports that another router may run an order whose rejection is held back. The order fails
+// ReplicaNotReleased reports that another router may run an order whose rejection is held back. The order fails
 // instead.
-func (c *Core) ReplicaNotDropped(txn string) {
+func (c *Core) ReplicaNotReleased(txn string) {
 	if r := c.requests.withPendingRejection(txn); r != nil {
 		c.failPendingRejection(r)
 	}
--- a/internal/core/orders_test.go
+++ b/internal/core/orders_test.go
@@ -108,8 +108,8 @@
 	}
 }
 
-// An order without a replica is rejected at once. An order whose lease is denied is rejected if it surely never ran, and
-// fails otherwise.
+// An order of which no other router has a record is rejected at once. An order whose lease is denied is rejected if it
+// surely never ran, and fails otherwise.
 func TestDeniedReplicaOrLeaseEndsOrder(t *testing.T) {
 	h := newHarness(t)
 	failover := h.withOrderFailover()
@@ -128,7 +128,7 @@
 
 // The rejection of an order is held back until no other router can run the order, for a bounded time. After that the
 // order fails.
-func TestRejectionIsHeldUntilReplicaDropped(t *testing.T) {
+func TestRejectionIsHeldUntilReplicaReleased(t *testing.T) {
 	for _, released := range []bool{true, false} {
 		h := newHarness(t)
 		failover := h.withOrderFailover()
@@ -141,10 +141,10 @@
 			h.finish(h.outstanding[len(h.outstanding)-1], AttemptResult{Status: balancer.Rejected})
 		}
 		if len(h.answers) > 0 || h.core.OpenCount() != 1 {
-			t.Fatalf("answers %+v before the replica was released", h.answers)
+			t.Fatalf("answers %+v before the replica released the order", h.answers)
 		}
 		if released {
-			h.core.ReplicaDropped(txn)
+			h.core.ReplicaReleased(txn)
 			h.wantOneAnswer("released", Rejected)
 		} else {
 			h.wait(second)
--- a/internal/core/requests.go
+++ b/internal/core/requests.go
@@ -35,7 +35,7 @@
 	reservation Reservation // credit set aside; nil: none
 
 	// The fields below are set for an order that is replicated to other routers.
-	replicated           bool     // another router has a replica
+	replicated           bool     // another router has a record of it
 	attemptAwaitingLease *Attempt // is sent again once the lease is granted; nil: none
 	pendingRejection     Answer   // the rejection held back in state requestRejectionPending
 }
--- a/internal/discovery/connection.go
+++ b/internal/discovery/connection.go
@@ -53,7 +53,7 @@
 }
 
 // Consume implements netio.Handler.
-func (c *connection) Consume(buf []byte) (used, want int, err error) {
+func (c *connection) Consume(buf []byte) (used, needed int, err error) {
 	select {
 	case c.received <- struct{}{}:
 	default: // watch has not taken the previous value yet
--- a/internal/extension/orderfailover/orderfailover.go
+++ b/internal/extension/orderfailover/orderfailover.go
@@ -147,10 +147,10 @@
 func (e *Extension) replicaDropped(a failover.Action) {
 	if a.Err != nil {
 		log.Warn("order not released by its replica", logging.KeyRequestID, a.Txn, operatorhint.Attr(a.Err))
-		e.core.ReplicaNotDropped(a.Txn)
+		e.core.ReplicaNotReleased(a.Txn)
 		return
 	}
-	e.core.ReplicaDropped(a.Txn)
+	e.core.ReplicaReleased(a.Txn)
 }
 
 func (e *Extension) settleClaim(a failover.Action) {
--- a/internal/frontend/admin/server.go
+++ b/internal/frontend/admin/server.go
@@ -56,7 +56,7 @@
 }
 
 // Consume implements netio.Handler. It answers the first request on the connection, and ignores all later input.
-func (c *conn) Consume(buf []byte) (used, want int, err error) {
+func (c *conn) Consume(buf []byte) (used, needed int, err error) {
 	if c.answered {
 		return len(buf), 0, nil
 	}
--- a/internal/frontend/agentcheck/agentcheck.go
+++ b/internal/frontend/agentcheck/agentcheck.go
@@ -47,7 +47,7 @@
 }
 
 // Consume implements netio.Handler. It ignores all input, as HAProxy may send a line first (agent-send).
-func (c *conn) Consume(buf []byte) (used, want int, err error) { return len(buf), 0, nil }
+func (c *conn) Consume(buf []byte) (used, needed int, err error) { return len(buf), 0, nil }
 
 // Closed implements netio.Handler.
 func (c *conn) Closed() {}
--- a/internal/frontend/dns/transport.go
+++ b/internal/frontend/dns/transport.go
@@ -114,7 +114,7 @@
 const lengthSize = 2
 
 // Consume implements netio.Handler.
-func (c *tcpConn) Consume(buf []byte) (used, want int, err error) {
+func (c *tcpConn) Consume(buf []byte) (used, needed int, err error) {
 	from, _ := netip.ParseAddrPort(c.transport.RemoteAddr().String()) // if this fails, all clients share one key
 	for {
 		rest := buf[used:]
--- a/internal/frontend/msgpackrpc/conn.go
+++ b/internal/frontend/msgpackrpc/conn.go
@@ -31,7 +31,7 @@
 var _ netio.InputErrorHandler = (*conn)(nil)
 
 // Consume implements netio.Handler.
-func (c *conn) Consume(buf []byte) (used, want int, err error) {
+func (c *conn) Consume(buf []byte) (used, needed int, err error) {
 	for {
 		m, progress, err := rpc.ParseMessage(buf[used:], c.server.limits.MessageBytes)
 		if err != nil {
--- a/internal/handover/predecessor.go
+++ b/internal/handover/predecessor.go
@@ -89,7 +89,7 @@
 }
 
 // Consume implements netio.Handler.
-func (p *Predecessor) Consume(buf []byte) (used, want int, err error) {
+func (p *Predecessor) Consume(buf []byte) (used, needed int, err error) {
 	for {
 		m, progress, err := parseMessage(buf[used:], p.limits.HandoverStateBytes)
 		if err != nil || progress.consumed == 0 {
--- a/internal/handover/successor.go
+++ b/internal/handover/successor.go
@@ -15,7 +15,7 @@
 }
 
 // Consume implements netio.Handler.
-func (s *successor) Consume(buf []byte) (used, want int, err error) {
+func (s *successor) Consume(buf []byte) (used, needed int, err error) {
 	for {
 		m, progress, err := parseMessage(buf[used:], 0)
 		if err != nil || progress.consumed == 0 {
--- a/internal/upstream/connection.go
+++ b/internal/upstream/connection.go
@@ -134,7 +134,7 @@
 }
 
 // Consume implements netio.Handler.
-func (c *connection) Consume(buf []byte) (used, want int, err error) {
+func (c *connection) Consume(buf []byte) (used, needed int, err error) {
 	for {
 		r, progress, err := parseResponse(buf[used:], c.client.limits.ResponseLineBytes, c.client.limits.ObjectBytes)
 		if err != nil || progress.consumed == 0 {
