--- a/client/client_test.go
+++ b/client/client_test.go
@@ -16,7 +16,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// readyRouter starts a router that takes clients and passes all other messages to handle.
+// readyRouter starts a router that accepts clients and passes all other messages to handle.
 func readyRouter(t testing.TB, handle func(*fakes.Peer, rpc.Message)) *fakes.Router {
 	t.Helper()
 	r, err := fakes.NewReadyRouter("127.0.0.1:0", handle)
--- a/client/config.go
+++ b/client/config.go
@@ -16,8 +16,8 @@
 	maxMessageSize   = 1 << 28 // upper bound of MaxAnswer and MaxBody, in bytes
 	maxRouters       = 1024
 
-	maxClassName  = 64 // bytes
-	maxClassLimit = time.Hour
+	maxClassNameBytes = 64 // bytes
+	maxClassLimit     = time.Hour
 
 	// healthMethod is the method of health checks. No class may have this name.
 	healthMethod = "health"
@@ -25,7 +25,7 @@
 
 // Config configures a client. Only Routers is required.
 type Config struct {
-	// Routers lists the addresses of the routers, as host:port. It should list all routers of a location, because a
+	// Routers lists the addresses of the routers, as host:port. It should list all routers of a zone, because a
 	// request goes to another router if one is unavailable.
 	Routers []string
 
@@ -120,7 +120,7 @@
 func newClassTable(classes map[string]Class) (classTable, error) {
 	table := classTable{index: map[string]int{}}
 	for name, class := range classes {
-		validName := name != "" && name != healthMethod && len(name) <= maxClassName
+		validName := name != "" && name != healthMethod && len(name) <= maxClassNameBytes
 		if !validName || class.Limit <= 0 || class.Limit > maxClassLimit {
 			return classTable{}, fmt.Errorf("client: Classes: name %q or its limit %v is invalid", name, class.Limit)
 		}
--- a/client/health.go
+++ b/client/health.go
@@ -10,11 +10,11 @@
 	"hillknot/internal/rpc"
 )
 
-// ErrNotReady is the error that Health returns for a router that answered that it takes no clients now.
+// ErrNotReady is the error that Health returns for a router that answered that it accepts no clients now.
 var ErrNotReady = errors.New("takes no clients now")
 
-// Health asks each router whether it takes clients, on a connection of its own. It returns one error for each router,
-// in the order of Config.Routers: nil if it takes clients, ErrNotReady if it answered that it does not, and another
+// Health asks each router whether it accepts clients, on a connection of its own. It returns one error for each router,
+// in the order of Config.Routers: nil if it accepts clients, ErrNotReady if it answered that it does not, and another
 // error if it can't be reached or does not respond within Settings.DialWait plus Settings.CheckWait. Health neither
 // uses nor changes what the client knows about the routers, and may be called after Close.
 func (c *Client) Health(ctx context.Context) []error {
--- a/client/health_test.go
+++ b/client/health_test.go
@@ -12,7 +12,7 @@
 	"hillknot/internal/testutil/fakes"
 )
 
-// One router accepts connections but never responds, one takes no clients, and the third is closed and restarted:
+// One router accepts connections but never responds, one accepts no clients, and the third is closed and restarted:
 // only the third serves calls.
 func TestCallsGoOnlyToTheReadyRouter(t *testing.T) {
 	silent, err := fakes.NewRouter("127.0.0.1:0", func(*fakes.Peer, rpc.Message) {})
--- a/client/observer.go
+++ b/client/observer.go
@@ -18,7 +18,7 @@
 	Connected                 // a connection is up
 	DialFailed                // a connection did not come up; see Err
 	Disconnected              // a connection has ended; see Err
-	Drained                   // a router reported in a health check that it takes no clients now
+	Drained                   // a router reported in a health check that it accepts no clients now
 )
 
 // Observation is an event for Config.Observer. What determines which fields are set.
--- a/client/policy/action.go
+++ b/client/policy/action.go
@@ -7,7 +7,7 @@
 const (
 	// ActionDial asks the caller to open Conn to Router, and then to report Connected or DialFailed.
 	ActionDial ActionKind = iota
-	// ActionCheckHealth asks the caller to send a health check on Conn, which asks Router whether it takes clients,
+	// ActionCheckHealth asks the caller to send a health check on Conn, which asks Router whether it accepts clients,
 	// and then to report HealthReceived.
 	ActionCheckHealth
 	// ActionSend asks the caller to write Call on Conn once PrepareWrite allows it. Retry is set if a router may have
--- a/client/policy/conn_test.go
+++ b/client/policy/conn_test.go
@@ -39,7 +39,7 @@
 	}
 }
 
-// Routers that accept connections but never respond, or that take no clients, get no calls.
+// Routers that accept connections but never respond, or that accept no clients, get no calls.
 func TestRoutersThatAreNotReadyGetNoCalls(t *testing.T) {
 	s := newSimulation(t, 3, nil)
 	silent, draining := s.routers[0], s.routers[1]
--- a/client/policy/counts.go
+++ b/client/policy/counts.go
@@ -13,7 +13,7 @@
 	Dials          uint64 // dials started
 	Reconnects     uint64 // connections established to a router that had been lost
 	Ejections      uint64 // routers ejected as outliers
-	Drains         uint64 // health checks in which a router reported that it takes no clients
+	Drains         uint64 // health checks in which a router reported that it accepts no clients
 	Silent         uint64 // connections closed because a health check was not answered
 }
 
--- a/client/policy/health.go
+++ b/client/policy/health.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// checkHealth sends a health check, which asks a router whether it takes clients.
+// checkHealth sends a health check, which asks a router whether it accepts clients.
 func (p *Policy) checkHealth(conn *Conn) {
 	conn.health = healthCheck{pendingSince: p.now, lastSent: p.now}
 	p.emit(Action{Kind: ActionCheckHealth, Conn: conn, Router: conn.router.index})
@@ -15,7 +15,7 @@
 	return min(conn.silentSince+p.settings.Quiet, conn.health.lastSent+p.settings.CheckEvery)
 }
 
-// HealthReceived reports the response to a health check. Ready is true if the router takes clients.
+// HealthReceived reports the response to a health check. Ready is true if the router accepts clients.
 func (p *Policy) HealthReceived(now time.Duration, conn *Conn, ready bool) {
 	p.now = now
 	conn.silentSince, conn.health.pendingSince = now, 0
@@ -51,7 +51,7 @@
 	p.backOffDial(conn.router)
 }
 
-// drainRouter stops sending calls to a router that takes no clients. Calls in flight continue, and the router is
+// drainRouter stops sending calls to a router that accepts no clients. Calls in flight continue, and the router is
 // dialed again later.
 func (p *Policy) drainRouter(r *router) {
 	p.counts.Drains++
--- a/client/policy/simulation_test.go
+++ b/client/policy/simulation_test.go
@@ -39,7 +39,7 @@
 type simRouter struct {
 	down         bool // refuses connections
 	silent       bool // accepts connections and answers nothing
-	draining     bool // answers health checks by reporting that it takes no clients
+	draining     bool // answers health checks by reporting that it accepts no clients
 	respond      func() simResponse
 	received     []time.Duration // times of received calls
 	accepted     []time.Duration // times of accepted connections
@@ -235,11 +235,11 @@
 	s.t.Helper()
 	call := action.Call
 	_, ended := s.outcomes[call]
-	switch left := call.deadline - s.now; {
+	switch remaining := call.deadline - s.now; {
 	case !conn.up || len(conn.inFlight) >= s.settings.OpenPerConn:
 		s.t.Fatalf("a call is sent on a connection with up=%v and %d calls in flight", conn.up, len(conn.inFlight))
-	case ended || limit > left || limit <= 0:
-		s.t.Fatalf("a call is sent with ended=%v, limit %v and %v left to its deadline", ended, limit, left)
+	case ended || limit > remaining || limit <= 0:
+		s.t.Fatalf("a call is sent with ended=%v, limit %v and %v left to its deadline", ended, limit, remaining)
 	case conn.router.rejectsUntil > s.now:
 		s.t.Fatalf("a call is sent %v before the end of a Retry-After", conn.router.rejectsUntil-s.now)
 	case !call.idempotent && s.mayHaveRun[call] > 0:
