--- a/internal/jsonfields/jsonfields.go
+++ b/internal/jsonfields/jsonfields.go
@@ -116,11 +116,11 @@
 	return a
 }
 
-// String returns the string under a key, or def if there is none.
-func (o Object) String(name, def string) string {
+// String returns the string under a key, or fallback if there is none.
+func (o Object) String(name, fallback string) string {
 	v := o.get(name)
 	if v == nil {
-		return def
+		return fallback
 	}
 	return o.string(name, v)
 }
@@ -142,11 +142,11 @@
 	return out
 }
 
-// Number returns the number under a key, or def if there is none. It must be finite.
-func (o Object) Number(name string, def float64) float64 {
+// Number returns the number under a key, or fallback if there is none. It must be finite.
+func (o Object) Number(name string, fallback float64) float64 {
 	v := o.get(name)
 	if v == nil {
-		return def
+		return fallback
 	}
 	return o.number(name, v)
 }
@@ -169,11 +169,11 @@
 	return out
 }
 
-// Int returns the whole number under a key, or def if there is none.
-func (o Object) Int(name string, def int64) int64 {
+// Int returns the whole number under a key, or fallback if there is none.
+func (o Object) Int(name string, fallback int64) int64 {
 	v := o.get(name)
 	if v == nil {
-		return def
+		return fallback
 	}
 	return o.int(name, v)
 }
@@ -195,20 +195,20 @@
 	return out
 }
 
-// Count returns the whole number under a key, or def if there is none. It must be at least least, and fit into 31 bits.
-func (o Object) Count(name string, def, least int) int {
-	n := o.Int(name, int64(def))
-	if n < int64(least) || n > math.MaxInt32 {
-		o.Fail(name, fmt.Sprintf("is %d, which is out of range (at least %d)", n, least))
+// Count returns the whole number under a key, or fallback if there is none. It must be at least minimum, and fit into 31 bits.
+func (o Object) Count(name string, fallback, minimum int) int {
+	n := o.Int(name, int64(fallback))
+	if n < int64(minimum) || n > math.MaxInt32 {
+		o.Fail(name, fmt.Sprintf("is %d, which is out of range (at least %d)", n, minimum))
 	}
 	return int(n)
 }
 
-// Duration returns the duration under a key, or def if there is none. The key holds a whole number of units, which must not
-// be negative.
-func (o Object) Duration(name string, unit, def time.Duration) time.Duration {
+// Duration returns the duration under a key, or fallback if there is none. The key holds a whole number of units, which
+// must not be negative.
+func (o Object) Duration(name string, unit, fallback time.Duration) time.Duration {
 	if !o.Has(name) {
-		return def
+		return fallback
 	}
 	return o.duration(name, o.Int(name, 0), unit)
 }
--- a/internal/rpc/encode.go
+++ b/internal/rpc/encode.go
@@ -74,12 +74,12 @@
 }
 
 // AppendThrottledResponse appends the response to a request that was rejected and never ran. The client should wait
-// for retryAfter milliseconds before it retries; 0 sends no such time. An empty reason means overload.
-func AppendThrottledResponse(b []byte, id uint64, retryAfter int64, reason string) []byte {
+// for retryAfterMillis before it retries; 0 sends no such time. An empty reason means overload.
+func AppendThrottledResponse(b []byte, id uint64, retryAfterMillis int64, reason string) []byte {
 	var fields [2]Field
 	count := 0
-	if retryAfter > 0 {
-		fields[count] = Field{FieldRetryAfter, strconv.FormatInt(retryAfter, 10)}
+	if retryAfterMillis > 0 {
+		fields[count] = Field{FieldRetryAfter, strconv.FormatInt(retryAfterMillis, 10)}
 		count++
 	}
 	if reason != "" {
--- a/internal/rpc/parse.go
+++ b/internal/rpc/parse.go
@@ -41,7 +41,8 @@
 	return f, progress, err
 }
 
-// The elements of messages: a request is [kind, id, method, params], a notification [kind, method, params].
+// The numbers of elements of messages: a request is [kind, id, method, params], a response [kind, id, error, result], and a
+// notification [kind, method, params].
 const (
 	requestElements      = 4
 	responseElements     = 4
