--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -42,7 +42,7 @@
 func Load(path, operator string) (*Config, error) { return LoadEnv(path, operator, os.Getenv) }
 
 // LoadEnv reads the configuration from the file at path. If operator is not empty, it is the path of an operator's file, whose
-// keys replace those of the first. Environment variables, which the platform sets, are read with getenv.
+// keys replace those of the first file. Environment variables, which the platform sets, are read with getenv.
 func LoadEnv(path, operator string, getenv func(string) string) (*Config, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -104,7 +104,7 @@
 }
 
 // Parse reads the configuration from JSON text. The keys of the operator's text, which may be empty, replace the same keys of
-// the first. The operator's text is HCL or JSON; name is its file name in errors. Faults splits an error of several faulty
+// that text. The operator's text is HCL or JSON; name is its file name in errors. Faults splits an error of several faulty
 // keys.
 func Parse(text, operator []byte, name string) (*Config, error) {
 	root, err := fastjson.ParseBytes(text)
--- a/internal/config/credit.go
+++ b/internal/config/credit.go
@@ -13,7 +13,7 @@
 	Enabled       bool
 	TopUpFile     string           // path of the file with the top-ups
 	AllowUnnamed  bool             // requests without an account are free; otherwise they are rejected
-	PacingHorizon time.Duration    // the spending of an account whose balance would be used up sooner is paced to last this long
+	PacingHorizon time.Duration    // an account whose balance would be used up sooner is paced, so that the balance lasts this long
 	DrawWindow    time.Duration    // each withdrawal from the ledger covers the spending of this time
 	Prices        map[string]Price // by the name of the class; classes without a price are free
 }
--- a/internal/config/failover.go
+++ b/internal/config/failover.go
@@ -10,13 +10,13 @@
 // Failover configures how orders (requests that are not idempotent) survive the loss of their router.
 type Failover struct {
 	Enabled        bool
-	Strict         bool          // an order is rejected if no other router has a replica of it
-	LeaseDuration  time.Duration // how long the lease lasts under which a router runs its orders
-	ReplicaTimeout time.Duration // for another router to store a replica of an order
+	Strict         bool          // an order is rejected if no other router has a record of it
+	LeaseDuration  time.Duration // duration of the lease under which a router runs its orders
+	ReplicaTimeout time.Duration // for another router to store a record of an order
 	ClaimTimeout   time.Duration // for the other routers to answer a claim
-	Retention      time.Duration // how long replicas and outcomes are kept
-	MaxRecords     int           // maximum of replicas that a router keeps
-	MaxBodyBytes   int           // replicas leave out longer bodies
+	Retention      time.Duration // how long records and outcomes are kept
+	MaxRecords     int           // maximum of records that a router keeps for other routers
+	MaxBodyBytes   int           // records leave out longer bodies
 }
 
 const (
@@ -48,7 +48,7 @@
 		cluster.Fail("takeover", "can't be combined with guest: every router that takes orders must be counted in size")
 	}
 	if c.State.ClusterSize < 2 {
-		cluster.Fail("size", "is 1: with takeover, another router must keep replicas of the orders")
+		cluster.Fail("size", "is 1: with takeover, another router must keep records of the orders")
 	}
 	return f
 }
--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -16,7 +16,7 @@
 	MessageBytes    int           // of a client's message
 	BodyBytes       int           // of a request's body
 	BadRequests     int           // malformed requests on a connection; one more closes it
-	BufferedBytes   int           // of messages that are incomplete or wait for a slow peer, on all connections together
+	BufferedBytes   int           // of messages that are incomplete or wait for a slow receiver, on all connections together
 	LongestDeadline time.Duration // the longest deadline of all classes
 	AnswerMargin    time.Duration // the final answer is sent this long before the client gives up
 
--- a/internal/config/topology.go
+++ b/internal/config/topology.go
@@ -24,7 +24,7 @@
 		return
 	}
 	if n := len(s.LinkKBps); n > 0 && n != len(s.Topology.Zones) {
-		specifics.Fail("pipeKbPerS", fmt.Sprintf("holds %d numbers for %d locations", n, len(s.Topology.Zones)))
+		specifics.Fail("pipeKbPerS", fmt.Sprintf("holds %d numbers for %d zones", n, len(s.Topology.Zones)))
 	}
 	if s.PaceKBps < 0 {
 		specifics.Fail("paceKbPerS", "is below 0")
@@ -45,10 +45,10 @@
 	case own < 0 || !specifics.Has(key): // another check reports it
 		return false
 	case len(t.RoutersPerZone) != len(t.Zones):
-		specifics.Fail(key, fmt.Sprintf("holds %d numbers for %d locations", len(t.RoutersPerZone), len(t.Zones)))
+		specifics.Fail(key, fmt.Sprintf("holds %d numbers for %d zones", len(t.RoutersPerZone), len(t.Zones)))
 		return false
 	case t.RoutersPerZone[own] < 1:
-		specifics.Fail(key, "holds no router for the location of this router")
+		specifics.Fail(key, "holds no router for the zone of this router")
 	}
 	for _, n := range t.RoutersPerZone {
 		if n < 0 || n > maxRoutersPerZone {
--- a/internal/discovery/deliverystate_test.go
+++ b/internal/discovery/deliverystate_test.go
@@ -22,7 +22,7 @@
 		"next event":                                        {position: 5, readable: true, want: deliverEvent},
 		"delivered event":                                   {position: 4, readable: true, want: dropDuplicate},
 		"delivered event that is unreadable":                {position: 3, want: dropDuplicate},
-		"event behind a gap":                                {position: 6, readable: true, want: refetchEvent},
+		"event after a gap":                                 {position: 6, readable: true, want: refetchEvent},
 		"unreadable event":                                  {position: 5, want: refetchEvent},
 		"unreadable event without a position":               {position: 0, want: refetchEvent},
 		"gap that was requested again":                      {position: 6, readable: true, refetched: 5, want: deliverEvent},
@@ -40,7 +40,7 @@
 		})
 	}
 	if first := (&deliveryState{}); first.decide(41, true) != deliverEvent {
-		t.Error("the first event is not delivered at once, whatever its position")
+		t.Error("the first event is not delivered at once if its position is not 1")
 	}
 }
 
--- a/internal/discovery/event.go
+++ b/internal/discovery/event.go
@@ -64,9 +64,9 @@
 }
 
 // convertStamps converts the stamps of an event, which are wall clock times of the service, to readings of package clock.
-// It is called once for an event, which arrived at now, when this machine's wall clock read wall. A change or a purge is
-// dated no earlier than earliest, the latest moment at which the service had not published it yet. This bound does not
-// apply to a complete list, as its endpoints may have started long before.
+// It is called once for each event; now and wall are the readings of package clock and of this machine's wall clock when
+// the event arrived. A change or a purge is dated no earlier than earliest, the latest moment at which the service had not
+// published it yet. This bound does not apply to a complete list, as its endpoints may have started long before.
 func (e *event) convertStamps(now, wall, earliest time.Duration) {
 	if e.endpoints.complete {
 		earliest = 0
--- a/internal/discovery/eventtime_test.go
+++ b/internal/discovery/eventtime_test.go
@@ -57,14 +57,14 @@
 	if at := <-handler.purges; at < begun || at > clock.Now() {
 		t.Errorf("purge published after the start is dated %v before it", begun-at)
 	}
-	contact := clock.Now()
+	sendingBegun := clock.Now()
 	text := purgeEvent(3, clock.Wall()-time.Hour)
 	for _, piece := range []string{text[:3], text[3:9], text[9:20], text[20:]} {
 		time.Sleep(30 * time.Millisecond) // so that each piece is read separately
 		send(t, conn, piece)
 	}
 	at := <-handler.purges
-	if early := contact - at; early > 25*time.Millisecond || at > contact+30*time.Millisecond {
+	if early := sendingBegun - at; early > 25*time.Millisecond || at > sendingBegun+30*time.Millisecond {
 		t.Errorf("purge dated %v before its first byte was sent, want at most 25 ms before and 30 ms after", early)
 	}
 	send(t, conn, purgeEvent(4, clock.Wall()+time.Hour))
--- a/internal/discovery/longlist.go
+++ b/internal/discovery/longlist.go
@@ -27,7 +27,7 @@
 }
 
 // cutObject splits a list of objects into its first object and the rest without the comma between them. It returns
-// errTruncatedList if the object has no end, or if neither the end of the list nor a comma and more follow it.
+// errTruncatedList if the object has no end, or if what follows it is neither the end of the list nor a comma and more.
 func cutObject(list []byte) (object, rest []byte, err error) {
 	depth, quoted := 0, false
 	for i := 0; i < len(list); i++ {
--- a/internal/frontend/dns/server.go
+++ b/internal/frontend/dns/server.go
@@ -1,7 +1,7 @@
 // Package dns is the front end for DNS resolvers: it answers A, AAAA and SRV queries for the configured names with page
 // caches that the core chooses, over UDP and TCP.
 //
-// A configured name stands for the page caches of the router's own location. Each page cache has a name of its own below
+// A configured name stands for the page caches of the router's own zone. Each page cache has a name of its own below
 // it, to which SRV records point. Clients of the same subnet get the same answers, so that the objects that they request
 // stay cached in one place. If a resolver does not send the subnet, all its clients get the same answers.
 package dns
@@ -34,7 +34,7 @@
 	core   Core
 	cfg    config.DNS
 	limits config.Limits
-	udp    *net.UDPConn // not of netio, as netpoll does not support UDP
+	udp    *net.UDPConn // not a connection of package netio, as netpoll does not support UDP
 	tcp    *netio.Server
 
 	readUDP        readDatagram // reads from udp, unless a test replaces it
--- a/internal/frontend/dns/transport_test.go
+++ b/internal/frontend/dns/transport_test.go
@@ -35,7 +35,7 @@
 // After a temporary read error of any kind, the front end keeps running without a busy loop, and answers the queries that have
 // arrived. Any read error once ended the whole router.
 func TestTemporaryReadErrorsDoNotEndServe(t *testing.T) {
-	const span, maxReads = 100 * time.Millisecond, 20 // reads
+	const span, maxReads = 100 * time.Millisecond, 20
 	for _, errno := range readErrors {
 		t.Run(errno.Error(), func(t *testing.T) {
 			t.Parallel()
