--- a/cmd/hillknot/replacement.go
+++ b/cmd/hillknot/hotrestart.go
@@ -15,9 +15,9 @@
 	"hillknot/internal/upstream"
 )
 
-// replacement is this process in a hot restart: as the successor of one process and the predecessor of the next. Two
-// processes of a router share its limits. It implements handover.Process.
-type replacement struct {
+// hotRestart is the part of this process in hot restarts: as the successor of an earlier process and as the predecessor of
+// a later one. Two processes of a router share its limits. It implements handover.Process.
+type hotRestart struct {
 	core     *core.Core
 	watcher  *discovery.Watcher
 	upstream *upstream.Client
@@ -27,14 +27,14 @@
 
 	mu             sync.Mutex
 	hasPredecessor bool
-	hasSuccessor   bool // a process that starts
-	successorReady bool // and it has taken over
+	hasSuccessor   bool // a later process is starting or has taken over
+	successorReady bool // the successor has taken over
 }
 
-// importState waits until this process has seen the events of discovery that its predecessor has, and goes on from its
-// state. Where that fails the router starts as any new one: cautiously. It returns false if cancel is closed before the
-// predecessor was told anything.
-func (r *replacement) importState(p *handover.Predecessor, cancel <-chan struct{}) bool {
+// importState waits until this process has received the events of discovery that its predecessor has, and then imports the
+// predecessor's state. If that fails, the router starts cautiously, as one without a predecessor does. importState returns
+// false if cancel is closed before the predecessor has been told that this process is ready.
+func (r *hotRestart) importState(p *handover.Predecessor, cancel <-chan struct{}) bool {
 	caughtUp := r.watcher.WaitForPosition(p.DiscoveryPosition, r.limits.HandoverDiscoveryWait, cancel)
 	select {
 	case <-cancel:
@@ -50,20 +50,21 @@
 		log.Warn("hot restart without state", logging.KeyError, err)
 		return true
 	}
-	done := make(chan struct{})
+	imported := make(chan struct{})
 	r.core.Post(func() {
 		r.core.ImportModuleSnapshot(state.Snapshot)
-		close(done)
+		close(imported)
 	})
-	<-done
-	memory := state.Snapshot
+	<-imported
+	snapshot := state.Snapshot
 	log.Info("hot restart state imported",
-		"endpoints", len(memory.Endpoints), "purges", len(memory.Purges), "objects", len(memory.Objects))
+		"endpoints", len(snapshot.Endpoints), "purges", len(snapshot.Purges), "objects", len(snapshot.Objects))
 	return true
 }
 
-// waitForPredecessor takes the whole of the limits once the predecessor has ended.
-func (r *replacement) waitForPredecessor(p *handover.Predecessor, stop <-chan struct{}) {
+// waitForPredecessor waits until the predecessor has ended and then gives this process all of the router's limits. It
+// returns early if stop is closed.
+func (r *hotRestart) waitForPredecessor(p *handover.Predecessor, stop <-chan struct{}) {
 	select {
 	case <-p.Ended():
 		log.Info("predecessor ended")
@@ -72,7 +73,8 @@
 	}
 }
 
-func (r *replacement) setPredecessor(present bool) {
+// setPredecessor records whether a predecessor is running, and applies the limits that follow.
+func (r *hotRestart) setPredecessor(present bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.hasPredecessor = present
@@ -80,10 +82,11 @@
 }
 
 // DiscoveryPosition implements handover.Process.
-func (r *replacement) DiscoveryPosition() int64 { return r.watcher.Position() }
+func (r *hotRestart) DiscoveryPosition() int64 { return r.watcher.Position() }
 
-// State implements handover.Process. A core that does not answer in time hands over nothing.
-func (r *replacement) State() handover.State {
+// State implements handover.Process. It returns an empty state if the core does not answer within half of
+// Limits.HandoverTimeout.
+func (r *hotRestart) State() handover.State {
 	exported := make(chan handover.State, 1)
 	r.core.Post(func() {
 		exported <- handover.State{DiscoveryPosition: r.watcher.Position(), Snapshot: r.core.ExportModuleSnapshot()}
@@ -99,7 +102,7 @@
 }
 
 // SuccessorChanged implements handover.Process.
-func (r *replacement) SuccessorChanged(stage handover.SuccessorStage) {
+func (r *hotRestart) SuccessorChanged(stage handover.SuccessorStage) {
 	present, ready := stage != handover.NoSuccessor, stage == handover.SuccessorReady
 	log.Info("successor changed", "present", present, "ready", ready)
 	r.mu.Lock()
@@ -109,13 +112,14 @@
 	r.core.Post(func() { r.core.SetSuccessorReady(ready) })
 }
 
-// applyLimits sets the limits by which other process of the router runs. The caller holds mu.
-func (r *replacement) applyLimits() {
+// applyLimits sets the limits of this process, which depend on whether another process of the router runs. The caller must
+// hold mu.
+func (r *hotRestart) applyLimits() {
 	limits := r.limits
 	if r.hasPredecessor || r.hasSuccessor {
 		limits = limits.Shared(!r.successorReady)
 	}
-	debug.SetMemoryLimit(int64(limits.MemoryMB) << 20 * 3 / 4) // the rest is for what the collector does not see
+	debug.SetMemoryLimit(int64(limits.MemoryMB) << 20 * 3 / 4) // the rest is for memory that the garbage collector does not count
 	r.budget.SetLimit(limits.BufferedBytes)
 	r.clients.SetMaxConns(limits.ClientConns)
 	r.core.Post(func() { r.upstream.SetMaxConnections(limits.UpstreamConns) })
