--- a/internal/cluster/membership/peers.go
+++ b/internal/cluster/membership/peers.go
@@ -90,7 +90,7 @@
 	meta := nodeMeta{
 		size:        strconv.Itoa(a.settings.State.ClusterSize),
 		holdsOrders: a.settings.Failover.Enabled,
-		place:       a.settings.Location,
+		place:       a.settings.Place,
 	}
 	if a.settings.State.Guest {
 		meta.size = guestSize
