--- a/internal/testutil/parsertest/parsertest.go
+++ b/internal/testutil/parsertest/parsertest.go
@@ -23,8 +23,8 @@
 }
 
 // Parser parses the message at the start of buf. It returns n, the length of the message in bytes. If the message is
-// incomplete, n is 0 and want is the length of buf that the parser needs, in bytes, or 0 if that is unknown.
-type Parser func(buf []byte) (n, want int, err error)
+// incomplete, n is 0 and needed is the length of buf that the parser needs, in bytes, or 0 if that is unknown.
+type Parser func(buf []byte) (n, needed int, err error)
 
 // Run checks a parser with the messages that generate returns: complete, truncated and damaged ones.
 func Run(t *testing.T, generate func(*rapid.T) []byte, parse Parser) {
@@ -34,25 +34,25 @@
 }
 
 // checkTruncated checks a parser with two consecutive messages that are truncated at a random position. The parser must
-// return the length of the first message if that is complete. Otherwise it must consume nothing, and the length that it wants
+// return the length of the first message if that is complete. Otherwise it must consume nothing, and the length that it needs
 // must be 0, or larger than the buffer and not larger than the first message.
 func checkTruncated(t *rapid.T, generate func(*rapid.T) []byte, parse Parser) {
 	first := generate(t)
 	all := append(bytes.Clone(first), generate(t)...)
 	cut := rapid.IntRange(0, len(all)).Draw(t, "cut")
-	n, want, err := parse(bytes.Clone(all[:cut]))
+	n, needed, err := parse(bytes.Clone(all[:cut]))
 	switch {
 	case err != nil:
 		t.Fatalf("%q: %v", all[:cut], err)
 	case cut >= len(first) && n != len(first):
 		t.Fatalf("%q: consumed %d bytes of a message of %d", all[:cut], n, len(first))
-	case cut < len(first) && (n != 0 || want != 0 && (want <= cut || want > len(first))):
-		t.Fatalf("%q: consumed %d bytes and wants %d of an incomplete message of %d", all[:cut], n, want, len(first))
+	case cut < len(first) && (n != 0 || needed != 0 && (needed <= cut || needed > len(first))):
+		t.Fatalf("%q: consumed %d bytes and needs %d of an incomplete message of %d", all[:cut], n, needed, len(first))
 	}
 }
 
 // Garbage checks a parser with random bytes and with damaged messages. The parser may return an error, but it must not panic,
-// consume more bytes than the buffer holds, or want a length that the buffer already has.
+// consume more bytes than the buffer holds, or need a length that the buffer already has.
 func Garbage(t *testing.T, generate func(*rapid.T) []byte, parse Parser) {
 	t.Helper()
 	t.Run("garbage", rapid.MakeCheck(func(t *rapid.T) {
@@ -63,9 +63,9 @@
 				damageByte(t, buf)
 			}
 		}
-		n, want, err := parse(buf)
-		if n < 0 || n > len(buf) || err == nil && n == 0 && want != 0 && want <= len(buf) {
-			t.Fatalf("%q: consumed %d bytes and wants %d", buf, n, want)
+		n, needed, err := parse(buf)
+		if n < 0 || n > len(buf) || err == nil && n == 0 && needed != 0 && needed <= len(buf) {
+			t.Fatalf("%q: consumed %d bytes and needs %d", buf, n, needed)
 		}
 	}))
 }
--- a/loadtest/fleet.go
+++ b/loadtest/fleet.go
@@ -14,7 +14,7 @@
 // router starts with.
 const firstEventPosition = 2
 
-// Fleet is a number of routers of one location with page caches, an origin and a discovery service, all on loopback.
+// Fleet is a number of routers of one zone with page caches, an origin and a discovery service, all on loopback.
 type Fleet struct {
 	Backend *Backend
 	Routers []*Router
@@ -31,7 +31,7 @@
 	RetryAfter     bool // rejections of routers tell the client how long to stay away
 	Caches         int  // page caches on the endpoint list, not counting the origin
 	UnlistedCaches int  // page caches that are not on the endpoint list at first
-	KnownRouters   int  // number of routers in the location according to the configuration of each router, itself included
+	KnownRouters   int  // number of routers in the zone according to the configuration of each router, itself included
 	OverloadFactor int  // a page cache that warms up may receive this multiple of its capacity
 	Sockets        int  // descriptors that a router may hold; 0: the default
 
