--- a/loadtest/fleet.go
+++ b/loadtest/fleet.go
@@ -14,7 +14,7 @@
 // router starts with.
 const firstEventPosition = 2
 
-// Fleet is a number of routers of one location with page caches, an origin and a discovery service, all on loopback.
+// Fleet is a number of routers of one zone with page caches, an origin and a discovery service, all on loopback.
 type Fleet struct {
 	Backend *Backend
 	Routers []*Router
@@ -31,14 +31,14 @@
 	RetryAfter     bool // rejections of routers tell the client how long to stay away
 	Caches         int  // page caches on the endpoint list, not counting the origin
 	UnlistedCaches int  // page caches that are not on the endpoint list at first
-	KnownRouters   int  // number of routers in the location according to the configuration of each router, itself included
+	KnownRouters   int  // number of routers in the zone according to the configuration of each router, itself included
 	OverloadFactor int  // a page cache that warms up may receive this multiple of its capacity
 	Sockets        int  // descriptors that a router may hold; 0: the default
 
 	Answer   func(cache int, request fakes.Request) fakes.Reply // nil: Backend answers
 	Operator func(router int, ip string) (string, error)        // returns the text of a router's operator's file; nil: no file
-	// Address returns the address of a page cache that the caller runs; the last page cache is the origin. Nil: the fleet
-	// runs them.
+	// Address returns the addresses of page caches that the caller runs, and last that of the origin. Nil: the fleet runs
+	// them.
 	Address  func(cache int) string
 	LogLevel string // minimum level that routers log; empty: error
 }
