--- a/client/client_test.go
+++ b/client/client_test.go
@@ -17,7 +17,7 @@
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
 // readyRouter starts a router that accepts clients and passes all other messages to handle.
-func readyRouter(t testing.TB, handle func(*fakes.Peer, rpc.Message)) *fakes.Router {
+func readyRouter(t testing.TB, handle func(*fakes.ClientConn, rpc.Message)) *fakes.Router {
 	t.Helper()
 	r, err := fakes.NewReadyRouter("127.0.0.1:0", handle)
 	if err != nil {
@@ -51,12 +51,12 @@
 
 func TestDoReturnsTheResponse(t *testing.T) {
 	body := bytes.Repeat([]byte("score"), 40_000)
-	r := readyRouter(t, func(p *fakes.Peer, m rpc.Message) {
+	r := readyRouter(t, func(conn *fakes.ClientConn, m rpc.Message) {
 		if string(m.Fields.CachedTag) == "tag" {
-			p.SendRaw(rpc.AppendBodyResponse(nil, m.ID, nil, rpc.Field{Name: rpc.FieldNotModified, Value: "1"}))
+			conn.SendRaw(rpc.AppendBodyResponse(nil, m.ID, nil, rpc.Field{Name: rpc.FieldNotModified, Value: "1"}))
 			return
 		}
-		p.SendBody(m.ID, body)
+		conn.SendBody(m.ID, body)
 	})
 	c := newClient(t, nil, r.Addr())
 	ctx := context.Background()
@@ -88,7 +88,7 @@
 }
 
 func BenchmarkDo(b *testing.B) {
-	r := readyRouter(b, func(p *fakes.Peer, m rpc.Message) { p.SendBody(m.ID, nil) })
+	r := readyRouter(b, func(conn *fakes.ClientConn, m rpc.Message) { conn.SendBody(m.ID, nil) })
 	for _, bench := range []struct {
 		name  string
 		conns int
--- a/client/close_test.go
+++ b/client/close_test.go
@@ -16,7 +16,7 @@
 // The number of waiting calls is bounded, Close cancels the calls that do not end in time, and a closed client takes
 // no calls.
 func TestWaitingCallsAreBoundedAndCanceledByClose(t *testing.T) {
-	r := readyRouter(t, func(*fakes.Peer, rpc.Message) {}) // the router never responds
+	r := readyRouter(t, func(*fakes.ClientConn, rpc.Message) {}) // the router never responds
 	settings := policy.Defaults()
 	settings.Waiting, settings.ConnsPerRouter, settings.OpenPerConn = 3, 1, 2
 	c, err := New(Config{Routers: []string{r.Addr()}, Policy: &settings})
--- a/client/example_test.go
+++ b/client/example_test.go
@@ -13,12 +13,12 @@
 
 // router starts a router that serves pages, and rejects orders with a Retry-After.
 func router() *fakes.Router {
-	r, err := fakes.NewReadyRouter("127.0.0.1:0", func(p *fakes.Peer, m rpc.Message) {
+	r, err := fakes.NewReadyRouter("127.0.0.1:0", func(conn *fakes.ClientConn, m rpc.Message) {
 		if string(m.Method) == "new-arrange" {
-			p.SendThrottled(m.ID, 1500)
+			conn.SendThrottled(m.ID, 1500)
 			return
 		}
-		p.SendBody(m.ID, []byte("a page"))
+		conn.SendBody(m.ID, []byte("a page"))
 	})
 	if err != nil {
 		panic(err)
--- a/client/health_test.go
+++ b/client/health_test.go
@@ -15,23 +15,23 @@
 // One router accepts connections but never responds, one accepts no clients, and the third is closed and restarted:
 // only the third serves calls.
 func TestCallsGoOnlyToTheReadyRouter(t *testing.T) {
-	silent, err := fakes.NewRouter("127.0.0.1:0", func(*fakes.Peer, rpc.Message) {})
+	silent, err := fakes.NewRouter("127.0.0.1:0", func(*fakes.ClientConn, rpc.Message) {})
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(silent.Close)
 	var callsAtDraining atomic.Int64
-	draining, err := fakes.NewRouter("127.0.0.1:0", func(p *fakes.Peer, m rpc.Message) {
+	draining, err := fakes.NewRouter("127.0.0.1:0", func(conn *fakes.ClientConn, m rpc.Message) {
 		if string(m.Method) != healthMethod {
 			callsAtDraining.Add(1)
 		}
-		p.SendHealth(m.ID, false)
+		conn.SendHealth(m.ID, false)
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(draining.Close)
-	serve := func(p *fakes.Peer, m rpc.Message) { p.SendBody(m.ID, nil) }
+	serve := func(conn *fakes.ClientConn, m rpc.Message) { conn.SendBody(m.ID, nil) }
 	ready := readyRouter(t, serve)
 	addr := ready.Addr()
 	ctx := context.Background()
--- a/client/response_test.go
+++ b/client/response_test.go
@@ -15,15 +15,15 @@
 // response that crosses the cancel, and a second response.
 func TestResponsesToEndedCallsAreIgnored(t *testing.T) {
 	var canceled atomic.Int64
-	r := readyRouter(t, func(p *fakes.Peer, m rpc.Message) {
+	r := readyRouter(t, func(conn *fakes.ClientConn, m rpc.Message) {
 		switch {
 		case m.Kind == rpc.KindNotification:
 			canceled.Add(1)
-			p.SendBody(m.IDs[0], []byte("too late"))
+			conn.SendBody(m.IDs[0], []byte("too late"))
 		case string(m.Fields.Nth) == "1": // no response
 		default:
-			p.SendBody(m.ID, []byte("well"))
-			p.SendBody(m.ID, []byte("twice"))
+			conn.SendBody(m.ID, []byte("well"))
+			conn.SendBody(m.ID, []byte("twice"))
 		}
 	})
 	c := newClient(t, nil, r.Addr())
--- a/client/stream_test.go
+++ b/client/stream_test.go
@@ -48,15 +48,15 @@
 	body := bytes.Repeat([]byte("score "), 30_000)
 	var requests atomic.Int64
 	breakOff := make(chan struct{}, 10)
-	r := readyRouter(t, func(p *fakes.Peer, m rpc.Message) {
+	r := readyRouter(t, func(conn *fakes.ClientConn, m rpc.Message) {
 		response := rpc.AppendBodyResponse(nil, m.ID, body)
 		if m.Kind == rpc.KindRequest && requests.Add(1)%2 == 1 { // every other request, the first included
-			p.SendRaw(response[:100_000])
+			conn.SendRaw(response[:100_000])
 			<-breakOff
-			p.Reset()
+			conn.Reset()
 			return
 		}
-		p.SendRaw(response)
+		conn.SendRaw(response)
 	})
 	c := newClient(t, func(s *policy.Settings) { s.Reconnect = 50 * time.Millisecond }, r.Addr())
 	ctx := context.Background()
--- a/cmd/hillknot/request_test.go
+++ b/cmd/hillknot/request_test.go
@@ -15,7 +15,7 @@
 
 // newScriptedRouter starts a fake router that reports that it is ready and passes all other requests to handle. It returns the
 // router's address.
-func newScriptedRouter(t *testing.T, handle func(*fakes.Peer, rpc.Message)) string {
+func newScriptedRouter(t *testing.T, handle func(*fakes.ClientConn, rpc.Message)) string {
 	t.Helper()
 	router, err := fakes.NewReadyRouter(anyPort, handle)
 	if err != nil {
@@ -41,18 +41,18 @@
 	if err := os.WriteFile(body, []byte("order"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	serve := func(p *fakes.Peer, m rpc.Message) { p.SendBody(m.ID, append([]byte("got "), m.Body...)) }
-	fail := func(code string) func(*fakes.Peer, rpc.Message) {
-		return func(p *fakes.Peer, m rpc.Message) { p.SendError(m.ID, code) }
+	serve := func(conn *fakes.ClientConn, m rpc.Message) { conn.SendBody(m.ID, append([]byte("got "), m.Body...)) }
+	fail := func(code string) func(*fakes.ClientConn, rpc.Message) {
+		return func(conn *fakes.ClientConn, m rpc.Message) { conn.SendError(m.ID, code) }
 	}
-	reset := func(p *fakes.Peer, _ rpc.Message) { p.Reset() }
-	silent := func(*fakes.Peer, rpc.Message) {}
+	reset := func(conn *fakes.ClientConn, _ rpc.Message) { conn.Reset() }
+	silent := func(*fakes.ClientConn, rpc.Message) {}
 	get := []string{"get", validObject}
 	send := []string{"send", validObject, "--body", body}
 	with := func(args []string, more ...string) []string { return append(slices.Clone(args), more...) }
 	for _, c := range []struct {
 		name    string
-		handle  func(*fakes.Peer, rpc.Message)
+		handle  func(*fakes.ClientConn, rpc.Message)
 		args    []string
 		status  int
 		outcome string // empty if no result is printed
@@ -101,14 +101,14 @@
 	path := filepath.Join(t.TempDir(), "score")
 	complete := bytes.Repeat([]byte("score "), 30_000)
 	attempts, cutAll := 0, true
-	address := newScriptedRouter(t, func(p *fakes.Peer, m rpc.Message) {
+	address := newScriptedRouter(t, func(conn *fakes.ClientConn, m rpc.Message) {
 		answer := rpc.AppendBodyResponse(nil, m.ID, complete)
 		if attempts++; attempts == 1 || cutAll {
-			p.SendRaw(bytes.ReplaceAll(answer[:100_000], []byte("score"), []byte("spoil")))
-			p.Close()
+			conn.SendRaw(bytes.ReplaceAll(answer[:100_000], []byte("score"), []byte("spoil")))
+			conn.Close()
 			return
 		}
-		p.SendRaw(answer)
+		conn.SendRaw(answer)
 	})
 	if status, _, _ := runAndCapture("get", validObject, "--router", address, "-o", path, "--deadline", "300ms"); status == 0 {
 		t.Error("get succeeded with a truncated answer")
--- a/internal/testutil/fakes/router.go
+++ b/internal/testutil/fakes/router.go
@@ -17,12 +17,12 @@
 // Router is a fake edge router whose handler decides what to do with each message.
 type Router struct {
 	*Server
-	handle func(*Peer, rpc.Message)
+	handle func(*ClientConn, rpc.Message)
 }
 
-// Peer is a client's connection to a fake router. Its methods may be called by several goroutines at once. They don't report
-// errors: what they send on a closed connection is lost.
-type Peer struct {
+// ClientConn is a client's connection to a fake router. Its methods may be called by several goroutines at once. They don't
+// report errors: what they send on a closed connection is lost.
+type ClientConn struct {
 	net.Conn
 	mu sync.Mutex // serializes responses
 }
@@ -30,7 +30,7 @@
 // NewRouter starts a fake router that listens at address. The router calls handle for the messages of a connection one after
 // the other; handle may keep a message, because messages don't share memory. NewRouter returns an error if it cannot listen
 // at address.
-func NewRouter(address string, handle func(*Peer, rpc.Message)) (*Router, error) {
+func NewRouter(address string, handle func(*ClientConn, rpc.Message)) (*Router, error) {
 	r := &Router{handle: handle}
 	var err error
 	r.Server, err = Listen(address, r.serve)
@@ -39,19 +39,19 @@
 
 // NewReadyRouter starts a fake router like NewRouter does, but one that answers health checks as ready. It calls handle for all
 // other messages.
-func NewReadyRouter(address string, handle func(*Peer, rpc.Message)) (*Router, error) {
-	return NewRouter(address, func(p *Peer, m rpc.Message) {
+func NewReadyRouter(address string, handle func(*ClientConn, rpc.Message)) (*Router, error) {
+	return NewRouter(address, func(c *ClientConn, m rpc.Message) {
 		if string(m.Method) == "health" {
-			p.SendHealth(m.ID, true)
+			c.SendHealth(m.ID, true)
 			return
 		}
-		handle(p, m)
+		handle(c, m)
 	})
 }
 
 // serve handles the messages of one connection until a read fails or a message cannot be parsed.
 func (r *Router) serve(conn net.Conn) {
-	peer := &Peer{Conn: conn}
+	client := &ClientConn{Conn: conn}
 	var pending []byte
 	chunk := make([]byte, routerReadBufferSize)
 	for {
@@ -59,7 +59,7 @@
 		if err != nil {
 			return
 		}
-		pending, err = r.handleMessages(peer, append(pending, chunk[:n]...))
+		pending, err = r.handleMessages(client, append(pending, chunk[:n]...))
 		if err != nil {
 			return
 		}
@@ -68,7 +68,7 @@
 
 // handleMessages handles the complete messages at the start of a buffer, and returns the bytes after them. It returns an
 // error if a message cannot be parsed.
-func (r *Router) handleMessages(peer *Peer, buf []byte) (rest []byte, err error) {
+func (r *Router) handleMessages(client *ClientConn, buf []byte) (rest []byte, err error) {
 	for {
 		message, progress, err := rpc.ParseMessage(buf, routerMaxMessageSize)
 		if err != nil {
@@ -78,39 +78,41 @@
 			return buf, nil
 		}
 		buf = bytes.Clone(buf[progress.Consumed:]) // the message refers to the old buffer, which later reads must not change
-		r.handle(peer, message)
+		r.handle(client, message)
 	}
 }
 
 // SendRaw sends the bytes unchanged.
-func (p *Peer) SendRaw(b []byte) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	_, _ = p.Write(b) // the client may have closed the connection
+func (c *ClientConn) SendRaw(b []byte) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	_, _ = c.Write(b) // the client may have closed the connection
 }
 
 // SendBody answers a request with a body.
-func (p *Peer) SendBody(id uint64, body []byte) { p.SendRaw(rpc.AppendBodyResponse(nil, id, body)) }
+func (c *ClientConn) SendBody(id uint64, body []byte) {
+	c.SendRaw(rpc.AppendBodyResponse(nil, id, body))
+}
 
 // SendError answers a request with an error code.
-func (p *Peer) SendError(id uint64, code string) {
-	p.SendRaw(rpc.AppendErrorResponse(nil, id, code))
+func (c *ClientConn) SendError(id uint64, code string) {
+	c.SendRaw(rpc.AppendErrorResponse(nil, id, code))
 }
 
 // SendThrottled rejects a request. The answer carries retryAfter, in milliseconds, if it is positive.
-func (p *Peer) SendThrottled(id uint64, retryAfter int) {
+func (c *ClientConn) SendThrottled(id uint64, retryAfter int) {
 	if retryAfter <= 0 {
-		p.SendError(id, rpc.CodeThrottled)
+		c.SendError(id, rpc.CodeThrottled)
 		return
 	}
 	field := rpc.Field{Name: rpc.FieldRetryAfter, Value: strconv.Itoa(retryAfter)}
-	p.SendRaw(rpc.AppendErrorResponse(nil, id, rpc.CodeThrottled, field))
+	c.SendRaw(rpc.AppendErrorResponse(nil, id, rpc.CodeThrottled, field))
 }
 
 // SendHealth answers a health check; ready says whether the router is ready.
-func (p *Peer) SendHealth(id uint64, ready bool) {
-	p.SendRaw(rpc.AppendHealthResponse(nil, id, ready))
+func (c *ClientConn) SendHealth(id uint64, ready bool) {
+	c.SendRaw(rpc.AppendHealthResponse(nil, id, ready))
 }
 
 // Reset closes the connection with a TCP reset.
-func (p *Peer) Reset() { resetConn(p.Conn) }
+func (c *ClientConn) Reset() { resetConn(c.Conn) }
