--- a/cmd/hillknot/cluster.go
+++ b/cmd/hillknot/cluster.go
@@ -96,7 +96,7 @@
 	block := cfg.Cluster.Credit
 	settings := credit.Defaults(cfg.Name, cfg.Cluster.State.Process, "")
 	settings.PacingHorizon = block.PacingHorizon
-	settings.WithdrawalWindow = block.DrawWindow
+	settings.WithdrawalWindow = block.WithdrawalWindow
 	settings.MaxResponseBytes = cfg.Limits.ObjectBytes
 	settings.Prices = map[string]credit.Price{}
 	for class, price := range block.Prices {
--- a/internal/config/credit.go
+++ b/internal/config/credit.go
@@ -10,12 +10,12 @@
 
 // Credit configures prepaid credit. The files call it the block credit in the block fleet.
 type Credit struct {
-	Enabled       bool
-	TopUpFile     string           // path of the file with the top-ups
-	AllowUnnamed  bool             // requests without an account are free; otherwise they are rejected
-	PacingHorizon time.Duration    // an account whose balance would be used up sooner is paced, so that the balance lasts this long
-	DrawWindow    time.Duration    // each withdrawal from the ledger covers the spending of this time
-	Prices        map[string]Price // by the name of the class; classes without a price are free
+	Enabled          bool
+	TopUpFile        string           // path of the file with the top-ups
+	AllowUnnamed     bool             // requests without an account are free; otherwise they are rejected
+	PacingHorizon    time.Duration    // an account whose balance would be used up sooner is paced to make it last this long
+	WithdrawalWindow time.Duration    // each withdrawal from the ledger covers the spending of this time
+	Prices           map[string]Price // by the name of the class; classes without a price are free
 }
 
 // Price is the price of a request, in credits.
@@ -33,10 +33,10 @@
 	o := cluster.Object("credit")
 	o.Require("topups", "prices")
 	c := Credit{
-		Enabled:       true,
-		TopUpFile:     o.String("topups", ""),
-		PacingHorizon: o.Duration("rest_s", time.Second, 30*time.Second),
-		DrawWindow:    o.Duration("chunk_ms", ms, time.Second),
+		Enabled:          true,
+		TopUpFile:        o.String("topups", ""),
+		PacingHorizon:    o.Duration("rest_s", time.Second, 30*time.Second),
+		WithdrawalWindow: o.Duration("chunk_ms", ms, time.Second),
 	}
 	switch unnamed := o.String("unnamed", "refuse"); unnamed {
 	case "free":
@@ -48,7 +48,7 @@
 	if c.PacingHorizon < time.Second || c.PacingHorizon > 24*time.Hour {
 		o.Fail("rest_s", "is out of range (1 second to 1 day)")
 	}
-	if c.DrawWindow < 10*ms || c.DrawWindow > time.Minute {
+	if c.WithdrawalWindow < 10*ms || c.WithdrawalWindow > time.Minute {
 		o.Fail("chunk_ms", "is out of range (10 ms to 1 minute)")
 	}
 	c.Prices = readPrices(o.Object("prices"), classes)
