--- a/internal/config/defaults.go
+++ b/internal/config/defaults.go
@@ -64,8 +64,6 @@
 		AdminHeaderBytes: 8 * kB,
 		AdminBodyBytes:   8 * kB,
 
-		// A stop of the process that is too short to be noticed makes the timeout that an endpoint is given too long. It
-		// must stay well under 150 ms, the most by which that timeout may be too long.
 		LoopInterval:        50 * ms,
 		LoopSlack:           20 * ms,
 		BacklogPollInterval: 1 * ms,
--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -49,7 +49,11 @@
 	AdminBodyBytes   int
 
 	// The core's loop.
-	LoopInterval        time.Duration // maximum between the starts of two iterations
+	//
+	// LoopInterval is the maximum between the starts of two iterations. A stop of the process that is too short to be noticed
+	// makes the timeout that an endpoint is given too long. Such a stop must stay well under 150 ms, the most by which that
+	// timeout may be too long.
+	LoopInterval        time.Duration
 	LoopSlack           time.Duration // an iteration that is late by more than this shows that the process was stopped
 	BacklogPollInterval time.Duration // after a stop, the loop checks at this interval whether all sockets are read
 	BacklogWait         time.Duration // after a stop, the loop waits no longer than this for all sockets to be read
