--- a/internal/core/policy.go
+++ b/internal/core/policy.go
@@ -16,7 +16,7 @@
 // classPolicy holds the settings of a class of requests. It is the zero value for an unknown class.
 type classPolicy struct {
 	nonIdempotent     bool          // a retry may do harm once a request may have run; a client may not be told otherwise
-	retryWindow       time.Duration // if nonIdempotent: how long after an attempt that may have run another does no harm; 0: never
+	retryWindow       time.Duration // if nonIdempotent: for how long a retry is safe after an attempt that may have run; 0: never
 	freshnessLifetime time.Duration // how long a cached copy is fresh; 0: until it is purged
 }
 
--- a/loadtest/scale.go
+++ b/loadtest/scale.go
@@ -22,8 +22,9 @@
 // MeasureScale measures each day at each size, and writes a table. The error says that a bound was exceeded, or that a day
 // could not be run.
 func MeasureScale(settings ScaleSettings, out io.Writer) error {
-	_, _ = fmt.Fprintln(out, "| day | seed | page caches | CPU s | memory MB | descriptors | connections | list KB | served | over |\n"+
-		"| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |")
+	_, _ = fmt.Fprintln(out,
+		"| day | seed | page caches | CPU s | memory MB | descriptors | connections | list KB | served | over |\n"+
+			"| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |")
 	exceeded := 0
 	for _, day := range settings.Days {
 		for _, seed := range settings.Seeds {
--- a/tools/citest/doc_test.go
+++ b/tools/citest/doc_test.go
@@ -17,7 +17,8 @@
 		switch {
 		case err != nil:
 			return err
-		case d.IsDir() && (d.Name() == "journal" && filepath.Dir(path) == "../.." || strings.HasPrefix(d.Name(), ".") && len(d.Name()) > 2):
+		case d.IsDir() && (d.Name() == "journal" && filepath.Dir(path) == "../.." ||
+			strings.HasPrefix(d.Name(), ".") && len(d.Name()) > 2):
 			return filepath.SkipDir
 		case d.IsDir() || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go"):
 			return nil
--- a/tools/citest/results.go
+++ b/tools/citest/results.go
@@ -157,7 +157,8 @@
 			faults = append(faults, fmt.Sprintf("%s is listed but did not run", failure.Test))
 		case failure.Intermittent:
 		case !r.failed[failure.Test]:
-			faults = append(faults, fmt.Sprintf("%s is listed but did not fail by itself (%s): remove it from the list", failure.Test, outcome))
+			faults = append(faults, fmt.Sprintf(
+				"%s is listed but did not fail by itself (%s): remove it from the list", failure.Test, outcome))
 		}
 	}
 	for _, name := range slices.SortedFunc(maps.Keys(r.failed), testName.compare) {
