--- a/internal/core/lifecycle.go
+++ b/internal/core/lifecycle.go
@@ -94,7 +94,7 @@
 	return true
 }
 
-// leaveStandby has the router take clients again. It reports whether the router does: one that shuts down does not.
+// leaveStandby has the router accept clients again. It reports whether the router does: one that shuts down does not.
 func (l *lifecycle) leaveStandby() bool {
 	if l.shuttingDown() {
 		return false
@@ -142,7 +142,7 @@
 	}
 }
 
-// LeaveStandby has the router take clients again. It reports whether the router does: one that shuts down does not.
+// LeaveStandby has the router accept clients again. It reports whether the router does: one that shuts down does not.
 func (c *Core) LeaveStandby() bool {
 	if !c.lifecycle.leaveStandby() {
 		return false
