--- a/cmd/hillknot/main.go
+++ b/cmd/hillknot/main.go
@@ -18,7 +18,7 @@
 )
 
 // version is the version of the latest entry in CHANGELOG.md.
-const version = "0.15.1"
+const version = "0.15.2"
 
 func main() { os.Exit(runCommandLine(os.Args[1:], os.Stdout, os.Stderr)) }
 
